--- a/src/main/java/rampshift/connections/Connection.java
+++ b/src/main/java/rampshift/connections/Connection.java
@@ -2,6 +2,7 @@
 
 import java.io.IOException;
 import java.nio.ByteBuffer;
+import java.util.function.Supplier;
 import org.xnio.Buffers;
 import org.xnio.IoUtils;
 import org.xnio.StreamConnection;
@@ -74,27 +75,28 @@
 
     /** Writes it all and reads one answer. */
     public void exchange(Heard heard, ByteBuffer... message) {
-        exchange(heard, Span.ZERO, message);
+        exchange(heard, Span.ZERO, () -> message);
     }
 
     /**
      * The same, but the last byte waits for so long after the others. A connection that the other side no
-     * longer wants is reset by then, and it is known that nothing ran.
+     * longer wants is reset by then, and it is known that nothing ran. The message is asked for once it may
+     * be written, since it tells how much time is left.
      */
-    public void exchange(Heard heard, Span hold, ByteBuffer... message) {
+    public void exchange(Heard heard, Span hold, Supplier<ByteBuffer[]> message) {
         this.heard = heard;
         if (!heard.mayWrite()) {
             this.heard = null;
             return;
         }
-        toWrite = message;
+        toWrite = message.get();
         written = false;
         answeredAfter = Span.ZERO;
         reader.begin();
         if (hold.micros() > 0) {
-            ByteBuffer end = message[message.length - 1];
-            for (int i = message.length - 1; !end.hasRemaining(); i--) {
-                end = message[i];
+            ByteBuffer end = toWrite[toWrite.length - 1];
+            for (int i = toWrite.length - 1; !end.hasRemaining(); i--) {
+                end = toWrite[i];
             }
             lastByte = ByteBuffer.wrap(new byte[] {end.get(end.limit() - 1)});
             end.limit(end.limit() - 1);
--- a/src/main/java/rampshift/workers/Errand.java
+++ b/src/main/java/rampshift/workers/Errand.java
@@ -63,7 +63,7 @@
         connection = wantsNew() ? null : pool.idle(place, quiet());
         if (connection != null) {
             reused = true;
-            connection.exchange(this, hold(), message());
+            connection.exchange(this, hold(), this::message);
         } else if (place.address == null || !pool.room()) {
             noRoom();
         } else {
@@ -75,7 +75,7 @@
     public final void connected(Connection made) {
         dial = null;
         connection = made;
-        connection.exchange(this, hold(), message());
+        connection.exchange(this, hold(), this::message);
     }
 
     /** Whether its connection is still one to this worker, which has not moved or restarted meanwhile. */
--- a/src/test/java/rampshift/workers/PoolTest.java
+++ b/src/test/java/rampshift/workers/PoolTest.java
@@ -274,6 +274,33 @@
         assertEquals(1, outcomes.size(), "nothing is known of it");
     }
 
+    // ---- broken answers
+
+    /** Has the next assignment's connection come up; the result is the worker's end. */
+    private StreamConnection up() throws Exception {
+        ChannelPipe<StreamConnection, StreamConnection> pipe = thread.createFullDuplexPipeConnection();
+        on(() -> coming.get(coming.size() - 1).handleEvent(pipe.getLeftSide()));
+        return pipe.getRightSide();
+    }
+
+    // ---- slow dials
+
+    /** A look at the list and at the client may take its time, and the message tells how much is left. */
+    @Test
+    void theMessageIsMadeOnceItMayBeWritten() throws Exception {
+        pool(10, 20_000);
+        List<String> order = Collections.synchronizedList(new ArrayList<>());
+        on(() -> {
+            pool.beforeFirstByte(() -> order.add("look"));
+            pool.assign(1, "t", false, expiry, () -> {
+                order.add("message");
+                return new ByteBuffer[] {ByteBuffer.wrap(new byte[] {'x'})};
+            }, Span.ZERO, this);
+        });
+        up();
+        assertEquals(List.of("look", "message"), order);
+    }
+
     @Test
     void whereAllConnectionsAreTakenATaskIsNotSent() throws Exception {
         pool(1, 20_000);
