--- a/src/main/java/rampshift/connections/Connection.java
+++ b/src/main/java/rampshift/connections/Connection.java
@@ -197,13 +197,17 @@
             broken("bytes that nobody asked for");
             return;
         }
+        if (!written) {
+            broken("answered before the whole request was written");
+            return;
+        }
         try {
             int used = reader.read(bytes, 0, count, heard);
             if (closed || !reader.done()) {
                 return;
             }
-            // An answer before the whole task was written, or more than one, leaves it in no known state.
-            lasting = used == count && reader.lasting() && written;
+            // More than one answer leaves it in no known state.
+            lasting = used == count && reader.lasting();
             ended();
         } catch (AnswerReader.Odd e) {
             broken("answered with " + e.getMessage());
--- a/src/test/java/rampshift/workers/PoolTest.java
+++ b/src/test/java/rampshift/workers/PoolTest.java
@@ -4,6 +4,7 @@
 import static org.junit.jupiter.api.Assertions.assertTrue;
 import static rampshift.StandIns.until;
 
+import java.io.IOException;
 import java.net.InetSocketAddress;
 import java.nio.ByteBuffer;
 import java.util.ArrayList;
@@ -283,6 +284,35 @@
         return pipe.getRightSide();
     }
 
+    /** Turned away, the sale went to the next worker, and its last byte was written here as well. */
+    @ParameterizedTest
+    @ValueSource(strings = {"HTTP/1.1 503 x\r\nX-Turned-Away: 1\r\nContent-Length: 5\r\n\r\n",
+        "HTTP/1.1 503 x\r\nX-Turned-Away: 1\r\nContent-Length: 0\r\n\r\n",
+        "HTTP/1.1 500 x\r\nContent-Length: 5\r\n\r\n", "H"})
+    void anAnswerThatBeginsBeforeTheLastByteIsWrittenEndsWhatNeverRan(String answer) throws Exception {
+        pool(10, 20_000);
+        assign(true);
+        ChannelPipe<StreamConnection, StreamConnection> pipe = thread.createFullDuplexPipeConnection();
+        on(() -> {
+            coming.get(0).handleEvent(pipe.getLeftSide());
+            write(pipe.getRightSide(), answer);
+        });
+        until("told", () -> !outcomes.isEmpty());
+        ByteBuffer got = ByteBuffer.allocate(10);
+        until("its connection went", () -> pipe.getRightSide().getSourceChannel().read(got) < 0);
+        assertEquals(0, got.position(), "no last byte");
+        assertEquals(List.of(Outcome.NO_CONNECTION), outcomes);
+        on(() -> assertEquals(0, dialer.open()));
+    }
+
+    private static void write(StreamConnection to, String text) {
+        try {
+            to.getSinkChannel().write(ByteBuffer.wrap(text.getBytes()));
+        } catch (IOException e) {
+            throw new IllegalStateException(e);
+        }
+    }
+
     // ---- slow dials
 
     /** A look at the list and at the client may take its time, and the message tells how much is left. */
