--- a/src/main/java/rampshift/connections/AnswerReader.java
+++ b/src/main/java/rampshift/connections/AnswerReader.java
@@ -159,7 +159,11 @@
             if (status == 101) {
                 throw new Odd("a change of protocols that nobody asked for");
             }
-            begin();
+            if (++fields > MOST_FIELDS) {
+                throw new Odd("over " + MOST_FIELDS + " interim answers and header fields");
+            }
+            at = At.STATUS;
+            head = null;
             return;
         }
         String coding = head.field("Transfer-Encoding");
--- a/src/test/java/rampshift/connections/AnswerReaderTest.java
+++ b/src/test/java/rampshift/connections/AnswerReaderTest.java
@@ -65,6 +65,9 @@
         assertThrows(AnswerReader.Odd.class, () -> read("HTTP/1.1 200 OK\r\nA: " + "a".repeat(AnswerReader.LONGEST_LINE)));
         reader.begin();
         assertThrows(AnswerReader.Odd.class, () -> read("HTTP/1.1 200 OK\r\n" + "a: b\r\n".repeat(AnswerReader.MOST_FIELDS + 1)));
+        reader.begin();
+        String interim = "HTTP/1.1 100 x\r\n\r\n";
+        assertThrows(AnswerReader.Odd.class, () -> read(interim.repeat(AnswerReader.MOST_FIELDS + 1)));
     }
 
     @Override
