--- a/src/main/java/rampshift/workers/Assignment.java
+++ b/src/main/java/rampshift/workers/Assignment.java
@@ -206,7 +206,8 @@
             end(Outcome.BROKEN, null);
             return;
         }
-        if (note.id != null && !note.id.equals(txn) || note.id == null && "done".equals(note.state)) {
+        boolean tells = "done".equals(note.state) || "returned".equals(note.state);
+        if (note.id == null ? tells : !note.id.equals(txn)) {
             odd("a line for another task");
             end(Outcome.BROKEN, null);
             return;
--- a/src/test/java/rampshift/workers/PoolTest.java
+++ b/src/test/java/rampshift/workers/PoolTest.java
@@ -284,6 +284,11 @@
         return pipe.getRightSide();
     }
 
+    private static String inChunks(String line) {
+        return "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n" + Integer.toHexString(line.length())
+                + "\r\n" + line + "\r\n0\r\n\r\n";
+    }
+
     /** Turned away, the sale went to the next worker, and its last byte was written here as well. */
     @ParameterizedTest
     @ValueSource(strings = {"HTTP/1.1 503 x\r\nX-Turned-Away: 1\r\nContent-Length: 5\r\n\r\n",
@@ -313,6 +318,17 @@
         }
     }
 
+    /** Without an id it may be about the task before. */
+    @ParameterizedTest
+    @CsvSource({"returned", "done", "lost"})
+    void aLastLineWithoutAnIdTellsNoMoreThanThatTheTaskMayHaveRun(String state) throws Exception {
+        pool(10, 20_000);
+        assign();
+        write(up(), inChunks("{\"state\":\"" + state + "\"}\n"));
+        until("told", () -> !outcomes.isEmpty());
+        assertEquals(List.of(Outcome.BROKEN), outcomes);
+    }
+
     // ---- slow dials
 
     /** A look at the list and at the client may take its time, and the message tells how much is left. */
