--- a/src/main/java/rampshift/stages/InHand.java
+++ b/src/main/java/rampshift/stages/InHand.java
@@ -6,6 +6,7 @@
 import java.util.List;
 import rampshift.clients.Call;
 import rampshift.time.Moment;
+import rampshift.time.Span;
 import rampshift.workers.Assignment;
 
 /** A task that was taken in, until it is answered and all its assignments have ended. */
@@ -17,6 +18,8 @@
     final int tenant;
     /** It must not run twice. */
     final boolean once;
+    /** How long workers drop a repeat, from the first send that may have run; null unless fingerprinted. */
+    private final Span window;
     final double width;
     final double memory;
     Moment expiry;
@@ -25,17 +28,20 @@
     private final byte[] body;
     /** In the order of their numbers; null once ended. */
     final List<Assignment> assignments = new ArrayList<>(2);
+    /** When each of them was decided; null for those that are known not to have run. */
+    final List<Moment> sentAt = new ArrayList<>(2);
     int out;
     boolean closed;
 
-    InHand(long id, Call call, String txn, int type, int tenant, boolean once, double width, double memory,
-            Moment expiry) {
+    InHand(long id, Call call, String txn, int type, int tenant, boolean once, Span window, double width,
+            double memory, Moment expiry) {
         this.id = id;
         this.call = call;
         this.txn = txn;
         this.type = type;
         this.tenant = tenant;
         this.once = once;
+        this.window = window;
         this.width = width;
         this.memory = memory;
         this.expiry = expiry;
@@ -52,6 +58,17 @@
         expiry = expiry.orEarlier(end);
     }
 
+    /** The next assignment must begin before: the expiry, or the end of an earlier one's window. */
+    Moment sendBy() {
+        Moment end = expiry;
+        for (Moment at : sentAt) {
+            if (window != null && at != null) {
+                end = end.orEarlier(at.plus(window));
+            }
+        }
+        return end;
+    }
+
     int bytes() {
         return head.length + body.length;
     }
--- a/src/main/java/rampshift/stages/Send.java
+++ b/src/main/java/rampshift/stages/Send.java
@@ -3,6 +3,7 @@
 import rampshift.counters.Counters;
 import rampshift.decide.Outcome;
 import rampshift.time.Clock;
+import rampshift.time.Moment;
 import rampshift.time.Span;
 import rampshift.workers.Assignment;
 import rampshift.workers.LoadReport;
@@ -22,12 +23,14 @@
 
     void assign(Route route, InHand task, long worker, Span timeout) {
         int number = task.assignments.size();
+        Moment sendBy = task.sendBy();
         task.assignments.add(null);
+        task.sentAt.add(clock.now());
         task.out++;
         book.count(Counters.Name.ASSIGNED);
         boolean[] ended = {false};
-        Assignment a = pool.assign(worker, task.txn, task.once, task.expiry, () -> task.message(clock.now()), timeout,
-                new Assignment.Told() {
+        Assignment a = pool.assign(worker, task.txn, task.once, sendBy, () -> task.message(clock.now()),
+                timeout, new Assignment.Told() {
                     @Override
                     public boolean wanted() {
                         return task.call.waits();
@@ -52,6 +55,9 @@
                     public void ended(Outcome outcome, byte[] result) {
                         ended[0] = true;
                         task.assignments.set(number, null);
+                        if (outcome.neverRan) {
+                            task.sentAt.set(number, null);
+                        }
                         task.out--;
                         book.count(Counters.Name.valueOf("OUTCOME_" + outcome));
                         route.ended(task, number, outcome, result);
--- a/src/main/java/rampshift/stages/TakeIn.java
+++ b/src/main/java/rampshift/stages/TakeIn.java
@@ -106,7 +106,8 @@
         // Whoever the settings do not name stands after all that they do, and has no share to go beyond.
         int tenant = tenants.getOrDefault(String.valueOf(call.field(TENANT)), tenants.size());
         next.task(new InHand(++ids, call, txn, type, tenant,
-                row.effect() == TrafficType.Effect.SIDE_EFFECTING, slots, memory,
+                row.effect() == TrafficType.Effect.SIDE_EFFECTING,
+                row.effect() == TrafficType.Effect.FINGERPRINTED ? row.window() : null, slots, memory,
                 call.wholeAt().plus(patience)));
     }
 
--- /dev/null
+++ b/src/test/java/rampshift/serve/SlowDialTest.java
@@ -0,0 +1,75 @@
+package rampshift.serve;
+
+import static org.junit.jupiter.api.Assertions.assertEquals;
+import static org.junit.jupiter.api.Assertions.assertTrue;
+import static rampshift.StandIns.list;
+import static rampshift.StandIns.until;
+
+import java.net.InetAddress;
+import java.net.ServerSocket;
+import java.net.Socket;
+import java.nio.charset.StandardCharsets;
+import java.util.ArrayList;
+import java.util.Collections;
+import java.util.List;
+import org.junit.jupiter.params.ParameterizedTest;
+import org.junit.jupiter.params.provider.CsvSource;
+import rampshift.StandIns;
+import rampshift.StandIns.Line;
+import rampshift.StandIns.Peer;
+import rampshift.settings.Configuration;
+
+/** Connections to a worker whose backlog is full come up a second late, once it accepts what waits there. */
+class SlowDialTest extends Stories {
+    private static final String LIMITS = "{\"memory_mb\":192,\"sockets\":1024}";
+    private static final String SECOND = "{\"uid\":\"s-2\",\"endpoint\":\"127.0.0.1:PORT\",\"az\":\"a\","
+            + "\"model\":\"m\",\"pod_group\":1,\"state\":\"in_service\",\"capacity_hint\":4.0,\"boot_ms\":0}";
+
+    /** The first worker errs and drains; the connection to the second is up after the window, or before. */
+    @ParameterizedTest
+    @CsvSource({"300,cell,504", "300,all,503", "20000,cell,200"})
+    void aRepeatGoesOutOnlyWithinItsWindowHoweverLateItsConnectionIsUp(int windowMs, String group, int status)
+            throws Exception {
+        try (ServerSocket busy = new ServerSocket(0, 1, InetAddress.getByName("127.0.0.1"))) {
+            for (int i = 0; i < 2; i++) {
+                open.add(new Socket(busy.getInetAddress(), busy.getLocalPort()));
+            }
+            List<String> versions = Collections.synchronizedList(new ArrayList<>());
+            Peer[] first = new Peer[1];
+            first[0] = worker((task, line) -> {
+                versions.add(list(false, first[0].entry("s-1", "terminating"),
+                        SECOND.replace("PORT", "" + busy.getLocalPort())));
+                until("the list is read", () -> count("lists_changes") == 1);
+                line.write("HTTP/1.1 500 x\r\nContent-Length: 0\r\n\r\n");
+            });
+            versions.add(list(true, first[0].entry("s-1", "in_service")));
+            Peer discovery = Peer.discovery(versions);
+            open.add(discovery);
+            node = new Serve(Configuration.read(StandIns.configuration(discovery, list(true), LIMITS)
+                    .replace("\"DialTimeoutMs\":500", "\"DialTimeoutMs\":20000")
+                    .replace("\"cell\",\"WindowMs\":4000", "\"" + group + "\",\"WindowMs\":" + windowMs)
+                    .getBytes(StandardCharsets.UTF_8)));
+            node.awaitReady();
+            Line client = client().write("POST /api HTTP/1.1\r\nHost: a\r\nX-Txn: t\r\nX-Lane: mark\r\n"
+                    + "X-Remaining: 5.0\r\nIdempotency-Key: k\r\nContent-Length: 1\r\n\r\nx");
+            until("the second is dialed", () -> count("dialed") == 2);
+            for (int i = 0; i < 2; i++) {
+                open.add(busy.accept());
+            }
+            busy.setSoTimeout(20_000);
+            Line second = new Line(busy.accept());
+            open.add(second);
+            if (status == 200) {
+                StandIns.Message task = second.read();
+                double left = Double.parseDouble(task.field("X-Remaining"));
+                assertTrue(left > 1 && left < 4.5, "what is left once its connection is up: " + left);
+                second.done(task, "r");
+            } else {
+                assertEquals("[END]", second.until("\n"), "nothing was sent");
+            }
+            assertEquals(status, client.read().status());
+            assertEquals(2, count("dialed"), "each attempt dials once");
+            assertEquals(status == 200 ? 0 : 1, count("outcome_not_sent"));
+        }
+    }
+}
