--- a/src/test/java/rampshift/workers/PoolTest.java
+++ b/src/test/java/rampshift/workers/PoolTest.java
@@ -11,10 +11,13 @@
 import java.util.Collections;
 import java.util.List;
 import java.util.concurrent.FutureTask;
+import java.util.concurrent.TimeUnit;
+import java.util.concurrent.atomic.AtomicLong;
 import org.junit.jupiter.api.AfterEach;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
+import org.junit.jupiter.params.provider.EnumSource;
 import org.junit.jupiter.params.provider.ValueSource;
 import org.xnio.ChannelListener;
 import org.xnio.ChannelPipe;
@@ -289,6 +292,37 @@
                 + "\r\n" + line + "\r\n0\r\n\r\n";
     }
 
+    /** Before the bytes that tell its outcome the task may have run; after them the outcome stands. */
+    @ParameterizedTest
+    @EnumSource(value = Outcome.class, names = {"FINISHED", "ERRED", "FULL", "BROKEN"})
+    void anAnswerThatIsCutAtAnyByteTellsExactlyWhetherTheTaskMayHaveRun(Outcome outcome) throws Exception {
+        pool(10, 20_000);
+        String answer = switch (outcome) {
+            case FINISHED -> inChunks("{\"id\":\"t\",\"state\":\"done\",\"result\":\"r\"}\n");
+            case ERRED -> "HTTP/1.1 500 x\r\nContent-Length: 3\r\n\r\nodd";
+            case FULL -> "HTTP/1.1 503 x\r\nX-Turned-Away: 1\r\nContent-Length: 3\r\n\r\nodd";
+            default -> inChunks("{\"id\":\"t\",\"state\":\"lost\"}\n");
+        };
+        String last = answer.contains("state") ? "}\n" : "\r\n\r\n";
+        int told = answer.indexOf(last) + last.length();
+        for (int cut = 0; cut < answer.length(); cut++) {
+            outcomes.clear();
+            assign();
+            StreamConnection worker = up();
+            worker.getSinkChannel().write(ByteBuffer.wrap(answer.substring(0, cut).getBytes()));
+            IoUtils.safeClose(worker);
+            until("told", () -> !outcomes.isEmpty());
+            until("its connection went", () -> openNow() == 0);
+            assertEquals(List.of(cut < told ? Outcome.BROKEN : outcome), outcomes, "cut after " + cut);
+        }
+    }
+
+    private int openNow() throws Exception {
+        int[] now = new int[1];
+        on(() -> now[0] = dialer.open());
+        return now[0];
+    }
+
     /** Turned away, the sale went to the next worker, and its last byte was written here as well. */
     @ParameterizedTest
     @ValueSource(strings = {"HTTP/1.1 503 x\r\nX-Turned-Away: 1\r\nContent-Length: 5\r\n\r\n",
@@ -318,6 +352,38 @@
         }
     }
 
+    /** Parsing takes longer than writing, so there is always more to be read. */
+    @Test
+    void anAnswerWithoutEndLeavesTheThreadToOthers() throws Exception {
+        pool(10, 20_000);
+        Assignment task = assign();
+        StreamConnection worker = up();
+        write(worker, "HTTP/1.1 200 OK\r\n\r\n");
+        ByteBuffer lines = ByteBuffer.wrap("{\"id\":\"t\",\"state\":\"x\"}\n".repeat(2000).getBytes());
+        AtomicLong sent = new AtomicLong();
+        Thread flood = new Thread(() -> {
+            try {
+                while (true) {
+                    lines.rewind();
+                    while (lines.hasRemaining()) {      // does not wait: what was read is refilled at once
+                        sent.addAndGet(worker.getSinkChannel().write(lines));
+                    }
+                }
+            } catch (IOException e) {
+                // The other side closed it.
+            }
+        });
+        flood.setDaemon(true);
+        flood.start();
+        until("it is well under way", () -> sent.get() > 4_000_000);
+        FutureTask<Void> turn = new FutureTask<>(task::callOff, null);
+        thread.execute(turn);
+        turn.get(10, TimeUnit.SECONDS);
+        assertEquals(List.of(Outcome.CALLED_OFF), outcomes, "it may have run");
+        flood.join(10_000);
+        assertTrue(!flood.isAlive(), "its connection went");
+    }
+
     /** Without an id it may be about the task before. */
     @ParameterizedTest
     @CsvSource({"returned", "done", "lost"})
