--- a/src/test/java/rampshift/StandIns.java
+++ b/src/test/java/rampshift/StandIns.java
@@ -159,6 +159,10 @@
             }
         }
 
+        public int port() {
+            return socket.getLocalPort();
+        }
+
         /** Sends a task: the traffic type's name, and its body. */
         public Line task(String txn, String type, String body) throws IOException {
             return write("POST /api HTTP/1.1\r\nHost: a\r\nX-Txn: " + txn + "\r\nX-Lane: " + type
--- a/src/test/java/rampshift/serve/RareMomentsTest.java
+++ b/src/test/java/rampshift/serve/RareMomentsTest.java
@@ -11,12 +11,16 @@
 import java.net.ServerSocket;
 import java.net.Socket;
 import java.nio.charset.StandardCharsets;
+import java.nio.file.Files;
+import java.nio.file.Path;
 import java.util.ArrayList;
 import java.util.Arrays;
 import java.util.List;
-import java.util.concurrent.Callable;
+import java.util.Set;
 import java.util.concurrent.CountDownLatch;
 import java.util.concurrent.FutureTask;
+import java.util.concurrent.TimeUnit;
+import java.util.stream.Collectors;
 import java.util.stream.IntStream;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.params.ParameterizedTest;
@@ -28,6 +32,7 @@
 import rampshift.StandIns.Script;
 import rampshift.StartAndStop;
 import rampshift.settings.Configuration;
+import rampshift.time.NextTurn;
 
 /** What comes between two lines, its order forced by a stand-in or by a step on the I/O thread (docs/rare-moments.md). */
 class RareMomentsTest extends Stories {
@@ -186,15 +191,26 @@
             clients.add(client().task("t" + i, "look", "x"));
         }
         until("all are taken in", () -> count("taken") == 300);
+        Set<Integer> ports = clients.stream().map(Line::port).collect(Collectors.toSet());
         new Thread(node::stop).start();
         until("it stops", () -> client().write("GET /ready HTTP/1.1\r\nHost: a\r\n\r\n").read().text().equals("stopping\n"));
-        for (int i = 0; i < 300; i++) {
-            clients.get(i).leave(i % 2 == 0 ? "fin" : "rst");
-        }
-        int turns = 0;
-        for (; onThread(() -> node.parts.book.tasks()) > 0; turns++) {
-            assertTrue(turns < 20, "the thread came round " + turns + " times, and some are not noticed");
-        }
+        int[] looks = {0};
+        FutureTask<Integer> noticed = new FutureTask<>(() -> looks[0]);
+        NextTurn turn = onThread(() -> {
+            for (int i = 0; i < 300; i++) {
+                clients.get(i).leave(i % 2 == 0 ? "fin" : "rst");
+            }
+            until("all ends are in the kernel", () -> established(ports) == 0);
+            NextTurn t = new NextTurn(node.thread);
+            look(t, looks, noticed);
+            return t;
+        });
+        int last = noticed.get(20, TimeUnit.SECONDS);
+        assertTrue(last <= 2, "all were noticed only at look " + last + " at the sockets");
+        onThread(() -> {
+            turn.close();
+            return null;
+        });
         assertEquals(300, count("client_gone") + count("bounced"));
         long sent = count("assigned");
         until("nothing is out", () -> worker.ended.size() == worker.lines.size());
@@ -202,10 +218,35 @@
         assertEquals(sent, count("assigned"), "and none was sent on");
     }
 
-    private <T> T onThread(Callable<T> step) throws Exception {
-        FutureTask<T> task = new FutureTask<>(step);
-        node.thread.execute(task);
-        return task.get();
+    /** Counts looks at the sockets until no task is in hand. */
+    private void look(NextTurn turn, int[] looks, FutureTask<Integer> noticed) {
+        turn.run(() -> {
+            looks[0]++;
+            if (node.parts.book.tasks() == 0) {
+                noticed.run();
+            } else {
+                look(turn, looks, noticed);
+            }
+        });
+    }
+
+    /** How many of the dispatcher's connections to these ports have not been ended, by the kernel's table. */
+    private int established(Set<Integer> ports) throws IOException {
+        int count = 0;
+        for (String table : List.of("/proc/net/tcp", "/proc/net/tcp6")) {
+            for (String row : Files.readAllLines(Path.of(table))) {
+                String[] fields = row.trim().split("\\s+");     // number, local and remote address, state
+                boolean open = fields[3].equals("01") && port(fields[1]) == node.address().getPort();
+                if (open && ports.contains(port(fields[2]))) {
+                    count++;
+                }
+            }
+        }
+        return count;
+    }
+
+    private static int port(String address) {
+        return Integer.parseInt(address.substring(address.indexOf(':') + 1), 16);
     }
 
     /** The figure of docs/measurements.md. A median, since any one of them may meet a machine that is at something else. */
--- a/src/test/java/rampshift/serve/Stories.java
+++ b/src/test/java/rampshift/serve/Stories.java
@@ -2,9 +2,19 @@
 
 import java.io.Closeable;
 import java.io.IOException;
+import java.net.InetAddress;
+import java.net.InetSocketAddress;
+import java.net.Socket;
 import java.util.ArrayList;
 import java.util.List;
+import java.util.concurrent.Callable;
+import java.util.concurrent.FutureTask;
+import java.util.concurrent.LinkedBlockingQueue;
 import org.junit.jupiter.api.AfterEach;
+import org.xnio.ChannelListener;
+import org.xnio.OptionMap;
+import org.xnio.StreamConnection;
+import org.xnio.channels.AcceptingChannel;
 import rampshift.StandIns.Line;
 import rampshift.StandIns.Peer;
 import rampshift.StandIns.Script;
@@ -13,6 +23,8 @@
 abstract class Stories {
     final List<Closeable> open = new ArrayList<>();
     Serve node;
+    /** Connections of clients that were accepted and wait for the story to hand them to the dispatcher. */
+    private final LinkedBlockingQueue<StreamConnection> accepted = new LinkedBlockingQueue<>();
 
     @AfterEach
     void end() throws IOException {
@@ -42,4 +54,42 @@
             return text.lines().filter(l -> l.startsWith(name + " ")).mapToLong(l -> Long.parseLong(l.split(" ")[1])).findFirst().orElse(-1);
         }
     }
+
+    /** Runs a step on the I/O thread, and waits for it. */
+    <T> T onThread(Callable<T> step) throws Exception {
+        FutureTask<T> task = new FutureTask<>(step);
+        node.thread.execute(task);
+        return task.get();
+    }
+
+    /** Keeps the calling thread busy for so long. */
+    static void stand(int ms) {
+        for (long end = System.nanoTime() + ms * 1_000_000L; System.nanoTime() < end;) {
+            Thread.onSpinWait();
+        }
+    }
+
+    /** A client whose small buffer holds next to nothing, and the dispatcher's end of its connection. */
+    record Slow(Line line, StreamConnection connection) { }
+
+    Slow slow() throws Exception {
+        ChannelListener<AcceptingChannel<StreamConnection>> listener = from -> {
+            try {
+                accepted.add(from.accept());
+            } catch (IOException e) {
+                throw new IllegalStateException(e);
+            }
+        };
+        InetSocketAddress address = new InetSocketAddress(InetAddress.getLoopbackAddress(), 0);
+        AcceptingChannel<StreamConnection> door = onThread(() -> node.thread.getWorker()
+                .createStreamConnectionServer(address, listener, OptionMap.EMPTY));
+        open.add(door);
+        door.resumeAccepts();
+        Socket socket = new Socket();
+        socket.setReceiveBufferSize(2048);
+        socket.connect(door.getLocalAddress(InetSocketAddress.class));
+        Line line = new Line(socket);
+        open.add(line);
+        return new Slow(line, accepted.take());
+    }
 }
--- a/src/test/java/rampshift/serve/WholeAnswersTest.java
+++ b/src/test/java/rampshift/serve/WholeAnswersTest.java
@@ -7,23 +7,14 @@
 import static rampshift.StandIns.until;
 
 import java.io.IOException;
-import java.net.InetAddress;
-import java.net.InetSocketAddress;
-import java.net.Socket;
 import java.nio.ByteBuffer;
 import java.nio.charset.StandardCharsets;
 import java.util.ArrayList;
 import java.util.List;
 import java.util.concurrent.CountDownLatch;
-import java.util.concurrent.FutureTask;
-import java.util.concurrent.LinkedBlockingQueue;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.ValueSource;
-import org.xnio.ChannelListener;
-import org.xnio.OptionMap;
-import org.xnio.StreamConnection;
-import org.xnio.channels.AcceptingChannel;
 import org.xnio.conduits.AbstractStreamSinkConduit;
 import org.xnio.conduits.StreamSinkConduit;
 import rampshift.StandIns;
@@ -73,46 +64,14 @@
         }
     }
 
-    private <T> T onThread(java.util.concurrent.Callable<T> step) throws Exception {
-        FutureTask<T> task = new FutureTask<>(step);
-        node.thread.execute(task);
-        return task.get();
-    }
-
-    /** Connections of clients that were accepted and wait for the story to hand them to the dispatcher. */
-    private final LinkedBlockingQueue<StreamConnection> accepted = new LinkedBlockingQueue<>();
-
-    /** A client whose small buffer holds next to nothing, and the dispatcher's end of its connection. */
-    private record Slow(Line line, StreamConnection connection) { }
-
-    private Slow slow() throws Exception {
-        ChannelListener<AcceptingChannel<StreamConnection>> listener = from -> {
-            try {
-                accepted.add(from.accept());
-            } catch (IOException e) {
-                throw new IllegalStateException(e);
-            }
-        };
-        AcceptingChannel<StreamConnection> door = onThread(() -> node.thread.getWorker().createStreamConnectionServer(
-                new InetSocketAddress(InetAddress.getLoopbackAddress(), 0), listener, OptionMap.EMPTY));
-        open.add(door);
-        door.resumeAccepts();
-        Socket socket = new Socket();
-        socket.setReceiveBufferSize(2048);
-        socket.connect(door.getLocalAddress(InetSocketAddress.class));
-        Line line = new Line(socket);
-        open.add(line);
-        return new Slow(line, accepted.take());
-    }
-
     private Line narrow(int width) throws Exception {
         Slow slow = slow();
         onThread(() -> {
-            slow.connection.getSinkChannel().setConduit(new Narrow(slow.connection.getSinkChannel().getConduit(), width));
-            node.parts.door.accepted(slow.connection);
+            slow.connection().getSinkChannel().setConduit(new Narrow(slow.connection().getSinkChannel().getConduit(), width));
+            node.parts.door.accepted(slow.connection());
             return null;
         });
-        return slow.line;
+        return slow.line();
     }
 
     // ---- closes that could swallow an answer
@@ -133,10 +92,10 @@
         node = node(null, list(true, worker.entry("s-1", "in_service")), FEW);
         Slow client = slow();
         onThread(() -> {
-            node.parts.door.accepted(client.connection);
+            node.parts.door.accepted(client.connection());
             return null;
         });
-        client.line.write("POST /api HTTP/1.1\r\nHost: a\r\nX-Txn: t\r\nX-Lane: sell\r\nX-Remaining: 5.0\r\nConnection: close\r\n"
+        client.line().write("POST /api HTTP/1.1\r\nHost: a\r\nX-Txn: t\r\nX-Lane: sell\r\nX-Remaining: 5.0\r\nConnection: close\r\n"
                 + "Content-Length: 1\r\n\r\nx");
         until("it is out", () -> worker.received.size() == 1);
         List<Line> others = new ArrayList<>();
@@ -148,12 +107,12 @@
         until("its answer is written", () -> onThread(() -> node.parts.book.tasks()) == 0);
         Slow last = slow();
         onThread(() -> {
-            client.line.write(sentOn);      // nobody reads it before the place is needed
+            client.line().write(sentOn);      // nobody reads it before the place is needed
             stand(40);
-            node.parts.door.accepted(last.connection);
+            node.parts.door.accepted(last.connection());
             return null;
         });
-        assertEquals(result, client.line.read().text());
+        assertEquals(result, client.line().read().text());
     }
 
     /** Met by reading: written once, and what the client's buffer did not take of it was left out. */
@@ -283,10 +242,10 @@
         node = node(null, list(true, worker.entry("s-1", "in_service")), LIMITS);
         assertEquals(200, client().task("before", "look", "x").read().status());    // whose connection to the worker is kept
         Slow client = slow();
-        client.line.task("t", "look", "x").leave("fin");
+        client.line().task("t", "look", "x").leave("fin");
         onThread(() -> {
             stand(20);      // all of it is here by then
-            node.parts.door.accepted(client.connection);
+            node.parts.door.accepted(client.connection());
             return null;
         });
         until("it is noticed", () -> count("client_gone") == 1);
@@ -321,12 +280,6 @@
         assertEquals(0, worker.received.size());
     }
 
-    private static void stand(int ms) {
-        for (long end = System.nanoTime() + ms * 1_000_000L; System.nanoTime() < end;) {
-            Thread.onSpinWait();
-        }
-    }
-
     // ---- crowds
 
     /**
