--- a/src/main/java/rampshift/clients/CallReader.java
+++ b/src/main/java/rampshift/clients/CallReader.java
@@ -19,6 +19,7 @@
     static final int MOST_FIELDS = 64;
     private static final int LONGEST_SIZE_LINE = 256;
     private static final int LONGEST_METHOD = 10;
+    private static final int MOST_EMPTY_LINES = 16;     // before a call
     private static final int FIRST = 512;
     private static final byte[] NONE = {};
 
@@ -41,6 +42,7 @@
     private int lineFrom;
     private int method;          // of the first line: letters so far, -1 after the space
     private int fields;
+    private int emptyLines;
     private int body;
     private long left;
     private boolean post;
@@ -79,6 +81,7 @@
         lineFrom = 0;
         method = 0;
         fields = 0;
+        emptyLines = 0;
         body = 0;
         oldVersion = false;
         coded = false;
@@ -180,7 +183,10 @@
 
     private void firstLine(String line) throws Unsound {
         if (line.isEmpty()) {
-            length = 0;      // one before a call is allowed for
+            if (++emptyLines > MOST_EMPTY_LINES) {
+                throw new Unsound(400, "over " + MOST_EMPTY_LINES + " empty lines before a call");
+            }
+            length = 0;
             lineFrom = 0;
             return;
         }
--- /dev/null
+++ b/src/test/java/rampshift/serve/FloodTest.java
@@ -0,0 +1,119 @@
+package rampshift.serve;
+
+import static org.junit.jupiter.api.Assertions.assertEquals;
+import static org.junit.jupiter.api.Assertions.assertTrue;
+import static rampshift.StandIns.list;
+import static rampshift.StandIns.node;
+
+import java.io.IOException;
+import java.nio.ByteBuffer;
+import java.util.ArrayList;
+import java.util.Collections;
+import java.util.List;
+import java.util.Map;
+import java.util.concurrent.ConcurrentHashMap;
+import java.util.concurrent.atomic.AtomicInteger;
+import org.junit.jupiter.api.Test;
+import org.junit.jupiter.params.ParameterizedTest;
+import org.junit.jupiter.params.provider.ValueSource;
+import org.xnio.conduits.AbstractStreamSourceConduit;
+import org.xnio.conduits.StreamSourceConduit;
+import rampshift.StandIns.Line;
+import rampshift.StandIns.Peer;
+
+/** Clients that send much at once: how long one of them keeps the I/O thread, and what it costs the others. */
+class FloodTest extends Stories {
+    private static final String LIMITS = "{\"memory_mb\":192,\"sockets\":1024}";
+    private static final int READS = 2000;
+    private static final int TASKS = 200;
+
+    /** A source that never runs dry within one turn: it ends after so many reads, so that a test on it ends too. */
+    private static final class Endless extends AbstractStreamSourceConduit<StreamSourceConduit> {
+        private final String repeated;
+        private final AtomicInteger reads;
+
+        Endless(StreamSourceConduit next, String repeated, AtomicInteger reads) {
+            super(next);
+            this.repeated = repeated;
+            this.reads = reads;
+        }
+
+        @Override
+        public int read(ByteBuffer to) throws IOException {
+            if (reads.incrementAndGet() > READS) {
+                return next.read(to);
+            }
+            int before = to.remaining();
+            while (to.remaining() >= repeated.length()) {
+                to.put(repeated.getBytes());
+            }
+            return before - to.remaining();
+        }
+    }
+
+    /** Empty lines before a call were skipped without a bound, and the reading went on for as long as they came. */
+    @ParameterizedTest
+    @ValueSource(strings = {"\r\n", "x", "GET / HTTP/1.1\r\n\r\n"})
+    void oneClientIsReadOnlySoOftenAtATime(String repeated) throws Exception {
+        node = node(null, list(true), LIMITS);
+        AtomicInteger reads = new AtomicInteger();
+        Slow client = slow();
+        int once = onThread(() -> {
+            client.connection().getSourceChannel().setConduit(
+                    new Endless(client.connection().getSourceChannel().getConduit(), repeated, reads));
+            node.parts.door.accepted(client.connection());
+            return reads.get();
+        });
+        assertTrue(once <= 20, once + " reads before any other socket was looked at");
+    }
+
+    /** From when the worker has the answer ready to its last byte at the client. */
+    @Test
+    void othersAnswersKeepTheirTimeBesideClientsThatSendMuchAndGo() throws Exception {
+        Map<String, Long> ready = new ConcurrentHashMap<>();
+        Peer worker = worker((task, line) -> {
+            ready.put(task.field("X-Txn"), System.nanoTime());
+            line.done(task, "ok");
+        });
+        node = node(null, list(true, worker.entry("s-1", "in_service")), LIMITS);
+        p99("warm-up", ready);
+        double before = p99("before", ready);
+        String large = "POST /api HTTP/1.1\r\nHost: a\r\nX-Lane: look\r\nX-Remaining: 5\r\nContent-Length: 65000\r\n\r\n";
+        List<Thread> floods = new ArrayList<>();
+        for (String sent : List.of("GET /counters HTTP/1.1\r\nHost: a\r\n\r\n".repeat(2000), "\r\n".repeat(500_000),
+                large + "x".repeat(60_000), (large + "x".repeat(65_000)).repeat(10))) {
+            floods.add(flood(sent, floods.size() % 2 == 0 ? "fin" : "rst"));
+        }
+        double during = p99("during", ready);
+        floods.forEach(Thread::interrupt);
+        System.out.printf("ready answer to last byte, p99: %.2f ms before, %.2f ms beside a flood%n", before, during);
+        assertTrue(during < 300, "p99 beside a flood " + during + " ms, before " + before);
+    }
+
+    private Thread flood(String sent, String how) {
+        Thread thread = new Thread(() -> {
+            while (!Thread.currentThread().isInterrupted()) {
+                try (Line line = new Line(node)) {
+                    line.write(sent).leave(how);
+                } catch (IOException e) {
+                    continue;       // its connection was ended: it comes again
+                }
+            }
+        });
+        thread.setDaemon(true);
+        thread.start();
+        return thread;
+    }
+
+    private double p99(String phase, Map<String, Long> ready) throws Exception {
+        Line client = client();
+        List<Long> nanos = new ArrayList<>();
+        for (int i = 0; i < TASKS; i++) {
+            String txn = phase + i;
+            assertEquals("ok", client.task(txn, "look", "x").read().text());
+            nanos.add(System.nanoTime() - ready.get(txn));
+        }
+        Collections.sort(nanos);
+        return nanos.get(TASKS * 99 / 100 - 1) / 1e6;
+    }
+}
