--- a/src/main/java/rampshift/clients/Client.java
+++ b/src/main/java/rampshift/clients/Client.java
@@ -315,12 +315,24 @@
         if (!busy() && !ending && reader.awaitsWord()) {
             door.goOn(this);    // its turn has come
         }
-        boolean ready = !ending && (given != null && given.hasRemaining()
-                || given == null && !speaking && full());
-        if (ready) {
+        if (!ending && given != null && given.hasRemaining()) {
+            next.wakeupReads();
+            return;
+        }
+        next.resumeReads();
+        if (waitsForItsTurn()) {
+            door.readOnNextTurn(this);
+        }
+    }
+
+    private boolean waitsForItsTurn() {
+        return !ending && given == null && !speaking && full();
+    }
+
+    /** Its turn has come, unless it came by what the socket holds. */
+    void readOn() {
+        if (waitsForItsTurn()) {
             next.wakeupReads();
-        } else {
-            next.resumeReads();
         }
     }
 }
--- a/src/main/java/rampshift/clients/Door.java
+++ b/src/main/java/rampshift/clients/Door.java
@@ -18,6 +18,7 @@
 import java.util.HashMap;
 import java.util.Iterator;
 import java.util.LinkedHashSet;
+import java.util.List;
 import java.util.Map;
 import java.util.function.Supplier;
 import org.xnio.ChannelListener;
@@ -71,6 +72,8 @@
     private final Map<Standing, LinkedHashSet<Client>> standing = new EnumMap<>(Standing.class);
     /** Those that were accepted, but not taken in yet. */
     private final ArrayDeque<Arrival> arrivals = new ArrayDeque<>();
+    /** Those whose next call was read already. */
+    private final LinkedHashSet<Client> readAhead = new LinkedHashSet<>();
     private final NextTurn turn;
     private int thisTurn;
     private AcceptingChannel<StreamConnection> socket;
@@ -170,17 +173,31 @@
             return false;
         }
         if (thisTurn++ == 0) {
-            turn.run(() -> {
-                thisTurn = 0;
-                if (lastCall) {
-                    lastCall();
-                }
-                takeArrivals();
-            });
+            turn.run(this::nextTurn);
         }
         return true;
     }
 
+    private void nextTurn() {
+        thisTurn = 0;
+        List<Client> due = new ArrayList<>(readAhead);
+        readAhead.clear();
+        due.forEach(Client::readOn);
+        if (lastCall) {
+            lastCall();
+        }
+        takeArrivals();
+    }
+
+    /**
+     * Hands on a call that was read ahead, once the other sockets have been looked at. XNIO runs what is
+     * woken up before it looks, so a client that sent a thousand calls at once had all of them answered first.
+     */
+    void readOnNextTurn(Client client) {
+        readAhead.add(client);
+        turn.run(this::nextTurn);
+    }
+
     /** A new client. */
     public void accepted(StreamConnection connection) {
         accepted(connection, cameBy());
@@ -215,6 +232,7 @@
     }
 
     private void unlist(Client client) {
+        readAhead.remove(client);
         if (open.remove(client.connection) != null) {
             standing.get(client.listed).remove(client);
         }
@@ -601,11 +619,11 @@
     public void close() {
         IoUtils.safeClose(socket);
         sweep.off();
-        turn.close();
         arrivals.forEach(a -> IoUtils.safeClose(a.connection));
         arrivals.clear();
         new ArrayList<>(open.keySet()).forEach(IoUtils::safeClose);
         open.clear();
         standing.values().forEach(LinkedHashSet::clear);
+        turn.close();
     }
 }
--- a/src/test/java/rampshift/serve/FloodTest.java
+++ b/src/test/java/rampshift/serve/FloodTest.java
@@ -20,11 +20,14 @@
 import org.xnio.conduits.StreamSourceConduit;
 import rampshift.StandIns.Line;
 import rampshift.StandIns.Peer;
+import rampshift.clients.Door;
+import rampshift.time.NextTurn;
 
 /** Clients that send much at once: how long one of them keeps the I/O thread, and what it costs the others. */
 class FloodTest extends Stories {
     private static final String LIMITS = "{\"memory_mb\":192,\"sockets\":1024}";
     private static final int READS = 2000;
+    private static final int GETS = 1000;
     private static final int TASKS = 200;
 
     /** A source that never runs dry within one turn: it ends after so many reads, so that a test on it ends too. */
@@ -67,6 +70,37 @@
         assertTrue(once <= 20, once + " reads before any other socket was looked at");
     }
 
+    /** Calls sent at once were all answered in one turn of the thread, since each waked the reading of the next. */
+    @Test
+    void manyCallsSentAtOnceLeaveTheSocketsTheirTurn() throws Exception {
+        node = node(null, list(true), LIMITS);
+        int[] counts = new int[3];      // answered, answered at the last look at the sockets, most between two looks
+        Line client = client();
+        NextTurn turn = onThread(() -> {
+            node.parts.door.page("/count", () -> new Door.Page(200, ++counts[0] + "\n"));
+            NextTurn t = new NextTurn(node.thread);
+            look(t, counts);
+            client.write("GET /count HTTP/1.1\r\nHost: a\r\n\r\n".repeat(GETS));
+            return t;
+        });
+        for (int i = 1; i <= GETS; i++) {
+            assertEquals(i + "\n", client.read().text());
+        }
+        onThread(() -> {
+            turn.close();
+            return null;
+        });
+        assertTrue(counts[2] <= 4, counts[2] + " calls of one client were answered between two looks at the sockets");
+    }
+
+    private static void look(NextTurn turn, int[] counts) {
+        turn.run(() -> {
+            counts[2] = Math.max(counts[2], counts[0] - counts[1]);
+            counts[1] = counts[0];
+            look(turn, counts);
+        });
+    }
+
     /** From when the worker has the answer ready to its last byte at the client. */
     @Test
     void othersAnswersKeepTheirTimeBesideClientsThatSendMuchAndGo() throws Exception {
