--- a/src/main/java/rampshift/clients/Door.java
+++ b/src/main/java/rampshift/clients/Door.java
@@ -349,8 +349,10 @@
             }
             case SILENT, SENDING -> late(c);
             default -> {
-                if (!c.connection.isOpen() || c.listed == Standing.GONE || !heardMeanwhile(c)) {
+                if (!c.connection.isOpen() || c.listed == Standing.GONE) {
                     close(c);
+                } else if (!heardMeanwhile(c)) {
+                    endBetweenCalls(c);
                 }
             }
         }
@@ -481,9 +483,29 @@
         }
         String answer = "HTTP/1.1 " + status + " " + StatusCodes.getReason(status) + "\r\nConnection: close\r\n"
                 + "Content-Length: " + (why.length() + 1) + "\r\n\r\n" + why + "\n";
+        readOffFromNowOn(client);
+        say(client, ByteBuffer.wrap(answer.getBytes(StandardCharsets.ISO_8859_1)), () -> endWrites(client));
+    }
+
+    private void readOffFromNowOn(Client client) {
         client.connection.getSourceChannel().setReadListener(c -> readOff(client));
         client.connection.getSourceChannel().resumeReads();
-        say(client, ByteBuffer.wrap(answer.getBytes(StandardCharsets.ISO_8859_1)), () -> endWrites(client));
+    }
+
+    /**
+     * Ends a connection on which nothing lies unread. Bytes that come after that look would make the close a
+     * reset, which may swallow the answer before it. So the output is shut, the input read on, and the close
+     * follows.
+     */
+    private void endBetweenCalls(Client client) {
+        if (!client.known) {
+            close(client);      // no answer went before
+            return;
+        }
+        client.end(clock.now());
+        release(client);
+        readOffFromNowOn(client);
+        endWrites(client);
     }
 
     private void endWrites(Client client) {
@@ -590,7 +612,7 @@
                     return;
                 }
                 if (!heardMeanwhile(c)) {
-                    close(c);
+                    endBetweenCalls(c);
                 }
             }
         }
@@ -621,7 +643,10 @@
         sweep.off();
         arrivals.forEach(a -> IoUtils.safeClose(a.connection));
         arrivals.clear();
-        new ArrayList<>(open.keySet()).forEach(IoUtils::safeClose);
+        for (Client client : new ArrayList<>(open.values())) {
+            readOff(client);
+            IoUtils.safeClose(client.connection);
+        }
         open.clear();
         standing.values().forEach(LinkedHashSet::clear);
         turn.close();
--- a/src/test/java/rampshift/serve/RareMomentsTest.java
+++ b/src/test/java/rampshift/serve/RareMomentsTest.java
@@ -360,6 +360,37 @@
         assertEquals(504, sell.read().status());
     }
 
+    /** Half of its worker's last line lies unread when a sale is given up, and the rest comes after that. */
+    @Test
+    void halfALineFromAWorkerAtTheEndChangesNothing() throws Exception {
+        CountDownLatch half = new CountDownLatch(1);
+        CountDownLatch rest = new CountDownLatch(1);
+        Peer worker = worker((task, line) -> {
+            String done = "{\"id\":\"t\",\"state\":\"done\",\"result\":\"sold\"}\n";
+            String chunk = Integer.toHexString(done.length()) + "\r\n" + done + "\r\n0\r\n\r\n";
+            line.write("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n");
+            half.await();
+            line.write(chunk.substring(0, 30));
+            rest.await();
+            line.write(chunk.substring(30));
+        });
+        node = node(null, list(true, worker.entry("s-1", "in_service")), LIMITS);
+        Line client = client().task("t", "sell", "x");
+        until("it is out", () -> worker.received.size() == 1);
+        onThread(() -> {
+            half.countDown();
+            stand(20);      // nothing is read meanwhile
+            node.parts.lastCall();
+            node.parts.route.giveUp();
+            rest.countDown();
+            return null;
+        });
+        String answer = client.until("[no such text]");
+        assertTrue(answer.startsWith("HTTP/1.1 504 ") && answer.endsWith("\r\n\r\n[END]"), answer);
+        until("the worker's connection ended", () -> worker.ended.size() == 1);
+        assertEquals(0, count("finished"));
+    }
+
     // ---- lists
 
     @Test
--- a/src/test/java/rampshift/serve/WholeAnswersTest.java
+++ b/src/test/java/rampshift/serve/WholeAnswersTest.java
@@ -16,11 +16,14 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.ValueSource;
 import org.xnio.conduits.AbstractStreamSinkConduit;
+import org.xnio.conduits.AbstractStreamSourceConduit;
 import org.xnio.conduits.StreamSinkConduit;
+import org.xnio.conduits.StreamSourceConduit;
 import rampshift.StandIns;
 import rampshift.StandIns.Line;
 import rampshift.StandIns.Message;
 import rampshift.StandIns.Peer;
+import rampshift.clients.Door;
 import rampshift.settings.Configuration;
 import rampshift.time.NextTurn;
 
@@ -115,6 +118,71 @@
         assertEquals(result, client.line().read().text());
     }
 
+    /** A source that runs something, once, after a read that found nothing. */
+    private static final class AfterEmptyRead extends AbstractStreamSourceConduit<StreamSourceConduit> {
+        private Runnable then;
+
+        AfterEmptyRead(StreamSourceConduit next) {
+            super(next);
+        }
+
+        @Override
+        public int read(ByteBuffer to) throws IOException {
+            int count = next.read(to);
+            if (count == 0 && then != null) {
+                Runnable now = then;
+                then = null;
+                now.run();
+            }
+            return count;
+        }
+    }
+
+    /**
+     * A call comes between the last look at an idle connection and its close. That made the close a
+     * reset, and the client, which was still reading the answer before, lost what the kernel held of it.
+     */
+    @ParameterizedTest
+    @ValueSource(booleans = {true, false})
+    void aCallThatCrossesTheCloseLeavesTheAnswerBeforeItWhole(boolean lastCall) throws Exception {
+        node = node(null, list(true), LIMITS);
+        String text = "r".repeat(60_000);
+        Slow client = slow();
+        AfterEmptyRead source = new AfterEmptyRead(client.connection().getSourceChannel().getConduit());
+        onThread(() -> {
+            node.parts.door.page("/long", () -> new Door.Page(200, text));
+            client.connection().getSourceChannel().setConduit(source);
+            node.parts.door.accepted(client.connection());
+            return null;
+        });
+        client.line().write("GET /long HTTP/1.1\r\nHost: a\r\n\r\n");
+        assertEquals("H", client.line().until("H"));     // all of it is in the kernel then
+        CountDownLatch crossed = new CountDownLatch(1);
+        onThread(() -> {
+            source.then = () -> {
+                try {
+                    client.line().task("t", "look", "x");
+                } catch (IOException e) {
+                    throw new IllegalStateException(e);
+                }
+                stand(20);
+                crossed.countDown();
+            };
+            if (lastCall) {
+                node.parts.lastCall();
+            }
+            return null;
+        });
+        crossed.await();
+        String answer = client.line().until("[no such text]");
+        assertTrue(answer.endsWith("\r\n\r\n" + text + "[END]"), answer.length() + " bytes, " + tail(answer));
+        assertEquals(0, count("taken"), "and what is read after the output was shut goes nowhere");
+    }
+
+    private static String tail(String text) {
+        return "and it ends in " + text.substring(Math.max(0, text.length() - 20));
+    }
+
     /** Met by reading: written once, and what the client's buffer did not take of it was left out. */
     @ParameterizedTest
     @ValueSource(ints = {1, 20})
