--- a/src/test/java/rampshift/serve/WholeAnswersTest.java
+++ b/src/test/java/rampshift/serve/WholeAnswersTest.java
@@ -7,14 +7,19 @@
 import static rampshift.StandIns.until;
 
 import java.io.IOException;
+import java.lang.reflect.Field;
 import java.nio.ByteBuffer;
 import java.nio.charset.StandardCharsets;
 import java.util.ArrayList;
+import java.util.Collection;
 import java.util.List;
+import java.util.Map;
 import java.util.concurrent.CountDownLatch;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.ValueSource;
+import org.xnio.Options;
+import org.xnio.StreamConnection;
 import org.xnio.conduits.AbstractStreamSinkConduit;
 import org.xnio.conduits.AbstractStreamSourceConduit;
 import org.xnio.conduits.StreamSinkConduit;
@@ -234,6 +239,41 @@
         assertEquals(503, client.read().status());
     }
 
+    /** What the system holds back of a small write is lost with a reset: no socket here has it do so. */
+    @Test
+    void smallWritesLeaveAtOnceOnEverySocket() throws Exception {
+        Peer worker = worker((task, line) -> line.done(task, "ok"));
+        String known = list(true, worker.entry("s-1", "in_service"));
+        Peer agent = Peer.discovery(List.of(known));
+        open.add(agent);
+        node = node(agent, known, LIMITS);
+        node.awaitReady();
+        assertEquals(200, client().task("t", "look", "x").read().status());
+        until("its watch is open", () -> onThread(() -> field(field(node, "watch"), "connection")) != null);
+        List<StreamConnection> sockets = onThread(() -> {
+            List<StreamConnection> all = new ArrayList<>();
+            ((Map<?, ?>) field(node.parts.door, "open")).keySet().forEach(c -> all.add((StreamConnection) c));
+            assertEquals(1, all.size(), "of clients");
+            for (Object place : ((Map<?, ?>) field(field(node.parts, "pool"), "places")).values()) {
+                for (Object kept : (Collection<?>) field(place, "idle")) {
+                    all.add((StreamConnection) field(kept, "channel"));
+                }
+            }
+            assertEquals(2, all.size(), "with that to the worker");
+            all.add((StreamConnection) field(field(field(node, "watch"), "connection"), "channel"));
+            return all;
+        });
+        for (StreamConnection socket : sockets) {
+            assertEquals(true, socket.getOption(Options.TCP_NODELAY), socket.toString());
+        }
+    }
+
+    private static Object field(Object of, String name) throws ReflectiveOperationException {
+        Field field = of.getClass().getDeclaredField(name);
+        field.setAccessible(true);
+        return field.get(of);
+    }
+
     // ---- whose time it is
 
     /** Met by reading: the time of a call that waited behind another counted from its turn, and its worker was told so. */
