--- a/src/bench/java/rampshift/leases/LeasesMeasureTest.java
+++ b/src/bench/java/rampshift/leases/LeaseMeasurementTest.java
@@ -12,11 +12,11 @@
  * to 5% off,
  * the term is 1 s. mvn -q -Pbench test -Dtest=LeasesMeasureTest
  */
-class LeasesMeasureTest {
-    private static void after(String what, Consumer<Sim.Node> fault) {
+class LeaseMeasurementTest {
+    private static void after(String what, Consumer<LeaseSimulation.Node> fault) {
         List<Double> all = new ArrayList<>();
         for (long seed = 0; seed < 100; seed++) {
-            Sim sim = new Sim(seed, 5, 3, 1);
+            LeaseSimulation sim = new LeaseSimulation(seed, 5, 3, 1);
             sim.drift();
             sim.startAll();
             sim.until(10, () -> sim.actor("l0") != null);
@@ -32,7 +32,7 @@
 
     @Test
     void takeover() {
-        after("death", Sim.Node::kill);
+        after("death", LeaseSimulation.Node::kill);
         after("a stall", n -> n.stop(true));
         after("a cut", n -> n.cut = true);
         after("an end in order", n -> n.all.end(n.clock()));
@@ -41,7 +41,7 @@
     @Test
     void atRest() {
         for (int[] size : new int[][]{{3, 1}, {5, 1}, {3, 100}, {5, 100}}) {
-            Sim sim = new Sim(1, 20, size[0], size[1]).startAll();
+            LeaseSimulation sim = new LeaseSimulation(1, 20, size[0], size[1]).startAll();
             sim.until(60, () -> sim.leases.stream().allMatch(l -> sim.actor(l) != null));
             sim.run(5);
             long messages = sim.messages;
@@ -63,7 +63,7 @@
         double[] without = new double[10];
         for (int seed = 0; seed < 10; seed++) {
             SplittableRandom chance = new SplittableRandom(seed);
-            Sim sim = new Sim(seed, 5, 3, 1);
+            LeaseSimulation sim = new LeaseSimulation(seed, 5, 3, 1);
             sim.drift();
             sim.startAll();
             sim.until(10, () -> sim.actor("l0") != null);
@@ -71,7 +71,7 @@
             long looks = 0;
             for (double s = 0; s < 3600; s += 0.1) {
                 if (chance.nextInt(100) == 0) {         // each 10 s on the mean, for 2.5 s
-                    Sim.Node n = sim.node(1 + chance.nextInt(5));
+                    LeaseSimulation.Node n = sim.node(1 + chance.nextInt(5));
                     switch (chance.nextInt(3)) {
                         case 0 -> {
                             n.kill();
--- a/src/bench/java/rampshift/members/Heartbeats.java
+++ b/src/bench/java/rampshift/membership/Heartbeats.java
@@ -1,11 +1,11 @@
-package rampshift.members;
+package rampshift.membership;
 
 import java.util.SplittableRandom;
 
 /**
  * The baseline: each tells each that it is there in every period, and one not heard of for some periods has
  * failed.
- * Played in simulated time over the same losses and ways as {@link Net}.
+ * Played in simulated time over the same losses and ways as {@link SimulatedNetwork}.
  */
 final class Heartbeats {
     static final int BYTES = 60;        // a frame, a name, an incarnation
--- a/src/bench/java/rampshift/decide/DecisionBench.java
+++ b/src/bench/java/rampshift/policy/DecisionBench.java
@@ -1,4 +1,4 @@
-package rampshift.decide;
+package rampshift.policy;
 
 import java.util.ArrayDeque;
 import java.util.concurrent.TimeUnit;
@@ -39,7 +39,7 @@
     private record Out(long task, long worker) {}
 
     private final ArrayDeque<Out> out = new ArrayDeque<>();
-    private Choice choice;
+    private DispatchPolicy choice;
     private Moment now = Moment.ofMillis(1_000_000);
     private Moment wake;
     private long tasks;
@@ -57,11 +57,11 @@
         s.types.add(new TrafficType(1, 0, Span.ofMillis(200), 3, Span.ofMillis(5000),
                 TrafficType.Effect.IDEMPOTENT,
                 TrafficType.Group.ALL, Span.ofMillis(5000), null, null));
-        choice = new Choice(s, now);
+        choice = new DispatchPolicy(s, now);
         choice.clock(now);
-        choice.listBegins(Choice.List.REMEMBERED);
+        choice.listBegins(DispatchPolicy.List.REMEMBERED);
         for (int w = 1; w <= workers; w++) {
-            choice.listed(w, 0, (w + 1) / 2, 0, Choice.Listed.READY, new Moment(0), SLOTS);
+            choice.listed(w, 0, (w + 1) / 2, 0, DispatchPolicy.Listed.READY, new Moment(0), SLOTS);
         }
         choice.listEnds();
         pull();
@@ -97,7 +97,7 @@
             choice.begun(o.task(), 0);
             pull();
             choice.reported(o.worker(), SLOTS - 1, 0, Double.NaN, Double.NaN);
-            choice.ended(o.task(), 0, Outcome.FINISHED, true);
+            choice.ended(o.task(), 0, AttemptOutcome.FINISHED, true);
             pull();
         }
     }
@@ -115,9 +115,10 @@
     public void change() {
         long worker = 1 + turn / 2 % workers;
         choice.clock(now);
-        choice.listBegins(Choice.List.CHANGES);
+        choice.listBegins(DispatchPolicy.List.CHANGES);
         choice.listed(worker, 0, (int) (worker + 1) / 2, 0,
-                turn++ % 2 == 1 ? Choice.Listed.READY : Choice.Listed.DRAINING, new Moment(0), SLOTS);
+                turn++ % 2 == 1 ? DispatchPolicy.Listed.READY : DispatchPolicy.Listed.DRAINING, new Moment(0),
+                SLOTS);
         choice.listEnds();
         pull();
     }
@@ -126,9 +127,9 @@
     @Benchmark
     public void whole() {
         choice.clock(now);
-        choice.listBegins(Choice.List.WHOLE);
+        choice.listBegins(DispatchPolicy.List.WHOLE);
         for (int w = 1; w <= workers; w++) {
-            choice.listed(w, 0, (w + 1) / 2, 0, Choice.Listed.READY, new Moment(0), SLOTS);
+            choice.listed(w, 0, (w + 1) / 2, 0, DispatchPolicy.Listed.READY, new Moment(0), SLOTS);
         }
         choice.listEnds();
         pull();
@@ -143,7 +144,7 @@
 
     @Override
     public void cancel(long task, int assignment) {
-        choice.ended(task, assignment, Outcome.CALLED_OFF, true);
+        choice.ended(task, assignment, AttemptOutcome.CALLED_OFF, true);
     }
 
     @Override
--- a/src/main/java/rampshift/Main.java
+++ b/src/main/java/rampshift/Main.java
@@ -12,13 +12,13 @@
 import org.apache.commons.cli.Option;
 import org.apache.commons.cli.Options;
 import org.apache.commons.cli.ParseException;
-import rampshift.drill.Drill;
 import rampshift.log.Log;
-import rampshift.migrate.Migrate;
-import rampshift.serve.Beside;
-import rampshift.serve.Serve;
+import rampshift.migrate.MigrateCommand;
+import rampshift.serve.DispatcherServer;
+import rampshift.serve.ServerExtension;
 import rampshift.settings.Configuration;
-import rampshift.settings.Malformed;
+import rampshift.settings.InvalidInputException;
+import rampshift.simulator.SimulatorHost;
 import sun.misc.Signal;
 
 /** The command line: sub-commands, and what each is given. */
@@ -65,11 +65,11 @@
 
     static int run(String[] args, Map<String, String> environment, PrintStream out, PrintStream err)
             throws IOException {
-        if (args.length > 0 && SideJars.FLEET.contains(args[0])) {
-            return SideJars.fleet(args, out, err);
+        if (args.length > 0 && OptionalJars.FLEET.contains(args[0])) {
+            return OptionalJars.fleet(args, out, err);
         }
         if (args.length > 0 && args[0].equals("migrate")) {
-            return Migrate.run(List.of(args).subList(1, args.length), out, err);
+            return MigrateCommand.run(List.of(args).subList(1, args.length), out, err);
         }
         Options options = new Options().addOption(new Option("h", "help", false, null))
                 .addOption(new Option("V", "version", false, null))
@@ -93,7 +93,7 @@
         }
         String command = line.getArgList().get(0);
         return switch (command) {
-            case "drill" -> Drill.run(System.in, out, err);
+            case "drill" -> SimulatorHost.run(System.in, out, err);
             case "serve", "check", "counters", "members", "leases", "duties" -> configured(line.getArgList(),
                     line.getOptionValue("operator", environment.get("RAMPSHIFT_OPERATOR")), environment, out,
                     err);
@@ -118,22 +118,22 @@
         }
         try {
             if (command.equals("members") || command.equals("duties")) {
-                out.print(SideJars.operator(command, named(operator)));
+                out.print(OptionalJars.operator(command, named(operator)));
                 return 0;
             }
             if (command.equals("leases")) {
-                out.print(SideJars.operator("leases", named(operator),
+                out.print(OptionalJars.operator("leases", named(operator),
                         words.subList(1, words.size()).toArray(new String[0])));
                 return 0;
             }
             Configuration configuration = Configuration.read(environment);
             switch (command) {
                 case "check" -> out.println("good: " + configuration.name + " on " + configuration.listen);
-                case "counters" -> out.print(Ask.page(configuration.listen, "/counters"));
+                case "counters" -> out.print(StatusClient.page(configuration.listen, "/counters"));
                 default -> serve(configuration, operator, hangups, environment);
             }
             return 0;
-        } catch (Malformed | IOException e) {
+        } catch (InvalidInputException | IOException e) {
             Log.flush();
             for (String line : e.getMessage().split("\n")) {
                 err.println("rampshift " + command + ": " + line);
@@ -145,28 +145,29 @@
     /** Runs it; on SIGHUP the file is read again, here, where nothing waits for the disk. */
     private static void serve(Configuration configuration, String operator, Semaphore hangups,
             Map<String, String> environment) throws IOException {
-        FutureTask<Serve> start = new FutureTask<>(() -> operator == null || operator.isEmpty()
-                ? new Serve(configuration)
-                : new Serve(configuration,
-                        (Beside) SideJars.operator("beside", operator, configuration.name, version())));
+        FutureTask<DispatcherServer> start = new FutureTask<>(() -> operator == null || operator.isEmpty()
+                ? new DispatcherServer(configuration)
+                : new DispatcherServer(configuration,
+                        (ServerExtension) OptionalJars.operator("beside", operator, configuration.name,
+                                version())));
         // Before it: clients are taken in while it starts, and a SIGTERM in between ended the process with
         // their tasks.
         Runtime.getRuntime().addShutdownHook(stopper(start));
         start.run();
-        Serve serve = started(start);
+        DispatcherServer serve = started(start);
         while (!serve.ended()) {
             hangups.acquireUninterruptibly();
             hangups.drainPermits();     // several in a row: the file as it is now holds what all of them told
             try {
                 serve.reload(Configuration.read(environment));
-            } catch (Malformed e) {
+            } catch (InvalidInputException e) {
                 Log.warn("reload", "kept", "the configuration as it was", "why", e.getMessage());
             }
         }
     }
 
     /** Stops it once it has started, if it does. */
-    static Thread stopper(FutureTask<Serve> start) {
+    static Thread stopper(FutureTask<DispatcherServer> start) {
         return new Thread(() -> {
             try {
                 started(start).stop();
@@ -176,7 +177,7 @@
         }, "stop");
     }
 
-    private static Serve started(FutureTask<Serve> start) throws IOException {
+    private static DispatcherServer started(FutureTask<DispatcherServer> start) throws IOException {
         try {
             return start.get();
         } catch (ExecutionException e) {
@@ -190,7 +191,7 @@
     }
 
     private static int rehearse() throws IOException {
-        Serve serve = Serve.rehearsal();
+        DispatcherServer serve = DispatcherServer.rehearsal();
         serve.awaitReady();
         serve.stop();
         return 0;
@@ -198,7 +199,8 @@
 
     private static String named(String operator) {
         if (operator == null || operator.isEmpty()) {
-            throw new Malformed("no operator's file: name one by --operator FILE or RAMPSHIFT_OPERATOR");
+            throw new InvalidInputException(
+                    "no operator's file: name one by --operator FILE or RAMPSHIFT_OPERATOR");
         }
         return operator;
     }
--- a/src/main/java/rampshift/SideJars.java
+++ b/src/main/java/rampshift/OptionalJars.java
@@ -18,16 +18,16 @@
  * operator's file adds. In one jar its directory alone, which every start of `serve` reads, would have grown
  * by half.
  */
-final class SideJars {
+final class OptionalJars {
     static final Set<String> FLEET =
             Set.of("try", "fleet", "load", "experiment", "ladder", "judge", "profile",
                     "together");
-    private static final String FLEET_ENTRY = "rampshift.fleet.Commands";
+    private static final String FLEET_ENTRY = "rampshift.testbed.Commands";
     private static final String FLEET_JAR = "rampshift-fleet.jar";
-    private static final String OPERATOR_ENTRY = "rampshift.operator.Operator";
+    private static final String OPERATOR_ENTRY = "rampshift.extensions.OperatorCommands";
     private static final String OPERATOR_JAR = "rampshift-operator.jar";
 
-    private SideJars() {}
+    private OptionalJars() {}
 
     /** A command of the fleet's: its exit status. */
     static int fleet(String[] args, PrintStream out, PrintStream err) throws IOException {
--- a/src/main/java/rampshift/Ask.java
+++ b/src/main/java/rampshift/StatusClient.java
@@ -8,10 +8,10 @@
 import java.nio.charset.StandardCharsets;
 
 /** Asks a running dispatcher for one of its own pages. */
-final class Ask {
+final class StatusClient {
     private static final int TIMEOUT_MS = 3000;
 
-    private Ask() {}
+    private StatusClient() {}
 
     static String page(InetSocketAddress address, String path) throws IOException {
         URL url = new URL("http", address.getHostString(), address.getPort(), path);
--- a/src/main/java/rampshift/clients/Client.java
+++ b/src/main/java/rampshift/clients/ClientConnection.java
@@ -17,14 +17,14 @@
  * that
  * is whole and sound is handed on, one at a time. What stalls or cannot be read never gets further.
  */
-final class Client extends AbstractStreamSourceConduit<StreamSourceConduit> {
+final class ClientConnection extends AbstractStreamSourceConduit<StreamSourceConduit> {
     /** What a client may send ahead of its turn, beside one whole call. */
-    private static final int MOST_AHEAD = CallReader.LARGEST;
+    private static final int MOST_AHEAD = RequestReader.LARGEST;
     private static final int PIECES = 16;       // read at a time of what must wait or that nobody wants
 
     final StreamConnection connection;
-    private final Door door;
-    private final CallReader reader = new CallReader();
+    private final ClientListener door;
+    private final RequestReader reader = new RequestReader();
     /** The call that is handed on to Undertow; null where none is in hand. */
     private ByteBuffer given;
     /** Bytes that came behind a whole call, and how many they are. */
@@ -50,7 +50,7 @@
     /** Since when it has been connected, idle, sending a call, or ending: its times count from then. */
     Moment since;
     /** How its door has it listed, and since when. */
-    Standing listed;
+    ConnectionState listed;
     Moment listedAt;
     /** When bytes last came while it was ending. */
     Moment lastByte;
@@ -61,14 +61,14 @@
     /** A task of its has been taken. */
     boolean usual;
     /** Whom to tell that it has gone, or sent what is no call behind a call. */
-    Call call;
+    ClientRequest call;
     boolean watched;
 
     /** Bytes, and when they may have come at the earliest. */
     private record Piece(ByteBuffer bytes, Moment at) {}
 
     /** {@code accepted}: what it sends first may have been here since then. */
-    Client(Door door, StreamConnection connection, Moment accepted) {
+    ClientConnection(ClientListener door, StreamConnection connection, Moment accepted) {
         super(connection.getSourceChannel().getConduit());
         this.door = door;
         this.connection = connection;
@@ -85,12 +85,13 @@
         return ending;
     }
 
-    Standing standing() {
-        return gone ? Standing.GONE
-                : busy() ? Standing.BUSY
-                        : ending ? Standing.ENDING
-                                : reader.begun() ? Standing.SENDING
-                                        : usual ? Standing.IDLE : known ? Standing.ASKED : Standing.SILENT;
+    ConnectionState standing() {
+        return gone ? ConnectionState.GONE
+                : busy() ? ConnectionState.BUSY
+                        : ending ? ConnectionState.ENDING
+                                : reader.begun() ? ConnectionState.SENDING
+                                        : usual ? ConnectionState.IDLE
+                                                : known ? ConnectionState.ASKED : ConnectionState.SILENT;
     }
 
     /** Its connection ends with the answer to the call in hand. */
@@ -199,7 +200,7 @@
                 if (!door.claim(this, reader.claim() + ahead)) {
                     if (!busy()) {
                         // Hundreds of clients that stall within large bodies would fill the memory.
-                        throw new CallReader.Unsound(503, "too many bodies are coming in");
+                        throw new RequestReader.Unsound(503, "too many bodies are coming in");
                     }
                     tooMuchAhead();     // the call in hand may be running: it is not bounced for this one
                     continue;
@@ -219,7 +220,7 @@
                     return 0;
                 }
             }
-        } catch (CallReader.Unsound e) {
+        } catch (RequestReader.Unsound e) {
             door.unsound(this, e.status, e.getMessage());
             return 0;
         }
@@ -265,7 +266,7 @@
     }
 
     /** Has the reader take what came, up to the end of a call. */
-    private void takeBehind() throws CallReader.Unsound {
+    private void takeBehind() throws RequestReader.Unsound {
         while (!reader.whole() && !behind.isEmpty()) {
             Piece piece = behind.peek();
             readUpTo = piece.at();
--- a/src/main/java/rampshift/clients/Door.java
+++ b/src/main/java/rampshift/clients/ClientListener.java
@@ -32,14 +32,14 @@
 import org.xnio.channels.StreamSinkChannel;
 import rampshift.counters.Counters;
 import rampshift.log.Log;
-import rampshift.time.Alarm;
 import rampshift.time.Clock;
+import rampshift.time.IoTimer;
 import rampshift.time.Moment;
-import rampshift.time.NextTurn;
+import rampshift.time.NextTick;
 import rampshift.time.Span;
 
 /** Takes in clients: it owns the listening socket and all connections from them. */
-public final class Door {
+public final class ClientListener {
     private static final byte[] GO_ON = "HTTP/1.1 100 Continue\r\n\r\n".getBytes(StandardCharsets.ISO_8859_1);
     private static final int BACKLOG = 1024;
     private static final int SCRATCH = 16 * 1024;
@@ -67,17 +67,18 @@
     private final HttpOpenListener http;
     private final Map<String, Supplier<Page>> pages = new HashMap<>();
     /** All open connections that were taken in. */
-    private final Map<StreamConnection, Client> open = new HashMap<>();
+    private final Map<StreamConnection, ClientConnection> open = new HashMap<>();
     /** The same by how they stand, the longest so first. */
-    private final Map<Standing, LinkedHashSet<Client>> standing = new EnumMap<>(Standing.class);
+    private final Map<ConnectionState, LinkedHashSet<ClientConnection>> standing =
+            new EnumMap<>(ConnectionState.class);
     /** Those that were accepted, but not taken in yet. */
     private final ArrayDeque<Arrival> arrivals = new ArrayDeque<>();
     /** Those whose next call was read already. */
-    private final LinkedHashSet<Client> readAhead = new LinkedHashSet<>();
-    private final NextTurn turn;
+    private final LinkedHashSet<ClientConnection> readAhead = new LinkedHashSet<>();
+    private final NextTick turn;
     private int thisTurn;
     private AcceptingChannel<StreamConnection> socket;
-    private Alarm sweep;
+    private IoTimer sweep;
     private long receiving;
     /** When a connection last came or ended. */
     private Moment lastChange;
@@ -87,7 +88,7 @@
 
     /** Who is handed the clients' calls. */
     public interface Intake {
-        void taken(Call call);
+        void taken(ClientRequest call);
     }
 
     /** What a GET of one of the dispatcher's own paths brings. */
@@ -100,7 +101,8 @@
      * long, at the
      * most, what is read now may have lain unread.
      */
-    public Door(XnioIoThread thread, ByteBufferPool buffers, Clock clock, Counters counters, int most,
+    public ClientListener(XnioIoThread thread, ByteBufferPool buffers, Clock clock, Counters counters,
+            int most,
             int spare, long mostReceiving, Span mostIdle, Intake intake, Supplier<Span> unread)
             throws IOException {
         this.thread = thread;
@@ -112,16 +114,16 @@
         this.mostIdle = mostIdle;
         this.intake = intake;
         this.unread = unread;
-        turn = new NextTurn(thread);
-        for (Standing s : Standing.values()) {
+        turn = new NextTick(thread);
+        for (ConnectionState s : ConnectionState.values()) {
             standing.put(s, new LinkedHashSet<>());
         }
         // Undertow reads only what has passed CallReader, whose bounds are the narrower ones.
         http = new HttpOpenListener(buffers, OptionMap.builder()
-                .set(UndertowOptions.MAX_ENTITY_SIZE, (long) CallReader.LARGEST)
-                .set(UndertowOptions.MAX_HEADER_SIZE, 2 * CallReader.LARGEST_HEAD)
-                .set(UndertowOptions.MAX_HEADERS, 2 * CallReader.MOST_FIELDS)
-                .set(UndertowOptions.MAX_PARAMETERS, CallReader.LARGEST_HEAD)
+                .set(UndertowOptions.MAX_ENTITY_SIZE, (long) RequestReader.LARGEST)
+                .set(UndertowOptions.MAX_HEADER_SIZE, 2 * RequestReader.LARGEST_HEAD)
+                .set(UndertowOptions.MAX_HEADERS, 2 * RequestReader.MOST_FIELDS)
+                .set(UndertowOptions.MAX_PARAMETERS, RequestReader.LARGEST_HEAD)
                 .set(UndertowOptions.DECODE_URL, false)
                 .set(UndertowOptions.ALWAYS_SET_DATE, false)
                 .set(UndertowOptions.ALWAYS_SET_KEEP_ALIVE, false)
@@ -188,9 +190,9 @@
 
     private void nextTurn() {
         thisTurn = 0;
-        List<Client> due = new ArrayList<>(readAhead);
+        List<ClientConnection> due = new ArrayList<>(readAhead);
         readAhead.clear();
-        due.forEach(Client::readOn);
+        due.forEach(ClientConnection::readOn);
         if (lastCall) {
             lastCall();
         }
@@ -202,7 +204,7 @@
      * woken up before it looks, so a client that sent a thousand calls at once had all of them answered
      * first.
      */
-    void readOnNextTurn(Client client) {
+    void readOnNextTurn(ClientConnection client) {
         readAhead.add(client);
         turn.run(this::nextTurn);
     }
@@ -215,7 +217,7 @@
     /** One that may have sent something since then. */
     private void accepted(StreamConnection connection, Moment at) {
         counters.add(Counters.Name.CLIENT_CONNECTIONS);
-        Client client = new Client(this, connection, at);
+        ClientConnection client = new ClientConnection(this, connection, at);
         connection.getSourceChannel().setConduit(client);
         open.put(connection, client);
         stands(client);
@@ -224,14 +226,14 @@
     }
 
     /** Keeps it where it belongs, behind those that have stood so for longer. */
-    void stands(Client client) {
-        Standing now = client.standing();
+    void stands(ClientConnection client) {
+        ConnectionState now = client.standing();
         if (now != client.listed && open.get(client.connection) == client) {
             relist(client, now);
         }
     }
 
-    private void relist(Client client, Standing as) {
+    private void relist(ClientConnection client, ConnectionState as) {
         if (client.listed != null) {
             standing.get(client.listed).remove(client);
         }
@@ -240,7 +242,7 @@
         client.listedAt = clock.now();
     }
 
-    private void unlist(Client client) {
+    private void unlist(ClientConnection client) {
         readAhead.remove(client);
         if (open.remove(client.connection) != null) {
             standing.get(client.listed).remove(client);
@@ -264,12 +266,12 @@
      */
     private void makeRoom() {
         while (crowded()) {
-            Client least = least();
+            ClientConnection least = least();
             if (least == null) {
                 return;
             }
-            if (least.listed == Standing.ENDING ? sendsOn(least)
-                    : least.listed != Standing.GONE && heardMeanwhile(least)) {
+            if (least.listed == ConnectionState.ENDING ? sendsOn(least)
+                    : least.listed != ConnectionState.GONE && heardMeanwhile(least)) {
                 continue;
             }
             Log.warn("clients-full", "connections", open.size());
@@ -278,27 +280,27 @@
         }
     }
 
-    private Client least() {
-        for (Standing s : Standing.values()) {
-            Client c = oldest(s);
+    private ClientConnection least() {
+        for (ConnectionState s : ConnectionState.values()) {
+            ClientConnection c = oldest(s);
             if (c != null && !stay(s).longerThan(clock.now().since(c.listedAt))) {
                 return c;
             }
-            if (s == Standing.IDLE && full() && oldest(Standing.ENDING) != null) {
+            if (s == ConnectionState.IDLE && full() && oldest(ConnectionState.ENDING) != null) {
                 // A rush of answered ones waited 30 ms each for its place, and usual clients behind it.
-                return oldest(Standing.ENDING);
+                return oldest(ConnectionState.ENDING);
             }
         }
         return null;
     }
 
-    private Client oldest(Standing as) {
-        Iterator<Client> in = standing.get(as).iterator();
-        return as != Standing.BUSY && in.hasNext() ? in.next() : null;
+    private ClientConnection oldest(ConnectionState as) {
+        Iterator<ClientConnection> in = standing.get(as).iterator();
+        return as != ConnectionState.BUSY && in.hasNext() ? in.next() : null;
     }
 
     /** For how long one may stand so, however many others come. */
-    private static Span stay(Standing as) {
+    private static Span stay(ConnectionState as) {
         return switch (as) {
             case ENDING, SILENT -> NEW;
             case IDLE, SENDING -> USUAL;
@@ -314,16 +316,16 @@
     /**
      * Whether an ending client has gone by itself, or has just sent more and there is still a place for it.
      */
-    private boolean sendsOn(Client client) {
+    private boolean sendsOn(ClientConnection client) {
         boolean came = readOff(client);
         if (came && open.containsKey(client.connection)) {
-            relist(client, Standing.ENDING);
+            relist(client, ConnectionState.ENDING);
         }
         return !open.containsKey(client.connection) || came && !full();
     }
 
     /** The one place where a client's connection is given back, but for those that it has ended itself. */
-    private void close(Client client) {
+    private void close(ClientConnection client) {
         unlist(client);
         IoUtils.safeClose(client.connection);
     }
@@ -334,7 +336,7 @@
      */
     private void sweep() {
         Moment now = clock.now();
-        for (Client c : new ArrayList<>(open.values())) {
+        for (ClientConnection c : new ArrayList<>(open.values())) {
             if (overdue(c, now)) {
                 if (!mayGoOn()) {
                     break;
@@ -345,7 +347,7 @@
         makeRoom();
     }
 
-    private boolean overdue(Client c, Moment now) {
+    private boolean overdue(ClientConnection c, Moment now) {
         Span been = now.since(c.since);
         if (!c.connection.isOpen()) {
             return true;
@@ -358,7 +360,7 @@
         };
     }
 
-    private void letGo(Client c) {
+    private void letGo(ClientConnection c) {
         switch (c.listed) {
             case ENDING -> {
                 if (!readOff(c) || clock.now().since(c.since).longerThan(LONGEST_END)) {
@@ -367,7 +369,7 @@
             }
             case SILENT, SENDING -> late(c);
             default -> {
-                if (!c.connection.isOpen() || c.listed == Standing.GONE) {
+                if (!c.connection.isOpen() || c.listed == ConnectionState.GONE) {
                     close(c);
                 } else if (!heardMeanwhile(c)) {
                     endBetweenCalls(c);
@@ -383,7 +385,7 @@
      * unread. Asked
      * before any close of one that is not being answered.
      */
-    private boolean heardMeanwhile(Client client) {
+    private boolean heardMeanwhile(ClientConnection client) {
         boolean begun = client.begun();
         try {
             if (client.gone()) {
@@ -398,7 +400,7 @@
                 || !open.containsKey(client.connection);
     }
 
-    private void late(Client client) {
+    private void late(ClientConnection client) {
         if (heardMeanwhile(client)) {
             return;
         }
@@ -411,7 +413,7 @@
     }
 
     private void sweepLater() {
-        sweep = Alarm.in(thread, SWEEP, () -> {
+        sweep = IoTimer.in(thread, SWEEP, () -> {
             sweep();
             sweepLater();
         });
@@ -434,27 +436,27 @@
     }
 
     /** Keeps room for what is coming in, or gives it back; false if there is none. */
-    boolean claim(Client client, int bytes) {
+    boolean claim(ClientConnection client, int bytes) {
         receiving += bytes - client.claim;
         client.claim = bytes;
         return bytes <= 0 || receiving <= mostReceiving;
     }
 
     /** It has sent more behind its call than is kept. */
-    void sentAhead(Client client) {
+    void sentAhead(ClientConnection client) {
         release(client);
         counters.add(Counters.Name.SENT_AHEAD);
         Log.warn("sent-ahead", "why", "more calls than are kept behind the one in hand", "dropped",
                 "what follows it");
     }
 
-    private void release(Client client) {
+    private void release(ClientConnection client) {
         receiving -= client.claim;
         client.claim = 0;
     }
 
     /** The word that a client waits for before it sends its body. */
-    void goOn(Client client) {
+    void goOn(ClientConnection client) {
         client.speaks(true);
         say(client, ByteBuffer.wrap(GO_ON), () -> {
             client.speaks(false);
@@ -467,7 +469,7 @@
      * written once,
      * and what a client with a full buffer did not take at once was left out.
      */
-    private void say(Client client, ByteBuffer words, Runnable said) {
+    private void say(ClientConnection client, ByteBuffer words, Runnable said) {
         StreamSinkChannel sink = client.connection.getSinkChannel();
         try {
             while (words.hasRemaining()) {
@@ -485,10 +487,10 @@
     }
 
     /** What it sent can't be taken as a call. It gets an answer, and is read off until it has read that. */
-    void unsound(Client client, int status, String why) {
+    void unsound(ClientConnection client, int status, String why) {
         counters.add(Counters.Name.TURNED_DOWN);
         Log.warn("turned-down", "status", status, "why", why);
-        Call call = client.call;
+        ClientRequest call = client.call;
         client.end(clock.now());
         release(client);
         if (call != null) {
@@ -500,7 +502,7 @@
     }
 
     /** Unread bytes at a close make a reset, and that may swallow the answer: so they are read first. */
-    private void turnAway(Client client, int status, String why) {
+    private void turnAway(ClientConnection client, int status, String why) {
         if (!client.connection.isOpen()) {
             return;
         }
@@ -511,7 +513,7 @@
         say(client, ByteBuffer.wrap(answer.getBytes(StandardCharsets.ISO_8859_1)), () -> endWrites(client));
     }
 
-    private void readOffFromNowOn(Client client) {
+    private void readOffFromNowOn(ClientConnection client) {
         client.connection.getSourceChannel().setReadListener(c -> readOff(client));
         client.connection.getSourceChannel().resumeReads();
     }
@@ -521,7 +523,7 @@
      * reset, which may swallow the answer before it. So the output is shut, the input read on, and the close
      * follows.
      */
-    private void endBetweenCalls(Client client) {
+    private void endBetweenCalls(ClientConnection client) {
         if (!client.known) {
             close(client);      // no answer went before
             return;
@@ -532,7 +534,7 @@
         endWrites(client);
     }
 
-    private void endWrites(Client client) {
+    private void endWrites(ClientConnection client) {
         try {
             client.connection.getSinkChannel().shutdownWrites();
             client.connection.getSinkChannel().flush();
@@ -546,7 +548,7 @@
      * has not read
      * of its answer. True if any had come. One that has gone is closed.
      */
-    private boolean readOff(Client client) {
+    private boolean readOff(ClientConnection client) {
         boolean came = false;
         try {
             for (int i = 0; i < ENDS_READ; i++) {
@@ -567,7 +569,7 @@
     }
 
     private void handle(HttpServerExchange exchange) {
-        Client client = client(exchange);
+        ClientConnection client = client(exchange);
         Supplier<Page> page = pages.get(exchange.getRequestURI());
         if (page != null && (exchange.getRequestMethod().equals(Methods.GET)
                 || exchange.getRequestMethod().equals(Methods.HEAD))) {
@@ -579,7 +581,7 @@
         }
         exchange.getRequestReceiver().receiveFullBytes(
                 (e, bytes) -> e.dispatch(SameThreadExecutor.INSTANCE, () -> {
-                    client.call = new Call(this, client, e, bytes);
+                    client.call = new ClientRequest(this, client, e, bytes);
                     intake.taken(client.call);
                 }), (e, why) -> {
                     e.setPersistent(false);
@@ -589,9 +591,9 @@
     }
 
     /** Its connection is looked after until the whole answer is written. */
-    private Client client(HttpServerExchange exchange) {
+    private ClientConnection client(HttpServerExchange exchange) {
         AbstractServerConnection connection = (AbstractServerConnection) exchange.getConnection();
-        Client client = open.get(connection.getChannel());
+        ClientConnection client = open.get(connection.getChannel());
         if (!client.watched) {
             client.watched = true;
             connection.addCloseListener(c -> ended(client));
@@ -604,9 +606,9 @@
         return client;
     }
 
-    private void ended(Client client) {
+    private void ended(ClientConnection client) {
         unlist(client);
-        Call call = client.call;
+        ClientRequest call = client.call;
         client.call = null;
         if (call != null) {
             call.closed();
@@ -632,7 +634,7 @@
     public void lastCall() {
         lastCall = true;
         Moment now = clock.now();
-        for (Client c : new ArrayList<>(open.values())) {
+        for (ClientConnection c : new ArrayList<>(open.values())) {
             boolean comes = c.due() && !now.since(c.since).longerThan(WHOLE_CALL);
             if (!c.busy() && !c.ending() && !comes) {
                 if (!mayGoOn()) {
@@ -670,7 +672,7 @@
         sweep.off();
         arrivals.forEach(a -> IoUtils.safeClose(a.connection));
         arrivals.clear();
-        for (Client client : new ArrayList<>(open.values())) {
+        for (ClientConnection client : new ArrayList<>(open.values())) {
             readOff(client);
             IoUtils.safeClose(client.connection);
         }
--- a/src/main/java/rampshift/clients/Call.java
+++ b/src/main/java/rampshift/clients/ClientRequest.java
@@ -14,7 +14,7 @@
 import rampshift.time.Span;
 
 /** One client that waits for its answer: what it sent, and the one place where it is answered. */
-public final class Call {
+public final class ClientRequest {
     /** Fields that belong to the connection, or that are written anew. */
     private static final Set<HttpString> NOT_PASSED_ON = Set.of(Headers.CONNECTION, Headers.KEEP_ALIVE,
             Headers.PROXY_AUTHENTICATE, Headers.PROXY_AUTHORIZATION, Headers.TE, Headers.TRAILER,
@@ -22,8 +22,8 @@
 
     private static final Span LOOK_EVERY = Span.ofMillis(20);
 
-    private final Door door;
-    private final Client client;
+    private final ClientListener door;
+    private final ClientConnection client;
     private final HttpServerExchange exchange;
     private final byte[] body;
     private final Moment wholeAt;
@@ -35,7 +35,7 @@
     private Runnable gone;
     private boolean over;
 
-    Call(Door door, Client client, HttpServerExchange exchange, byte[] body) {
+    ClientRequest(ClientListener door, ClientConnection client, HttpServerExchange exchange, byte[] body) {
         this.door = door;
         this.client = client;
         this.exchange = exchange;
--- a/src/main/java/rampshift/clients/Standing.java
+++ b/src/main/java/rampshift/clients/ConnectionState.java
@@ -1,7 +1,7 @@
 package rampshift.clients;
 
 /** How a client's connection stands, in the order in which they give way to others. */
-enum Standing {
+enum ConnectionState {
     /** It has gone, and its connection is about to be closed. */
     GONE,
     /** It has its last answer, or was turned away, and may still be reading that. */
--- a/src/main/java/rampshift/clients/CallReader.java
+++ b/src/main/java/rampshift/clients/RequestReader.java
@@ -11,7 +11,7 @@
  * Undertow's own reading comes after it and is not relied on: of a chunk whose size is no number it made the
  * end of the body, and such tasks went to workers, who never answered them.
  */
-final class CallReader {
+final class RequestReader {
     static final int LARGEST_HEAD = 16 * 1024;
     static final int LARGEST_BODY = 64 * 1024;
     /** Of the bytes on the connection: the rest is for the sizes of chunks. */
@@ -207,7 +207,7 @@
 
     private void field(String line) throws Unsound {
         int colon = line.indexOf(':');
-        if (colon <= 0 || !line.chars().limit(colon).allMatch(CallReader::inName)) {
+        if (colon <= 0 || !line.chars().limit(colon).allMatch(RequestReader::inName)) {
             throw new Unsound(400, "a header field without a sound name");
         }
         if (++fields > MOST_FIELDS) {
--- a/src/main/java/rampshift/connections/Dialer.java
+++ b/src/main/java/rampshift/connections/Dialer.java
@@ -10,7 +10,7 @@
 import org.xnio.Options;
 import org.xnio.StreamConnection;
 import org.xnio.XnioIoThread;
-import rampshift.time.Alarm;
+import rampshift.time.IoTimer;
 import rampshift.time.Span;
 
 /** Opens connections on the I/O thread. All of them read through its one buffer. */
@@ -33,7 +33,7 @@
 
     /** Tells how a dial ended, once, unless it was called off. */
     public interface Dialed {
-        void connected(Connection connection);
+        void connected(HttpConnection connection);
 
         void unreachable(String why);
     }
@@ -42,7 +42,7 @@
     public final class Dial {
         private final Dialed told;
         private IoFuture<StreamConnection> coming;
-        private Alarm timer;
+        private IoTimer timer;
         private boolean over;
 
         private Dial(Dialed told) {
@@ -52,7 +52,7 @@
         private void start(InetSocketAddress to, Span timeout) {
             open++;
             coming = opener.open(to, this::opened);
-            timer = Alarm.in(thread, timeout, () -> fail("no connection in time"));
+            timer = IoTimer.in(thread, timeout, () -> fail("no connection in time"));
             coming.addNotifier((future, nothing) -> {
                 if (future.getStatus() == IoFuture.Status.FAILED) {
                     IOException e = future.getException();
@@ -67,7 +67,7 @@
                 return;
             }
             over();
-            told.connected(new Connection(Dialer.this, channel));
+            told.connected(new HttpConnection(Dialer.this, channel));
         }
 
         private void fail(String why) {
--- a/src/main/java/rampshift/connections/Heard.java
+++ b/src/main/java/rampshift/connections/ExchangeListener.java
@@ -4,7 +4,7 @@
  * What a connection tells of one exchange, all on the I/O thread. Exactly one of {@code ended} and
  * {@code broken} comes last, unless the connection is closed from this side first: then nothing more.
  */
-public interface Heard {
+public interface ExchangeListener {
     /** The first byte is about to be written; false holds it back, and the connection stays unused. */
     default boolean mayWrite() {
         return true;
@@ -21,7 +21,7 @@
     /** The last byte was written: from now on the other side may have got it all. */
     default void written() {}
 
-    default void head(Head head) {}
+    default void head(ResponseHead head) {}
 
     /** A piece of the body; the array is only lent. */
     default void body(byte[] bytes, int from, int length) {}
--- a/src/main/java/rampshift/connections/Connection.java
+++ b/src/main/java/rampshift/connections/HttpConnection.java
@@ -6,7 +6,7 @@
 import org.xnio.Buffers;
 import org.xnio.IoUtils;
 import org.xnio.StreamConnection;
-import rampshift.time.Alarm;
+import rampshift.time.IoTimer;
 import rampshift.time.Moment;
 import rampshift.time.Span;
 
@@ -17,19 +17,19 @@
  * Undertow's client is not used here: it cannot call a connect off, and does not tell when the last byte of
  * an exchange was written, which decides whether a task may have run (docs/design.md).
  */
-public final class Connection {
+public final class HttpConnection {
     private final Dialer dialer;
     private final StreamConnection channel;
-    private final AnswerReader reader = new AnswerReader();
+    private final ResponseReader reader = new ResponseReader();
     private ByteBuffer[] toWrite;
     private boolean written;
     private ByteBuffer lastByte;
     private Span hold;
-    private Alarm timer;
+    private IoTimer timer;
     private long writtenAt;
     private long readAt;
     private Span answeredAfter = Span.ZERO;
-    private Heard heard;
+    private ExchangeListener heard;
     private boolean lasting = true;
     private boolean closed;
     /** Since when it has been idle; kept for its owner. */
@@ -37,7 +37,7 @@
     /** Called once if it ends while no exchange is on. */
     Runnable onEnd;
 
-    Connection(Dialer dialer, StreamConnection channel) {
+    HttpConnection(Dialer dialer, StreamConnection channel) {
         this.dialer = dialer;
         this.channel = channel;
         channel.getSourceChannel().setReadListener(c -> readable());
@@ -75,7 +75,7 @@
     }
 
     /** Writes it all and reads one answer. */
-    public void exchange(Heard heard, ByteBuffer... message) {
+    public void exchange(ExchangeListener heard, ByteBuffer... message) {
         exchange(heard, Span.ZERO, () -> message);
     }
 
@@ -84,7 +84,7 @@
      * longer wants is reset by then, and it is known that nothing ran. The message is asked for once it may
      * be written, since it tells how much time is left.
      */
-    public void exchange(Heard heard, Span hold, Supplier<ByteBuffer[]> message) {
+    public void exchange(ExchangeListener heard, Span hold, Supplier<ByteBuffer[]> message) {
         this.heard = heard;
         if (!heard.mayWrite()) {
             this.heard = null;
@@ -131,7 +131,7 @@
         toWrite = null;
         channel.getSinkChannel().suspendWrites();
         if (lastByte != null) {
-            timer = Alarm.notBefore(dialer.thread, hold, this::release);
+            timer = IoTimer.notBefore(dialer.thread, hold, this::release);
             return;
         }
         written = true;
@@ -211,7 +211,7 @@
             // More than one answer leaves it in no known state.
             lasting = used == count && reader.lasting();
             ended();
-        } catch (AnswerReader.Odd e) {
+        } catch (ResponseReader.Odd e) {
             broken("answered with " + e.getMessage());
         }
     }
@@ -226,7 +226,7 @@
     }
 
     private void ended() {
-        Heard told = heard;
+        ExchangeListener told = heard;
         heard = null;
         toWrite = null;
         dropTimer();
@@ -240,7 +240,7 @@
         if (closed) {
             return;
         }
-        Heard told = heard;
+        ExchangeListener told = heard;
         close();
         if (told != null) {
             told.broken(why);
--- a/src/main/java/rampshift/connections/Head.java
+++ b/src/main/java/rampshift/connections/ResponseHead.java
@@ -4,12 +4,12 @@
 import java.util.List;
 
 /** The status and the header fields of an answer. */
-public final class Head {
+public final class ResponseHead {
     final int minor;
     private final int status;
     private final List<String> fields = new ArrayList<>();
 
-    Head(int minor, int status) {
+    ResponseHead(int minor, int status) {
         this.minor = minor;
         this.status = status;
     }
--- a/src/main/java/rampshift/connections/AnswerReader.java
+++ b/src/main/java/rampshift/connections/ResponseReader.java
@@ -5,7 +5,7 @@
 import java.util.Locale;
 
 /** Takes an HTTP/1.1 answer apart, byte by byte as it comes. One object serves one connection. */
-final class AnswerReader {
+final class ResponseReader {
     static final int LONGEST_LINE = 8192;
     static final int MOST_FIELDS = 64;
 
@@ -21,7 +21,7 @@
     private enum At { STATUS, FIELDS, FIXED, SIZE, CHUNK, CHUNK_END, TRAILER, TO_THE_END, DONE }
 
     private At at = At.STATUS;
-    private Head head;
+    private ResponseHead head;
     private int fields;
     private long left;
     private byte[] line = new byte[256];
@@ -57,7 +57,7 @@
     }
 
     /** Reads on; the result is how many bytes were used: fewer than given only at the answer's end. */
-    int read(byte[] bytes, int from, int to, Heard heard) throws Odd {
+    int read(byte[] bytes, int from, int to, ExchangeListener heard) throws Odd {
         int i = from;
         while (i < to && at != At.DONE && !stopped) {
             switch (at) {
@@ -98,7 +98,7 @@
         line[length++] = b;
     }
 
-    private void line(String text, Heard heard) throws Odd {
+    private void line(String text, ExchangeListener heard) throws Odd {
         switch (at) {
             case STATUS -> status(text);
             case FIELDS -> {
@@ -135,7 +135,7 @@
             if (status < 100) {
                 throw new Odd("no HTTP/1.1 status line");
             }
-            head = new Head(text.charAt(7) - '0', status);
+            head = new ResponseHead(text.charAt(7) - '0', status);
         } catch (NumberFormatException e) {
             throw new Odd("no HTTP/1.1 status line");
         }
@@ -153,7 +153,7 @@
         head.add(text.substring(0, colon).trim(), text.substring(colon + 1).trim());
     }
 
-    private void headEnds(Heard heard) throws Odd {
+    private void headEnds(ExchangeListener heard) throws Odd {
         int status = head.status();
         if (status < 200) {
             if (status == 101) {
--- a/src/main/java/rampshift/discovery/Target.java
+++ b/src/main/java/rampshift/discovery/Endpoint.java
@@ -3,7 +3,7 @@
 import java.net.InetSocketAddress;
 
 /** One worker as discovery lists it. */
-public record Target(String uid, InetSocketAddress address, String zone, String kind, int cell, State state,
+public record Endpoint(String uid, InetSocketAddress address, String zone, String kind, int cell, State state,
         double weight, long bootMs) {
     /** Whether it takes new tasks. */
     public enum State { READY, DRAINING, GONE }
--- a/src/main/java/rampshift/discovery/Listing.java
+++ b/src/main/java/rampshift/discovery/EndpointList.java
@@ -9,21 +9,21 @@
 import java.util.List;
 import rampshift.log.Log;
 import rampshift.settings.Configuration;
-import rampshift.settings.Malformed;
+import rampshift.settings.InvalidInputException;
 
 /** A list of workers, or what changed in it. Entries that make no sense are left out, with a log line. */
-public record Listing(long version, boolean whole, List<Target> targets) {
+public record EndpointList(long version, boolean whole, List<Endpoint> targets) {
 
     private static final JsonFactory JSON = new JsonFactory();
 
-    public static Listing read(byte[] bytes, int length) {
+    public static EndpointList read(byte[] bytes, int length) {
         try (JsonParser in = JSON.createParser(bytes, 0, length)) {
             if (in.nextToken() != JsonToken.START_OBJECT) {
-                throw new Malformed("a list that is no object");
+                throw new InvalidInputException("a list that is no object");
             }
             long version = -1;
             boolean whole = false;
-            List<Target> targets = null;
+            List<Endpoint> targets = null;
             while (in.nextToken() == JsonToken.FIELD_NAME) {
                 String field = in.currentName();
                 JsonToken value = in.nextToken();
@@ -38,22 +38,22 @@
                 }
             }
             if (version < 0 || targets == null) {
-                throw new Malformed("a list without rev or targets");
+                throw new InvalidInputException("a list without rev or targets");
             }
-            return new Listing(version, whole, targets);
+            return new EndpointList(version, whole, targets);
         } catch (IOException e) {
-            throw new Malformed("a list that is no JSON");
+            throw new InvalidInputException("a list that is no JSON");
         }
     }
 
-    private static List<Target> targets(JsonParser in) throws IOException {
-        List<Target> targets = new ArrayList<>();
+    private static List<Endpoint> targets(JsonParser in) throws IOException {
+        List<Endpoint> targets = new ArrayList<>();
         for (JsonToken t = in.nextToken(); t != JsonToken.END_ARRAY; t = in.nextToken()) {
             if (t != JsonToken.START_OBJECT) {
                 in.skipChildren();
                 continue;
             }
-            Target target = target(in);
+            Endpoint target = target(in);
             if (target != null) {
                 targets.add(target);
             }
@@ -61,7 +61,7 @@
         return targets;
     }
 
-    private static Target target(JsonParser in) throws IOException {
+    private static Endpoint target(JsonParser in) throws IOException {
         String uid = null;
         String endpoint = null;
         String zone = "";
@@ -100,29 +100,29 @@
             Log.warn("list-entry", "uid", uid, "left_out", "it has no uid");
             return null;
         }
-        Target.State known = state(state);
+        Endpoint.State known = state(state);
         InetSocketAddress address = null;
         try {
             address = Configuration.address("endpoint", endpoint);
-        } catch (Malformed e) {
-            if (known == Target.State.READY) {
+        } catch (InvalidInputException e) {
+            if (known == Endpoint.State.READY) {
                 Log.warn("list-entry", "uid", uid, "not_used", e.getMessage());
-                known = Target.State.DRAINING;   // it is not sent to, and what it has goes on
+                known = Endpoint.State.DRAINING;   // it is not sent to, and what it has goes on
             }
         }
-        return new Target(uid, address, zone, kind, cell, known, weight, bootMs);
+        return new Endpoint(uid, address, zone, kind, cell, known, weight, bootMs);
     }
 
-    private static Target.State state(String state) {
+    private static Endpoint.State state(String state) {
         if ("in_service".equals(state)) {
-            return Target.State.READY;
+            return Endpoint.State.READY;
         }
         if ("terminated".equals(state)) {
-            return Target.State.GONE;
+            return Endpoint.State.GONE;
         }
         if (!"terminating".equals(state)) {
             Log.warn("list-entry", "unknown_state", state, "taken_as", "terminating");
         }
-        return Target.State.DRAINING;
+        return Endpoint.State.DRAINING;
     }
 }
--- a/src/main/java/rampshift/discovery/Watch.java
+++ b/src/main/java/rampshift/discovery/EndpointWatch.java
@@ -6,15 +6,15 @@
 import java.util.Arrays;
 import java.util.function.Consumer;
 import org.xnio.XnioIoThread;
-import rampshift.connections.Connection;
 import rampshift.connections.Dialer;
-import rampshift.connections.Head;
-import rampshift.connections.Heard;
+import rampshift.connections.ExchangeListener;
+import rampshift.connections.HttpConnection;
+import rampshift.connections.ResponseHead;
 import rampshift.counters.Counters;
 import rampshift.log.Log;
-import rampshift.settings.Malformed;
-import rampshift.time.Alarm;
+import rampshift.settings.InvalidInputException;
 import rampshift.time.Clock;
+import rampshift.time.IoTimer;
 import rampshift.time.Moment;
 import rampshift.time.Span;
 
@@ -22,7 +22,7 @@
  * Keeps watching discovery: the whole list once, then changes, call upon call, through outages. It owns one
  * connection, or one dial, and one timer.
  */
-public final class Watch {
+public final class EndpointWatch {
     /** How long a call may wait for changes. With 20 s a watch that fell silent was noticed after 21. */
     private static final Span WAIT = Span.ofMillis(1000);
     // until a connection or a first list has to be there
@@ -60,11 +60,11 @@
     private final Span lookEvery;
     private InetSocketAddress address;
     private final Counters counters;
-    private final Consumer<Listing> told;
+    private final Consumer<EndpointList> told;
     private final Runnable failed;
-    private Connection connection;
+    private HttpConnection connection;
     private Dialer.Dial dial;
-    private Alarm timer;
+    private IoTimer timer;
     private Answer answer;
     private long version = -1;
     private boolean calling;
@@ -78,8 +78,9 @@
      * ZERO where
      * none is stated.
      */
-    public Watch(XnioIoThread thread, Dialer dialer, Clock clock, InetSocketAddress address, Span grace,
-            Counters counters, Consumer<Listing> told, Runnable failed) {
+    public EndpointWatch(XnioIoThread thread, Dialer dialer, Clock clock, InetSocketAddress address,
+            Span grace,
+            Counters counters, Consumer<EndpointList> told, Runnable failed) {
         this.thread = thread;
         this.dialer = dialer;
         this.clock = clock;
@@ -102,7 +103,7 @@
         if (connection == null) {
             dial = dialer.dial(address, FIRST, new Dialer.Dialed() {
                 @Override
-                public void connected(Connection made) {
+                public void connected(HttpConnection made) {
                     dial = null;
                     connection = made;
                     connection.onEnd(() -> retry("the idle connection ended"));
@@ -167,7 +168,7 @@
         Span most = version >= 0 ? wait.plus(late) : failures < FAILURES ? FIRST : late;
         calling = true;
         Moment end = clock.now().plus(most).plus(PIECES);
-        timer = Alarm.in(thread, most, () -> overdue(end));
+        timer = IoTimer.in(thread, most, () -> overdue(end));
         answer = new Answer();
         connection.exchange(answer, ByteBuffer.wrap(text.getBytes(StandardCharsets.ISO_8859_1)));
     }
@@ -185,19 +186,19 @@
         }
         Span left = late.minus(connection.quietFor()).orShorter(end.since(clock.now()));
         if (left.micros() > 0) {
-            timer = Alarm.notBefore(thread, left, () -> overdue(end));
+            timer = IoTimer.notBefore(thread, left, () -> overdue(end));
         } else {
             retry("no answer");
         }
     }
 
-    private final class Answer implements Heard {
+    private final class Answer implements ExchangeListener {
         private int status;
         private byte[] bytes = new byte[4096];
         private int length;
 
         @Override
-        public void head(Head head) {
+        public void head(ResponseHead head) {
             status = head.status();
         }
 
@@ -220,10 +221,10 @@
                 retry("status " + status);
                 return;
             }
-            Listing listing;
+            EndpointList listing;
             try {
-                listing = Listing.read(bytes, length);
-            } catch (Malformed e) {
+                listing = EndpointList.read(bytes, length);
+            } catch (InvalidInputException e) {
                 version = -1;
                 retry(e.getMessage());
                 return;
@@ -263,7 +264,7 @@
         if (++failures == FAILURES) {
             failed.run();
         }
-        timer = Alarm.in(thread, again, this::start);
+        timer = IoTimer.in(thread, again, this::start);
     }
 
     /** The one place where connection, dial and timer are given back. */
--- a/src/main/java/rampshift/ledger/Stamp.java
+++ b/src/main/java/rampshift/eventlog/EventClock.java
@@ -1,4 +1,4 @@
-package rampshift.ledger;
+package rampshift.eventlog;
 
 import java.time.Instant;
 import java.time.temporal.ChronoUnit;
@@ -9,11 +9,11 @@
  * processes
  * of a run are on one machine, so their stamps can be compared.
  */
-public final class Stamp {
+public final class EventClock {
     private static final long ZERO = ChronoUnit.MICROS.between(Instant.EPOCH, Instant.now())
             - System.nanoTime() / 1000;
 
-    private Stamp() {}
+    private EventClock() {}
 
     public static Moment now() {
         return new Moment(ZERO + System.nanoTime() / 1000);
--- a/src/main/java/rampshift/ledger/Ledger.java
+++ b/src/main/java/rampshift/eventlog/EventLog.java
@@ -1,4 +1,4 @@
-package rampshift.ledger;
+package rampshift.eventlog;
 
 import java.io.Closeable;
 import java.io.IOException;
@@ -13,7 +13,7 @@
  * What one process saw, one line an event: {@code micros word field ...}. A thread of its own writes, so
  * that a slow disk never shows up as a slow worker or client. Fields hold no blanks; an empty one is a dash.
  */
-public final class Ledger implements Closeable {
+public final class EventLog implements Closeable {
     private static final int MOST_WAITING = 64 << 20;
     private static final int MOST_KEPT = 1 << 20;
     private static final long EVERY_MS = 100;
@@ -25,12 +25,12 @@
     private volatile IOException broken;
     private boolean closed;
 
-    public Ledger(Path file) throws IOException {
+    public EventLog(Path file) throws IOException {
         this(file, false);
     }
 
     /** One that is to be kept may go on where it ended; it leaves lines out rather than wait for its disk. */
-    public Ledger(Path file, boolean kept) throws IOException {
+    public EventLog(Path file, boolean kept) throws IOException {
         this.kept = kept;
         out = kept ? Files.newOutputStream(file, StandardOpenOption.CREATE, StandardOpenOption.APPEND)
                 : Files.newOutputStream(file);
--- a/src/main/java/rampshift/operator/FleetWork.java
+++ b/src/main/java/rampshift/extensions/LeaseExtension.java
@@ -1,42 +1,44 @@
-package rampshift.operator;
+package rampshift.extensions;
 
 import java.net.InetSocketAddress;
 import java.util.ArrayList;
 import java.util.Collection;
 import java.util.List;
-import rampshift.decide.TrafficType;
-import rampshift.duties.Plan;
-import rampshift.duties.host.DutiesHost;
-import rampshift.leases.host.LeasesHost;
-import rampshift.members.host.Post;
+import rampshift.jobs.PeriodicJobSettings;
+import rampshift.jobs.host.PeriodicJobHost;
+import rampshift.leases.host.LeaseHost;
+import rampshift.membership.host.MessageChannel;
+import rampshift.policy.TrafficType;
 import rampshift.settings.Configuration;
-import rampshift.settings.Malformed;
+import rampshift.settings.InvalidInputException;
 
 /** Leases, and the duties that are done under them. */
-final class FleetWork implements Post.Guest {
-    private final LeasesHost leases;
-    private final List<Plan> duties;
-    private DutiesHost host;
+final class LeaseExtension implements MessageChannel.Guest {
+    private final LeaseHost leases;
+    private final List<PeriodicJobSettings> duties;
+    private PeriodicJobHost host;
 
-    FleetWork(LeasesHost leases, List<Plan> duties) {
+    LeaseExtension(LeaseHost leases, List<PeriodicJobSettings> duties) {
         this.leases = leases;
         this.duties = duties;
     }
 
     @Override
-    public void begin(Post post) {
+    public void begin(MessageChannel post) {
         Configuration c = post.configuration();
         List<String> types = c.settings.platform().types();
         List<TrafficType> rows = c.settings.read(c.seed).types;
-        List<Plan> known = new ArrayList<>();
-        for (Plan p : duties) {
+        List<PeriodicJobSettings> known = new ArrayList<>();
+        for (PeriodicJobSettings p : duties) {
             int type = types.indexOf(p.type());
             if (type < 0) {
-                throw new Malformed("duty " + p.name() + ": the configuration knows no traffic type \""
-                        + p.type() + "\", only "
-                        + String.join(", ", types));
+                throw new InvalidInputException(
+                        "duty " + p.name() + ": the configuration knows no traffic type \""
+                                + p.type() + "\", only "
+                                + String.join(", ", types));
             }
-            known.add(new Plan(p.name(), p.type(), p.every(), p.at(), p.after(), p.objects(), p.rate(),
+            known.add(new PeriodicJobSettings(p.name(), p.type(), p.every(), p.at(), p.after(), p.objects(),
+                    p.rate(),
                     p.catchUp(), p.target(), p.body(),
                     rows.get(type).effect() == TrafficType.Effect.IDEMPOTENT, rows.get(type).expiry()));
         }
@@ -45,7 +47,7 @@
             InetSocketAddress door = c.listen.getAddress().isAnyLocalAddress()
                     ? new InetSocketAddress("127.0.0.1", c.listen.getPort())
                     : c.listen;
-            host = new DutiesHost(known, leases, post.thread(), post.clock(), door);
+            host = new PeriodicJobHost(known, leases, post.thread(), post.clock(), door);
         }
     }
 
--- a/src/main/java/rampshift/operator/Operator.java
+++ b/src/main/java/rampshift/extensions/OperatorCommands.java
@@ -1,47 +1,47 @@
-package rampshift.operator;
+package rampshift.extensions;
 
 import java.io.IOException;
 import java.nio.file.Path;
-import rampshift.leases.host.LeasesHost;
-import rampshift.members.host.Ask;
-import rampshift.members.host.Host;
-import rampshift.serve.Beside;
-import rampshift.settings.Malformed;
-import rampshift.toml.Fault;
+import rampshift.leases.host.LeaseHost;
+import rampshift.membership.host.MembershipQuery;
+import rampshift.membership.host.MembershipTransport;
+import rampshift.serve.ServerExtension;
+import rampshift.settings.InvalidInputException;
+import rampshift.toml.ConfigurationException;
 
 /**
  * What the command line asks of an operator's file. Loaded by name, from a jar that a plain start never
  * opens.
  */
-public final class Operator {
-    private Operator() {}
+public final class OperatorCommands {
+    private OperatorCommands() {}
 
     /** What that file asks to run beside a dispatcher of that name; null where it asks for nothing. */
-    public static Beside beside(String file, String name, String build) throws IOException {
+    public static ServerExtension beside(String file, String name, String build) throws IOException {
         OperatorFile read = read(file);
         if (read.members() == null) {
             return null;
         }
-        return new Host(read.members(), name, build, read.leases() == null ? null
-                : new FleetWork(new LeasesHost(read.leases(), name), read.duties()));
+        return new MembershipTransport(read.members(), name, build, read.leases() == null ? null
+                : new LeaseExtension(new LeaseHost(read.leases(), name), read.duties()));
     }
 
     /** What is asked, and told, of leases by the dispatcher of that file: words as on the command line. */
     public static String leases(String file, String[] words) throws IOException {
         OperatorFile read = read(file);
         if (read.leases() == null) {
-            throw new Malformed(file + ": has no [leases]");
+            throw new InvalidInputException(file + ": has no [leases]");
         }
-        return Ask.of(read.members().listen(), "?leases" + question(words));
+        return MembershipQuery.of(read.members().listen(), "?leases" + question(words));
     }
 
     /** How far the fleet's duties have come, as text. */
     public static String duties(String file) throws IOException {
         OperatorFile read = read(file);
         if (read.duties().isEmpty()) {
-            throw new Malformed(file + ": has no [[duty]]");
+            throw new InvalidInputException(file + ": has no [[duty]]");
         }
-        return Ask.of(read.members().listen(), "?duties");
+        return MembershipQuery.of(read.members().listen(), "?duties");
     }
 
     private static String question(String[] words) {
@@ -63,7 +63,7 @@
             };
             return " hold " + words[1] + " " + micros;
         }
-        throw new Malformed("\"" + all
+        throw new InvalidInputException("\"" + all
                 + "\": expected nothing, give NAME [TO], hold NAME TIME (as 10min), or keepers NAME,NAME,...");
     }
 
@@ -71,16 +71,16 @@
     public static String members(String file) throws IOException {
         OperatorFile read = read(file);
         if (read.members() == null) {
-            throw new Malformed(file + ": has no [members]");
+            throw new InvalidInputException(file + ": has no [members]");
         }
-        return Ask.members(read.members().listen());
+        return MembershipQuery.members(read.members().listen());
     }
 
     private static OperatorFile read(String file) {
         try {
             return OperatorFile.read(Path.of(file));
-        } catch (Fault e) {
-            throw new Malformed(e.getMessage());
+        } catch (ConfigurationException e) {
+            throw new InvalidInputException(e.getMessage());
         }
     }
 }
--- a/src/main/java/rampshift/operator/OperatorFile.java
+++ b/src/main/java/rampshift/extensions/OperatorFile.java
@@ -1,4 +1,4 @@
-package rampshift.operator;
+package rampshift.extensions;
 
 import java.io.IOException;
 import java.net.InetSocketAddress;
@@ -11,42 +11,45 @@
 import java.util.Map;
 import java.util.Set;
 import java.util.stream.IntStream;
-import rampshift.duties.Plan;
-import rampshift.members.Rules;
-import rampshift.members.host.Setting;
+import rampshift.jobs.PeriodicJobSettings;
+import rampshift.leases.LeaseTimings;
+import rampshift.leases.host.LeaseSettings;
+import rampshift.membership.MembershipTimings;
+import rampshift.membership.host.MembershipSettings;
 import rampshift.settings.Configuration;
-import rampshift.settings.Malformed;
+import rampshift.settings.InvalidInputException;
 import rampshift.time.Span;
-import rampshift.toml.Section;
-import rampshift.toml.Toml;
+import rampshift.toml.TomlFile;
+import rampshift.toml.TomlTable;
 
 /** The operator's file. A section that is not there is off. */
-public record OperatorFile(Setting members, rampshift.leases.host.Setting leases, List<Plan> duties) {
+public record OperatorFile(MembershipSettings members, LeaseSettings leases,
+        List<PeriodicJobSettings> duties) {
 
     private static final Span LEAST_PERIOD = Span.ofMillis(20);
     private static final Span LEAST_TERM = Span.ofMillis(200);
     private static final int MOST_KEEPERS = 7;
 
     public static OperatorFile read(Path file) {
-        return read(file.toString(), Toml.text(file));
+        return read(file.toString(), TomlFile.text(file));
     }
 
     /** Throws a Fault with all that is wrong with the text. */
     public static OperatorFile read(String name, String text) {
-        Toml file = Toml.read(name, text);
-        Section top = file.top();
-        Setting members = top.has("members") ? members(top.section("members")) : null;
-        List<Plan> duties = new ArrayList<>();
-        for (Section one : top.sections("duty")) {
+        TomlFile file = TomlFile.read(name, text);
+        TomlTable top = file.top();
+        MembershipSettings members = top.has("members") ? members(top.section("members")) : null;
+        List<PeriodicJobSettings> duties = new ArrayList<>();
+        for (TomlTable one : top.sections("duty")) {
             duties.add(duty(one));
         }
-        for (Plan one : duties) {
+        for (PeriodicJobSettings one : duties) {
             if (!one.after().isEmpty()
                     && duties.stream().noneMatch(d -> d.name().equals(one.after()) && d != one)) {
                 top.fault("duty", "after = \"" + one.after() + "\" names no other duty");
             }
         }
-        rampshift.leases.host.Setting leases =
+        LeaseSettings leases =
                 top.has("leases") ? leases(top.section("leases"), duties) : null;
         if (leases == null && !duties.isEmpty()) {
             top.fault("duty", "needs [leases]: a duty is done by whoever holds the lease of its name");
@@ -59,7 +62,7 @@
         return new OperatorFile(members, leases, duties);
     }
 
-    private static rampshift.leases.host.Setting leases(Section s, List<Plan> duties) {
+    private static LeaseSettings leases(TomlTable s, List<PeriodicJobSettings> duties) {
         List<String> keepers = names(s, "keepers");
         if (keepers.size() % 2 == 0 || keepers.size() > MOST_KEEPERS) {
             s.fault("keepers", "names " + keepers.size()
@@ -77,12 +80,12 @@
         String directory = s.text("directory", "");
         String ledger = s.text("ledger", "");
         s.end();
-        return new rampshift.leases.host.Setting(keepers, List.copyOf(leases),
-                new rampshift.leases.Rules(term, drift, balance),
+        return new LeaseSettings(keepers, List.copyOf(leases),
+                new LeaseTimings(term, drift, balance),
                 directory.isEmpty() ? null : Path.of(directory), ledger.isEmpty() ? null : Path.of(ledger));
     }
 
-    private static Plan duty(Section s) {
+    private static PeriodicJobSettings duty(TomlTable s) {
         String name = s.name("name");
         String type = s.name("type");
         Span every = s.span("every", Span.ofMillis(86_400_000));
@@ -105,14 +108,15 @@
         if (!target.matches("/[!-~]*")) {
             s.fault("target", "is \"" + target + "\", expected a path that begins with a slash");
         }
-        Plan plan = new Plan(name, type, every, at, after, objects, rate, catchUp, target, s.text("body", ""),
+        PeriodicJobSettings plan = new PeriodicJobSettings(name, type, every, at, after, objects, rate,
+                catchUp, target, s.text("body", ""),
                 false, Span.ZERO);
         s.end();
         return plan;
     }
 
     /** A range, or the lines of a file: it has to be the same on all machines. */
-    private static List<String> objects(Section s) {
+    private static List<String> objects(TomlTable s) {
         String file = s.text("objects_from", "");
         if (file.isEmpty()) {
             return IntStream.range(0, s.whole("objects", 1, 10_000_000, 1)).mapToObj(String::valueOf)
@@ -141,7 +145,7 @@
         }
     }
 
-    private static List<String> names(Section s, String key) {
+    private static List<String> names(TomlTable s, String key) {
         List<String> all = s.texts(key, List.of());
         for (String one : all) {
             if (!one.matches("[!-~&&[^,:|#]]{1,40}")) {
@@ -155,7 +159,7 @@
         return all;
     }
 
-    private static Setting members(Section s) {
+    private static MembershipSettings members(TomlTable s) {
         InetSocketAddress listen = address(s, "listen", s.text("listen", null));
         if (listen != null && (listen.getAddress().isAnyLocalAddress() || listen.getPort() == 0)) {
             s.fault("listen", "is a wildcard, expected the address where the others reach this dispatcher");
@@ -175,7 +179,7 @@
             }
         }
         Map<String, String> reach = new LinkedHashMap<>();
-        for (Section one : s.sections("reach")) {
+        for (TomlTable one : s.sections("reach")) {
             String name = one.name("name");
             String at = one.text("address", null);
             if (address(one, "address", at) != null) {
@@ -186,14 +190,15 @@
         String ledger = s.text("ledger", null);
         boolean news = s.flag("news", true);
         s.end();
-        return new Setting(fleet, site, listen, seeds, reach, new Rules(period, forget), news, newsFor,
+        return new MembershipSettings(fleet, site, listen, seeds, reach,
+                new MembershipTimings(period, forget), news, newsFor,
                 ledger == null ? null : Path.of(ledger));
     }
 
-    private static InetSocketAddress address(Section s, String key, String text) {
+    private static InetSocketAddress address(TomlTable s, String key, String text) {
         try {
             return Configuration.address(key, text);
-        } catch (Malformed e) {
+        } catch (InvalidInputException e) {
             s.fault(key, text == null ? "is missing, expected an address with a port"
                     : "is \"" + text
                             + "\", expected an address with a port");
--- a/src/main/java/rampshift/duties/Progress.java
+++ b/src/main/java/rampshift/jobs/JobProgress.java
@@ -1,4 +1,4 @@
-package rampshift.duties;
+package rampshift.jobs;
 
 /**
  * How far a duty has come, as its lease's register keeps it.
@@ -8,21 +8,22 @@
  * @param to objects from there on have not been handed in by anybody; those between may be out
  * @param over the run has ended
  */
-public record Progress(long run, int from, int to, boolean over) {
+public record JobProgress(long run, int from, int to, boolean over) {
 
-    public static final Progress NONE = new Progress(0, 0, 0, true);
+    public static final JobProgress NONE = new JobProgress(0, 0, 0, true);
 
     public String text() {
         return run + ":" + from + ":" + to + ":" + (over ? "over" : "on");
     }
 
     /** A text that is none counts as nothing done. */
-    public static Progress of(String text) {
+    public static JobProgress of(String text) {
         String[] parts = text.split(":");
         if (parts.length != 4 || !text.matches("\\d{1,15}:\\d{1,9}:\\d{1,9}:(over|on)")) {
             return NONE;
         }
-        return new Progress(Long.parseLong(parts[0]), Integer.parseInt(parts[1]), Integer.parseInt(parts[2]),
+        return new JobProgress(Long.parseLong(parts[0]), Integer.parseInt(parts[1]),
+                Integer.parseInt(parts[2]),
                 parts[3].equals("over"));
     }
 }
--- a/src/main/java/rampshift/duties/Duty.java
+++ b/src/main/java/rampshift/jobs/PeriodicJob.java
@@ -1,4 +1,4 @@
-package rampshift.duties;
+package rampshift.jobs;
 
 import java.util.HashMap;
 import java.util.Map;
@@ -11,10 +11,10 @@
  * comes after
  * knows which may have run. It has no clock, socket or thread.
  */
-public final class Duty {
+public final class PeriodicJob {
     /** Carries out what is decided. */
     public interface Out {
-        /** Hands in a task; its end goes to {@link Duty#ended}. */
+        /** Hands in a task; its end goes to {@link PeriodicJob#ended}. */
         void hand(int object, String id, String txn);
 
         /** To the lease's register. */
@@ -30,7 +30,7 @@
     private static final int MOST_OUT = 200;
     private static final int TRIES = 20;            // of a task that never ran, before it is told as given up
 
-    private final Plan plan;
+    private final PeriodicJobSettings plan;
     private final Span term;
     private final Out out;
     private final TreeMap<Integer, Moment> waiting = new TreeMap<>();       // object: not before
@@ -38,21 +38,21 @@
     // handed in, or waiting to be
     private final java.util.TreeSet<Integer> open = new java.util.TreeSet<>();
     private long token;
-    private Progress said = Progress.NONE;          // what is to stand in the register
-    private Progress stands = Progress.NONE;        // what does
+    private JobProgress said = JobProgress.NONE;          // what is to stand in the register
+    private JobProgress stands = JobProgress.NONE;        // what does
     // the first object that was not handed in under this token
     private int next;
     private Moment handAt;
     private boolean holding;
 
     /** Term: of the lease, by which the window of tasks that may be out is sized. */
-    public Duty(Plan plan, Span term, Out out) {
+    public PeriodicJob(PeriodicJobSettings plan, Span term, Out out) {
         this.plan = plan;
         this.term = term;
         this.out = out;
     }
 
-    public Plan plan() {
+    public PeriodicJobSettings plan() {
         return plan;
     }
 
@@ -65,7 +65,7 @@
      * Looked at now and then, and soon after each end.
      *
      * @param now on any clock that only advances
-     * @param due the number of the run that is due, by {@link Plan#due}: it decides when, never whether two
+     * @param due the number of the run that is due, by {@link PeriodicJobSettings#due}: it decides when, never whether two
      * act
      * @param heldToken the token, or 0 while the lease is not held
      * @param note what stands in the register
@@ -75,7 +75,7 @@
             holding = false;
             return;
         }
-        stands = Progress.of(note);
+        stands = JobProgress.of(note);
         if (!holding || token != heldToken) {
             takeUp(now, heldToken);
         }
@@ -117,11 +117,11 @@
             out.tell("missed", missed, 0);
         }
         next = 0;
-        say(new Progress(run, 0, Math.min(window(), plan.count()), false));
+        say(new JobProgress(run, 0, Math.min(window(), plan.count()), false));
         out.tell("begins", run, 0);
     }
 
-    private void say(Progress what) {
+    private void say(JobProgress what) {
         said = what;
         out.note(what.text());
     }
@@ -180,9 +180,9 @@
         int to = Math.min(plan.count(), settled + window());
         if (settled >= plan.count()) {
             out.tell("over", stands.run(), 0);
-            say(new Progress(stands.run(), settled, settled, true));
+            say(new JobProgress(stands.run(), settled, settled, true));
         } else if (settled - stands.from() >= Math.max(1, window() / 2) && to > stands.to()) {
-            say(new Progress(stands.run(), settled, to, false));
+            say(new JobProgress(stands.run(), settled, to, false));
         }
     }
 }
--- a/src/main/java/rampshift/duties/Plan.java
+++ b/src/main/java/rampshift/jobs/PeriodicJobSettings.java
@@ -1,4 +1,4 @@
-package rampshift.duties;
+package rampshift.jobs;
 
 import java.util.List;
 import rampshift.time.Span;
@@ -19,11 +19,12 @@
  * @param again whether a task that may have run may go again: its effect is idempotent
  * @param patience how long a task is waited for, at most
  */
-public record Plan(String name, String type, Span every, long at, String after, List<String> objects,
+public record PeriodicJobSettings(String name, String type, Span every, long at, String after,
+        List<String> objects,
         double rate, int catchUp, String target, String body,
         boolean again, Span patience) {
     /** The number of the run that is due by the wall clock, or by how far the duty before it has come. */
-    public long due(long wallMicros, Progress before) {
+    public long due(long wallMicros, JobProgress before) {
         if (!after.isEmpty()) {
             return before.over() ? before.run() : before.run() - 1;
         }
--- a/src/main/java/rampshift/duties/host/DutiesHost.java
+++ b/src/main/java/rampshift/jobs/host/PeriodicJobHost.java
@@ -1,4 +1,4 @@
-package rampshift.duties.host;
+package rampshift.jobs.host;
 
 import java.net.InetSocketAddress;
 import java.nio.ByteBuffer;
@@ -9,14 +9,14 @@
 import java.util.concurrent.TimeUnit;
 import org.xnio.XnioExecutor;
 import org.xnio.XnioIoThread;
-import rampshift.connections.Connection;
 import rampshift.connections.Dialer;
-import rampshift.connections.Head;
-import rampshift.connections.Heard;
-import rampshift.duties.Duty;
-import rampshift.duties.Plan;
-import rampshift.duties.Progress;
-import rampshift.leases.host.LeasesHost;
+import rampshift.connections.ExchangeListener;
+import rampshift.connections.HttpConnection;
+import rampshift.connections.ResponseHead;
+import rampshift.jobs.JobProgress;
+import rampshift.jobs.PeriodicJob;
+import rampshift.jobs.PeriodicJobSettings;
+import rampshift.leases.host.LeaseHost;
 import rampshift.time.Clock;
 import rampshift.time.Moment;
 import rampshift.time.Span;
@@ -27,33 +27,34 @@
  * moment, as the first byte is written; the token goes with each task, and no task outlasts what is left of
  * the lease.
  */
-public final class DutiesHost {
+public final class PeriodicJobHost {
     private static final Span LOOK = Span.ofMillis(20);
     private static final Span DIAL = Span.ofMillis(1000);
     private static final double SAFE = 0.8;             // of what is left of the lease a task may take
 
-    private final LeasesHost leases;
+    private final LeaseHost leases;
     private final XnioIoThread thread;
     private final Dialer dialer;
     private final Clock clock;
     private final InetSocketAddress door;
-    private final List<Duty> duties = new ArrayList<>();
+    private final List<PeriodicJob> duties = new ArrayList<>();
     private final List<String> names;
-    private final ArrayDeque<Connection> idle = new ArrayDeque<>();
+    private final ArrayDeque<HttpConnection> idle = new ArrayDeque<>();
     private XnioExecutor.Key timer;
     private boolean ended;
 
     /** Door: where this dispatcher takes tasks. */
-    public DutiesHost(List<Plan> plans, LeasesHost leases, XnioIoThread thread, Clock clock,
+    public PeriodicJobHost(List<PeriodicJobSettings> plans, LeaseHost leases, XnioIoThread thread,
+            Clock clock,
             InetSocketAddress door) {
         this.leases = leases;
         this.thread = thread;
         this.clock = clock;
         this.door = door;
         dialer = new Dialer(thread);
-        names = plans.stream().map(Plan::name).toList();
-        for (Plan plan : plans) {
-            duties.add(new Duty(plan, leases.term(), new Handing(plan)));
+        names = plans.stream().map(PeriodicJobSettings::name).toList();
+        for (PeriodicJobSettings plan : plans) {
+            duties.add(new PeriodicJob(plan, leases.term(), new Handing(plan)));
         }
         look();
     }
@@ -65,10 +66,10 @@
         long wall = System.currentTimeMillis() * 1000;
         long[] tokens = leases.tokens(names);
         for (int i = 0; i < tokens.length; i++) {
-            Duty duty = duties.get(i);
-            Plan plan = duty.plan();
+            PeriodicJob duty = duties.get(i);
+            PeriodicJobSettings plan = duty.plan();
             long due = plan.due(wall,
-                    plan.after().isEmpty() ? Progress.NONE : Progress.of(leases.note(plan.after())));
+                    plan.after().isEmpty() ? JobProgress.NONE : JobProgress.of(leases.note(plan.after())));
             duty.look(clock.now(), due, tokens[i], tokens[i] == 0 ? "" : leases.note(names.get(i)));
         }
         timer = thread.executeAfter(this::look, LOOK.micros(), TimeUnit.MICROSECONDS);
@@ -77,9 +78,9 @@
     /** A page for people. */
     public String page() {
         StringBuilder text = new StringBuilder();
-        for (Duty duty : duties) {
-            Plan plan = duty.plan();
-            Progress p = Progress.of(leases.note(plan.name()));
+        for (PeriodicJob duty : duties) {
+            PeriodicJobSettings plan = duty.plan();
+            JobProgress p = JobProgress.of(leases.note(plan.name()));
             text.append(String.format("  %-24s run %d %s, %d of %d settled, %d may be out, held %s%n",
                     plan.name(), p.run(),
                     p.over() ? "over" : "under way", p.from(), plan.objects().size(), p.to() - p.from(),
@@ -93,18 +94,18 @@
         if (timer != null) {
             timer.remove();
         }
-        idle.forEach(Connection::close);
+        idle.forEach(HttpConnection::close);
     }
 
-    private Duty of(Plan plan) {
+    private PeriodicJob of(PeriodicJobSettings plan) {
         return duties.stream().filter(d -> d.plan() == plan).findFirst().orElseThrow();
     }
 
     /** What one duty hands in. */
-    private final class Handing implements Duty.Out {
-        private final Plan plan;
+    private final class Handing implements PeriodicJob.Out {
+        private final PeriodicJobSettings plan;
 
-        Handing(Plan plan) {
+        Handing(PeriodicJobSettings plan) {
             this.plan = plan;
         }
 
@@ -125,18 +126,18 @@
     }
 
     /** One task at the door, from its dial to its answer. */
-    private final class Task implements Heard, Dialer.Dialed {
-        private final Plan plan;
+    private final class Task implements ExchangeListener, Dialer.Dialed {
+        private final PeriodicJobSettings plan;
         private final int object;
         private final String id;
         private final String txn;
         private final long token;
-        private Connection connection;
+        private HttpConnection connection;
         private int status;
         private Span comeBack = Span.ofMillis(200);
         private boolean written;
 
-        Task(Plan plan, int object, String id, String txn) {
+        Task(PeriodicJobSettings plan, int object, String id, String txn) {
             this.plan = plan;
             this.object = object;
             this.id = id;
@@ -157,14 +158,14 @@
         }
 
         @Override
-        public void connected(Connection made) {
+        public void connected(HttpConnection made) {
             connection = made;
             connection.exchange(this, message());
         }
 
         @Override
         public void unreachable(String why) {
-            over(Duty.End.NEVER_RAN);
+            over(PeriodicJob.End.NEVER_RAN);
         }
 
         private ByteBuffer message() {
@@ -188,13 +189,13 @@
             written = leases.mayAct(plan.name()).longerThan(Span.ZERO) && leases.token(plan.name()) == token;
             if (!written) {
                 connection.close();
-                thread.execute(() -> over(Duty.End.NEVER_RAN));
+                thread.execute(() -> over(PeriodicJob.End.NEVER_RAN));
             }
             return written;
         }
 
         @Override
-        public void head(Head head) {
+        public void head(ResponseHead head) {
             status = head.status();
             String after = head.field("Retry-After");
             if (after != null && after.matches("\\d{1,6}(\\.\\d{1,6})?")) {
@@ -209,17 +210,17 @@
             } else {
                 connection.close();
             }
-            over(status == 200 ? Duty.End.DONE
-                    : status == 503 || status == 429 || status == 400 ? Duty.End.NEVER_RAN
-                            : Duty.End.MAY_HAVE_RUN);
+            over(status == 200 ? PeriodicJob.End.DONE
+                    : status == 503 || status == 429 || status == 400 ? PeriodicJob.End.NEVER_RAN
+                            : PeriodicJob.End.MAY_HAVE_RUN);
         }
 
         @Override
         public void broken(String why) {
-            over(written ? Duty.End.MAY_HAVE_RUN : Duty.End.NEVER_RAN);
+            over(written ? PeriodicJob.End.MAY_HAVE_RUN : PeriodicJob.End.NEVER_RAN);
         }
 
-        private void over(Duty.End end) {
+        private void over(PeriodicJob.End end) {
             Moment now = clock.now();
             of(plan).ended(now, token, object, end, comeBack);
         }
--- a/src/main/java/rampshift/leases/Keeper.java
+++ b/src/main/java/rampshift/leases/Acceptor.java
@@ -16,7 +16,7 @@
  * directory is
  * new, older than what others have seen of it, or not the one that the keepers were made with, does not vote.
  */
-final class Keeper {
+final class Acceptor {
     /** Carries out what is decided. */
     interface Out {
         /** A record; a later one of the same key takes its place. */
@@ -53,14 +53,14 @@
     private final List<String> named;
     private final Span every;
     private final Out out;
-    private final Map<String, Slot> slots = new TreeMap<>();
+    private final Map<String, AcceptorState> slots = new TreeMap<>();
     private final Map<Long, Seen> witnessed = new HashMap<>();
     private final Map<Long, Seen> writtenOf = new HashMap<>();      // of these, what is on disk
     // ids told by others with no keepers of their own
     private final Map<String, Long> strangers = new TreeMap<>();
     // who answered in the present step of the start
     private final Set<String> asked = new TreeSet<>();
-    private Keepers keepers = Keepers.UNKNOWN;
+    private AcceptorSet keepers = AcceptorSet.UNKNOWN;
     private State state = State.NEW;
     private long id;
     private long boot;
@@ -70,7 +70,7 @@
     private Moment nextAt;
 
     /** Named: the first keepers, by the operator's file. Every: between two words to the other keepers. */
-    Keeper(String name, List<String> named, Span every, Out out) {
+    Acceptor(String name, List<String> named, Span every, Out out) {
         this.name = name;
         this.named = named;
         this.every = every;
@@ -100,7 +100,7 @@
                 writtenOf.put(of, new Seen(b.getLong(), b.getLong()));
                 witnessed.put(of, writtenOf.get(of));
             } else if (key.equals(KEEPERS)) {
-                keepers = Keepers.of(new String(record, java.nio.charset.StandardCharsets.US_ASCII));
+                keepers = AcceptorSet.of(new String(record, java.nio.charset.StandardCharsets.US_ASCII));
             }
         });
         if (keepers.known()) {
@@ -116,7 +116,7 @@
         return state;
     }
 
-    Keepers keepers() {
+    AcceptorSet keepers() {
         return keepers;
     }
 
@@ -179,18 +179,18 @@
 
     /** The first that is named makes the keepers, when all that are named have directories that are new. */
     private void form() {
-        List<Keepers.One> all = new ArrayList<>();
+        List<AcceptorSet.One> all = new ArrayList<>();
         for (String one : named) {
             Long known = one.equals(name) ? Long.valueOf(id) : strangers.get(one);
             if (known == null) {
                 return;
             }
-            all.add(new Keepers.One(one, known));
+            all.add(new AcceptorSet.One(one, known));
         }
-        adopt(new Keepers(1, all, List.of()));
+        adopt(new AcceptorSet(1, all, List.of()));
     }
 
-    private void adopt(Keepers newer) {
+    private void adopt(AcceptorSet newer) {
         keepers = newer;
         out.put(KEEPERS, newer.text().getBytes(java.nio.charset.StandardCharsets.US_ASCII));
         out.tell("keepers", newer.text());
@@ -216,7 +216,7 @@
                 }
             }
             case ADOPT -> {
-                Keepers told = Keepers.of(m.text());
+                AcceptorSet told = AcceptorSet.of(m.text());
                 if (told != null && told.epoch() > keepers.epoch()) {
                     adopt(told);
                 }
@@ -252,7 +252,7 @@
     }
 
     private void helloBack(String from, Message m) {
-        Keepers told = m.text().isEmpty() ? null : Keepers.of(m.text());
+        AcceptorSet told = m.text().isEmpty() ? null : AcceptorSet.of(m.text());
         if (told != null && told.epoch() > keepers.epoch()) {
             adopt(told);
         }
@@ -273,7 +273,8 @@
 
     private void vote(String from, Message m) {
         if (state != State.VOTING) {
-            out.send(from, Message.answer(Message.Kind.SILENT, m, Ballot.NONE, Ballot.NONE, Value.FREE));
+            out.send(from,
+                    Message.answer(Message.Kind.SILENT, m, Ballot.NONE, Ballot.NONE, LeaseRecord.FREE));
             return;
         }
         if (m.epoch() != keepers.epoch()) {
@@ -284,32 +285,34 @@
             return;
         }
         if (slots.size() >= MOST && !slots.containsKey(m.register())) {
-            out.send(from, Message.answer(Message.Kind.SILENT, m, Ballot.NONE, Ballot.NONE, Value.FREE));
+            out.send(from,
+                    Message.answer(Message.Kind.SILENT, m, Ballot.NONE, Ballot.NONE, LeaseRecord.FREE));
             return;
         }
-        Slot s = slots.getOrDefault(m.register(), Slot.EMPTY);
+        AcceptorState s = slots.getOrDefault(m.register(), AcceptorState.EMPTY);
         int order = m.ballot().compareTo(s.promised());
         if (m.kind() == Message.Kind.PREPARE) {
             if (order <= 0) {
                 refuse(from, m, s);
             } else {
-                put(m.register(), new Slot(m.ballot(), s.accepted(), s.value()));
+                put(m.register(), new AcceptorState(m.ballot(), s.accepted(), s.value()));
                 out.answer(from,
                         Message.answer(Message.Kind.PROMISED, m, m.ballot(), s.accepted(), s.value()));
             }
         } else if (order < 0) {
             refuse(from, m, s);
         } else {
-            put(m.register(), new Slot(m.ballot().next(), m.ballot(), m.value()));
-            out.answer(from, Message.answer(Message.Kind.ACCEPTED, m, m.ballot(), m.ballot(), Value.FREE));
+            put(m.register(), new AcceptorState(m.ballot().next(), m.ballot(), m.value()));
+            out.answer(from,
+                    Message.answer(Message.Kind.ACCEPTED, m, m.ballot(), m.ballot(), LeaseRecord.FREE));
         }
     }
 
-    private void refuse(String from, Message m, Slot s) {
-        out.send(from, Message.answer(Message.Kind.REFUSED, m, s.promised(), s.accepted(), Value.FREE));
+    private void refuse(String from, Message m, AcceptorState s) {
+        out.send(from, Message.answer(Message.Kind.REFUSED, m, s.promised(), s.accepted(), LeaseRecord.FREE));
     }
 
-    private void put(String register, Slot slot) {
+    private void put(String register, AcceptorState slot) {
         slots.put(register, slot);
         out.put(REGISTER + register, Codec.write(slot));
     }
@@ -322,10 +325,10 @@
             return;
         }
         List<String> names = new ArrayList<>();
-        List<Value> values = new ArrayList<>();
+        List<LeaseRecord> values = new ArrayList<>();
         for (String one : m.names()) {
             names.add(one);
-            values.add(slots.getOrDefault(one, Slot.EMPTY).value());
+            values.add(slots.getOrDefault(one, AcceptorState.EMPTY).value());
         }
         while (!names.isEmpty()) {
             int count = Codec.fitting(values, names);
@@ -341,7 +344,7 @@
         List<String> some = new ArrayList<>();
         int room = Codec.MOST / 2;
         for (String one : slots.keySet()) {
-            if (one.compareTo(m.register()) > 0 && !one.equals(Keepers.REGISTER)) {
+            if (one.compareTo(m.register()) > 0 && !one.equals(AcceptorSet.REGISTER)) {
                 room -= one.length() + 2;
                 if (room < 0) {
                     break;
--- a/src/main/java/rampshift/leases/Keepers.java
+++ b/src/main/java/rampshift/leases/AcceptorSet.java
@@ -13,11 +13,11 @@
  * @param now whose majority counts
  * @param next whose majority counts as well; empty except in the midst of a change
  */
-public record Keepers(long epoch, List<One> now, List<One> next) {
+public record AcceptorSet(long epoch, List<One> now, List<One> next) {
 
     /** The register in which the keepers themselves stand. */
     static final String REGISTER = "#keepers";
-    static final Keepers UNKNOWN = new Keepers(0, List.of(), List.of());
+    static final AcceptorSet UNKNOWN = new AcceptorSet(0, List.of(), List.of());
 
     /**
      * A keeper by its name, and the number that its directory was given when it was made: a lost disk has
@@ -67,7 +67,7 @@
     }
 
     /** Null where the text is none. */
-    static Keepers of(String text) {
+    static AcceptorSet of(String text) {
         String[] parts = text.split("\\|", -1);
         if (parts.length != 3 || !parts[0].matches("\\d{1,18}")) {
             return null;
@@ -75,7 +75,7 @@
         List<One> now = list(parts[1]);
         List<One> next = list(parts[2]);
         return now == null || next == null || now.isEmpty() ? null
-                : new Keepers(Long.parseLong(parts[0]), now, next);
+                : new AcceptorSet(Long.parseLong(parts[0]), now, next);
     }
 
     private static List<One> list(String text) {
--- a/src/main/java/rampshift/leases/Codec.java
+++ b/src/main/java/rampshift/leases/Codec.java
@@ -62,7 +62,7 @@
                 out.writeUTF(name);
             }
             out.writeShort(m.values().size());
-            for (Value value : m.values()) {
+            for (LeaseRecord value : m.values()) {
                 value(out, value);
             }
             out.writeUTF(m.text());
@@ -83,12 +83,12 @@
             String register = text(in);
             Ballot ballot = ballot(in);
             Ballot accepted = ballot(in);
-            Value value = value(in);
+            LeaseRecord value = value(in);
             List<String> names = new ArrayList<>();
             for (int left = bounded(in); left > 0; left--) {
                 names.add(text(in));
             }
-            List<Value> values = new ArrayList<>();
+            List<LeaseRecord> values = new ArrayList<>();
             for (int left = bounded(in); left > 0; left--) {
                 values.add(value(in));
             }
@@ -98,7 +98,7 @@
         });
     }
 
-    static byte[] write(Slot s) {
+    static byte[] write(AcceptorState s) {
         return bytes(out -> {
             ballot(out, s.promised());
             ballot(out, s.accepted());
@@ -106,16 +106,16 @@
         });
     }
 
-    static Slot slot(byte[] bytes) {
-        return read(bytes, in -> new Slot(ballot(in), ballot(in), value(in)));
+    static AcceptorState slot(byte[] bytes) {
+        return read(bytes, in -> new AcceptorState(ballot(in), ballot(in), value(in)));
     }
 
     /** As many of these as go into one message; at least one. */
-    static int fitting(List<Value> values, List<String> names) {
+    static int fitting(List<LeaseRecord> values, List<String> names) {
         int room = MOST - 200;
         int count = 0;
         while (count < values.size() && count < NAMES) {
-            Value v = values.get(count);
+            LeaseRecord v = values.get(count);
             room -= 60 + names.get(count).length() + v.holder().length() + v.wanted().length()
                     + v.note().length();
             if (room < 0 && count > 0) {
@@ -159,7 +159,7 @@
         return number;
     }
 
-    private static void value(DataOutputStream out, Value v) throws IOException {
+    private static void value(DataOutputStream out, LeaseRecord v) throws IOException {
         out.writeLong(v.version());
         out.writeLong(v.token());
         out.writeUTF(v.holder());
@@ -171,8 +171,8 @@
         out.writeUTF(v.note());
     }
 
-    private static Value value(DataInputStream in) throws IOException {
-        return new Value(notNegative(in), notNegative(in), text(in), in.readLong(), in.readLong(),
+    private static LeaseRecord value(DataInputStream in) throws IOException {
+        return new LeaseRecord(notNegative(in), notNegative(in), text(in), in.readLong(), in.readLong(),
                 notNegative(in), text(in),
                 notNegative(in), text(in));
     }
--- a/src/main/java/rampshift/leases/Lease.java
+++ b/src/main/java/rampshift/leases/LeaseClient.java
@@ -11,10 +11,10 @@
  * it, and knows at any instant whether it may act. Never two act at once: the proof stands in
  * docs/design/leases.md.
  */
-final class Lease {
+final class LeaseClient {
     /** What it needs of what is around it. */
-    interface Around extends Change.Out {
-        Keepers keepers();
+    interface Around extends RegisterChange.Out {
+        AcceptorSet keepers();
 
         /** A number never used before by this process. */
         long number();
@@ -23,15 +23,15 @@
          * How much longer it is to wait than the first of those who would take this one; null: it doesn't
          * want it.
          */
-        Span after(String lease, Value seen);
+        Span after(String lease, LeaseRecord seen);
 
         /** Between two attempts that were in each other's way: 0 to 1, drawn. */
         double chance();
 
-        void tell(String lease, String what, Value value);
+        void tell(String lease, String what, LeaseRecord value);
 
         /** A change of this process's, which a majority has; it took so long from its asking. */
-        void done(String lease, Value value, Span took);
+        void done(String lease, LeaseRecord value, Span took);
     }
 
     private static final int SIGHTINGS = 6;
@@ -41,14 +41,14 @@
     private final String name;
     private final String self;
     private final long life;
-    private final Rules rules;
+    private final LeaseTimings rules;
     private final Around around;
-    private final Map<Value, Moment> sightings = new LinkedHashMap<>();     // when each was first heard of
-    private Value seen;             // that which most likely stands
+    private final Map<LeaseRecord, Moment> sightings = new LinkedHashMap<>();     // when each was first heard of
+    private LeaseRecord seen;             // that which most likely stands
     private boolean holding;
     private long token;             // while holding
     private Moment heldFrom;        // before the change was asked for by which it is held
-    private Change change;
+    private RegisterChange change;
     private Moment attemptAt;       // when the present attempt at it began
     private Moment askedAt;         // before the present change was asked for
     private Moment againAt;         // when it is to be tried again; null: an attempt is under way
@@ -60,10 +60,10 @@
     private Ready ready;            // null: the next change has to ask first
     private Moment notBefore;       // it gave it back, or others were at it: they come first; null for never
     private boolean unwanted;       // the dispatcher ends
-    private Intent wish;            // of an operator
+    private RegisterUpdate wish;            // of an operator
     private Moment wishUntil;
 
-    Lease(String name, String self, long life, Rules rules, Around around) {
+    LeaseClient(String name, String self, long life, LeaseTimings rules, Around around) {
         this.name = name;
         this.self = self;
         this.life = life;
@@ -92,7 +92,7 @@
     }
 
     /** What stands, as far as is known; null for unknown. */
-    Value seen() {
+    LeaseRecord seen() {
         return seen;
     }
 
@@ -119,7 +119,7 @@
     }
 
     /** A wish of an operator: REST, WANT. It is tried for one term. */
-    void wish(Moment now, Intent what) {
+    void wish(Moment now, RegisterUpdate what) {
         wish = what;
         wishUntil = now.plus(rules.term());
         if (change == null) {
@@ -136,7 +136,7 @@
         if (holding) {
             stop("gives");
             notBefore = now.plus(rules.term());
-            begin(now, intent(Intent.Kind.RELEASE, null));
+            begin(now, intent(RegisterUpdate.Kind.RELEASE, null));
         }
     }
 
@@ -177,7 +177,8 @@
             } else if (seen != null && takeAt() != null && !now.before(takeAt())) {
                 // What was seen as this process's own, it asked for earlier and gave up hearing of: no
                 // waiting for oneself.
-                begin(now, seen.of(life) ? intent(Intent.Kind.RENEW, null) : intent(Intent.Kind.TAKE, null));
+                begin(now, seen.of(life) ? intent(RegisterUpdate.Kind.RENEW, null)
+                        : intent(RegisterUpdate.Kind.TAKE, null));
             }
         }
         if (lookAt == null || !now.before(lookAt)) {
@@ -203,7 +204,7 @@
             slow = change.refused() ? slow : rules.slower(slow);
             if (change.refused() && change.refusals() == 1) {
                 attempt(now);
-            } else if (change.refused() && change.intent().kind() == Intent.Kind.TAKE) {
+            } else if (change.refused() && change.intent().kind() == RegisterUpdate.Kind.TAKE) {
                 change = null;      // another is at it: two that insist would keep each other from it
                 notBefore = now.plus(rules.backOff().times(slow * around.chance()));
             } else if (now.since(askedAt).longerThan(rules.askFor())) {
@@ -217,23 +218,24 @@
 
     // ---------------------------------------------------------------- changes
 
-    private Intent intent(Intent.Kind kind, String text) {
-        return new Intent(kind, seen, self, life, holding ? token : seen.token(), around.number(),
+    private RegisterUpdate intent(RegisterUpdate.Kind kind, String text) {
+        return new RegisterUpdate(kind, seen, self, life, holding ? token : seen.token(), around.number(),
                 rules.term().micros(), text);
     }
 
     private void renew(Moment now) {
-        begin(now, intent(Intent.Kind.RENEW, note));
+        begin(now, intent(RegisterUpdate.Kind.RENEW, note));
     }
 
-    private void begin(Moment now, Intent what) {
+    private void begin(Moment now, RegisterUpdate what) {
         askedAt = now;              // before anything is sent: the term counts from here
-        change = new Change(name, what, life, highest);
+        change = new RegisterChange(name, what, life, highest);
         againAt = null;
         Ready known = ready;
         ready = null;
         attemptAt = now;
-        if (known != null && what.kind() == Intent.Kind.RENEW && known.epoch() == around.keepers().epoch()) {
+        if (known != null && what.kind() == RegisterUpdate.Kind.RENEW
+                && known.epoch() == around.keepers().epoch()) {
             change.quick(around.keepers(), around.number(), known.ballot(), known.value(),
                     now.plus(rules.attemptFor(slow)), around);
         } else {
@@ -245,7 +247,7 @@
      * What a majority has, known from the last change, and the ballot that it promised with it; by which
      * keepers.
      */
-    private record Ready(Ballot ballot, Value value, long epoch) {}
+    private record Ready(Ballot ballot, LeaseRecord value, long epoch) {}
 
     private void attempt(Moment now) {
         attemptAt = now;
@@ -264,9 +266,9 @@
         switch (change.state()) {
             case ASKING -> onWithChange(now);
             case REFUSED -> {
-                Change over = change;
+                RegisterChange over = change;
                 change = null;
-                if (over.intent().kind() == Intent.Kind.RENEW && holding) {
+                if (over.intent().kind() == RegisterUpdate.Kind.RENEW && holding) {
                     stop("taken");
                 }
                 stands(now, over.value());
@@ -276,15 +278,15 @@
     }
 
     private void done(Moment now) {
-        Intent was = change.intent();
-        Value value = change.value();
+        RegisterUpdate was = change.intent();
+        LeaseRecord value = change.value();
         ready = value.of(life) ? new Ready(change.promised(), value, change.epoch()) : null;
         change = null;
         slow = rules.fitting(slow, now.since(attemptAt));
         around.done(name, value, now.since(askedAt));
         stands(now, value);
-        if (was.kind() == Intent.Kind.TAKE || was.kind() == Intent.Kind.RENEW) {
-            if (was.kind() == Intent.Kind.RENEW && was.text() != null && was.text().equals(note)) {
+        if (was.kind() == RegisterUpdate.Kind.TAKE || was.kind() == RegisterUpdate.Kind.RENEW) {
+            if (was.kind() == RegisterUpdate.Kind.RENEW && was.text() != null && was.text().equals(note)) {
                 note = null;
             }
             held(now, value);
@@ -299,7 +301,7 @@
         }
     }
 
-    private void held(Moment now, Value value) {
+    private void held(Moment now, LeaseRecord value) {
         boolean before = holding;
         heldFrom = askedAt;
         token = value.token();
@@ -316,7 +318,7 @@
     }
 
     /** What a keeper says that it has taken, whether a majority has it or not. */
-    void heard(Moment now, Value value) {
+    void heard(Moment now, LeaseRecord value) {
         heardAt = now;
         if (seen == null || value.version() > seen.version()) {
             stands(now, value);
@@ -326,7 +328,7 @@
     }
 
     /** What a majority has, or had in the way. */
-    private void stands(Moment now, Value value) {
+    private void stands(Moment now, LeaseRecord value) {
         heardAt = now;
         sighted(now, value);
         boolean taken =
@@ -338,7 +340,7 @@
     }
 
     /** Whoever waits for a value's end waits from its first sighting: its holder asked for it before. */
-    private void sighted(Moment now, Value value) {
+    private void sighted(Moment now, LeaseRecord value) {
         if (sightings.putIfAbsent(value, now) == null && sightings.size() > SIGHTINGS) {
             sightings.keySet().stream().filter(v -> !v.equals(seen) && !v.equals(value)).findFirst()
                     .ifPresent(sightings::remove);
--- a/src/main/java/rampshift/leases/Leases.java
+++ b/src/main/java/rampshift/leases/LeaseManager.java
@@ -17,7 +17,7 @@
  * says what is
  * to be sent and written down; it has no clock, disk, socket or thread.
  */
-public final class Leases implements Reform.Around, Keeper.Out {
+public final class LeaseManager implements Reconfiguration.Around, Acceptor.Out {
     /** Carries out what is decided. */
     public interface Out {
         void send(String to, byte[] message);
@@ -45,7 +45,7 @@
      * @param leases names of what is fought for
      * @param seed of all that is drawn
      */
-    public record Start(String name, long life, List<String> keepers, List<String> leases, Rules rules,
+    public record Start(String name, long life, List<String> keepers, List<String> leases, LeaseTimings rules,
             long seed) {}
 
     private static final int LOOKS = 8;             // leases asked for in one message
@@ -55,34 +55,35 @@
     private record Due(Moment at, String lease) {}
 
     private final Start start;
-    private final Rules rules;
+    private final LeaseTimings rules;
     private final Out out;
-    private final Map<String, Lease> leases = new TreeMap<>();
+    private final Map<String, LeaseClient> leases = new TreeMap<>();
     private final Map<String, Moment> dueOf = new TreeMap<>();
     private final PriorityQueue<Due> dues =
             new PriorityQueue<>((a, b) -> a.at.equals(b.at) ? a.lease.compareTo(b.lease)
                     : a.at.compareTo(b.at));
-    private final Map<Long, Lease> attempts = new java.util.HashMap<>();
-    private final Map<Lease, Long> attemptOf = new java.util.IdentityHashMap<>();
+    private final Map<Long, LeaseClient> attempts = new java.util.HashMap<>();
+    private final Map<LeaseClient, Long> attemptOf = new java.util.IdentityHashMap<>();
     private final Map<String, Integer> held = new TreeMap<>();      // leases by holder, as seen
-    private final Map<String, Value> counted = new TreeMap<>();
+    private final Map<String, LeaseRecord> counted = new TreeMap<>();
     private Set<String> there = new TreeSet<>();
-    private Keepers keepers = Keepers.UNKNOWN;
-    private Keeper keeper;
-    private Reform reform;
+    private AcceptorSet keepers = AcceptorSet.UNKNOWN;
+    private Acceptor keeper;
+    private Reconfiguration reform;
     private Moment now;
     private Moment askAt;
     private Moment balancedAt;
     private Moment armed;
     private long numbers;
     private long draws;
-    private Lease asking;           // whose attempt is being sent
+    private LeaseClient asking;           // whose attempt is being sent
 
-    public Leases(Start start, Out out) {
+    public LeaseManager(Start start, Out out) {
         this.start = start;
         this.out = out;
         rules = start.rules();
-        start.leases().forEach(l -> leases.put(l, new Lease(l, start.name(), start.life(), rules, this)));
+        start.leases()
+                .forEach(l -> leases.put(l, new LeaseClient(l, start.name(), start.life(), rules, this)));
         there.add(start.name());
     }
 
@@ -98,7 +99,7 @@
         askAt = at;
         balancedAt = at;
         if (disk != null) {
-            keeper = new Keeper(start.name(), start.keepers(), rules.lookEvery(), this);
+            keeper = new Acceptor(start.name(), start.keepers(), rules.lookEvery(), this);
             keeper.start(at, disk, position, newId);
             learn(keeper.keepers());
         }
@@ -133,7 +134,7 @@
             }
             case SEEN -> {
                 for (int i = 0; i < Math.min(m.names().size(), m.values().size()); i++) {
-                    Lease lease = leases.get(m.names().get(i));
+                    LeaseClient lease = leases.get(m.names().get(i));
                     if (lease != null) {
                         lease.heard(at, m.values().get(i));
                         settle(lease);
@@ -141,7 +142,7 @@
                 }
             }
             case PROMISED, ACCEPTED, REFUSED -> {
-                Lease lease = attempts.get(m.number());
+                LeaseClient lease = attempts.get(m.number());
                 if (lease != null) {
                     asking = lease;
                     lease.answer(at, from, m);
@@ -196,7 +197,7 @@
         while (!dues.isEmpty() && !now.before(dues.peek().at)) {
             Due due = dues.poll();
             if (due.at.equals(dueOf.get(due.lease))) {
-                Lease lease = leases.get(due.lease);
+                LeaseClient lease = leases.get(due.lease);
                 if (lease.looks(now)) {
                     looked.add(due.lease);
                 }
@@ -253,7 +254,7 @@
      * moment.
      */
     public Span mayAct(String lease, Moment at) {
-        Lease l = leases.get(lease);
+        LeaseClient l = leases.get(lease);
         return l == null ? Span.ZERO : l.mayAct(at);
     }
 
@@ -264,16 +265,16 @@
 
     /** How far the work under it has come, by the last that was written down. */
     public String note(String lease) {
-        Lease l = leases.get(lease);
+        LeaseClient l = leases.get(lease);
         return l == null || l.seen() == null ? "" : l.seen().note();
     }
 
     /** Writes down how far the work has come: {@link #note} tells it once a majority has it. */
     public void note(Moment at, String lease, String text) {
         now = at;
-        Lease l = leases.get(lease);
+        LeaseClient l = leases.get(lease);
         asking = l;
-        l.note(at, text.length() > Value.NOTE ? text.substring(0, Value.NOTE) : text);
+        l.note(at, text.length() > LeaseRecord.NOTE ? text.substring(0, LeaseRecord.NOTE) : text);
         settle(l);
         arm();
     }
@@ -284,19 +285,21 @@
      */
     public boolean give(Moment at, String lease, String to) {
         return wish(at, lease,
-                new Intent(Intent.Kind.WANT, Value.FREE, start.name(), start.life(), 0, number(),
+                new RegisterUpdate(RegisterUpdate.Kind.WANT, LeaseRecord.FREE, start.name(), start.life(), 0,
+                        number(),
                         rules.term().micros(), to));
     }
 
     /** Nobody is to hold it for so long, counted from when its holder has given it back. */
     public boolean rest(Moment at, String lease, Span length) {
         return wish(at, lease,
-                new Intent(Intent.Kind.REST, Value.FREE, start.name(), start.life(), 0, number(),
+                new RegisterUpdate(RegisterUpdate.Kind.REST, LeaseRecord.FREE, start.name(), start.life(), 0,
+                        number(),
                         length.micros(), null));
     }
 
-    private boolean wish(Moment at, String lease, Intent what) {
-        Lease l = leases.get(lease);
+    private boolean wish(Moment at, String lease, RegisterUpdate what) {
+        LeaseClient l = leases.get(lease);
         if (l != null) {
             now = at;
             asking = l;
@@ -319,7 +322,7 @@
             return "expected different names, separated by commas";
         }
         now = at;
-        reform = new Reform(start.name(), start.life(), rules, names, this);
+        reform = new Reconfiguration(start.name(), start.life(), rules, names, this);
         reform.woken(at);
         arm();
         return null;
@@ -336,7 +339,7 @@
                         : ", this is one: "
                                 + keeper.state().name().toLowerCase(java.util.Locale.ROOT)));
         leases.forEach((name, l) -> {
-            Value v = l.seen();
+            LeaseRecord v = l.seen();
             String who = v == null ? "not known"
                     : v.free() ? v.term() > 0 ? "nobody's, kept for " + (v.wanted().isEmpty()
                             ? "nobody"
@@ -360,20 +363,20 @@
     // ---------------------------------------------------------------- keepers
 
     private void told(Message m) {
-        Keepers told = m.text().isEmpty() ? null : Keepers.of(m.text());
+        AcceptorSet told = m.text().isEmpty() ? null : AcceptorSet.of(m.text());
         if (told != null) {
             learn(told);
         }
     }
 
     @Override
-    public void learn(Keepers newer) {
+    public void learn(AcceptorSet newer) {
         if (newer.epoch() > keepers.epoch()) {
             keepers = newer;
             if (newer.changing() && reform == null && newer.names().contains(start.name())) {
                 // Whoever began the change may be gone: each of its keepers ends it, the later the later it
                 // is named.
-                reform = new Reform(start.name(), start.life(), rules, newer, now, this);
+                reform = new Reconfiguration(start.name(), start.life(), rules, newer, now, this);
             }
         }
     }
@@ -383,7 +386,7 @@
      * its own.
      */
     @Override
-    public Span after(String lease, Value seen) {
+    public Span after(String lease, LeaseRecord seen) {
         int before = 0;
         int mine = held.getOrDefault(start.name(), 0);
         for (String other : there) {
@@ -413,7 +416,7 @@
         }
         if (now.since(balancedAt).longerThan(rules.balanceEvery())
                 && mine - held.getOrDefault(least, 0) >= 2) {
-            for (Map.Entry<String, Lease> one : leases.entrySet()) {
+            for (Map.Entry<String, LeaseClient> one : leases.entrySet()) {
                 if (one.getValue().holding() && !one.getValue().asking()) {
                     balancedAt = now;
                     give(now, one.getKey(), least);
@@ -423,8 +426,8 @@
         }
     }
 
-    private void count(String lease, Value v) {
-        Value before = counted.put(lease, v);
+    private void count(String lease, LeaseRecord v) {
+        LeaseRecord before = counted.put(lease, v);
         if (before != null && !before.free()) {
             held.merge(before.holder(), -1, Integer::sum);
         }
@@ -436,7 +439,7 @@
     // ---------------------------------------------------------------- around a lease and a keeper
 
     @Override
-    public Keepers keepers() {
+    public AcceptorSet keepers() {
         return keepers;
     }
 
@@ -465,12 +468,12 @@
     }
 
     @Override
-    public void tell(String lease, String what, Value value) {
+    public void tell(String lease, String what, LeaseRecord value) {
         out.tell(new Event(lease, what, value.token(), value.free() ? "-" : value.holder()));
     }
 
     @Override
-    public void done(String lease, Value value, Span took) {
+    public void done(String lease, LeaseRecord value, Span took) {
         out.done(lease, value.version(), value.token(), value.holder(), took);
     }
 
@@ -498,7 +501,7 @@
         }
     }
 
-    private void settle(Lease lease) {
+    private void settle(LeaseClient lease) {
         String name = lease.name();
         asking = null;
         if (lease.seen() != null && lease.seen() != counted.get(name)) {
--- a/src/main/java/rampshift/leases/Value.java
+++ b/src/main/java/rampshift/leases/LeaseRecord.java
@@ -16,13 +16,14 @@
  * @param rest for how long nobody is to hold it once its holder has given it back, in microseconds
  * @param note how far the work under it has come
  */
-public record Value(long version, long token, String holder, long life, long stamp, long term, String wanted,
+public record LeaseRecord(long version, long token, String holder, long life, long stamp, long term,
+        String wanted,
         long rest,
         String note) {
 
     /** Characters in a note at most: a value goes into one datagram. */
     public static final int NOTE = 600;
-    static final Value FREE = new Value(0, 0, "", 0, 0, 0, "", 0, "");
+    static final LeaseRecord FREE = new LeaseRecord(0, 0, "", 0, 0, 0, "", 0, "");
 
     boolean free() {
         return holder.isEmpty();
--- a/src/main/java/rampshift/leases/Rules.java
+++ b/src/main/java/rampshift/leases/LeaseTimings.java
@@ -9,7 +9,7 @@
  * @param drift how far a clock may run fast or slow, as a share: 0.01 for a hundredth
  * @param balanceEvery at least between two moves of leases by one dispatcher only for balance
  */
-public record Rules(Span term, double drift, Span balanceEvery) {
+public record LeaseTimings(Span term, double drift, Span balanceEvery) {
 
     private static final double ACT = 0.9;
     private static final double RENEW = 0.3;
--- a/src/main/java/rampshift/leases/Message.java
+++ b/src/main/java/rampshift/leases/Message.java
@@ -18,44 +18,47 @@
  * @param position how many records its directory has held; in HELLO_BACK, what is known of the asker's
  */
 record Message(Kind kind, long number, long epoch, String register, Ballot ballot, Ballot accepted,
-        Value value,
-        List<String> names, List<Value> values, String text, long id, long boot, long position) {
+        LeaseRecord value,
+        List<String> names, List<LeaseRecord> values, String text, long id, long boot, long position) {
     enum Kind {
         PREPARE, PROMISED, ACCEPT, ACCEPTED, REFUSED, STALE, BEHIND, SILENT, LOOK, SEEN, ADOPT, ADOPTED, LIST, LISTED, HELLO, HELLO_BACK
     }
 
     private static Message of(Kind kind, long number, long epoch, String register, Ballot ballot,
-            Ballot accepted, Value value) {
+            Ballot accepted, LeaseRecord value) {
         return new Message(kind, number, epoch, register, ballot, accepted, value, List.of(), List.of(), "",
                 0, 0, 0);
     }
 
     static Message prepare(long number, long epoch, String register, Ballot ballot) {
-        return of(Kind.PREPARE, number, epoch, register, ballot, Ballot.NONE, Value.FREE);
+        return of(Kind.PREPARE, number, epoch, register, ballot, Ballot.NONE, LeaseRecord.FREE);
     }
 
-    static Message accept(long number, long epoch, String register, Ballot ballot, Value value) {
+    static Message accept(long number, long epoch, String register, Ballot ballot, LeaseRecord value) {
         return of(Kind.ACCEPT, number, epoch, register, ballot, Ballot.NONE, value);
     }
 
-    static Message answer(Kind kind, Message to, Ballot ballot, Ballot accepted, Value value) {
+    static Message answer(Kind kind, Message to, Ballot ballot, Ballot accepted, LeaseRecord value) {
         return of(kind, to.number, to.epoch, to.register, ballot, accepted, value);
     }
 
     /** Of the keepers: STALE, BEHIND, ADOPT, ADOPTED. */
-    static Message keepers(Kind kind, long number, Keepers keepers) {
-        return new Message(kind, number, keepers.epoch(), "", Ballot.NONE, Ballot.NONE, Value.FREE, List.of(),
+    static Message keepers(Kind kind, long number, AcceptorSet keepers) {
+        return new Message(kind, number, keepers.epoch(), "", Ballot.NONE, Ballot.NONE, LeaseRecord.FREE,
+                List.of(),
                 List.of(),
                 keepers.known() ? keepers.text() : "", 0, 0, 0);
     }
 
-    static Message names(Kind kind, long number, List<String> names, List<Value> values) {
-        return new Message(kind, number, 0, "", Ballot.NONE, Ballot.NONE, Value.FREE, names, values, "", 0, 0,
+    static Message names(Kind kind, long number, List<String> names, List<LeaseRecord> values) {
+        return new Message(kind, number, 0, "", Ballot.NONE, Ballot.NONE, LeaseRecord.FREE, names, values, "",
+                0, 0,
                 0);
     }
 
-    static Message hello(Kind kind, long number, Keepers keepers, long id, long boot, long position) {
-        return new Message(kind, number, keepers.epoch(), "", Ballot.NONE, Ballot.NONE, Value.FREE, List.of(),
+    static Message hello(Kind kind, long number, AcceptorSet keepers, long id, long boot, long position) {
+        return new Message(kind, number, keepers.epoch(), "", Ballot.NONE, Ballot.NONE, LeaseRecord.FREE,
+                List.of(),
                 List.of(),
                 keepers.known() ? keepers.text() : "", id, boot, position);
     }
--- a/src/main/java/rampshift/leases/Reform.java
+++ b/src/main/java/rampshift/leases/Reconfiguration.java
@@ -17,11 +17,11 @@
  * count alone.
  * Any number of processes may be at it: each step can be done twice.
  */
-final class Reform {
+final class Reconfiguration {
     /** What it needs of what is around it. */
-    interface Around extends Lease.Around {
+    interface Around extends LeaseClient.Around {
         /** These are in force from now on: a majority has them. */
-        void learn(Keepers newer);
+        void learn(AcceptorSet newer);
     }
 
     private enum Step { KNOWING, JOINING, ADOPTING, LISTING, COPYING, LEAVING, OVER }
@@ -33,7 +33,7 @@
 
     private final String self;
     private final long life;
-    private final Rules rules;
+    private final LeaseTimings rules;
     private final Around around;
     private final List<String> wanted;
     private final Map<String, Long> ids = new TreeMap<>();
@@ -41,18 +41,18 @@
     private final Map<String, String> listedTo = new HashMap<>();       // the last name heard from each
     private final Set<String> listed = new HashSet<>();                 // who has told all
     private final TreeSet<String> registers = new TreeSet<>();
-    private final Map<Long, Change> changes = new HashMap<>();
-    private final Map<Change, String> copying = new HashMap<>();
+    private final Map<Long, RegisterChange> changes = new HashMap<>();
+    private final Map<RegisterChange, String> copying = new HashMap<>();
     private final Map<String, Long> highest = new HashMap<>();
     private Step step;
-    private Keepers keepers = Keepers.UNKNOWN;
+    private AcceptorSet keepers = AcceptorSet.UNKNOWN;
     private Moment againAt = new Moment(0);
     private Moment endAt;
     private double slow = 1;
     private Moment now;
 
     /** Asked for by an operator: the keepers are to be these. */
-    Reform(String self, long life, Rules rules, List<String> wanted, Around around) {
+    Reconfiguration(String self, long life, LeaseTimings rules, List<String> wanted, Around around) {
         this.self = self;
         this.life = life;
         this.rules = rules;
@@ -62,8 +62,9 @@
     }
 
     /** Found begun: it is taken up if it does not come to its end without. */
-    Reform(String self, long life, Rules rules, Keepers midst, Moment now, Around around) {
-        this(self, life, rules, midst.next().stream().map(Keepers.One::name).toList(), around);
+    Reconfiguration(String self, long life, LeaseTimings rules, AcceptorSet midst, Moment now,
+            Around around) {
+        this(self, life, rules, midst.next().stream().map(AcceptorSet.One::name).toList(), around);
         step = Step.ADOPTING;
         keepers = midst;
         againAt = now.plus(rules.term().times(TAKEN_UP * (1 + new ArrayList<>(midst.names()).indexOf(self))));
@@ -94,7 +95,7 @@
         switch (step) {
             case KNOWING -> {
                 if (endAt.before(at)) {
-                    around.tell(Keepers.REGISTER, "given up", Value.FREE);
+                    around.tell(AcceptorSet.REGISTER, "given up", LeaseRecord.FREE);
                     step = Step.OVER;
                 } else if (wanted.stream().allMatch(ids::containsKey)) {
                     to(Step.JOINING);
@@ -105,7 +106,7 @@
             }
             case JOINING, LEAVING -> {
                 if (step == Step.JOINING && endAt.before(at)) {
-                    around.tell(Keepers.REGISTER, "given up", Value.FREE);
+                    around.tell(AcceptorSet.REGISTER, "given up", LeaseRecord.FREE);
                     step = Step.OVER;
                 } else if (changes.isEmpty()) {
                     write();
@@ -139,40 +140,42 @@
     }
 
     private void write() {
-        Keepers in = around.keepers();
-        Keepers next;
+        AcceptorSet in = around.keepers();
+        AcceptorSet next;
         if (step == Step.JOINING) {
             if (in.changing()) {
                 keepers = in;
                 to(Step.ADOPTING);
                 return;
             }
-            next = new Keepers(in.epoch() + 1, in.now(),
-                    wanted.stream().map(n -> new Keepers.One(n, ids.get(n))).toList());
+            next = new AcceptorSet(in.epoch() + 1, in.now(),
+                    wanted.stream().map(n -> new AcceptorSet.One(n, ids.get(n))).toList());
             if (in.now().equals(next.next())) {
-                around.tell(Keepers.REGISTER, "unchanged", Value.FREE);
+                around.tell(AcceptorSet.REGISTER, "unchanged", LeaseRecord.FREE);
                 step = Step.OVER;
                 return;
             }
         } else {
-            next = new Keepers(in.epoch() + 1, in.next(), List.of());
+            next = new AcceptorSet(in.epoch() + 1, in.next(), List.of());
         }
-        begin(Keepers.REGISTER, new Intent(Intent.Kind.KEEPERS, standing(in), self, life, 0, around.number(),
-                0, next.text()));
+        begin(AcceptorSet.REGISTER,
+                new RegisterUpdate(RegisterUpdate.Kind.KEEPERS, standing(in), self, life, 0, around.number(),
+                        0, next.text()));
     }
 
     /** What the register of the keepers holds while these are in force: the first were made without it. */
-    private static Value standing(Keepers in) {
-        return in.epoch() == 1 ? Value.FREE : new Value(in.epoch() - 1, 0, "", 0, 0, 0, "", 0, in.text());
+    private static LeaseRecord standing(AcceptorSet in) {
+        return in.epoch() == 1 ? LeaseRecord.FREE
+                : new LeaseRecord(in.epoch() - 1, 0, "", 0, 0, 0, "", 0, in.text());
     }
 
-    private void begin(String register, Intent what) {
-        Change change = new Change(register, what, life, highest.getOrDefault(register, 0L));
+    private void begin(String register, RegisterUpdate what) {
+        RegisterChange change = new RegisterChange(register, what, life, highest.getOrDefault(register, 0L));
         copying.put(change, register);
         attempt(change);
     }
 
-    private void attempt(Change change) {
+    private void attempt(RegisterChange change) {
         long number = around.number();
         changes.values().remove(change);
         changes.put(number, change);
@@ -192,11 +195,11 @@
             }
             case LISTED -> listed(from, m);
             case PROMISED, ACCEPTED, REFUSED -> {
-                Change change = changes.get(m.number());
+                RegisterChange change = changes.get(m.number());
                 if (change != null && change.answer(at, from, m, around)) {
                     String register = copying.get(change);
                     highest.merge(register, change.highest(), Math::max);
-                    if (change.state() == Change.State.ASKING) {
+                    if (change.state() == RegisterChange.State.ASKING) {
                         change.waitUntil(at.plus(rules.backOff().times(slow * around.chance())));
                     } else {
                         changes.remove(m.number());
@@ -211,7 +214,7 @@
     }
 
     private void list() {
-        for (Keepers.One one : keepers.now()) {
+        for (AcceptorSet.One one : keepers.now()) {
             if (!listed.contains(one.name())) {
                 list(one.name());
             }
@@ -222,7 +225,7 @@
         around.send(from,
                 new Message(Message.Kind.LIST, 0, keepers.epoch(), listedTo.getOrDefault(from, ""),
                         Ballot.NONE,
-                        Ballot.NONE, Value.FREE, List.of(), List.of(), "", 0, 0, 0));
+                        Ballot.NONE, LeaseRecord.FREE, List.of(), List.of(), "", 0, 0, 0));
     }
 
     private void listed(String from, Message m) {
@@ -235,7 +238,7 @@
             registers.addAll(m.names());
             listedTo.put(from, m.names().get(m.names().size() - 1));
         }
-        if (new Keepers(keepers.epoch(), keepers.now(), List.of()).agreed(listed)) {
+        if (new AcceptorSet(keepers.epoch(), keepers.now(), List.of()).agreed(listed)) {
             to(Step.COPYING);
         } else if (!listed.contains(from)) {
             list(from);     // the next part, from that one alone
@@ -243,7 +246,7 @@
     }
 
     private void retry() {
-        for (Change change : List.copyOf(changes.values())) {
+        for (RegisterChange change : List.copyOf(changes.values())) {
             if (!now.before(change.until())) {
                 highest.merge(copying.get(change), change.highest(), Math::max);
                 slow = change.refused() ? slow : rules.slower(slow);
@@ -255,25 +258,27 @@
     private void copy() {
         retry();
         while (copying.size() < AT_ONCE && !registers.isEmpty()) {
-            begin(registers.pollFirst(), new Intent(Intent.Kind.COPY, Value.FREE, self, life, 0, 0, 0, null));
+            begin(registers.pollFirst(), new RegisterUpdate(RegisterUpdate.Kind.COPY, LeaseRecord.FREE, self,
+                    life, 0, 0, 0, null));
         }
         if (copying.isEmpty()) {
             to(Step.LEAVING);
         }
     }
 
-    private void ended(String register, Change change) {
-        if (!register.equals(Keepers.REGISTER)) {
+    private void ended(String register, RegisterChange change) {
+        if (!register.equals(AcceptorSet.REGISTER)) {
             if (step == Step.COPYING) {
                 copy();
             }
             return;
         }
-        Keepers stands = Keepers.of(change.value().note());
-        if (change.state() != Change.State.DONE) {
+        AcceptorSet stands = AcceptorSet.of(change.value().note());
+        if (change.state() != RegisterChange.State.DONE) {
             if (stands != null && stands.epoch() > around.keepers().epoch()) {
                 // Another's, which may be no majority's yet: nobody goes by it before it is.
-                begin(Keepers.REGISTER, new Intent(Intent.Kind.COPY, Value.FREE, self, life, 0, 0, 0, null));
+                begin(AcceptorSet.REGISTER, new RegisterUpdate(RegisterUpdate.Kind.COPY, LeaseRecord.FREE,
+                        self, life, 0, 0, 0, null));
             }
             return;
         }
@@ -286,12 +291,12 @@
         if (stands.changing()) {
             to(Step.ADOPTING);
         } else {
-            around.tell(Keepers.REGISTER, "changed", change.value());
+            around.tell(AcceptorSet.REGISTER, "changed", change.value());
             step = Step.OVER;
         }
     }
 
-    private void tellAll(Keepers stands) {
+    private void tellAll(AcceptorSet stands) {
         around.keepers().names().forEach(k -> around.send(k, Message.keepers(Message.Kind.ADOPT, 0, stands)));
         stands.names().forEach(k -> around.send(k, Message.keepers(Message.Kind.ADOPT, 0, stands)));
     }
--- a/src/main/java/rampshift/leases/Change.java
+++ b/src/main/java/rampshift/leases/RegisterChange.java
@@ -10,23 +10,23 @@
  * changed as is intended, a majority takes the outcome. Any part may be lost; then it begins again with a
  * higher ballot.
  */
-final class Change {
+final class RegisterChange {
     /** How it stands. */
     enum State { ASKING, DONE, REFUSED }
 
     private final String register;
-    private final Intent intent;
+    private final RegisterUpdate intent;
     private final long life;
     private final Set<String> answered = new TreeSet<>();
     private State state = State.ASKING;
-    private Keepers keepers;
+    private AcceptorSet keepers;
     private long number;
     private Ballot ballot;
     private boolean taking;
     private boolean refused;
     private int refusals;
     private Ballot best;
-    private Value value;
+    private LeaseRecord value;
     private long highest;
     private Moment until;
 
@@ -36,7 +36,7 @@
     }
 
     /** Highest: the highest round that is known of. */
-    Change(String register, Intent intent, long life, long highest) {
+    RegisterChange(String register, RegisterUpdate intent, long life, long highest) {
         this.register = register;
         this.intent = intent;
         this.life = life;
@@ -44,7 +44,7 @@
     }
 
     /** Begins, or begins again. Number: never used before by this process. */
-    void attempt(Keepers by, long attempt, Moment giveUpAt, Out out) {
+    void attempt(AcceptorSet by, long attempt, Moment giveUpAt, Out out) {
         keepers = by;
         number = attempt;
         ballot = new Ballot(highest + 1, life);
@@ -52,7 +52,7 @@
         taking = false;
         refused = false;
         best = Ballot.NONE;
-        value = Value.FREE;
+        value = LeaseRecord.FREE;
         answered.clear();
         until = giveUpAt;
         by.names().forEach(k -> out.send(k, Message.prepare(number, keepers.epoch(), register, ballot)));
@@ -63,7 +63,7 @@
      * round is needed
      * to ask for it. If another has come between, keepers refuse it, and it begins again from the start.
      */
-    void quick(Keepers by, long attempt, Ballot promised, Value stands, Moment giveUpAt, Out out) {
+    void quick(AcceptorSet by, long attempt, Ballot promised, LeaseRecord stands, Moment giveUpAt, Out out) {
         keepers = by;
         number = attempt;
         ballot = promised;
@@ -83,7 +83,7 @@
         return keepers.epoch();
     }
 
-    Intent intent() {
+    RegisterUpdate intent() {
         return intent;
     }
 
@@ -95,7 +95,7 @@
      * DONE: the value as a majority has it. REFUSED: the one that stood in the way, which may not be a
      * majority's.
      */
-    Value value() {
+    LeaseRecord value() {
         return value;
     }
 
@@ -167,7 +167,7 @@
     }
 
     private boolean take(Out out) {
-        Value next = intent.on(value);
+        LeaseRecord next = intent.on(value);
         if (next == null) {
             state = State.REFUSED;
             return true;
--- a/src/main/java/rampshift/leases/Intent.java
+++ b/src/main/java/rampshift/leases/RegisterUpdate.java
@@ -13,7 +13,8 @@
  * @param text of RENEW: the note, null to leave it; of WANT: who; of KEEPERS: the keepers that follow on
  * those seen
  */
-record Intent(Kind kind, Value seen, String by, long life, long token, long stamp, long micros, String text) {
+record RegisterUpdate(Kind kind, LeaseRecord seen, String by, long life, long token, long stamp, long micros,
+        String text) {
 
     /** Of WANT: whoever comes. */
     static final String ANYBODY = "*";
@@ -24,40 +25,41 @@
      * What the register is to hold then; null where this can't be had; the same where it has been done
      * already.
      */
-    Value on(Value now) {
+    LeaseRecord on(LeaseRecord now) {
         boolean mine = now.of(life) && now.token() == token;
         return switch (kind) {
             case TAKE -> done(now) ? now
                     : !now.equals(seen) ? null
-                            : new Value(now.version() + 1, now.token() + 1, by, life, stamp, micros, "", 0,
+                            : new LeaseRecord(now.version() + 1, now.token() + 1, by, life, stamp, micros, "",
+                                    0,
                                     now.note());
             case RENEW -> done(now) ? now
                     : !mine ? null
-                            : new Value(now.version() + 1, token, by, life, stamp, micros, now.wanted(),
+                            : new LeaseRecord(now.version() + 1, token, by, life, stamp, micros, now.wanted(),
                                     now.rest(),
                                     text == null ? now.note() : text);
             case RELEASE -> !mine ? null
-                    : new Value(now.version() + 1, token, "", 0, stamp, now.rest() > 0 ? now.rest()
+                    : new LeaseRecord(now.version() + 1, token, "", 0, stamp, now.rest() > 0 ? now.rest()
                             : now.wanted().isEmpty() || now.wanted().equals(ANYBODY) ? 0 : now.term(),
                             now.wanted(), 0, now.note());
             case REST -> now.free()
-                    ? new Value(now.version() + 1, now.token(), "", 0, 0, micros, "", 0, now.note())
-                    : new Value(now.version() + 1, now.token(), now.holder(), now.life(), now.stamp(),
+                    ? new LeaseRecord(now.version() + 1, now.token(), "", 0, 0, micros, "", 0, now.note())
+                    : new LeaseRecord(now.version() + 1, now.token(), now.holder(), now.life(), now.stamp(),
                             now.term(), "", micros,
                             now.note());
             case WANT -> now.free()
-                    ? new Value(now.version() + 1, now.token(), "", 0, 0, micros, text, 0, now.note())
-                    : new Value(now.version() + 1, now.token(), now.holder(), now.life(), now.stamp(),
+                    ? new LeaseRecord(now.version() + 1, now.token(), "", 0, 0, micros, text, 0, now.note())
+                    : new LeaseRecord(now.version() + 1, now.token(), now.holder(), now.life(), now.stamp(),
                             now.term(), text,
                             now.rest(), now.note());
             case KEEPERS -> now.note().equals(text) ? now
                     : !now.equals(seen) ? null
-                            : new Value(now.version() + 1, now.token(), "", 0, 0, 0, "", 0, text);
+                            : new LeaseRecord(now.version() + 1, now.token(), "", 0, 0, 0, "", 0, text);
             case COPY -> now;
         };
     }
 
-    private boolean done(Value now) {
+    private boolean done(LeaseRecord now) {
         return now.of(life) && now.stamp() == stamp;
     }
 }
--- a/src/main/java/rampshift/leases/host/Awake.java
+++ b/src/main/java/rampshift/leases/host/BootTimeClock.java
@@ -11,7 +11,7 @@
  * seem to last. Where the system does not tell, it is the running clock alone. Steps of the wall clock move
  * nothing.
  */
-final class Awake {
+final class BootTimeClock {
     // seconds since the machine's start, sleep counted
     private static final Path UPTIME = Path.of("/proc/uptime");
     // micros by which the two may differ unslept
@@ -22,11 +22,11 @@
     private final long upZero;
     private long slept;
 
-    Awake() {
+    BootTimeClock() {
         this(UPTIME);
     }
 
-    Awake(Path uptime) {
+    BootTimeClock(Path uptime) {
         this.uptime = uptime;
         zero = System.nanoTime();
         upZero = up();
--- a/src/main/java/rampshift/leases/host/LeasesHost.java
+++ b/src/main/java/rampshift/leases/host/LeaseHost.java
@@ -7,13 +7,13 @@
 import java.util.concurrent.TimeUnit;
 import org.xnio.IoUtils;
 import org.xnio.XnioExecutor;
+import rampshift.eventlog.EventClock;
+import rampshift.eventlog.EventLog;
 import rampshift.leases.Event;
-import rampshift.leases.Leases;
-import rampshift.leases.store.Records;
-import rampshift.ledger.Ledger;
-import rampshift.ledger.Stamp;
+import rampshift.leases.LeaseManager;
+import rampshift.leases.store.RecordLog;
 import rampshift.log.Log;
-import rampshift.members.host.Post;
+import rampshift.membership.host.MessageChannel;
 import rampshift.time.Moment;
 import rampshift.time.Span;
 
@@ -21,36 +21,36 @@
  * The timer, clock and disk of the leases, on the dispatcher's one I/O thread. It owns the directory and the
  * ledger.
  */
-public final class LeasesHost implements Post.Guest, Leases.Out {
-    private final Setting setting;
+public final class LeaseHost implements MessageChannel.Guest, LeaseManager.Out {
+    private final LeaseSettings setting;
     private final String name;
-    private final Awake clock = new Awake();
-    private final Ledger ledger;
-    private final Records records;      // null where it keeps nothing
-    private Post post;
-    private Disk disk;
-    private Leases leases;
+    private final BootTimeClock clock = new BootTimeClock();
+    private final EventLog ledger;
+    private final RecordLog records;      // null where it keeps nothing
+    private MessageChannel post;
+    private RecordWriter disk;
+    private LeaseManager leases;
     private XnioExecutor.Key wake;
     private boolean ended;
 
     /** Throws where its directory can't be used. */
-    public LeasesHost(Setting setting, String name) throws IOException {
+    public LeaseHost(LeaseSettings setting, String name) throws IOException {
         this.setting = setting;
         this.name = name;
-        records = setting.directory() == null ? null : new Records(setting.directory());
-        ledger = setting.ledger() == null ? null : new Ledger(setting.ledger(), true);
+        records = setting.directory() == null ? null : new RecordLog(setting.directory());
+        ledger = setting.ledger() == null ? null : new EventLog(setting.ledger(), true);
     }
 
     @Override
-    public void begin(Post post) {
+    public void begin(MessageChannel post) {
         this.post = post;
         SecureRandom chance = new SecureRandom();
         long life = chance.nextLong() | 1;
-        leases = new Leases(
-                new Leases.Start(name, life, setting.keepers(), setting.names(), setting.rules(), life),
+        leases = new LeaseManager(
+                new LeaseManager.Start(name, life, setting.keepers(), setting.names(), setting.rules(), life),
                 this);
         if (records != null) {
-            disk = new Disk(records, post.thread()::execute, () -> leases.keepsNoMore(clock.now()));
+            disk = new RecordWriter(records, post.thread()::execute, () -> leases.keepsNoMore(clock.now()));
         }
         write("began", "-", 0, String.valueOf(life));
         leases.start(clock.now(), records == null ? null : records.all(),
@@ -95,7 +95,7 @@
     /** Writes a line to the ledger, if there is one. */
     public void write(String word, String lease, long token, String detail) {
         if (ledger != null && !ended) {
-            ledger.line(Stamp.now(), "leases", name, word, lease, token,
+            ledger.line(EventClock.now(), "leases", name, word, lease, token,
                     detail.isEmpty() ? "-" : detail.replace(' ', '-'));
         }
     }
--- a/src/main/java/rampshift/leases/host/Setting.java
+++ b/src/main/java/rampshift/leases/host/LeaseSettings.java
@@ -2,7 +2,7 @@
 
 import java.nio.file.Path;
 import java.util.List;
-import rampshift.leases.Rules;
+import rampshift.leases.LeaseTimings;
 
 /**
  * The section {@code [leases]} of the operator's file. Keepers: the first ones, by name. Names: the leases.
@@ -11,4 +11,5 @@
  * down; null for
  * nowhere.
  */
-public record Setting(List<String> keepers, List<String> names, Rules rules, Path directory, Path ledger) {}
+public record LeaseSettings(List<String> keepers, List<String> names, LeaseTimings rules, Path directory,
+        Path ledger) {}
--- a/src/main/java/rampshift/leases/host/Disk.java
+++ b/src/main/java/rampshift/leases/host/RecordWriter.java
@@ -5,7 +5,7 @@
 import java.util.List;
 import java.util.concurrent.Executor;
 import java.util.concurrent.RejectedExecutionException;
-import rampshift.leases.store.Records;
+import rampshift.leases.store.RecordLog;
 import rampshift.log.Log;
 
 /**
@@ -13,7 +13,7 @@
  * waits for
  * them is told on the thread that decides. Where the disk fails nothing is told any more.
  */
-final class Disk {
+final class RecordWriter {
     /** Told once all that came before is on disk, with how many records it has held. */
     interface Synced {
         void on(long position);
@@ -21,7 +21,7 @@
 
     private record Entry(String key, byte[] value, Synced then) {}
 
-    private final Records records;
+    private final RecordLog records;
     private final Executor decides;
     private final Runnable failed;
     private final Thread thread;
@@ -30,7 +30,7 @@
     private boolean dead;
 
     /** Decides: where what waits is told. Failed: told there once, when nothing can be written any more. */
-    Disk(Records records, Executor decides, Runnable failed) {
+    RecordWriter(RecordLog records, Executor decides, Runnable failed) {
         this.records = records;
         this.decides = decides;
         this.failed = failed;
--- a/src/main/java/rampshift/leases/store/Records.java
+++ b/src/main/java/rampshift/leases/store/RecordLog.java
@@ -22,7 +22,7 @@
  * end is told,
  * and nothing goes on. For one thread at a time.
  */
-public final class Records implements Closeable {
+public final class RecordLog implements Closeable {
     private static final String FILE = "records";
     private static final String NEW = "records.new";
     private static final String LOCK = "lock";
@@ -48,7 +48,7 @@
      * Opens it, or makes it. Throws where another process has it, or where it is damaged; says what is to be
      * done.
      */
-    public Records(Path folder) throws IOException {
+    public RecordLog(Path folder) throws IOException {
         this.folder = folder;
         Files.createDirectories(folder);
         lockFile =
--- a/src/main/java/rampshift/members/Codec.java
+++ b/src/main/java/rampshift/membership/Codec.java
@@ -1,4 +1,4 @@
-package rampshift.members;
+package rampshift.membership;
 
 import java.nio.BufferUnderflowException;
 import java.nio.ByteBuffer;
@@ -40,13 +40,13 @@
     }
 
     /** Room that a claim takes, in bytes. */
-    static int size(Claim c) {
-        Card k = c.card();
+    static int size(MemberUpdate c) {
+        MemberIdentity k = c.card();
         return CLAIM_LEAST + length(k.name()) + length(k.at()) + length(k.site()) + length(k.build())
                 + length(c.by());
     }
 
-    static int size(News n) {
+    static int size(DrainNotice n) {
         return NEWS_LEAST + length(n.worker());
     }
 
@@ -62,10 +62,10 @@
 
     byte[] write(Message m) {
         int size = DATAGRAM - room(m);
-        for (Claim c : m.claims()) {
+        for (MemberUpdate c : m.claims()) {
             size += size(c);
         }
-        for (News n : m.news()) {
+        for (DrainNotice n : m.news()) {
             size += size(n);
         }
         ByteBuffer b = ByteBuffer.allocate(size);
@@ -75,8 +75,8 @@
         text(b, m.to());
         text(b, m.about());
         b.putShort((short) m.claims().size());
-        for (Claim c : m.claims()) {
-            Card k = c.card();
+        for (MemberUpdate c : m.claims()) {
+            MemberIdentity k = c.card();
             text(b, k.name());
             b.putLong(k.incarnation()).putLong(k.life()).putLong(k.startedMs()).putLong(c.ageMs());
             b.put((byte) k.doing().ordinal()).put((byte) c.belief().ordinal());
@@ -86,7 +86,7 @@
             text(b, c.by());
         }
         b.putShort((short) m.news().size());
-        for (News n : m.news()) {
+        for (DrainNotice n : m.news()) {
             text(b, n.worker());
             b.putLong(n.bootMs()).putLong(n.version()).put((byte) n.kind().ordinal());
         }
@@ -95,59 +95,61 @@
     }
 
     /** Whoever can't be read is refused whole: no part of it is believed. */
-    Message read(byte[] bytes, int count) throws Odd {
+    Message read(byte[] bytes, int count) throws MalformedMessageException {
         if (count < 12 + TAIL || count > WHOLE) {
-            throw new Odd("too short or too long", false);
+            throw new MalformedMessageException("too short or too long", false);
         }
         ByteBuffer b = ByteBuffer.wrap(bytes, 0, count - TAIL).slice();
         if (b.getShort() != MARK
                 || sum(bytes, count - TAIL) != ByteBuffer.wrap(bytes, count - TAIL, TAIL).getInt()) {
-            throw new Odd("not a message", false);
+            throw new MalformedMessageException("not a message", false);
         }
         if (b.get() != VERSION) {
-            throw new Odd("another version", true);
+            throw new MalformedMessageException("another version", true);
         }
         try {
             Message.Kind kind = one(Message.Kind.values(), b.get());
             if (b.getInt() != fleet) {
-                throw new Odd("another fleet", true);
+                throw new MalformedMessageException("another fleet", true);
             }
             long number = b.getLong();
             String from = text(b);
             String to = text(b);
             String about = text(b);
             int claims = count(b, MOST_MEMBERS, CLAIM_LEAST);
-            List<Claim> said = new ArrayList<>(claims);
+            List<MemberUpdate> said = new ArrayList<>(claims);
             for (int i = 0; i < claims; i++) {
                 said.add(claim(b));
             }
             int news = count(b, MOST_NEWS, NEWS_LEAST);
-            List<News> told = new ArrayList<>(news);
+            List<DrainNotice> told = new ArrayList<>(news);
             for (int i = 0; i < news; i++) {
-                told.add(new News(text(b), positive(b), positive(b), one(News.Kind.values(), b.get())));
+                told.add(new DrainNotice(text(b), positive(b), positive(b),
+                        one(DrainNotice.Kind.values(), b.get())));
             }
             if (b.hasRemaining() || from.isEmpty()) {
-                throw new Odd("more or less than it says", false);
+                throw new MalformedMessageException("more or less than it says", false);
             }
             return new Message(kind, number, from, to, about, said, told);
         } catch (BufferUnderflowException e) {
-            throw new Odd("cut off", false);
+            throw new MalformedMessageException("cut off", false);
         }
     }
 
-    private static Claim claim(ByteBuffer b) throws Odd {
+    private static MemberUpdate claim(ByteBuffer b) throws MalformedMessageException {
         String name = text(b);
         long incarnation = positive(b);
         long life = b.getLong();
         long started = positive(b);
         long age = positive(b);
-        Card.Doing doing = one(Card.Doing.values(), b.get());
-        Claim.Belief belief = one(Claim.Belief.values(), b.get());
-        Card card = new Card(name, incarnation, life, text(b), text(b), text(b), started, doing);
-        if (name.isEmpty() || incarnation > Card.MOST || !address(card.at())) {
-            throw new Odd("a member out of bounds", false);
+        MemberIdentity.Doing doing = one(MemberIdentity.Doing.values(), b.get());
+        MemberUpdate.Belief belief = one(MemberUpdate.Belief.values(), b.get());
+        MemberIdentity card =
+                new MemberIdentity(name, incarnation, life, text(b), text(b), text(b), started, doing);
+        if (name.isEmpty() || incarnation > MemberIdentity.MOST || !address(card.at())) {
+            throw new MalformedMessageException("a member out of bounds", false);
         }
-        return new Claim(card, belief, text(b), age);
+        return new MemberUpdate(card, belief, text(b), age);
     }
 
     /** An IPv4 or bracketed IPv6 address with a port; nothing is looked up. */
@@ -162,25 +164,25 @@
                 "((25[0-5]|2[0-4]\\d|1?\\d?\\d)\\.){3}(25[0-5]|2[0-4]\\d|1?\\d?\\d)|\\[[0-9a-fA-F:.]+\\]");
     }
 
-    private static int count(ByteBuffer b, int most, int least) throws Odd {
+    private static int count(ByteBuffer b, int most, int least) throws MalformedMessageException {
         int count = b.getShort() & 0xffff;
         if (count > most || (long) count * least > b.remaining()) {
-            throw new Odd("a count out of bounds", false);
+            throw new MalformedMessageException("a count out of bounds", false);
         }
         return count;
     }
 
-    private static long positive(ByteBuffer b) throws Odd {
+    private static long positive(ByteBuffer b) throws MalformedMessageException {
         long value = b.getLong();
         if (value < 0) {
-            throw new Odd("a number below 0", false);
+            throw new MalformedMessageException("a number below 0", false);
         }
         return value;
     }
 
-    private static <E> E one(E[] all, byte place) throws Odd {
+    private static <E> E one(E[] all, byte place) throws MalformedMessageException {
         if (place < 0 || place >= all.length) {
-            throw new Odd("an unknown kind", false);
+            throw new MalformedMessageException("an unknown kind", false);
         }
         return all[place];
     }
@@ -190,16 +192,16 @@
         b.put((byte) bytes.length).put(bytes);
     }
 
-    private static String text(ByteBuffer b) throws Odd {
+    private static String text(ByteBuffer b) throws MalformedMessageException {
         int length = b.get() & 0xff;
         if (length > TEXT || length > b.remaining()) {
-            throw new Odd("text out of bounds", false);
+            throw new MalformedMessageException("text out of bounds", false);
         }
         byte[] bytes = new byte[length];
         b.get(bytes);
         for (byte c : bytes) {
             if (c <= ' ' || c == 127) {
-                throw new Odd("text that is no name", false);
+                throw new MalformedMessageException("text that is no name", false);
             }
         }
         return new String(bytes, StandardCharsets.US_ASCII);
--- a/src/main/java/rampshift/members/News.java
+++ b/src/main/java/rampshift/membership/DrainNotice.java
@@ -1,4 +1,4 @@
-package rampshift.members;
+package rampshift.membership;
 
 /**
  * That a worker takes nothing new: news that binds, passed from dispatcher to dispatcher. Boot: when that
@@ -6,12 +6,12 @@
  * process started, Unix time in milliseconds as the list says, 0 for long ago. Version: of the list that told
  * it.
  */
-public record News(String worker, long bootMs, long version, Kind kind) {
+public record DrainNotice(String worker, long bootMs, long version, Kind kind) {
     /** The later overrules at the same start and version. */
     public enum Kind { DRAINS, GONE }
 
     /** Old news never overrules newer: a later start, else a later list, else the graver word. */
-    boolean over(News other) {
+    boolean over(DrainNotice other) {
         return bootMs != other.bootMs ? bootMs > other.bootMs
                 : version != other.version ? version > other.version : kind.compareTo(other.kind) > 0;
     }
--- a/src/main/java/rampshift/members/Bulletin.java
+++ b/src/main/java/rampshift/membership/DrainNotices.java
@@ -1,4 +1,4 @@
-package rampshift.members;
+package rampshift.membership;
 
 import java.util.ArrayList;
 import java.util.LinkedHashMap;
@@ -6,12 +6,12 @@
 import java.util.Map;
 
 /** The news that is in force, at most one of each worker; the oldest goes where there is no room. */
-public final class Bulletin {
-    private final Map<String, News> all = new LinkedHashMap<>();
+public final class DrainNotices {
+    private final Map<String, DrainNotice> all = new LinkedHashMap<>();
 
     /** False if it is old. */
-    boolean put(News news) {
-        News had = all.get(news.worker());
+    boolean put(DrainNotice news) {
+        DrainNotice had = all.get(news.worker());
         if (had != null && !news.over(had)) {
             return false;
         }
@@ -24,11 +24,11 @@
     }
 
     /** What is in force of a worker; null where nothing is. */
-    public News of(String worker) {
+    public DrainNotice of(String worker) {
         return all.get(worker);
     }
 
-    List<News> all() {
+    List<DrainNotice> all() {
         return new ArrayList<>(all.values());
     }
 }
--- a/src/main/java/rampshift/members/Envelope.java
+++ b/src/main/java/rampshift/membership/Envelope.java
@@ -1,4 +1,4 @@
-package rampshift.members;
+package rampshift.membership;
 
 import java.nio.BufferUnderflowException;
 import java.nio.ByteBuffer;
--- a/src/main/java/rampshift/members/Event.java
+++ b/src/main/java/rampshift/membership/Event.java
@@ -1,4 +1,4 @@
-package rampshift.members;
+package rampshift.membership;
 
 /** Something that a member has learnt of the fleet; the words are those of its ledger. */
 public record Event(Kind kind, String name, long incarnation, String detail) {
--- a/src/main/java/rampshift/members/Pending.java
+++ b/src/main/java/rampshift/membership/GossipQueue.java
@@ -1,4 +1,4 @@
-package rampshift.members;
+package rampshift.membership;
 
 import java.util.ArrayList;
 import java.util.Iterator;
@@ -11,7 +11,7 @@
  * What still rides on datagrams: the least told first, each so many times; a newer word takes an older one's
  * place.
  */
-final class Pending<T> {
+final class GossipQueue<T> {
     private static final class Entry<T> {
         final T word;
         int told;
--- a/src/main/java/rampshift/members/Member.java
+++ b/src/main/java/rampshift/membership/Member.java
@@ -1,4 +1,4 @@
-package rampshift.members;
+package rampshift.membership;
 
 import java.util.HashSet;
 import java.util.Set;
@@ -6,7 +6,7 @@
 
 /** What is believed of one other member, and since when. */
 final class Member {
-    Claim claim;
+    MemberUpdate claim;
     Moment since;
     /** Where a suspicion ends, if nobody speaks for it; null where it is not suspected. */
     Moment failsAt;
@@ -14,12 +14,12 @@
     /** Others that suspect it too. */
     final Set<String> accusers = new HashSet<>();
 
-    Member(Claim claim, Moment now) {
+    Member(MemberUpdate claim, Moment now) {
         this.claim = claim;
         since = now;
     }
 
-    Card card() {
+    MemberIdentity card() {
         return claim.card();
     }
 
--- a/src/main/java/rampshift/members/Card.java
+++ b/src/main/java/rampshift/membership/MemberIdentity.java
@@ -1,4 +1,4 @@
-package rampshift.members;
+package rampshift.membership;
 
 /**
  * Who a dispatcher says that it is. Life: a number drawn at each start of a process, which tells two
@@ -8,7 +8,7 @@
  * people to
  * read only; nothing is decided by it.
  */
-public record Card(String name, long incarnation, long life, String at, String site, String build,
+public record MemberIdentity(String name, long incarnation, long life, String at, String site, String build,
         long startedMs,
         Doing doing) {
     /** What the process is about. */
@@ -17,11 +17,11 @@
     /** No incarnation lies above: one that did could not be answered by its owner. */
     public static final long MOST = 1L << 62;
 
-    Card again(long higher) {
-        return new Card(name, higher, life, at, site, build, startedMs, doing);
+    MemberIdentity again(long higher) {
+        return new MemberIdentity(name, higher, life, at, site, build, startedMs, doing);
     }
 
-    Card doing(Doing now, long higher) {
-        return new Card(name, higher, life, at, site, build, startedMs, now);
+    MemberIdentity doing(Doing now, long higher) {
+        return new MemberIdentity(name, higher, life, at, site, build, startedMs, now);
     }
 }
--- a/src/main/java/rampshift/members/Claim.java
+++ b/src/main/java/rampshift/membership/MemberUpdate.java
@@ -1,10 +1,10 @@
-package rampshift.members;
+package rampshift.membership;
 
 /**
  * What is said of one member. By: who said so first. Age: how long a failed or ended one has been so, in
  * milliseconds; 0 for the others.
  */
-public record Claim(Card card, Belief belief, String by, long ageMs) {
+public record MemberUpdate(MemberIdentity card, Belief belief, String by, long ageMs) {
     /** In the order in which they overrule one another at the same incarnation. */
     public enum Belief {
         ALIVE, SUSPECT, FAILED, ENDED
@@ -14,7 +14,7 @@
      * Whether it is to be believed over the other: a higher incarnation, else the graver word, else the
      * higher life.
      */
-    boolean over(Claim other) {
+    boolean over(MemberUpdate other) {
         if (card.incarnation() != other.card.incarnation()) {
             return card.incarnation() > other.card.incarnation();
         }
--- a/src/main/java/rampshift/members/Standing.java
+++ b/src/main/java/rampshift/membership/MembershipHealth.java
@@ -1,7 +1,7 @@
-package rampshift.members;
+package rampshift.membership;
 
 /** How a member stands in its fleet, from what it knows alone. */
-public enum Standing {
+public enum MembershipHealth {
     /** It has not heard from any other yet. */
     JOINING,
     /** It stood still or gets no processor time: what it believes may be old. */
--- a/src/main/java/rampshift/members/Counts.java
+++ b/src/main/java/rampshift/membership/MembershipMetrics.java
@@ -1,7 +1,7 @@
-package rampshift.members;
+package rampshift.membership;
 
 /** What a member has sent, taken and refused since its start. */
-public final class Counts {
+public final class MembershipMetrics {
     public long sent;
     public long sentBytes;
     public long taken;
--- a/src/main/java/rampshift/members/Rules.java
+++ b/src/main/java/rampshift/membership/MembershipTimings.java
@@ -1,4 +1,4 @@
-package rampshift.members;
+package rampshift.membership;
 
 import rampshift.time.Span;
 
@@ -7,7 +7,7 @@
  * member is
  * asked in each, 20 ms at least.
  */
-public record Rules(Span period, Span forget) {
+public record MembershipTimings(Span period, Span forget) {
     private static final double ANSWER_BY = 0.25;       // of the period, then others are asked to ask
     static final int HELPERS = 3;
     private static final double SUSPECT_LEAST = 3;      // periods, times log10 of the members (1 at least)
--- a/src/main/java/rampshift/members/Message.java
+++ b/src/main/java/rampshift/membership/Message.java
@@ -1,4 +1,4 @@
-package rampshift.members;
+package rampshift.membership;
 
 import java.util.List;
 
@@ -9,7 +9,7 @@
  * by way of
  * another asks.
  */
-record Message(Kind kind, long number, String from, String to, String about, List<Claim> claims,
-        List<News> news) {
+record Message(Kind kind, long number, String from, String to, String about, List<MemberUpdate> claims,
+        List<DrainNotice> news) {
     enum Kind { PING, ACK, ASK_FOR, NO_ACK, TELL, WHOLE, WHOLE_BACK }
 }
--- a/src/main/java/rampshift/members/Roll.java
+++ b/src/main/java/rampshift/membership/SwimMembership.java
@@ -1,4 +1,4 @@
-package rampshift.members;
+package rampshift.membership;
 
 import java.util.ArrayList;
 import java.util.Collection;
@@ -22,12 +22,12 @@
  * thread.
  * docs/design/members.md tells why it is so, and what holds when an assumption breaks.
  */
-public final class Roll {
+public final class SwimMembership {
     /** Carries out what is decided. */
     public interface Out {
         void send(String to, byte[] datagram);
 
-        /** Over a stream; the answer, if one comes, goes to {@link Roll#exchanged}. */
+        /** Over a stream; the answer, if one comes, goes to {@link SwimMembership#exchanged}. */
         void exchange(String to, byte[] whole);
 
         void wakeAt(Moment when);
@@ -35,13 +35,14 @@
         void tell(Event event);
 
         /** News that has not been heard here before, from another. */
-        void heard(News news);
+        void heard(DrainNotice news);
     }
 
     /**
      * How it begins. Reach: addresses of single others as they are for this one, in place of what they tell.
      */
-    public record Start(String fleet, Card self, List<String> seeds, Map<String, String> reach, Rules rules,
+    public record Start(String fleet, MemberIdentity self, List<String> seeds, Map<String, String> reach,
+            MembershipTimings rules,
             long seed) {}
 
     private static final Span PUSH_AFTER = Span.ofMillis(2);    // news of one list goes in one datagram
@@ -53,18 +54,18 @@
     private static final int ENDING = 8;                        // members that are told of an end in order
 
     private final Out out;
-    private final Rules rules;
+    private final MembershipTimings rules;
     private final Codec codec;
     private final List<String> seeds;
     private final Map<String, String> reach;
     private final long seed;
     private long draws;
-    private Card self;
+    private MemberIdentity self;
     private final Map<String, Member> members = new TreeMap<>();
-    private final Bulletin bulletin = new Bulletin();
-    private final Pending<Claim> words = new Pending<>();
-    private final Pending<News> news = new Pending<>();
-    private final Counts counts = new Counts();
+    private final DrainNotices bulletin = new DrainNotices();
+    private final GossipQueue<MemberUpdate> words = new GossipQueue<>();
+    private final GossipQueue<DrainNotice> news = new GossipQueue<>();
+    private final MembershipMetrics counts = new MembershipMetrics();
     private final Map<Long, Helping> helping = new LinkedHashMap<>();
     private final List<String> round = new ArrayList<>();
     private final Map<Long, Integer> outdone = new HashMap<>();
@@ -82,7 +83,7 @@
     private Moment pushAt;
     private Moment strangerAt;
     private Moment armed;
-    private Standing standing = Standing.JOINING;
+    private MembershipHealth standing = MembershipHealth.JOINING;
 
     /** The question of this round. */
     private static final class Probe {
@@ -103,7 +104,7 @@
     /** A question put for another. */
     private record Helping(String asker, String target, long number, Moment until) {}
 
-    public Roll(Start start, Out out) {
+    public SwimMembership(Start start, Out out) {
         this.out = out;
         rules = start.rules();
         codec = new Codec(start.fleet());
@@ -126,10 +127,10 @@
     }
 
     /** It is warmed up, or is about to end: its fellows are told. */
-    public void doing(Moment at, Card.Doing doing) {
+    public void doing(Moment at, MemberIdentity.Doing doing) {
         now = at;
         self = self.doing(doing, raised(self.incarnation()));
-        sayOfSelf(Claim.Belief.ALIVE);
+        sayOfSelf(MemberUpdate.Belief.ALIVE);
         settle();
     }
 
@@ -137,8 +138,8 @@
     public void end(Moment at) {
         now = at;
         ending = true;
-        self = self.doing(Card.Doing.STOPPING, raised(self.incarnation()));
-        Claim last = sayOfSelf(Claim.Belief.ENDED);
+        self = self.doing(MemberIdentity.Doing.STOPPING, raised(self.incarnation()));
+        MemberUpdate last = sayOfSelf(MemberUpdate.Belief.ENDED);
         for (Member m : some(ENDING, null)) {
             send(m.card().name(), Message.Kind.TELL, 0, "", List.of(last));
         }
@@ -164,7 +165,7 @@
      */
     private void stranger(Message m, String at) {
         sent(at, codec.write(new Message(Message.Kind.ACK, m.number(), self.name(), m.from(), "",
-                List.of(new Claim(self, Claim.Belief.ALIVE, self.name(), 0)), List.of())));
+                List.of(new MemberUpdate(self, MemberUpdate.Belief.ALIVE, self.name(), 0)), List.of())));
         if (strangerAt == null || now.since(strangerAt).longerThan(rules.answerBy())) {
             strangerAt = now;
             out.exchange(at, whole(Message.Kind.WHOLE, m.from()));
@@ -197,7 +198,7 @@
     }
 
     /** Its own list says that a worker takes nothing new. */
-    public void learnt(Moment at, News what) {
+    public void learnt(Moment at, DrainNotice what) {
         now = at;
         if (bulletin.put(what)) {
             pass(what);
@@ -231,24 +232,24 @@
 
     // ---------------------------------------------------------------- what is known
 
-    public Card self() {
+    public MemberIdentity self() {
         return self;
     }
 
-    public Standing standing() {
+    public MembershipHealth standing() {
         return standing;
     }
 
-    public Counts counts() {
+    public MembershipMetrics counts() {
         return counts;
     }
 
-    public Bulletin bulletin() {
+    public DrainNotices bulletin() {
         return bulletin;
     }
 
     /** Others, by name, as they are believed to be. */
-    public List<Claim> others() {
+    public List<MemberUpdate> others() {
         return members.values().stream().map(m -> m.claim).toList();
     }
 
@@ -263,7 +264,7 @@
         return m == null ? null : address(m.card());
     }
 
-    /** Its own lateness, 0 to {@link Rules#MOST_LATE}. */
+    /** Its own lateness, 0 to {@link MembershipTimings#MOST_LATE}. */
     public int late() {
         return late;
     }
@@ -280,7 +281,7 @@
                 return null;
             }
             return m;
-        } catch (Odd e) {
+        } catch (MalformedMessageException e) {
             if (e.foreign) {
                 counts.foreign++;
             } else {
@@ -297,7 +298,7 @@
 
     private void heard(Message m) {
         m.claims().forEach(this::merge);
-        for (News n : m.news()) {
+        for (DrainNotice n : m.news()) {
             if (bulletin.put(n)) {
                 pass(n);
                 out.heard(n);
@@ -308,11 +309,12 @@
         }
         switch (m.kind()) {
             case PING -> {
-                List<Claim> first = new ArrayList<>(about(m.from()));
+                List<MemberUpdate> first = new ArrayList<>(about(m.from()));
                 if (m.claims().stream().anyMatch(
-                        c -> c.card().name().equals(self.name()) && c.belief() != Claim.Belief.ALIVE)) {
+                        c -> c.card().name().equals(self.name())
+                                && c.belief() != MemberUpdate.Belief.ALIVE)) {
                     // refuted, maybe long ago
-                    first.add(new Claim(self, Claim.Belief.ALIVE, self.name(), 0));
+                    first.add(new MemberUpdate(self, MemberUpdate.Belief.ALIVE, self.name(), 0));
                 }
                 send(m.from(), Message.Kind.ACK, m.number(), "", first);
             }
@@ -329,9 +331,9 @@
     }
 
     /** What its receiver should hear first of all: what is believed of it, if that is not well. */
-    private List<Claim> about(String name) {
+    private List<MemberUpdate> about(String name) {
         Member m = members.get(name);
-        return m == null || m.claim.belief() == Claim.Belief.ALIVE ? List.of() : List.of(aged(m));
+        return m == null || m.claim.belief() == MemberUpdate.Belief.ALIVE ? List.of() : List.of(aged(m));
     }
 
     private void acked(long number, String from) {
@@ -361,7 +363,7 @@
         send(m.about(), Message.Kind.PING, number, "", about(m.about()));
     }
 
-    private void merge(Claim said) {
+    private void merge(MemberUpdate said) {
         String name = said.card().name();
         if (name.equals(self.name())) {
             ofSelf(said);
@@ -373,19 +375,20 @@
             return;
         }
         if (!said.over(had.claim)) {
-            if (said.belief() == Claim.Belief.SUSPECT && had.claim.belief() == Claim.Belief.SUSPECT
+            if (said.belief() == MemberUpdate.Belief.SUSPECT
+                    && had.claim.belief() == MemberUpdate.Belief.SUSPECT
                     && said.card().incarnation() == had.card().incarnation()) {
                 confirmed(had, said);
             }
             return;
         }
         boolean was = had.there();
-        Claim.Belief before = had.claim.belief();
+        MemberUpdate.Belief before = had.claim.belief();
         boolean other = said.card().life() != had.card().life();
         had.claim = said;
         had.since = now.minus(Span.ofMillis(said.ageMs()));
         words.put(name, said);
-        if (said.belief() == Claim.Belief.SUSPECT) {
+        if (said.belief() == MemberUpdate.Belief.SUSPECT) {
             suspect(had, said.by());
             return;
         }
@@ -394,7 +397,7 @@
         switch (said.belief()) {
             case ALIVE -> tell(
                     !was || other ? Event.Kind.JOINED
-                            : before == Claim.Belief.SUSPECT ? Event.Kind.CLEARED
+                            : before == MemberUpdate.Belief.SUSPECT ? Event.Kind.CLEARED
                                     : Event.Kind.CHANGED,
                     had, other ? "another process" : said.card().doing().name());
             case FAILED -> tell(Event.Kind.FAILED, had, "by " + said.by());
@@ -402,7 +405,7 @@
         }
     }
 
-    private void add(Claim said) {
+    private void add(MemberUpdate said) {
         if (members.size() >= Codec.MOST_MEMBERS) {
             counts.noRoom++;
             return;
@@ -413,7 +416,7 @@
         Member m = new Member(said, now.minus(Span.ofMillis(said.ageMs())));
         members.put(said.card().name(), m);
         words.put(said.card().name(), said);
-        if (said.belief() == Claim.Belief.SUSPECT) {
+        if (said.belief() == MemberUpdate.Belief.SUSPECT) {
             suspect(m, said.by());
         } else {
             tell(switch (said.belief()) {
@@ -428,21 +431,21 @@
     }
 
     /** Somebody speaks of this one: of its former life, of a twin, or wrongly. */
-    private void ofSelf(Claim said) {
-        Card c = said.card();
+    private void ofSelf(MemberUpdate said) {
+        MemberIdentity c = said.card();
         if (c.incarnation() < self.incarnation()
-                || said.card().equals(self) && said.belief() == Claim.Belief.ALIVE) {
+                || said.card().equals(self) && said.belief() == MemberUpdate.Belief.ALIVE) {
             return;
         }
         if (c.life() == self.life()) {
-            if (said.belief() == Claim.Belief.ALIVE || ending) {
+            if (said.belief() == MemberUpdate.Belief.ALIVE || ending) {
                 return;
             }
             counts.refuted++;
-            late = Math.min(Rules.MOST_LATE, late + 1);
+            late = Math.min(MembershipTimings.MOST_LATE, late + 1);
             out.tell(new Event(Event.Kind.REFUTED, self.name(), c.incarnation(),
                     said.belief() + " by " + said.by()));
-        } else if (said.belief() == Claim.Belief.ALIVE && c.incarnation() > self.incarnation()) {
+        } else if (said.belief() == MemberUpdate.Belief.ALIVE && c.incarnation() > self.incarnation()) {
             // A former process can't outdo what it never heard of; one that does so again and again is there.
             boolean known = twin();
             if (known && now.since(twinAt).micros() < rules.missedEvery().micros()) {
@@ -455,16 +458,16 @@
                             "another process at " + c.at()));
                 }
             }
-            if (outdone.size() > Rules.MOST_LATE) {
+            if (outdone.size() > MembershipTimings.MOST_LATE) {
                 outdone.clear();
             }
         }
-        if (c.incarnation() >= Card.MOST) {
+        if (c.incarnation() >= MemberIdentity.MOST) {
             return;     // nothing can be said over it: the operator is told by the standing of others
         }
         self = self.again(c.incarnation() + 1);
         if (!ending) {
-            sayOfSelf(Claim.Belief.ALIVE);
+            sayOfSelf(MemberUpdate.Belief.ALIVE);
         }
     }
 
@@ -472,17 +475,17 @@
         return twinAt != null && !now.since(twinAt).longerThan(rules.missedEvery().times(TWIN_FOR));
     }
 
-    private Claim sayOfSelf(Claim.Belief belief) {
-        Claim claim = new Claim(self, belief, self.name(), 0);
+    private MemberUpdate sayOfSelf(MemberUpdate.Belief belief) {
+        MemberUpdate claim = new MemberUpdate(self, belief, self.name(), 0);
         words.put(self.name(), claim);
         return claim;
     }
 
     private static long raised(long incarnation) {
-        return Math.min(Card.MOST, incarnation + 1);
+        return Math.min(MemberIdentity.MOST, incarnation + 1);
     }
 
-    private void pass(News what) {
+    private void pass(DrainNotice what) {
         news.put(what.worker(), what);
         if (pushAt == null) {
             pushAt = now.plus(PUSH_AFTER);
@@ -495,7 +498,7 @@
             return;
         }
         pushAt = null;
-        for (Member m : some(Rules.FAN, null)) {
+        for (Member m : some(MembershipTimings.FAN, null)) {
             send(m.card().name(), Message.Kind.TELL, 0, "", List.of());
         }
     }
@@ -513,7 +516,7 @@
             return;
         }
         probe.othersAsked = true;
-        for (Member helper : some(Rules.HELPERS, probe.target)) {
+        for (Member helper : some(MembershipTimings.HELPERS, probe.target)) {
             probe.noAckDue++;
             send(helper.card().name(), Message.Kind.ASK_FOR, probe.number, probe.target, about(probe.target));
         }
@@ -522,7 +525,7 @@
     private void nextRound() {
         if (probe != null && !probe.answered) {
             // Helpers that say that they got no answer either show that our own way is sound.
-            late = Math.min(Rules.MOST_LATE, late + (probe.noAckDue > 0 ? 1 : 0));
+            late = Math.min(MembershipTimings.MOST_LATE, late + (probe.noAckDue > 0 ? 1 : 0));
             accuse(probe.target);
         }
         probe = null;
@@ -536,7 +539,7 @@
         // eight
         // failed a member 10 s after the other seven had cleared it.
         members.values().stream().filter(m -> m.failsAt != null && !m.card().name().equals(target))
-                .limit(Rules.HELPERS)
+                .limit(MembershipTimings.HELPERS)
                 .toList().forEach(
                         m -> send(m.card().name(), Message.Kind.PING, ++numbers, "", about(m.card().name())));
     }
@@ -564,15 +567,15 @@
 
     private void accuse(String name) {
         Member m = members.get(name);
-        if (m == null || m.claim.belief() != Claim.Belief.ALIVE) {
-            if (m != null && m.claim.belief() == Claim.Belief.SUSPECT) {
-                Claim mine = new Claim(m.card(), Claim.Belief.SUSPECT, self.name(), 0);
+        if (m == null || m.claim.belief() != MemberUpdate.Belief.ALIVE) {
+            if (m != null && m.claim.belief() == MemberUpdate.Belief.SUSPECT) {
+                MemberUpdate mine = new MemberUpdate(m.card(), MemberUpdate.Belief.SUSPECT, self.name(), 0);
                 confirmed(m, mine);
             }
             return;
         }
         counts.accused++;
-        m.claim = new Claim(m.card(), Claim.Belief.SUSPECT, self.name(), 0);
+        m.claim = new MemberUpdate(m.card(), MemberUpdate.Belief.SUSPECT, self.name(), 0);
         words.put(name, m.claim);
         suspect(m, self.name());
     }
@@ -586,8 +589,8 @@
         tell(Event.Kind.SUSPECTED, m, "by " + by);
     }
 
-    private void confirmed(Member m, Claim said) {
-        if (m.accusers.size() <= Rules.CONFIRMED_BY && m.accusers.add(said.by())) {
+    private void confirmed(Member m, MemberUpdate said) {
+        if (m.accusers.size() <= MembershipTimings.CONFIRMED_BY && m.accusers.add(said.by())) {
             words.put(said.card().name(), said);
             setEnd(m);
         }
@@ -603,7 +606,7 @@
             if (m.failsAt != null && !now.before(m.failsAt)) {
                 m.failsAt = null;
                 m.accusers.clear();
-                m.claim = new Claim(m.card(), Claim.Belief.FAILED, self.name(), 0);
+                m.claim = new MemberUpdate(m.card(), MemberUpdate.Belief.FAILED, self.name(), 0);
                 m.since = now;
                 words.put(m.card().name(), m.claim);
                 tell(Event.Kind.FAILED, m, "by " + self.name());
@@ -618,7 +621,7 @@
     private void stalled(Span by) {
         counts.stalls++;
         lateNow = true;
-        late = Math.min(Rules.MOST_LATE, late + 1);
+        late = Math.min(MembershipTimings.MOST_LATE, late + 1);
         probe = null;
         helping.clear();
         roundAt = now;
@@ -655,7 +658,8 @@
     private void lookForMissing() {
         missedAt = now.plus(rules.missedEvery().times(0.75 + chance() / 2));
         List<Member> missing =
-                members.values().stream().filter(m -> m.claim.belief() == Claim.Belief.FAILED).toList();
+                members.values().stream().filter(m -> m.claim.belief() == MemberUpdate.Belief.FAILED)
+                        .toList();
         Set<String> known = new HashSet<>(Set.of(self.at()));
         members.values().stream().filter(Member::there).forEach(m -> known.add(address(m.card())));
         List<String> strangers = seeds.stream().filter(s -> !known.contains(s)).toList();
@@ -673,17 +677,18 @@
     }
 
     private byte[] whole(Message.Kind kind, String to) {
-        List<Claim> all = new ArrayList<>();
-        all.add(new Claim(self, ending ? Claim.Belief.ENDED : Claim.Belief.ALIVE, self.name(), 0));
+        List<MemberUpdate> all = new ArrayList<>();
+        all.add(new MemberUpdate(self, ending ? MemberUpdate.Belief.ENDED : MemberUpdate.Belief.ALIVE,
+                self.name(), 0));
         members.values().forEach(m -> all.add(aged(m)));
         return codec.write(new Message(kind, 0, self.name(), to, "", all.subList(0, Math.min(all.size(),
                 Codec.MOST_MEMBERS)), bulletin.all()));
     }
 
-    private Claim aged(Member m) {
-        Claim c = m.claim;
+    private MemberUpdate aged(Member m) {
+        MemberUpdate c = m.claim;
         return !c.over() ? c
-                : new Claim(c.card(), c.belief(), c.by(),
+                : new MemberUpdate(c.card(), c.belief(), c.by(),
                         Math.max(0, Math.round(now.since(m.since).millis())));
     }
 
@@ -698,24 +703,25 @@
 
     // ---------------------------------------------------------------- sending, chance, standing
 
-    private String address(Card card) {
+    private String address(MemberIdentity card) {
         return reach.getOrDefault(card.name(), card.at());
     }
 
-    private void send(String to, Message.Kind kind, long number, String about, Collection<Claim> first) {
+    private void send(String to, Message.Kind kind, long number, String about,
+            Collection<MemberUpdate> first) {
         Member m = members.get(to);
         if (m == null) {
             return;
         }
         Message bare = new Message(kind, number, self.name(), to, about, List.of(), List.of());
         int room = Codec.room(bare);
-        List<Claim> claims = new ArrayList<>(first);
-        for (Claim c : claims) {
+        List<MemberUpdate> claims = new ArrayList<>(first);
+        for (MemberUpdate c : claims) {
             room -= Codec.size(c);
         }
         int tellings = rules.tellings(there());
-        List<News> told = news.take(room, tellings, Codec::size);
-        for (News n : told) {
+        List<DrainNotice> told = news.take(room, tellings, Codec::size);
+        for (DrainNotice n : told) {
             room -= Codec.size(n);
         }
         claims.addAll(words.take(room, tellings, Codec::size));
@@ -766,15 +772,16 @@
         int known = 1;
         int there = 1;
         for (Member m : members.values()) {
-            known += m.claim.belief() == Claim.Belief.ENDED ? 0 : 1;
+            known += m.claim.belief() == MemberUpdate.Belief.ENDED ? 0 : 1;
             there += m.there() ? 1 : 0;
         }
-        Standing is = !joined && there == 1 ? Standing.JOINING
-                : lateNow ? Standing.LATE
-                        : twin() ? Standing.TWIN
-                                : there == known ? Standing.WHOLE
-                                        : there == 1 ? Standing.ALONE
-                                                : 2 * there <= known ? Standing.MINOR : Standing.MISSING;
+        MembershipHealth is = !joined && there == 1 ? MembershipHealth.JOINING
+                : lateNow ? MembershipHealth.LATE
+                        : twin() ? MembershipHealth.TWIN
+                                : there == known ? MembershipHealth.WHOLE
+                                        : there == 1 ? MembershipHealth.ALONE
+                                                : 2 * there <= known ? MembershipHealth.MINOR
+                                                        : MembershipHealth.MISSING;
         if (is != standing) {
             standing = is;
             out.tell(new Event(Event.Kind.STANDING, self.name(), self.incarnation(),
--- a/src/main/java/rampshift/members/host/Bindings.java
+++ b/src/main/java/rampshift/membership/host/DrainOverrides.java
@@ -1,4 +1,4 @@
-package rampshift.members.host;
+package rampshift.membership.host;
 
 import java.util.ArrayList;
 import java.util.HashMap;
@@ -6,12 +6,12 @@
 import java.util.List;
 import java.util.Map;
 import java.util.function.Consumer;
-import rampshift.discovery.Listing;
-import rampshift.discovery.Target;
+import rampshift.discovery.Endpoint;
+import rampshift.discovery.EndpointList;
 import rampshift.log.Log;
-import rampshift.members.Bulletin;
-import rampshift.members.News;
-import rampshift.serve.Beside;
+import rampshift.membership.DrainNotice;
+import rampshift.membership.DrainNotices;
+import rampshift.serve.ServerExtension;
 import rampshift.time.Moment;
 import rampshift.time.Span;
 
@@ -22,20 +22,20 @@
  * list still
  * being told a stated time after. No sockets, no clock.
  */
-final class Bindings {
+final class DrainOverrides {
     private final boolean on;
     private final Span lasts;
-    private final Beside.Bound bound;
+    private final ServerExtension.Bound bound;
     private final String name;
     // looked up, walked where a list is whole
-    private final Map<String, Target> own = new HashMap<>();
+    private final Map<String, Endpoint> own = new HashMap<>();
     private final Map<String, Held> held = new LinkedHashMap<>();
     private long version = -1;
     private boolean haveOwn;
 
-    private record Held(News news, Moment since) {}
+    private record Held(DrainNotice news, Moment since) {}
 
-    Bindings(boolean on, Span lasts, Beside.Bound bound, String name) {
+    DrainOverrides(boolean on, Span lasts, ServerExtension.Bound bound, String name) {
         this.on = on;
         this.lasts = lasts;
         this.bound = bound;
@@ -52,42 +52,43 @@
     }
 
     /** News from another: true if it binds a worker that the own list still calls ready. */
-    boolean heard(Moment now, News news) {
-        Target t = own.get(news.worker());
-        if (!on || !haveOwn || t == null || t.state() != Target.State.READY
+    boolean heard(Moment now, DrainNotice news) {
+        Endpoint t = own.get(news.worker());
+        if (!on || !haveOwn || t == null || t.state() != Endpoint.State.READY
                 || !news.binds(t.bootMs(), version)) {
             return false;
         }
         held.put(news.worker(), new Held(news, now));
         Log.info("news", "worker", news.worker(), "kind", news.kind(), "version", news.version(), "own",
                 version);
-        bound.bound(new Listing(version, false, List.of(as(t, news))));
+        bound.bound(new EndpointList(version, false, List.of(as(t, news))));
         return true;
     }
 
     /** The own list: what is to be gone by, and what the others are to be told. */
-    Listing listed(Moment now, Listing list, Bulletin bulletin, Consumer<News> learnt) {
+    EndpointList listed(Moment now, EndpointList list, DrainNotices bulletin, Consumer<DrainNotice> learnt) {
         boolean first = !haveOwn;
-        Map<String, Target> before = new HashMap<>(list.whole() ? own : Map.of());
+        Map<String, Endpoint> before = new HashMap<>(list.whole() ? own : Map.of());
         haveOwn = true;
         version = list.version();
         if (list.whole()) {
             own.clear();
         }
-        List<Target> out = new ArrayList<>(list.targets().size());
-        for (Target t : list.targets()) {
+        List<Endpoint> out = new ArrayList<>(list.targets().size());
+        for (Endpoint t : list.targets()) {
             before.remove(t.uid());
-            if (t.state() == Target.State.GONE) {
+            if (t.state() == Endpoint.State.GONE) {
                 own.remove(t.uid());
             } else {
                 own.put(t.uid(), t);
             }
-            News news = bulletin.of(t.uid());
-            if (t.state() != Target.State.READY) {
+            DrainNotice news = bulletin.of(t.uid());
+            if (t.state() != Endpoint.State.READY) {
                 held.remove(t.uid());
                 learnt.accept(
-                        new News(t.uid(), t.bootMs(), version, t.state() == Target.State.GONE ? News.Kind.GONE
-                                : News.Kind.DRAINS));
+                        new DrainNotice(t.uid(), t.bootMs(), version,
+                                t.state() == Endpoint.State.GONE ? DrainNotice.Kind.GONE
+                                        : DrainNotice.Kind.DRAINS));
             } else if (on && news != null && news.binds(t.bootMs(), version)) {
                 held.putIfAbsent(t.uid(), new Held(news, now));
                 out.add(as(t, news));
@@ -97,11 +98,12 @@
         }
         if (!first) {
             before.values()
-                    .forEach(t -> learnt.accept(new News(t.uid(), t.bootMs(), version, News.Kind.GONE)));
+                    .forEach(t -> learnt
+                            .accept(new DrainNotice(t.uid(), t.bootMs(), version, DrainNotice.Kind.GONE)));
         }
         for (Map.Entry<String, Held> e : List.copyOf(held.entrySet())) {
-            Target t = own.get(e.getKey());
-            News news = e.getValue().news();
+            Endpoint t = own.get(e.getKey());
+            DrainNotice news = e.getValue().news();
             boolean outlived = now.since(e.getValue().since()).longerThan(lasts);
             if (t == null || !news.binds(t.bootMs(), version) || outlived) {
                 held.remove(e.getKey());
@@ -112,12 +114,14 @@
                 }
             }
         }
-        return new Listing(list.version(), list.whole(), out);
+        return new EndpointList(list.version(), list.whole(), out);
     }
 
-    private static Target as(Target t, News news) {
-        return new Target(t.uid(), t.address(), t.zone(), t.kind(), t.cell(), news.kind() == News.Kind.GONE
-                ? Target.State.GONE
-                : Target.State.DRAINING, t.weight(), t.bootMs());
+    private static Endpoint as(Endpoint t, DrainNotice news) {
+        return new Endpoint(t.uid(), t.address(), t.zone(), t.kind(), t.cell(),
+                news.kind() == DrainNotice.Kind.GONE
+                        ? Endpoint.State.GONE
+                        : Endpoint.State.DRAINING,
+                t.weight(), t.bootMs());
     }
 }
--- a/src/main/java/rampshift/members/host/Ask.java
+++ b/src/main/java/rampshift/membership/host/MembershipQuery.java
@@ -1,4 +1,4 @@
-package rampshift.members.host;
+package rampshift.membership.host;
 
 import java.io.DataInputStream;
 import java.io.DataOutputStream;
@@ -8,11 +8,11 @@
 import java.nio.charset.StandardCharsets;
 
 /** Asks a running dispatcher, over the address where its fellows reach it, whom it knows. */
-public final class Ask {
+public final class MembershipQuery {
     static final String MEMBERS = "?members";
     private static final int LONGEST_MS = 3000;
 
-    private Ask() {}
+    private MembershipQuery() {}
 
     public static String members(InetSocketAddress at) throws IOException {
         return of(at, MEMBERS);
@@ -29,7 +29,7 @@
             out.write(question);
             DataInputStream in = new DataInputStream(socket.getInputStream());
             int length = in.readInt();
-            if (length < 0 || length > Frame.MOST) {
+            if (length < 0 || length > StreamExchange.MOST) {
                 throw new IOException("an answer that is none");
             }
             return new String(in.readNBytes(length), StandardCharsets.UTF_8);
--- a/src/main/java/rampshift/members/host/Setting.java
+++ b/src/main/java/rampshift/membership/host/MembershipSettings.java
@@ -1,10 +1,10 @@
-package rampshift.members.host;
+package rampshift.membership.host;
 
 import java.net.InetSocketAddress;
 import java.nio.file.Path;
 import java.util.List;
 import java.util.Map;
-import rampshift.members.Rules;
+import rampshift.membership.MembershipTimings;
 import rampshift.time.Span;
 
 /**
@@ -14,6 +14,6 @@
  * goes on.
  * Ledger: where events are written down; null for nowhere.
  */
-public record Setting(String fleet, String site, InetSocketAddress listen, List<String> seeds,
+public record MembershipSettings(String fleet, String site, InetSocketAddress listen, List<String> seeds,
         Map<String, String> reach,
-        Rules rules, boolean news, Span newsFor, Path ledger) {}
+        MembershipTimings rules, boolean news, Span newsFor, Path ledger) {}
