--- a/src/main/java/rampshift/members/host/Host.java
+++ b/src/main/java/rampshift/membership/host/MembershipTransport.java
@@ -1,4 +1,4 @@
-package rampshift.members.host;
+package rampshift.membership.host;
 
 import java.io.IOException;
 import java.net.InetSocketAddress;
@@ -22,20 +22,20 @@
 import org.xnio.channels.AcceptingChannel;
 import org.xnio.channels.MulticastMessageChannel;
 import org.xnio.channels.SocketAddressBuffer;
-import rampshift.discovery.Listing;
-import rampshift.ledger.Ledger;
-import rampshift.ledger.Stamp;
+import rampshift.discovery.EndpointList;
+import rampshift.eventlog.EventClock;
+import rampshift.eventlog.EventLog;
 import rampshift.log.Log;
-import rampshift.members.Card;
-import rampshift.members.Claim;
-import rampshift.members.Counts;
-import rampshift.members.Envelope;
-import rampshift.members.Event;
-import rampshift.members.News;
-import rampshift.members.Roll;
-import rampshift.serve.Beside;
+import rampshift.membership.DrainNotice;
+import rampshift.membership.Envelope;
+import rampshift.membership.Event;
+import rampshift.membership.MemberIdentity;
+import rampshift.membership.MemberUpdate;
+import rampshift.membership.MembershipMetrics;
+import rampshift.membership.SwimMembership;
+import rampshift.serve.ServerExtension;
 import rampshift.settings.Configuration;
-import rampshift.settings.Malformed;
+import rampshift.settings.InvalidInputException;
 import rampshift.time.Clock;
 import rampshift.time.Moment;
 
@@ -44,7 +44,7 @@
  * address. It
  * owns both, every stream under way, and the ledger.
  */
-public final class Host implements Beside, Roll.Out, Post {
+public final class MembershipTransport implements ServerExtension, SwimMembership.Out, MessageChannel {
     private static final int DATAGRAM = 2048;
     private static final int AT_ONCE = 64;              // datagrams, then tasks have their turn
     private static final int BACKLOG = 1024;
@@ -52,32 +52,33 @@
     private static final double STREAMS = 1.0 / 16;
     private static final int LEAST_STREAMS = 4;
 
-    private final Setting setting;
+    private final MembershipSettings setting;
     private final String name;
     private final String build;
     private final ByteBuffer buffer = ByteBuffer.allocateDirect(DATAGRAM);
     private final byte[] bytes = new byte[DATAGRAM];
     private final SocketAddressBuffer sender = new SocketAddressBuffer();
-    private final Set<Frame> streams = new LinkedHashSet<>();
+    private final Set<StreamExchange> streams = new LinkedHashSet<>();
     private XnioIoThread thread;
     private Clock clock;
     private Configuration configuration;
-    private Ledger ledger;
+    private EventLog ledger;
     private MulticastMessageChannel datagrams;
     private AcceptingChannel<StreamConnection> accepting;
     private XnioExecutor.Key wake;
-    private Roll roll;
-    private Bindings bindings;
+    private SwimMembership roll;
+    private DrainOverrides bindings;
     private boolean ended;
-    private final Post.Guest guest;     // null for none
+    private final MessageChannel.Guest guest;     // null for none
 
     /** Guest: what else goes by the members' address; null for nothing. */
-    public Host(Setting setting, String name, String build, Post.Guest guest) throws IOException {
+    public MembershipTransport(MembershipSettings setting, String name, String build,
+            MessageChannel.Guest guest) throws IOException {
         this.setting = setting;
         this.guest = guest;
         this.name = name;
         this.build = build.replaceAll("[^!-~]", "");
-        ledger = setting.ledger() == null ? null : new Ledger(setting.ledger(), true);
+        ledger = setting.ledger() == null ? null : new EventLog(setting.ledger(), true);
     }
 
     /** Two ways, and the sockets listened on. */
@@ -100,7 +101,7 @@
         InetSocketAddress listen = setting.listen();
         String at = text(listen);
         if (!name.matches("[!-~]{1,40}")) {
-            throw new Malformed(
+            throw new InvalidInputException(
                     "name \"" + name + "\" is no name that members can go by: 1 to 40 letters, no blanks");
         }
         try {
@@ -115,11 +116,11 @@
             end();
             throw new IOException("members: " + at + " can't be listened on (" + e.getMessage() + ")");
         }
-        bindings = new Bindings(setting.news(), setting.newsFor(), bound, name);
+        bindings = new DrainOverrides(setting.news(), setting.newsFor(), bound, name);
         long life = new SecureRandom().nextLong();
-        roll = new Roll(new Roll.Start(setting.fleet(),
-                new Card(name, Math.max(1, System.currentTimeMillis()), life, at,
-                        setting.site(), build, System.currentTimeMillis(), Card.Doing.JOINING),
+        roll = new SwimMembership(new SwimMembership.Start(setting.fleet(),
+                new MemberIdentity(name, Math.max(1, System.currentTimeMillis()), life, at,
+                        setting.site(), build, System.currentTimeMillis(), MemberIdentity.Doing.JOINING),
                 setting.seeds(), setting.reach(),
                 setting.rules(), life), this);
         datagrams.getReadSetter().set(c -> readable());
@@ -135,7 +136,7 @@
 
     private void tellGuest() {
         List<String> there = new ArrayList<>(List.of(name));
-        roll.others().stream().filter(c -> c.belief().compareTo(Claim.Belief.FAILED) < 0)
+        roll.others().stream().filter(c -> c.belief().compareTo(MemberUpdate.Belief.FAILED) < 0)
                 .forEach(c -> there.add(c.card().name()));
         guest.there(there);
     }
@@ -143,7 +144,7 @@
     // ---- what the dispatcher tells
 
     @Override
-    public Listing listed(Listing own) {
+    public EndpointList listed(EndpointList own) {
         Moment now = clock.now();
         return bindings.listed(now, own, roll.bulletin(), news -> roll.learnt(now, news));
     }
@@ -155,7 +156,7 @@
 
     @Override
     public void serving() {
-        roll.doing(clock.now(), Card.Doing.SERVING);
+        roll.doing(clock.now(), MemberIdentity.Doing.SERVING);
     }
 
     @Override
@@ -163,7 +164,7 @@
         if (guest != null) {
             guest.stopping();
         }
-        roll.doing(clock.now(), Card.Doing.STOPPING);
+        roll.doing(clock.now(), MemberIdentity.Doing.STOPPING);
     }
 
     @Override
@@ -177,7 +178,7 @@
         }
         if (roll != null) {
             roll.end(clock.now());
-            Counts c = roll.counts();
+            MembershipMetrics c = roll.counts();
             Log.info("members", "sent", c.sent, "bytes", c.sentBytes, "taken", c.taken, "malformed",
                     c.malformed, "foreign",
                     c.foreign, "misdirected", c.misdirected, "no_room", c.noRoom, "refuted", c.refuted,
@@ -188,7 +189,7 @@
         }
         IoUtils.safeClose(datagrams);
         IoUtils.safeClose(accepting);
-        new ArrayList<>(streams).forEach(Frame::close);
+        new ArrayList<>(streams).forEach(StreamExchange::close);
         if (ledger != null) {
             IoUtils.safeClose(ledger);
         }
@@ -238,7 +239,7 @@
     }
 
     @Override
-    public void heard(News news) {
+    public void heard(DrainNotice news) {
         if (bindings.heard(clock.now(), news)) {
             write("bound", news.worker(), news.version(), news.kind().name());
         }
@@ -314,7 +315,7 @@
     }
 
     private byte[] asked(byte[] message) {
-        if (new String(message, StandardCharsets.US_ASCII).equals(Ask.MEMBERS)) {
+        if (new String(message, StandardCharsets.US_ASCII).equals(MembershipQuery.MEMBERS)) {
             return page().getBytes(StandardCharsets.UTF_8);
         }
         String answer = guest == null || message.length == 0 || message[0] != '?' ? null
@@ -331,8 +332,8 @@
             IoUtils.safeClose(connection);
             return;
         }
-        Frame[] frame = new Frame[1];
-        frame[0] = new Frame(connection, thread, first, got, () -> streams.remove(frame[0]));
+        StreamExchange[] frame = new StreamExchange[1];
+        frame[0] = new StreamExchange(connection, thread, first, got, () -> streams.remove(frame[0]));
         streams.add(frame[0]);
     }
 
@@ -350,18 +351,18 @@
 
     private void write(String word, String of, long number, String detail) {
         if (ledger != null && !ended) {
-            ledger.line(Stamp.now(), "members", name, word, of, number, detail.replace(' ', '-'));
+            ledger.line(EventClock.now(), "members", name, word, of, number, detail.replace(' ', '-'));
         }
     }
 
     private String page() {
         StringBuilder text = new StringBuilder();
-        Counts c = roll.counts();
+        MembershipMetrics c = roll.counts();
         text.append(String.format("fleet %s, this is %s: %s, %d there of %d known, own lateness %d%n",
                 setting.fleet(), name,
                 roll.standing().name().toLowerCase(java.util.Locale.ROOT), roll.there(),
                 roll.others().size() + 1, roll.late()));
-        line(text, new Claim(roll.self(), Claim.Belief.ALIVE, name, 0));
+        line(text, new MemberUpdate(roll.self(), MemberUpdate.Belief.ALIVE, name, 0));
         roll.others().forEach(o -> line(text, o));
         text.append(String.format(
                 "datagrams sent %d (%d bytes), taken %d, malformed %d, foreign %d, misdirected %d, no room %d%n",
@@ -372,8 +373,8 @@
         return text.toString();
     }
 
-    private static void line(StringBuilder text, Claim claim) {
-        Card k = claim.card();
+    private static void line(StringBuilder text, MemberUpdate claim) {
+        MemberIdentity k = claim.card();
         text.append(String.format("  %-16s %-8s %-8s %-22s site %-10s incarnation %d, build %s%n", k.name(),
                 claim.belief().name().toLowerCase(java.util.Locale.ROOT),
                 k.doing().name().toLowerCase(java.util.Locale.ROOT),
--- a/src/main/java/rampshift/members/host/Post.java
+++ b/src/main/java/rampshift/membership/host/MessageChannel.java
@@ -1,4 +1,4 @@
-package rampshift.members.host;
+package rampshift.membership.host;
 
 import java.util.Collection;
 import org.xnio.XnioIoThread;
@@ -9,7 +9,7 @@
  * How others than the members use their address: parcels by name, over the same datagrams. All on the I/O
  * thread.
  */
-public interface Post {
+public interface MessageChannel {
     /** Lost where that name has no address here, or on the way. Its own name: to itself. */
     void post(String to, byte[] parcel);
 
@@ -21,7 +21,7 @@
 
     /** Whoever sends and gets parcels. */
     interface Guest {
-        void begin(Post post);
+        void begin(MessageChannel post);
 
         void parcel(String from, byte[] parcel);
 
--- a/src/main/java/rampshift/members/host/Frame.java
+++ b/src/main/java/rampshift/membership/host/StreamExchange.java
@@ -1,4 +1,4 @@
-package rampshift.members.host;
+package rampshift.membership.host;
 
 import java.io.IOException;
 import java.nio.ByteBuffer;
@@ -14,7 +14,7 @@
  * bound in
  * bytes and in time, and ends itself.
  */
-final class Frame {
+final class StreamExchange {
     static final int MOST = 1 << 20;
     private static final long LONGEST_MS = 2000;
     private static final int FIRST = 4096;
@@ -32,7 +32,8 @@
      * What is got may be answered, or null. First: what is said before; null to listen. Over: once, at its
      * end.
      */
-    Frame(StreamConnection connection, XnioIoThread thread, byte[] first, Function<byte[], byte[]> got,
+    StreamExchange(StreamConnection connection, XnioIoThread thread, byte[] first,
+            Function<byte[], byte[]> got,
             Runnable over) {
         this.connection = connection;
         this.got = got;
--- a/src/main/java/rampshift/migrate/Migrate.java
+++ b/src/main/java/rampshift/migrate/MigrateCommand.java
@@ -13,11 +13,11 @@
 import org.apache.commons.cli.Options;
 import org.apache.commons.cli.ParseException;
 import rampshift.settings.Configuration;
-import rampshift.settings.Malformed;
-import rampshift.settings.Tree;
+import rampshift.settings.InvalidInputException;
+import rampshift.settings.JsonTree;
 
 /** {@code rampshift migrate}: reads a configuration, writes its counterpart for the new shape beside it. */
-public final class Migrate {
+public final class MigrateCommand {
     private static final String HELP =
             """
                     usage: rampshift migrate OLD --shape SHAPE (--out NEW | --dry-run)
@@ -39,7 +39,7 @@
                     """;
     private static final long LARGEST = 1 << 22;
 
-    private Migrate() {}
+    private MigrateCommand() {}
 
     /** Exit status: 0 done, 2 a wrong command line or file, named in one line; then nothing was written. */
     public static int run(List<String> args, PrintStream out, PrintStream err) {
@@ -57,7 +57,7 @@
             }
             migrate(line, out);
             return 0;
-        } catch (ParseException | Malformed e) {
+        } catch (ParseException | InvalidInputException e) {
             err.println("rampshift migrate: " + e.getMessage());
         } catch (InvalidPathException | IOException e) {
             err.println("rampshift migrate: " + e);
@@ -67,27 +67,27 @@
 
     private static void migrate(CommandLine line, PrintStream out) throws IOException {
         if (line.getArgList().size() != 1 || !line.hasOption("shape")) {
-            throw new Malformed(
+            throw new InvalidInputException(
                     "one OLD and its --shape SHAPE are wanted; rampshift migrate --help tells more");
         }
         if (line.hasOption("out") == line.hasOption("dry-run")) {
-            throw new Malformed("either --out NEW or --dry-run is wanted");
+            throw new InvalidInputException("either --out NEW or --dry-run is wanted");
         }
         Path to = line.hasOption("out") ? Path.of(line.getOptionValue("out")) : null;
         if (to != null && Files.exists(to)) {
-            throw new Malformed(to + " exists and is left as it is");
+            throw new InvalidInputException(to + " exists and is left as it is");
         }
         String file = line.getArgList().get(0);
-        Shape shape = of(line.getOptionValue("shape"), Shape::read);
+        TargetDeployment shape = of(line.getOptionValue("shape"), TargetDeployment::read);
         Migration migration = of(file, bytes -> {
             Configuration.read(bytes);      // What serve would not take is not carried over either.
-            return new Migration(Tree.read(bytes), shape);
+            return new Migration(JsonTree.read(bytes), shape);
         });
         if (migration.changed.isEmpty() && migration.leftOut.isEmpty()) {
             out.println(file + " is of that shape already; nothing was written");
             return;
         }
-        byte[] made = Tree.write(migration.result);
+        byte[] made = JsonTree.write(migration.result);
         Configuration.read(made);
         if (to != null) {
             write(to, made, Path.of(file));
@@ -108,21 +108,21 @@
             return reading.of(read(file));
         } catch (JsonProcessingException e) {
             var at = e.getLocation();
-            throw new Malformed(
+            throw new InvalidInputException(
                     file + (at == null ? "" : ", line " + at.getLineNr() + ", column " + at.getColumnNr())
                             + ": " + e.getOriginalMessage().replace('\n', ' '));
-        } catch (Malformed e) {
-            throw new Malformed(file + ": " + e.getMessage());
+        } catch (InvalidInputException e) {
+            throw new InvalidInputException(file + ": " + e.getMessage());
         }
     }
 
     private static byte[] read(String file) throws IOException {
         Path path = Path.of(file);
         if (!Files.isRegularFile(path) || !Files.isReadable(path)) {
-            throw new Malformed("cannot be read");
+            throw new InvalidInputException("cannot be read");
         }
         if (Files.size(path) > LARGEST) {
-            throw new Malformed("over " + LARGEST + " bytes");
+            throw new InvalidInputException("over " + LARGEST + " bytes");
         }
         return Files.readAllBytes(path);
     }
@@ -131,7 +131,7 @@
     private static void write(Path to, byte[] made, Path like) throws IOException {
         Path folder = to.toAbsolutePath().getParent();
         if (!Files.isDirectory(folder)) {
-            throw new Malformed("--out " + to + ": there is no folder " + folder);
+            throw new InvalidInputException("--out " + to + ": there is no folder " + folder);
         }
         Path half = Files.createTempFile(folder, ".migrate", ".half");
         try {
--- a/src/main/java/rampshift/migrate/Migration.java
+++ b/src/main/java/rampshift/migrate/Migration.java
@@ -7,12 +7,12 @@
 import java.util.Map;
 import java.util.Objects;
 import java.util.Set;
-import rampshift.settings.Malformed;
+import rampshift.settings.InvalidInputException;
 
 /**
  * The counterpart of a configuration for the new shape: each client process with a dispatcher of its own,
  * workers
- * that report no load, lists that must be asked for, other zones. Decides alone; files are {@link Migrate}'s.
+ * that report no load, lists that must be asked for, other zones. Decides alone; files are {@link MigrateCommand}'s.
  */
 final class Migration {
     /** What was changed, one line each: key, old value, new value. */
@@ -25,14 +25,14 @@
             Set.of("name", "listen", "discovery", "seed", "limits", "known", "settings");
     /** The new configuration. */
     final Map<String, Object> result;
-    private final Shape shape;
+    private final TargetDeployment shape;
 
     /**
      * Of a configuration that Configuration reads. Throws a Malformed where neither it nor the shape tells
      * what the
      * new one must hold.
      */
-    Migration(Map<String, Object> old, Shape shape) {
+    Migration(Map<String, Object> old, TargetDeployment shape) {
         this.shape = shape;
         result = copy(old);
         for (String key : old.keySet()) {
@@ -82,8 +82,9 @@
             set(rules, "settings.Rules.", "AskWithinMs", shape.askWithinMs());
         } else if (shape.list().equals("on_request")
                 && !(rules.get("AskWithinMs") instanceof BigDecimal within && within.signum() > 0)) {
-            throw new Malformed("settings.Rules.AskWithinMs is missing, and the list must be asked for there:"
-                    + " the shape's ask_within_ms has to tell");
+            throw new InvalidInputException(
+                    "settings.Rules.AskWithinMs is missing, and the list must be asked for there:"
+                            + " the shape's ask_within_ms has to tell");
         }
     }
 
@@ -188,6 +189,6 @@
         if (part instanceof Map<?, ?>) {
             return (Map<String, Object>) part;
         }
-        throw new Malformed("setting " + name + " is not an object");
+        throw new InvalidInputException("setting " + name + " is not an object");
     }
 }
--- a/src/main/java/rampshift/migrate/Shape.java
+++ b/src/main/java/rampshift/migrate/TargetDeployment.java
@@ -7,8 +7,8 @@
 import java.util.Map;
 import java.util.Set;
 import rampshift.settings.Configuration;
-import rampshift.settings.Malformed;
-import rampshift.settings.Tree;
+import rampshift.settings.InvalidInputException;
+import rampshift.settings.JsonTree;
 
 /**
  * What the new house has that no old configuration can tell.
@@ -25,7 +25,7 @@
  * figure
  * @param probes whether workers may be probed, or null for the old word
  */
-record Shape(List<String> zones, String zone, String name, String listen, String discovery,
+record TargetDeployment(List<String> zones, String zone, String name, String listen, String discovery,
         BigDecimal dispatchers,
         String reports, String list, BigDecimal askWithinMs, Boolean probes) {
 
@@ -34,24 +34,24 @@
                     "reports", "list", "ask_within_ms", "probes");
 
     /** Throws a Malformed that names the key, or an IOException with the place where it is no JSON. */
-    static Shape read(byte[] bytes) throws IOException {
-        Map<String, Object> tree = Tree.read(bytes);
+    static TargetDeployment read(byte[] bytes) throws IOException {
+        Map<String, Object> tree = JsonTree.read(bytes);
         for (String key : tree.keySet()) {
             if (!KEYS.contains(key)) {
-                throw new Malformed("unknown key " + key);
+                throw new InvalidInputException("unknown key " + key);
             }
         }
         List<String> zones = zones(tree.get("zones"));
         String zone = text(tree, "zone", null);
         if (!zones.contains(zone)) {
-            throw new Malformed("zone is " + zone + ", none of zones");
+            throw new InvalidInputException("zone is " + zone + ", none of zones");
         }
         for (String address : List.of("listen", "discovery")) {
             if (tree.get(address) != null) {
                 Configuration.address(address, text(tree, address, null));
             }
         }
-        return new Shape(zones, zone, text(tree, "name", null), text(tree, "listen", null),
+        return new TargetDeployment(zones, zone, text(tree, "name", null), text(tree, "listen", null),
                 text(tree, "discovery", null), number(tree, "dispatchers"),
                 one(tree, "reports", "off", "inline", "on_probe"), one(tree, "list", "on_request", "pushed"),
                 number(tree, "ask_within_ms"), flag(tree.get("probes")));
@@ -61,7 +61,7 @@
         if (!(value instanceof List<?> list) || list.isEmpty()
                 || !list.stream().allMatch(z -> z instanceof String s && !s.isEmpty())
                 || new HashSet<>(list).size() < list.size()) {
-            throw new Malformed("zones is not a list of names, none of them twice");
+            throw new InvalidInputException("zones is not a list of names, none of them twice");
         }
         return list.stream().map(String.class::cast).toList();
     }
@@ -69,7 +69,7 @@
     private static String text(Map<String, Object> tree, String key, String ifAbsent) {
         Object value = tree.get(key);
         if (value != null && !(value instanceof String)) {
-            throw new Malformed(key + " is not text");
+            throw new InvalidInputException(key + " is not text");
         }
         return value == null ? ifAbsent : (String) value;
     }
@@ -78,7 +78,7 @@
     private static String one(Map<String, Object> tree, String key, String... words) {
         String word = text(tree, key, words[0]);
         if (!List.of(words).contains(word)) {
-            throw new Malformed(key + " is " + word + ", none of " + String.join(", ", words));
+            throw new InvalidInputException(key + " is " + word + ", none of " + String.join(", ", words));
         }
         return word;
     }
@@ -89,12 +89,12 @@
                 && n.compareTo(new BigDecimal(1_000_000_000)) <= 0) {
             return (BigDecimal) value;
         }
-        throw new Malformed(key + " is not a number of 1 to 1000000000");
+        throw new InvalidInputException(key + " is not a number of 1 to 1000000000");
     }
 
     private static Boolean flag(Object value) {
         if (value != null && !(value instanceof Boolean)) {
-            throw new Malformed("probes is not true or false");
+            throw new InvalidInputException("probes is not true or false");
         }
         return (Boolean) value;
     }
--- a/src/main/java/rampshift/stages/Admit.java
+++ b/src/main/java/rampshift/pipeline/AdmissionControl.java
@@ -1,4 +1,4 @@
-package rampshift.stages;
+package rampshift.pipeline;
 
 import rampshift.counters.Counters;
 import rampshift.log.Log;
@@ -7,18 +7,19 @@
 import rampshift.time.Span;
 
 /** Second stage: bounds what is in hand. Full, it bounces: harmless, since nothing was sent for the task. */
-public final class Admit {
+public final class AdmissionControl {
     private final int mostTasks;
     private final long mostBytes;
     private final Clock clock;
-    private final Book book;
-    private final Relay relay;
-    private final Route next;
+    private final TaskRegistry book;
+    private final Responder relay;
+    private final PolicyHost next;
     private Moment shortFrom;
     private Moment end;
     private boolean closed;
 
-    public Admit(int mostTasks, long mostBytes, Clock clock, Book book, Relay relay, Route next) {
+    public AdmissionControl(int mostTasks, long mostBytes, Clock clock, TaskRegistry book, Responder relay,
+            PolicyHost next) {
         this.mostTasks = mostTasks;
         this.mostBytes = mostBytes;
         this.clock = clock;
@@ -38,7 +39,7 @@
         closed = true;
     }
 
-    void task(InHand task) {
+    void task(InFlightTask task) {
         if (closed) {
             book.count(Counters.Name.BOUNCED_STOPPING);
             relay.bounced(task, Span.ZERO);
--- a/src/main/java/rampshift/stages/Send.java
+++ b/src/main/java/rampshift/pipeline/AttemptSender.java
@@ -1,27 +1,27 @@
-package rampshift.stages;
+package rampshift.pipeline;
 
 import rampshift.counters.Counters;
-import rampshift.decide.Outcome;
+import rampshift.policy.AttemptOutcome;
 import rampshift.time.Clock;
 import rampshift.time.Moment;
 import rampshift.time.Span;
-import rampshift.workers.Assignment;
+import rampshift.workers.AttemptExchange;
+import rampshift.workers.ConnectionPool;
 import rampshift.workers.LoadReport;
-import rampshift.workers.Pool;
 
 /** Fourth stage: carries an assignment to its worker and what comes of it back to the routing stage. */
-public final class Send {
-    private final Pool pool;
+public final class AttemptSender {
+    private final ConnectionPool pool;
     private final Clock clock;
-    private final Book book;
+    private final TaskRegistry book;
 
-    public Send(Pool pool, Clock clock, Book book) {
+    public AttemptSender(ConnectionPool pool, Clock clock, TaskRegistry book) {
         this.pool = pool;
         this.clock = clock;
         this.book = book;
     }
 
-    void assign(Route route, InHand task, long worker, Span timeout) {
+    void assign(PolicyHost route, InFlightTask task, long worker, Span timeout) {
         int number = task.assignments.size();
         Moment sendBy = task.sendBy();
         task.assignments.add(null);
@@ -29,8 +29,8 @@
         task.out++;
         book.count(Counters.Name.ASSIGNED);
         boolean[] ended = {false};
-        Assignment a = pool.assign(worker, task.txn, task.once, sendBy, () -> task.message(clock.now()),
-                timeout, new Assignment.Told() {
+        AttemptExchange a = pool.assign(worker, task.txn, task.once, sendBy, () -> task.message(clock.now()),
+                timeout, new AttemptExchange.Told() {
                     @Override
                     public boolean wanted() {
                         return task.call.waits();
@@ -52,7 +52,7 @@
                     }
 
                     @Override
-                    public void ended(Outcome outcome, byte[] result) {
+                    public void ended(AttemptOutcome outcome, byte[] result) {
                         ended[0] = true;
                         task.assignments.set(number, null);
                         if (outcome.neverRan) {
@@ -68,14 +68,15 @@
         }
     }
 
-    void cancel(InHand task, int number) {
-        Assignment a = number < 0 || number >= task.assignments.size() ? null : task.assignments.get(number);
+    void cancel(InFlightTask task, int number) {
+        AttemptExchange a =
+                number < 0 || number >= task.assignments.size() ? null : task.assignments.get(number);
         if (a != null) {
             a.callOff();
         }
     }
 
-    void probe(Route route, long worker) {
+    void probe(PolicyHost route, long worker) {
         book.count(Counters.Name.PROBES);
         pool.probe(worker, route::echoed);
     }
--- a/src/main/java/rampshift/stages/InHand.java
+++ b/src/main/java/rampshift/pipeline/InFlightTask.java
@@ -1,18 +1,18 @@
-package rampshift.stages;
+package rampshift.pipeline;
 
 import java.nio.ByteBuffer;
 import java.nio.charset.StandardCharsets;
 import java.util.ArrayList;
 import java.util.List;
-import rampshift.clients.Call;
+import rampshift.clients.ClientRequest;
 import rampshift.time.Moment;
 import rampshift.time.Span;
-import rampshift.workers.Assignment;
+import rampshift.workers.AttemptExchange;
 
 /** A task that was taken in, until it is answered and all its assignments have ended. */
-final class InHand {
+final class InFlightTask {
     final long id;
-    final Call call;
+    final ClientRequest call;
     final String txn;
     final int type;
     final int tenant;
@@ -27,13 +27,14 @@
     private final byte[] head;
     private final byte[] body;
     /** In the order of their numbers; null once ended. */
-    final List<Assignment> assignments = new ArrayList<>(2);
+    final List<AttemptExchange> assignments = new ArrayList<>(2);
     /** When each of them was decided; null for those that are known not to have run. */
     final List<Moment> sentAt = new ArrayList<>(2);
     int out;
     boolean closed;
 
-    InHand(long id, Call call, String txn, int type, int tenant, boolean once, Span window, double width,
+    InFlightTask(long id, ClientRequest call, String txn, int type, int tenant, boolean once, Span window,
+            double width,
             double memory, Moment expiry) {
         this.id = id;
         this.call = call;
@@ -47,7 +48,7 @@
         this.expiry = expiry;
         StringBuilder text = new StringBuilder(512);
         text.append(call.method()).append(' ').append(call.target()).append(" HTTP/1.1\r\n");
-        call.passOn(text, TakeIn.REMAINING);
+        call.passOn(text, RequestDecoder.REMAINING);
         text.append("Content-Length: ").append(call.body().length).append("\r\n");
         head = text.toString().getBytes(StandardCharsets.ISO_8859_1);
         body = call.body();
@@ -75,7 +76,7 @@
 
     /** The whole message for one worker. */
     ByteBuffer[] message(Moment now) {
-        String last = TakeIn.REMAINING + ": " + expiry.since(now).seconds() + "\r\n\r\n";
+        String last = RequestDecoder.REMAINING + ": " + expiry.since(now).seconds() + "\r\n\r\n";
         return new ByteBuffer[]{ByteBuffer.wrap(head),
                 ByteBuffer.wrap(last.getBytes(StandardCharsets.ISO_8859_1)), ByteBuffer.wrap(body)};
     }
--- a/src/main/java/rampshift/stages/Route.java
+++ b/src/main/java/rampshift/pipeline/PolicyHost.java
@@ -1,45 +1,46 @@
-package rampshift.stages;
+package rampshift.pipeline;
 
 import java.util.ArrayDeque;
 import java.util.List;
 import org.xnio.XnioIoThread;
 import rampshift.counters.Counters;
-import rampshift.decide.Choice;
-import rampshift.decide.Decisions;
-import rampshift.decide.Outcome;
-import rampshift.decide.Settings;
-import rampshift.discovery.Listing;
-import rampshift.discovery.Target;
+import rampshift.discovery.Endpoint;
+import rampshift.discovery.EndpointList;
 import rampshift.log.Log;
-import rampshift.settings.Platform;
-import rampshift.time.Alarm;
+import rampshift.policy.AttemptOutcome;
+import rampshift.policy.Decisions;
+import rampshift.policy.DispatchPolicy;
+import rampshift.policy.Settings;
+import rampshift.settings.HostSettings;
 import rampshift.time.Clock;
+import rampshift.time.IoTimer;
 import rampshift.time.Moment;
 import rampshift.time.Span;
+import rampshift.workers.ConnectionPool;
 import rampshift.workers.LoadReport;
-import rampshift.workers.Pool;
 
 /**
  * Third stage: the host of the decision module. Whatever is heard goes straight into a call on it, then its
  * decisions are pulled one by one and carried out straight away.
  */
-public final class Route implements Decisions {
+public final class PolicyHost implements Decisions {
     private final XnioIoThread thread;
     private final Clock clock;
-    private final Choice choice;
-    private final Platform platform;
-    private final Pool pool;
-    private final Book book;
-    private final Send send;
-    private final Relay relay;
-    private final Uids uids = new Uids();
+    private final DispatchPolicy choice;
+    private final HostSettings platform;
+    private final ConnectionPool pool;
+    private final TaskRegistry book;
+    private final AttemptSender send;
+    private final Responder relay;
+    private final WorkerIds uids = new WorkerIds();
     /** What is heard while decisions are carried out waits until they are. */
     private final ArrayDeque<Runnable> heard = new ArrayDeque<>();
     private boolean deciding;
-    private Alarm wake;
+    private IoTimer wake;
 
-    public Route(XnioIoThread thread, Clock clock, Settings settings, Platform platform, Pool pool, Book book,
-            Send send, Relay relay) {
+    public PolicyHost(XnioIoThread thread, Clock clock, Settings settings, HostSettings platform,
+            ConnectionPool pool, TaskRegistry book,
+            AttemptSender send, Responder relay) {
         this.thread = thread;
         this.clock = clock;
         this.platform = platform;
@@ -47,7 +48,7 @@
         this.book = book;
         this.send = send;
         this.relay = relay;
-        choice = new Choice(settings, clock.now());
+        choice = new DispatchPolicy(settings, clock.now());
     }
 
     /** Gives back the timer. */
@@ -88,24 +89,24 @@
      * then it
      * binds what is sent at once, and the module hears of it after that decision.
      */
-    public void listed(Listing list, boolean remembered) {
+    public void listed(EndpointList list, boolean remembered) {
         boolean whole = list.whole() || remembered;
         if (whole) {
             pool.beginWhole();
         }
-        for (Target t : list.targets()) {
+        for (Endpoint t : list.targets()) {
             pool.listed(uids.number(t.uid()), t.uid(), t.address(), t.zone() + '/' + t.kind(), t.bootMs(),
-                    t.state() == Target.State.READY);
+                    t.state() == Endpoint.State.READY);
         }
         if (whole) {
             pool.endWhole();
         }
         hear(() -> {
-            choice.listBegins(remembered ? Choice.List.REMEMBERED
-                    : whole ? Choice.List.WHOLE : Choice.List.CHANGES);
-            for (Target t : list.targets()) {
+            choice.listBegins(remembered ? DispatchPolicy.List.REMEMBERED
+                    : whole ? DispatchPolicy.List.WHOLE : DispatchPolicy.List.CHANGES);
+            for (Endpoint t : list.targets()) {
                 choice.listed(uids.number(t.uid()), index(platform.zones(), t.zone()), t.cell(),
-                        index(platform.kinds(), t.kind()), Choice.Listed.valueOf(t.state().name()),
+                        index(platform.kinds(), t.kind()), DispatchPolicy.Listed.valueOf(t.state().name()),
                         Moment.ofMillis(t.bootMs()), t.weight());
             }
             choice.listEnds();
@@ -122,7 +123,7 @@
     /** The list service can't be reached: the list that there is goes on. */
     public void listFailed() {
         hear(() -> {
-            choice.listBegins(Choice.List.FAILED);
+            choice.listBegins(DispatchPolicy.List.FAILED);
             choice.listEnds();
         });
     }
@@ -133,7 +134,7 @@
         return i < 0 ? names.size() : i;
     }
 
-    void task(InHand task) {
+    void task(InFlightTask task) {
         task.call.onGone(() -> hear(() -> {
             relay.clientLeft(task);
             choice.clientLeft(task.id);
@@ -148,16 +149,16 @@
      * being cut off.
      */
     public void giveUp() {
-        for (InHand task : book.inHand()) {
+        for (InFlightTask task : book.inHand()) {
             hear(() -> choice.cutShort(task.id));
         }
     }
 
-    void begun(InHand task, int number) {
+    void begun(InFlightTask task, int number) {
         hear(() -> choice.begun(task.id, number));
     }
 
-    void progressed(InHand task, int number, double share) {
+    void progressed(InFlightTask task, int number, double share) {
         hear(() -> choice.progressed(task.id, number, share));
     }
 
@@ -165,8 +166,8 @@
         hear(() -> choice.reported(worker, load.free(), load.queued(), load.held(), load.memoryFree()));
     }
 
-    void ended(InHand task, int number, Outcome outcome, byte[] result) {
-        if (outcome == Outcome.FINISHED) {
+    void ended(InFlightTask task, int number, AttemptOutcome outcome, byte[] result) {
+        if (outcome == AttemptOutcome.FINISHED) {
             relay.finished(task, result);
         }
         hear(() -> {
@@ -194,7 +195,7 @@
 
     @Override
     public void cancel(long task, int assignment) {
-        InHand held = book.get(task);
+        InFlightTask held = book.get(task);
         if (held != null) {
             send.cancel(held, assignment);
         }
@@ -202,14 +203,14 @@
 
     @Override
     public void bounce(long task, Span comeBackAfter) {
-        InHand held = book.get(task);
+        InFlightTask held = book.get(task);
         relay.bounced(held, comeBackAfter);
         book.settle(held);
     }
 
     @Override
     public void abandon(long task) {
-        InHand held = book.get(task);
+        InFlightTask held = book.get(task);
         relay.abandoned(held);
         book.settle(held);
     }
@@ -231,6 +232,6 @@
         }
         // Woken too soon, the module asked again at once, and the thread spun for most of a millisecond
         // before each.
-        wake = Alarm.notBefore(thread, when.since(clock.now()), () -> hear(choice::woken));
+        wake = IoTimer.notBefore(thread, when.since(clock.now()), () -> hear(choice::woken));
     }
 }
--- a/src/main/java/rampshift/stages/TakeIn.java
+++ b/src/main/java/rampshift/pipeline/RequestDecoder.java
@@ -1,20 +1,20 @@
-package rampshift.stages;
+package rampshift.pipeline;
 
 import java.util.HashMap;
 import java.util.List;
 import java.util.Map;
 import java.util.regex.Pattern;
-import rampshift.clients.Call;
-import rampshift.clients.Door;
+import rampshift.clients.ClientListener;
+import rampshift.clients.ClientRequest;
 import rampshift.counters.Counters;
-import rampshift.decide.Settings;
-import rampshift.decide.TrafficType;
 import rampshift.log.Log;
-import rampshift.settings.Platform;
+import rampshift.policy.Settings;
+import rampshift.policy.TrafficType;
+import rampshift.settings.HostSettings;
 import rampshift.time.Span;
 
 /** First stage: makes a task of a client's call, or turns it down with a plain 4xx. */
-public final class TakeIn implements Door.Intake {
+public final class RequestDecoder implements ClientListener.Intake {
     static final String REMAINING = "X-Remaining";
     private static final String TENANT = "X-Org";
     private static final Pattern ID = Pattern.compile("[!-~]{1,200}");
@@ -26,11 +26,12 @@
     private final Map<String, Integer> types = new HashMap<>();
     private final Map<String, Integer> tenants = new HashMap<>();
     private final Counters counters;
-    private final Book book;
-    private final Admit next;
+    private final TaskRegistry book;
+    private final AdmissionControl next;
     private long ids;
 
-    public TakeIn(Settings settings, Platform names, Counters counters, Book book, Admit next) {
+    public RequestDecoder(Settings settings, HostSettings names, Counters counters, TaskRegistry book,
+            AdmissionControl next) {
         this.settings = settings;
         this.counters = counters;
         this.book = book;
@@ -46,7 +47,7 @@
     }
 
     @Override
-    public void taken(Call call) {
+    public void taken(ClientRequest call) {
         if (!call.method().equals("POST")) {
             turnDown(call, 405, "tasks come by POST");
             return;
@@ -105,7 +106,7 @@
         Span patience = left > most.millis() / 1000 ? most : Span.ofMillis(left * 1000);
         // Whoever the settings do not name stands after all that they do, and has no share to go beyond.
         int tenant = tenants.getOrDefault(String.valueOf(call.field(TENANT)), tenants.size());
-        next.task(new InHand(++ids, call, txn, type, tenant,
+        next.task(new InFlightTask(++ids, call, txn, type, tenant,
                 row.effect() == TrafficType.Effect.SIDE_EFFECTING,
                 row.effect() == TrafficType.Effect.FINGERPRINTED ? row.window() : null, slots, memory,
                 call.wholeAt().plus(patience)));
@@ -116,7 +117,7 @@
         return text != null && NUMBER.matcher(text).matches() ? Double.parseDouble(text) : Double.NaN;
     }
 
-    private void turnDown(Call call, int status, String why) {
+    private void turnDown(ClientRequest call, int status, String why) {
         counters.add(Counters.Name.TURNED_DOWN);
         Log.warn("turned-down", "status", status, "why", why);
         call.answer(status, why);
--- a/src/main/java/rampshift/stages/Relay.java
+++ b/src/main/java/rampshift/pipeline/Responder.java
@@ -1,38 +1,38 @@
-package rampshift.stages;
+package rampshift.pipeline;
 
 import rampshift.counters.Counters;
 import rampshift.time.Span;
 
 /** Fifth stage: the one final answer to the client. */
-public final class Relay {
+public final class Responder {
     private static final byte[] NOTHING = {};
-    private final Book book;
+    private final TaskRegistry book;
 
-    public Relay(Book book) {
+    public Responder(TaskRegistry book) {
         this.book = book;
     }
 
-    void finished(InHand task, byte[] result) {
+    void finished(InFlightTask task, byte[] result) {
         close(task, Counters.Name.FINISHED, 200, null, result);
     }
 
-    void bounced(InHand task, Span comeBackAfter) {
+    void bounced(InFlightTask task, Span comeBackAfter) {
         String advice = comeBackAfter.micros() < 1000 ? null : comeBackAfter.seconds();
         close(task, Counters.Name.BOUNCED, 503, advice, NOTHING);
     }
 
-    void abandoned(InHand task) {
+    void abandoned(InFlightTask task) {
         close(task, Counters.Name.ABANDONED, 504, null, NOTHING);
     }
 
-    void clientLeft(InHand task) {
+    void clientLeft(InFlightTask task) {
         if (!task.closed) {
             task.closed = true;
             book.count(Counters.Name.CLIENT_GONE);
         }
     }
 
-    private void close(InHand task, Counters.Name as, int status, String comeBackAfter, byte[] body) {
+    private void close(InFlightTask task, Counters.Name as, int status, String comeBackAfter, byte[] body) {
         if (task.closed) {
             return;
         }
--- a/src/main/java/rampshift/stages/Pulse.java
+++ b/src/main/java/rampshift/pipeline/StallDetector.java
@@ -1,8 +1,8 @@
-package rampshift.stages;
+package rampshift.pipeline;
 
 import org.xnio.XnioIoThread;
-import rampshift.time.Alarm;
 import rampshift.time.Clock;
+import rampshift.time.IoTimer;
 import rampshift.time.Moment;
 import rampshift.time.Span;
 
@@ -13,7 +13,7 @@
  * stopped for 3 s
  * sent tasks on 0.2 s after their expiry. One beat every 100 ms.
  */
-public final class Pulse {
+public final class StallDetector {
     private static final Span BEAT = Span.ofMillis(100);
     private static final Span LATE = Span.ofMillis(100);    // beyond that a beat tells of a stall
 
@@ -21,9 +21,9 @@
     private final Clock clock;
     private Moment last;
     private Moment stoodSince;
-    private Alarm timer;
+    private IoTimer timer;
 
-    public Pulse(XnioIoThread thread, Clock clock) {
+    public StallDetector(XnioIoThread thread, Clock clock) {
         this.thread = thread;
         this.clock = clock;
         last = clock.now();
@@ -31,7 +31,7 @@
     }
 
     private void beatLater() {
-        timer = Alarm.in(thread, BEAT, this::beat);
+        timer = IoTimer.in(thread, BEAT, this::beat);
     }
 
     private void beat() {
--- a/src/main/java/rampshift/stages/Book.java
+++ b/src/main/java/rampshift/pipeline/TaskRegistry.java
@@ -1,4 +1,4 @@
-package rampshift.stages;
+package rampshift.pipeline;
 
 import java.util.ArrayList;
 import java.util.HashMap;
@@ -8,15 +8,15 @@
 import rampshift.counters.Counters;
 
 /** Last stage: the tasks in hand, and the one place where they are given back. */
-public final class Book {
+public final class TaskRegistry {
     private static final int LAST = 2048;
     private final Counters counters;
-    private final Map<Long, InHand> tasks = new HashMap<>();
-    private final Map<String, InHand> byTxn = new HashMap<>();
+    private final Map<Long, InFlightTask> tasks = new HashMap<>();
+    private final Map<String, InFlightTask> byTxn = new HashMap<>();
     private final LinkedHashSet<String> lastTxns = new LinkedHashSet<>();
     private long bytes;
 
-    public Book(Counters counters) {
+    public TaskRegistry(Counters counters) {
         this.counters = counters;
     }
 
@@ -24,18 +24,18 @@
         counters.add(name);
     }
 
-    void taken(InHand task) {
+    void taken(InFlightTask task) {
         counters.add(Counters.Name.TAKEN);
         tasks.put(task.id, task);
         byTxn.put(task.txn, task);
         bytes += task.bytes();
     }
 
-    InHand get(long id) {
+    InFlightTask get(long id) {
         return tasks.get(id);
     }
 
-    List<InHand> inHand() {
+    List<InFlightTask> inHand() {
         return new ArrayList<>(tasks.values());
     }
 
@@ -45,7 +45,7 @@
     }
 
     /** The task was answered, or an assignment of it has ended. */
-    void settle(InHand task) {
+    void settle(InFlightTask task) {
         if (task.closed && task.out == 0 && tasks.remove(task.id) != null) {
             byTxn.remove(task.txn);
             // An answer and another client's call with the id of that task cross: it had reached workers.
--- a/src/main/java/rampshift/stages/Uids.java
+++ b/src/main/java/rampshift/pipeline/WorkerIds.java
@@ -1,4 +1,4 @@
-package rampshift.stages;
+package rampshift.pipeline;
 
 import java.nio.charset.StandardCharsets;
 import java.util.HashMap;
@@ -6,7 +6,7 @@
 import java.util.zip.CRC32;
 
 /** The number by which the module knows a worker: made of its uid alone, so alike at every dispatcher. */
-final class Uids {
+final class WorkerIds {
     private final Map<String, Long> numbers = new HashMap<>();
     private final Map<Long, String> taken = new HashMap<>();
 
--- a/src/main/java/rampshift/decide/Assignment.java
+++ b/src/main/java/rampshift/policy/Attempt.java
@@ -1,10 +1,10 @@
-package rampshift.decide;
+package rampshift.policy;
 
 import rampshift.time.Moment;
 import rampshift.time.Span;
 
 /** One sending of a task to a worker. */
-final class Assignment {
+final class Attempt {
     final Task task;
     final int number;
     final Worker worker;
@@ -24,7 +24,7 @@
     boolean neverRan;
     boolean calledOff;
 
-    Assignment(Task task, int number, Worker worker, Moment sentAt, Span wait, Span run) {
+    Attempt(Task task, int number, Worker worker, Moment sentAt, Span wait, Span run) {
         this.task = task;
         this.number = number;
         this.worker = worker;
--- a/src/main/java/rampshift/decide/Outcome.java
+++ b/src/main/java/rampshift/policy/AttemptOutcome.java
@@ -1,7 +1,7 @@
-package rampshift.decide;
+package rampshift.policy;
 
 /** How an assignment ended. */
-public enum Outcome {
+public enum AttemptOutcome {
     FINISHED(false), ERRED(false), FULL(true), TIMED_OUT(false), NO_CONNECTION(true), BROKEN(
             false), CALLED_OFF(false), NOT_SENT(true),
     /** Reset without a word on a connection that had been kept; it tells nothing of the worker. */
@@ -10,7 +10,7 @@
     /** Whether it proves that the assignment never ran. */
     public final boolean neverRan;
 
-    Outcome(boolean neverRan) {
+    AttemptOutcome(boolean neverRan) {
         this.neverRan = neverRan;
     }
 }
--- a/src/main/java/rampshift/decide/Aged.java
+++ b/src/main/java/rampshift/policy/DecayingSamples.java
@@ -1,12 +1,12 @@
-package rampshift.decide;
+package rampshift.policy;
 
 import rampshift.time.Moment;
 import rampshift.time.Span;
 
 /** The last few values of one measurement and when each was taken; a value loses its say as it ages. */
-final class Aged {
-    private final Samples values;
-    private final Samples when;
+final class DecayingSamples {
+    private final SampleWindow values;
+    private final SampleWindow when;
     /** The last mean and what it was asked for: a task's candidates ask for the same one in turn. */
     private double mean = Double.NaN;
     private Moment meanNow;
@@ -14,9 +14,9 @@
     private double meanOther;
     private double meanSay;
 
-    Aged(int room) {
-        values = new Samples(room);
-        when = new Samples(room);
+    DecayingSamples(int room) {
+        values = new SampleWindow(room);
+        when = new SampleWindow(room);
     }
 
     void put(Moment now, double value) {
--- a/src/main/java/rampshift/decide/Decisions.java
+++ b/src/main/java/rampshift/policy/Decisions.java
@@ -1,4 +1,4 @@
-package rampshift.decide;
+package rampshift.policy;
 
 import rampshift.time.Moment;
 import rampshift.time.Span;
--- a/src/main/java/rampshift/decide/Choice.java
+++ b/src/main/java/rampshift/policy/DispatchPolicy.java
@@ -1,4 +1,4 @@
-package rampshift.decide;
+package rampshift.policy;
 
 import java.util.ArrayDeque;
 import java.util.ArrayList;
@@ -16,7 +16,7 @@
  * out. Interface: inputs are the public methods here, answers are Decisions, figures given are Settings.
  * The mechanism is Redundant-to-Idle-Queue; docs/design.md tells what was kept, changed and why.
  */
-public final class Choice {
+public final class DispatchPolicy {
     private static final int D = 6;                     // drawn: half of the own zone, half from elsewhere
     private static final int KEPT = 3;                  // more: those to which a connection is free
     private static final int ONCE_MORE = 3;             // times as many drawn where a task is placed once
@@ -61,58 +61,59 @@
     /** What a list says of a worker. */
     public enum Listed { READY, DRAINING, GONE }
 
-    private static final EnumSet<Outcome> BAD =
-            EnumSet.of(Outcome.ERRED, Outcome.NO_CONNECTION, Outcome.BROKEN, Outcome.TIMED_OUT);
+    private static final EnumSet<AttemptOutcome> BAD =
+            EnumSet.of(AttemptOutcome.ERRED, AttemptOutcome.NO_CONNECTION, AttemptOutcome.BROKEN,
+                    AttemptOutcome.TIMED_OUT);
 
     private final Settings settings;
-    private final Chance chance;
+    private final SeededRandom chance;
     private Moment now;
     private final Map<Long, Task> tasks = new HashMap<>();         // looked up, never walked
-    private final Roster roster;
-    private final Kept kept;
+    private final WorkerTable roster;
+    private final IdleConnections kept;
     private final ArrayDeque<Task> todo = new ArrayDeque<>();
-    private final ArrayDeque<Assignment> toCancel = new ArrayDeque<>();
-    private final Timers timers = new Timers();
+    private final ArrayDeque<Attempt> toCancel = new ArrayDeque<>();
+    private final TimerQueue timers = new TimerQueue();
     private Moment armed;
-    private final Samples[] work;                                  // running times by traffic type
-    private final Tenants tenants;
-    private final Samples anyWork = new Samples(64);
-    private final Samples[] fleetLoad = Samples.rows(2, 64);       // of room, own side and elsewhere
-    private final Samples[] placeLoad = Samples.rows(2, 64);       // the same: 1 where bound types run
-    private final Samples earningsAsked = new Samples(64);
-    private final Samples dues = new Samples(64);
-    private final Samples cameLate = new Samples(32);              // 1: by the time it had left
-    private final Samples turnedAway = new Samples(32);            // 1: given up though it came in time
-    private final Samples elsewhere = new Samples(2);              // 1: no connection to another zone
+    private final SampleWindow[] work;                                  // running times by traffic type
+    private final TenantQuotas tenants;
+    private final SampleWindow anyWork = new SampleWindow(64);
+    private final SampleWindow[] fleetLoad = SampleWindow.rows(2, 64);       // of room, own side and elsewhere
+    private final SampleWindow[] placeLoad = SampleWindow.rows(2, 64);       // the same: 1 where bound types run
+    private final SampleWindow earningsAsked = new SampleWindow(64);
+    private final SampleWindow dues = new SampleWindow(64);
+    private final SampleWindow cameLate = new SampleWindow(32);              // 1: by the time it had left
+    private final SampleWindow turnedAway = new SampleWindow(32);            // 1: given up though it came in time
+    private final SampleWindow elsewhere = new SampleWindow(2);              // 1: no connection to another zone
     private Moment cutUntil;
     private Moment surveyAt;
     private boolean distrust;
     private double luck;                // of the task being placed: what is trusted less is not read
-    private final Aged again = new Aged(16);        // 1: a task that erred did so at the next worker too
-    private final Aged begins = new Aged(32);       // from the first send of a task to its start
+    private final DecayingSamples again = new DecayingSamples(16);        // 1: a task that erred did so at the next worker too
+    private final DecayingSamples begins = new DecayingSamples(32);       // from the first send of a task to its start
     private double coldPart;            // what cold workers can do, of the whole fleet when warm
     private double coldCredit;          // mean runs that may go to cold workers
     private double coldOdds;            // in this draw, times their warmth
-    private final Aged accepted = new Aged(32);     // 0: turned away as full
+    private final DecayingSamples accepted = new DecayingSamples(32);     // 0: turned away as full
     private double extraSends = 1;
-    private final Budget budget;
+    private final RetryBudget budget;
     private final double takeAt;
     private final double copyPrice;     // a copy that runs is waste, a second place in a queue is not
     private Moment subscribeAt;
     private Moment holdFrom;            // what the list service has may bind from then on: a list is awaited
     private final ArrayDeque<Task> held = new ArrayDeque<>();
 
-    public Choice(Settings settings, Moment now) {
+    public DispatchPolicy(Settings settings, Moment now) {
         this.settings = settings;
         this.now = now;
         takeAt = TAKE_AT + settings.tailWeight;
         copyPrice = Math.max(1, settings.wastePrice / CHEAP_WASTE);
-        chance = new Chance(settings.seed);
-        budget = new Budget(settings);
-        kept = new Kept(settings);
-        roster = new Roster(settings.zone, settings.types, this::allows);
-        work = Samples.rows(settings.types.size(), 32);
-        tenants = new Tenants(settings);
+        chance = new SeededRandom(settings.seed);
+        budget = new RetryBudget(settings);
+        kept = new IdleConnections(settings);
+        roster = new WorkerTable(settings.zone, settings.types, this::allows);
+        work = SampleWindow.rows(settings.types.size(), 32);
+        tenants = new TenantQuotas(settings);
         if (settings.listOnRequest) {
             subscribeAt = now;
             timers.set(now, null);
@@ -186,7 +187,7 @@
     }
 
     public void begun(long id, int number) {
-        Assignment a = assignment(id, number);
+        Attempt a = assignment(id, number);
         if (a != null && a.begunAt == null) {
             a.begunAt = now;
             word(a.worker);
@@ -195,7 +196,7 @@
             if (!settings.reportsLoad) {
                 startTells(a);
             }
-            for (Assignment o : a.task.sent) {
+            for (Attempt o : a.task.sent) {
                 if (o.begunAt == null) {
                     callOff(o);     // one has begun: what still queues elsewhere is not needed
                 }
@@ -204,7 +205,7 @@
     }
 
     /** Where nothing is reported a start tells of the queue there, and of what runs beside it. */
-    private void startTells(Assignment a) {
+    private void startTells(Attempt a) {
         waited(a, now.since(a.sentAt).millis());
         a.worker.kin.room.put(a.worker.begunWidth());
         Moment first = a.task.sent.get(0).sentAt;
@@ -216,7 +217,7 @@
     }
 
     /** A worker said to be idle began soon, or did not: reports are late, or many rush to the same. */
-    private void believe(Assignment a, boolean soon) {
+    private void believe(Attempt a, boolean soon) {
         if (a.saidIdle) {
             a.saidIdle = false;
             a.worker.reportsHeld.put(now, soon ? 1 : 0);
@@ -236,7 +237,7 @@
     }
 
     public void progressed(long id, int number, double share) {
-        Assignment a = assignment(id, number);
+        Attempt a = assignment(id, number);
         if (a != null) {
             if (a.begunAt == null) {    // its start was not told: the first note comes so long after it
                 Moment from = now.minus(settings.progressEvery);
@@ -286,8 +287,8 @@
         w.asking.clear();
     }
 
-    public void ended(long id, int number, Outcome outcome, boolean terminal) {
-        Assignment a = assignment(id, number);
+    public void ended(long id, int number, AttemptOutcome outcome, boolean terminal) {
+        Attempt a = assignment(id, number);
         if (a == null || a.ended) {
             return;
         }
@@ -297,24 +298,25 @@
         if (outcome.neverRan) {
             earnColdCredit(-a.coldCredit);
         }
-        if (outcome == Outcome.NOT_SENT) {
+        if (outcome == AttemptOutcome.NOT_SENT) {
             budget.neverSent(a);
-        } else if (outcome != Outcome.CALLED_OFF && outcome != Outcome.NO_CONNECTION) {
-            accepted.put(now, outcome == Outcome.FULL ? 0 : 1);
+        } else if (outcome != AttemptOutcome.CALLED_OFF && outcome != AttemptOutcome.NO_CONNECTION) {
+            accepted.put(now, outcome == AttemptOutcome.FULL ? 0 : 1);
         }
-        if (outcome == Outcome.FULL) {
+        if (outcome == AttemptOutcome.FULL) {
             w.fullAt = now;
             believe(a, false);
             waited(a, meanWork().times(FULL_WAIT).millis());
         }
-        if (w.zone != settings.zone && (outcome == Outcome.FINISHED || outcome == Outcome.NO_CONNECTION)) {
+        if (w.zone != settings.zone
+                && (outcome == AttemptOutcome.FINISHED || outcome == AttemptOutcome.NO_CONNECTION)) {
             // Two in a row elsewhere without a connection: the zone is cut off, not each of its workers sick.
-            elsewhere.put(outcome == Outcome.FINISHED ? 0 : 1);
+            elsewhere.put(outcome == AttemptOutcome.FINISHED ? 0 : 1);
             cutUntil = elsewhere.sum() == 2 ? now.plus(meanWork().times(CUT)) : null;
         }
-        if (outcome == Outcome.FINISHED) {
+        if (outcome == AttemptOutcome.FINISHED) {
             finished(a);
-        } else if (outcome == Outcome.ERRED) {
+        } else if (outcome == AttemptOutcome.ERRED) {
             erred(a);
         } else if (BAD.contains(outcome)) {
             judge(w, 1);
@@ -322,7 +324,8 @@
                 roster.ready(w, false);
             }
         }
-        if (outcome == Outcome.FINISHED || outcome == Outcome.ERRED || outcome == Outcome.FULL) {
+        if (outcome == AttemptOutcome.FINISHED || outcome == AttemptOutcome.ERRED
+                || outcome == AttemptOutcome.FULL) {
             word(w);
             kept.freed(w, now);
         }
@@ -357,7 +360,7 @@
         armed = null;
     }
 
-    private Assignment assignment(long id, int number) {
+    private Attempt assignment(long id, int number) {
         Task t = tasks.get(id);
         return t == null || number < 0 || number >= t.sent.size() ? null : t.sent.get(number);
     }
@@ -370,7 +373,7 @@
         }
     }
 
-    private void finished(Assignment a) {
+    private void finished(Attempt a) {
         Worker w = a.worker;
         Span ran = now.since(began(a) != null ? began(a) : a.sentAt);
         if (began(a) != null) {
@@ -394,7 +397,7 @@
      * are the tasks', whatever they share: such go nowhere else, and workers keep their name. This fades,
      * and the next is tried again. Harm: many workers that err at once look the same.
      */
-    private void erred(Assignment a) {
+    private void erred(Attempt a) {
         Task t = a.task;
         if (t.erredAt != null && t.erredAt != a.worker) {
             again.put(now, 1);
@@ -428,7 +431,7 @@
     }
 
     /** When it began to run, or where starts are not told should have; null where they are, and not its. */
-    private Moment began(Assignment a) {
+    private Moment began(Attempt a) {
         return a.begunAt != null || settings.tellsStart ? a.begunAt : a.sentAt.plus(a.wait);
     }
 
@@ -436,7 +439,7 @@
     private void close(Task t) {
         t.closed = true;
         t.copies.clear();
-        for (Assignment a : t.sent) {
+        for (Attempt a : t.sent) {
             callOff(a);
         }
         if (t.open == 0) {
@@ -444,7 +447,7 @@
         }
     }
 
-    private void callOff(Assignment a) {
+    private void callOff(Attempt a) {
         if (!a.ended && !a.calledOff && settings.mayCancel) {
             a.calledOff = true;
             toCancel.add(a);
@@ -455,7 +458,7 @@
     }
 
     /** It began after so long, or had not by then, which tells as much. */
-    private void waited(Assignment a, double ms) {
+    private void waited(Attempt a, double ms) {
         if (settings.reportsLoad) {
             return;
         }
@@ -495,7 +498,7 @@
         double expected = w.expected.sum() + prior * kin;
         double ran = w.ran.sum() + prior / warmth(w);
         double own = w.expected.count() == 0 ? kin * warmth(w) : w.expected.sum() / w.ran.sum();
-        for (Assignment a : w.out) {
+        for (Attempt a : w.out) {
             if (began(a) != null && !a.calledOff && !a.lost) {
                 double due = work(a.task).millis();
                 double age = now.since(began(a)).millis();
@@ -557,7 +560,7 @@
         }
         if (settings.tellsStart) {
             // An assignment that has not begun shows the queue there, or a worker that hangs or is cut off.
-            for (Assignment a : w.out) {
+            for (Attempt a : w.out) {
                 if (a.begunAt == null && !a.calledOff && !a.lost) {
                     wait = wait.orLonger(now.since(a.sentAt));
                 }
@@ -607,7 +610,7 @@
 
     /** How likely it is to end in time. With little time left it may run what any of its type's last ran. */
     private double inTime(Task t, Span wait, Span run) {
-        Samples ran = work[t.typeNumber];
+        SampleWindow ran = work[t.typeNumber];
         Span left = allowed(t);
         if (!t.late || t.hint.micros() > 0 || ran.count() < FEW) {
             return inTime(left, wait, run);
@@ -660,7 +663,7 @@
 
     public boolean next(Decisions out) {
         while (!toCancel.isEmpty()) {
-            Assignment a = toCancel.poll();
+            Attempt a = toCancel.poll();
             if (!a.ended) {
                 out.cancel(a.task.id, a.number);
                 return true;
@@ -806,7 +809,7 @@
         if (settings.reportsLoad) {
             return inTime(t, wait(w, t.width), run(w, t));
         }
-        Aged seen = mayGoOn(t) ? begins : w.kin.starts;
+        DecayingSamples seen = mayGoOn(t) ? begins : w.kin.starts;
         Span run = run(w, t);
         Span slack = allowed(t).minus(run);
         Span blur = run.times(RUN_SPREAD).orLonger(settings.tick);
@@ -827,7 +830,7 @@
     }
 
     /** How long an assignment may be out before a start note is missed: it queues, or is lost. */
-    private Span patience(Assignment a) {
+    private Span patience(Attempt a) {
         return settings.tellsStart ? a.task.type.due().times(START_BY) : a.predicted.times(OVERDUE);
     }
 
@@ -901,7 +904,7 @@
 
     /** Nothing heard from a worker for several predicted spans while something is out there. */
     private boolean silent(Worker w) {
-        for (Assignment a : w.out) {
+        for (Attempt a : w.out) {
             Span quiet = now.since(w.lastWord != null && a.sentAt.before(w.lastWord) ? w.lastWord : a.sentAt);
             Span most = a.predicted.times(SILENCE).orLonger(settings.progressEvery.times(1.5));
             if (!a.calledOff && quiet.longerThan(most)) {
@@ -966,8 +969,8 @@
     private boolean lookAfter(Task t, Decisions out) {
         boolean stuck = true;
         boolean hopeless = true;    // no answer is counted on any more
-        Assignment open = null;
-        for (Assignment a : t.sent) {
+        Attempt open = null;
+        for (Attempt a : t.sent) {
             if (!a.ended && !a.calledOff) {
                 open = a;
                 Moment told = a.progress > 0 ? a.progressAt : a.begunAt != null ? a.begunAt : a.sentAt;
@@ -1069,7 +1072,7 @@
         if (!allows(t.type, w)) {
             return false;
         }
-        for (Assignment a : t.sent) {
+        for (Attempt a : t.sent) {
             if (a.neverRan) {
                 continue;
             }
@@ -1112,7 +1115,7 @@
     }
 
     private boolean assign(Task t, Worker w, Decisions out) {
-        Assignment a = new Assignment(t, t.sent.size(), w, now, wait(w, t.width), run(w, t));
+        Attempt a = new Attempt(t, t.sent.size(), w, now, wait(w, t.width), run(w, t));
         a.saidIdle = w.othersAt != null && idle(w, t)
                 && meanWork().times(AGES).longerThan(now.since(w.othersAt));
         if (t.open == 0) {
--- a/src/main/java/rampshift/decide/Kept.java
+++ b/src/main/java/rampshift/policy/IdleConnections.java
@@ -1,4 +1,4 @@
-package rampshift.decide;
+package rampshift.policy;
 
 import java.util.ArrayDeque;
 import java.util.stream.Stream;
@@ -8,11 +8,11 @@
  * The workers to which a connection is free, those free for longest first; kept up only where new ones have a
  * price.
  */
-final class Kept {
+final class IdleConnections {
     private final Settings settings;
     private final ArrayDeque<Worker> order = new ArrayDeque<>();
 
-    Kept(Settings settings) {
+    IdleConnections(Settings settings) {
         this.settings = settings;
     }
 
--- a/src/main/java/rampshift/decide/Budget.java
+++ b/src/main/java/rampshift/policy/RetryBudget.java
@@ -1,4 +1,4 @@
-package rampshift.decide;
+package rampshift.policy;
 
 import java.util.ArrayDeque;
 import rampshift.time.Moment;
@@ -7,12 +7,12 @@
 /**
  * What counts for the rule on further assignments: tasks taken and assignments past their first, by window.
  */
-final class Budget {
+final class RetryBudget {
     private final Settings settings;
     private final ArrayDeque<Moment> taken = new ArrayDeque<>();
-    private final ArrayDeque<Assignment> further = new ArrayDeque<>();
+    private final ArrayDeque<Attempt> further = new ArrayDeque<>();
 
-    Budget(Settings settings) {
+    RetryBudget(Settings settings) {
         this.settings = settings;
     }
 
@@ -29,13 +29,13 @@
         }
     }
 
-    void sent(Assignment a) {
+    void sent(Attempt a) {
         if (stated() && a.number > 0) {
             further.add(a);
         }
     }
 
-    void neverSent(Assignment a) {
+    void neverSent(Attempt a) {
         further.remove(a);
     }
 
--- a/src/main/java/rampshift/decide/Samples.java
+++ b/src/main/java/rampshift/policy/SampleWindow.java
@@ -1,22 +1,22 @@
-package rampshift.decide;
+package rampshift.policy;
 
 /** The last few values of one measurement. */
-public final class Samples {
+public final class SampleWindow {
     private final double[] values;
     private int count;
     private int next;
     // not known since the last change: it is asked for far more often than that
     private double sum = Double.NaN;
 
-    public Samples(int room) {
+    public SampleWindow(int room) {
         values = new double[room];
     }
 
     /** A row of samples for each of so many. */
-    public static Samples[] rows(int count, int room) {
-        Samples[] rows = new Samples[count];
+    public static SampleWindow[] rows(int count, int room) {
+        SampleWindow[] rows = new SampleWindow[count];
         for (int i = 0; i < count; i++) {
-            rows[i] = new Samples(room);
+            rows[i] = new SampleWindow(room);
         }
         return rows;
     }
--- a/src/main/java/rampshift/decide/Chance.java
+++ b/src/main/java/rampshift/policy/SeededRandom.java
@@ -1,13 +1,13 @@
-package rampshift.decide;
+package rampshift.policy;
 
 import java.util.zip.CRC32;
 
 /** Chance from the instance's seed and a counter: the same input gives the same draws. */
-final class Chance {
+final class SeededRandom {
     private final long seed;
     private long counter;
 
-    Chance(long seed) {
+    SeededRandom(long seed) {
         this.seed = seed;
     }
 
--- a/src/main/java/rampshift/decide/Settings.java
+++ b/src/main/java/rampshift/policy/Settings.java
@@ -1,4 +1,4 @@
-package rampshift.decide;
+package rampshift.policy;
 
 import java.util.ArrayList;
 import java.util.List;
--- a/src/main/java/rampshift/decide/Task.java
+++ b/src/main/java/rampshift/policy/Task.java
@@ -1,4 +1,4 @@
-package rampshift.decide;
+package rampshift.policy;
 
 import java.util.ArrayDeque;
 import java.util.ArrayList;
@@ -17,7 +17,7 @@
     /** When the client first asked, as far as the time it has left tells. */
     Moment firstAt;
     Moment expiry;
-    final ArrayList<Assignment> sent = new ArrayList<>();
+    final ArrayList<Attempt> sent = new ArrayList<>();
     final ArrayList<Worker> drawn = new ArrayList<>();
     final ArrayDeque<Worker> toProbe = new ArrayDeque<>();
     final ArrayDeque<Worker> copies = new ArrayDeque<>();
--- a/src/main/java/rampshift/decide/Tenants.java
+++ b/src/main/java/rampshift/policy/TenantQuotas.java
@@ -1,16 +1,16 @@
-package rampshift.decide;
+package rampshift.policy;
 
 import rampshift.time.Moment;
 
 /** When the last tasks of each tenant came, and what that tells of its share. */
-final class Tenants {
+final class TenantQuotas {
     private static final int FEW = 8;       // tasks of a tenant that tell nothing yet
     private final Settings settings;
-    private final Samples[] came;
+    private final SampleWindow[] came;
 
-    Tenants(Settings settings) {
+    TenantQuotas(Settings settings) {
         this.settings = settings;
-        came = Samples.rows(settings.tenantQuotas.size(), 32);
+        came = SampleWindow.rows(settings.tenantQuotas.size(), 32);
     }
 
     /**
@@ -39,7 +39,7 @@
     }
 
     private double rate(int tenant, Moment now) {
-        Samples times = came[tenant];
+        SampleWindow times = came[tenant];
         return times.count() == 0 ? 0 : times.count() / Math.max(1, now.millis() - times.oldest());
     }
 }
--- a/src/main/java/rampshift/decide/Timers.java
+++ b/src/main/java/rampshift/policy/TimerQueue.java
@@ -1,11 +1,11 @@
-package rampshift.decide;
+package rampshift.policy;
 
 import java.util.Comparator;
 import java.util.PriorityQueue;
 import rampshift.time.Moment;
 
 /** Moments at which a task is looked at again, in their order and those alike in the order they were set. */
-final class Timers {
+final class TimerQueue {
     private record Timer(Moment at, long order, Task task) {}
 
     private final PriorityQueue<Timer> waiting =
--- a/src/main/java/rampshift/decide/TrafficType.java
+++ b/src/main/java/rampshift/policy/TrafficType.java
@@ -1,4 +1,4 @@
-package rampshift.decide;
+package rampshift.policy;
 
 import java.util.Set;
 import rampshift.time.Span;
--- a/src/main/java/rampshift/decide/Worker.java
+++ b/src/main/java/rampshift/policy/Worker.java
@@ -1,4 +1,4 @@
-package rampshift.decide;
+package rampshift.policy;
 
 import java.util.ArrayDeque;
 import java.util.ArrayList;
@@ -13,7 +13,7 @@
     int zone;
     int cell;
     int kind;
-    Kin kin;
+    KindStatistics kin;
     /** A traffic type that may not go everywhere may go here. */
     boolean needed;
     boolean ready;
@@ -23,20 +23,20 @@
     boolean gone;
     Moment bornAt = new Moment(0);
     /** Assignments still out there, those called off included until their end is heard. */
-    final ArrayList<Assignment> out = new ArrayList<>();
+    final ArrayList<Attempt> out = new ArrayList<>();
     /** Of the last finished assignments: what a middling worker would have run, and what they ran. */
-    final Samples expected = new Samples(20);
-    final Samples ran = new Samples(20);
+    final SampleWindow expected = new SampleWindow(20);
+    final SampleWindow ran = new SampleWindow(20);
     /** 1 for each of the last outcomes that was bad. */
-    final Samples bad = new Samples(8);
+    final SampleWindow bad = new SampleWindow(8);
     /** Slots that other dispatchers held, by the last reports. */
-    final Aged others = new Aged(8);
+    final DecayingSamples others = new DecayingSamples(8);
     Moment othersAt;
     /** 1 for each of the last assignments that its reports promised an idle slot, and that had one. */
-    final Aged reportsHeld = new Aged(4);
-    final Samples room = new Samples(12);
+    final DecayingSamples reportsHeld = new DecayingSamples(4);
+    final SampleWindow room = new SampleWindow(12);
     /** From send to start of the last assignments, in milliseconds. */
-    final Aged starts = new Aged(8);
+    final DecayingSamples starts = new DecayingSamples(8);
     double memoryFree = Double.NaN;
     /** Reports tell both free and taken slots. */
     boolean roomTold;
@@ -121,7 +121,7 @@
     /** Slots that this dispatcher's own assignments take or wait for. */
     double ownWidth() {
         double sum = 0;
-        for (Assignment a : out) {
+        for (Attempt a : out) {
             sum += a.calledOff || a.lost ? 0 : a.task.width;
         }
         return sum;
@@ -129,7 +129,7 @@
 
     double begunWidth() {
         double sum = 0;
-        for (Assignment a : out) {
+        for (Attempt a : out) {
             sum += a.begunAt != null && !a.calledOff && !a.lost ? a.task.width : 0;
         }
         return sum;
--- a/src/main/java/rampshift/decide/Roster.java
+++ b/src/main/java/rampshift/policy/WorkerTable.java
@@ -1,4 +1,4 @@
-package rampshift.decide;
+package rampshift.policy;
 
 import java.util.ArrayList;
 import java.util.HashMap;
@@ -9,7 +9,7 @@
 import rampshift.time.Moment;
 
 /** The workers that this dispatcher's own lists have named. */
-final class Roster {
+final class WorkerTable {
     /** All of them, in the order of their ids. */
     final ArrayList<Worker> all = new ArrayList<>();
     /** The ready ones. */
@@ -18,12 +18,12 @@
     private final List<List<ArrayList<Worker>>> open = new ArrayList<>();
     private final List<TrafficType> types;
     private final Map<Long, Worker> byId = new HashMap<>();   // looked up, never walked
-    private final Map<Integer, Kin> kins = new HashMap<>();   // looked up, never walked
-    private final Map<Integer, Zone> zones = new HashMap<>();   // looked up, never walked
+    private final Map<Integer, KindStatistics> kins = new HashMap<>();   // looked up, never walked
+    private final Map<Integer, ZoneStatistics> zones = new HashMap<>();   // looked up, never walked
     private final int ownZone;
     private final BiPredicate<TrafficType, Worker> allows;
 
-    Roster(int ownZone, List<TrafficType> types, BiPredicate<TrafficType, Worker> allows) {
+    WorkerTable(int ownZone, List<TrafficType> types, BiPredicate<TrafficType, Worker> allows) {
         this.ownZone = ownZone;
         this.allows = allows;
         this.types = types;
@@ -51,7 +51,7 @@
         }
     }
 
-    Worker put(long id, int zone, int cell, int kind, Choice.Listed as, Moment bornAt) {
+    Worker put(long id, int zone, int cell, int kind, DispatchPolicy.Listed as, Moment bornAt) {
         Worker w = byId.get(id);
         if (w == null) {
             w = new Worker(id);
@@ -67,16 +67,16 @@
         w.zone = zone;
         w.cell = cell;
         w.kind = kind;
-        w.kin = kins.computeIfAbsent(kind, k -> new Kin());
-        w.ready = as == Choice.Listed.READY;
-        w.drains = as == Choice.Listed.DRAINING || as == Choice.Listed.GONE && w.drains;
-        w.gone = as == Choice.Listed.GONE && !w.drains;
+        w.kin = kins.computeIfAbsent(kind, k -> new KindStatistics());
+        w.ready = as == DispatchPolicy.Listed.READY;
+        w.drains = as == DispatchPolicy.Listed.DRAINING || as == DispatchPolicy.Listed.GONE && w.drains;
+        w.gone = as == DispatchPolicy.Listed.GONE && !w.drains;
         w.bornAt = bornAt;
         return w;
     }
 
-    Zone zone(int number) {
-        return zones.computeIfAbsent(number, n -> new Zone());
+    ZoneStatistics zone(int number) {
+        return zones.computeIfAbsent(number, n -> new ZoneStatistics());
     }
 
     int ready() {
--- a/src/main/java/rampshift/serve/Dispatcher.java
+++ b/src/main/java/rampshift/serve/Dispatcher.java
@@ -3,23 +3,23 @@
 import io.undertow.connector.ByteBufferPool;
 import java.io.IOException;
 import org.xnio.XnioIoThread;
-import rampshift.clients.Door;
+import rampshift.clients.ClientListener;
 import rampshift.connections.Dialer;
 import rampshift.counters.Counters;
-import rampshift.decide.Settings;
-import rampshift.decide.TrafficType;
+import rampshift.pipeline.AdmissionControl;
+import rampshift.pipeline.AttemptSender;
+import rampshift.pipeline.PolicyHost;
+import rampshift.pipeline.RequestDecoder;
+import rampshift.pipeline.Responder;
+import rampshift.pipeline.StallDetector;
+import rampshift.pipeline.TaskRegistry;
+import rampshift.policy.Settings;
+import rampshift.policy.TrafficType;
 import rampshift.settings.Configuration;
-import rampshift.settings.Platform;
-import rampshift.stages.Admit;
-import rampshift.stages.Book;
-import rampshift.stages.Pulse;
-import rampshift.stages.Relay;
-import rampshift.stages.Route;
-import rampshift.stages.Send;
-import rampshift.stages.TakeIn;
+import rampshift.settings.HostSettings;
 import rampshift.time.Clock;
 import rampshift.time.Span;
-import rampshift.workers.Pool;
+import rampshift.workers.ConnectionPool;
 
 /** One set of the parts between clients and workers, and how the limits are shared out among them. */
 final class Dispatcher {
@@ -31,35 +31,36 @@
     private static final double RECEIVING = 0.08;      // of the memory: bodies that are coming in
     private static final double CLIENT_IDLE = 4;       // longest expiries until a silent client is dropped
 
-    final Door door;
-    final Book book;
-    final Route route;
+    final ClientListener door;
+    final TaskRegistry book;
+    final PolicyHost route;
     final Span longest;
     final Span grace;
-    final Admit admit;
-    private final Pool pool;
-    private final Pulse pulse;
+    final AdmissionControl admit;
+    private final ConnectionPool pool;
+    private final StallDetector pulse;
 
     Dispatcher(XnioIoThread thread, ByteBufferPool buffers, Dialer dialer, Clock clock, Counters counters,
             Configuration configuration, int beside) throws IOException {
         Settings settings = configuration.settings.read(configuration.seed);
-        Platform platform = configuration.settings.platform();
+        HostSettings platform = configuration.settings.platform();
         int sockets = Math.max(LEAST, configuration.sockets - RESERVED - beside);
         int toWorkers = (int) (sockets * TO_WORKERS);
         int clients = sockets - toWorkers;
         int spare = (int) (clients * SPARE);
         longest = settings.types.stream().map(TrafficType::expiry).reduce(Span.ZERO, Span::orLonger);
         grace = settings.drainGrace;
-        pool = new Pool(thread, dialer, clock, platform, counters, toWorkers);
-        book = new Book(counters);
-        Relay relay = new Relay(book);
-        route = new Route(thread, clock, settings, platform, pool, book, new Send(pool, clock, book), relay);
-        admit = new Admit(Math.min(platform.mostOpen(), clients - spare),
+        pool = new ConnectionPool(thread, dialer, clock, platform, counters, toWorkers);
+        book = new TaskRegistry(counters);
+        Responder relay = new Responder(book);
+        route = new PolicyHost(thread, clock, settings, platform, pool, book,
+                new AttemptSender(pool, clock, book), relay);
+        admit = new AdmissionControl(Math.min(platform.mostOpen(), clients - spare),
                 (long) (configuration.memoryMb * BODIES * (1 << 20)), clock, book, relay, route);
-        pulse = new Pulse(thread, clock);
-        door = new Door(thread, buffers, clock, counters, clients - spare, spare,
+        pulse = new StallDetector(thread, clock);
+        door = new ClientListener(thread, buffers, clock, counters, clients - spare, spare,
                 (long) (configuration.memoryMb * RECEIVING * (1 << 20)), longest.times(CLIENT_IDLE),
-                new TakeIn(settings, platform, counters, book, admit), pulse::unread);
+                new RequestDecoder(settings, platform, counters, book, admit), pulse::unread);
     }
 
     /** Called before each first byte to a worker. */
--- a/src/main/java/rampshift/serve/Serve.java
+++ b/src/main/java/rampshift/serve/DispatcherServer.java
@@ -14,20 +14,20 @@
 import org.xnio.Xnio;
 import org.xnio.XnioIoThread;
 import org.xnio.XnioWorker;
-import rampshift.clients.Door;
+import rampshift.clients.ClientListener;
 import rampshift.connections.Dialer;
 import rampshift.counters.Counters;
-import rampshift.discovery.Listing;
-import rampshift.discovery.Watch;
+import rampshift.discovery.EndpointList;
+import rampshift.discovery.EndpointWatch;
 import rampshift.log.Log;
 import rampshift.settings.Configuration;
-import rampshift.settings.Malformed;
+import rampshift.settings.InvalidInputException;
 import rampshift.time.Clock;
 import rampshift.time.Moment;
 import rampshift.time.Span;
 
 /** A dispatcher on sockets, from its start to its end. What happens between happens on one I/O thread. */
-public final class Serve {
+public final class DispatcherServer {
     private static final int BUFFER = 16 * 1024;
     private static final int BUFFERS_KEPT = 256;
     private static final Span STOP_LEAST = Span.ofMillis(600);  // after the stop began new clients still come
@@ -46,7 +46,7 @@
     private static final Span LOOK = Span.ofMillis(20);
 
     private final Configuration configuration;
-    private final Beside beside;        // null where no operator's file asks for one
+    private final ServerExtension beside;        // null where no operator's file asks for one
     private final Clock clock = new Clock();
     private final Counters counters = new Counters();
     private final CountDownLatch ready = new CountDownLatch(1);
@@ -54,24 +54,24 @@
     private final XnioWorker worker;
     final XnioIoThread thread;
     Dispatcher parts;
-    private Watch watch;
+    private EndpointWatch watch;
     private boolean haveList;
     private boolean rehearsed;
     private boolean stopping;
 
     /** Starts it, or throws with one line that says why not. */
-    public Serve(Configuration configuration) throws IOException {
+    public DispatcherServer(Configuration configuration) throws IOException {
         this(configuration, null);
     }
 
     /** The same with what an operator's file asks for; null for nothing. */
-    public Serve(Configuration configuration, Beside beside) throws IOException {
+    public DispatcherServer(Configuration configuration, ServerExtension beside) throws IOException {
         this.configuration = configuration;
         this.beside = beside;
         // XNIO would put beans into the platform's JMX server, which takes 0.15 s of CPU to start. With no
         // such server it goes on without; nobody here reads them, the counters are for that.
         System.setProperty("javax.management.builder.initial", "none");
-        worker = Xnio.getInstance(Serve.class.getClassLoader()).createWorker(OptionMap.builder()
+        worker = Xnio.getInstance(DispatcherServer.class.getClassLoader()).createWorker(OptionMap.builder()
                 .set(Options.WORKER_NAME, "io").set(Options.WORKER_IO_THREADS, 1)
                 .set(Options.WORKER_TASK_CORE_THREADS, 1).set(Options.WORKER_TASK_MAX_THREADS, 1)
                 .set(Options.THREAD_DAEMON, true).getMap());
@@ -88,15 +88,16 @@
             if (e.getCause() instanceof IOException io) {
                 throw io;
             }
-            throw e.getCause() instanceof Malformed m ? m : new IllegalStateException(e.getCause());
+            throw e.getCause() instanceof InvalidInputException m ? m
+                    : new IllegalStateException(e.getCause());
         } catch (InterruptedException e) {
             throw new IOException("interrupted");
         }
     }
 
     /** One that serves nobody: for the archive of the classes that a start loads. */
-    public static Serve rehearsal() throws IOException {
-        return new Serve(Rehearsal.configuration());
+    public static DispatcherServer rehearsal() throws IOException {
+        return new DispatcherServer(WarmUp.configuration());
     }
 
     private void begin() throws IOException {
@@ -105,25 +106,26 @@
         parts = new Dispatcher(thread, buffers, dialer, clock, counters, configuration,
                 beside == null ? 0 : beside.descriptors(configuration));
         if (configuration.known != null) {
-            Listing known = Listing.read(configuration.known, configuration.known.length);
+            EndpointList known = EndpointList.read(configuration.known, configuration.known.length);
             parts.route.listed(known, true);
             haveList = !known.targets().isEmpty();
             parts.route.listAwaited(true);
         }
         parts.door.page("/ready", this::ready);
-        parts.door.page("/counters", () -> new Door.Page(200, counters.text()));
+        parts.door.page("/counters", () -> new ClientListener.Page(200, counters.text()));
         parts.door.open(worker, configuration.listen);
-        watch = new Watch(thread, dialer, clock, configuration.discovery, parts.grace, counters, list -> {
-            haveList = true;
-            parts.route.listed(beside == null ? list : beside.listed(list), false);
-        }, () -> parts.route.listFailed());
+        watch = new EndpointWatch(thread, dialer, clock, configuration.discovery, parts.grace, counters,
+                list -> {
+                    haveList = true;
+                    parts.route.listed(beside == null ? list : beside.listed(list), false);
+                }, () -> parts.route.listFailed());
         parts.beforeFirstByte(beforeFirstByte());
         if (beside != null) {
             beside.begin(worker, thread, clock, configuration, changes -> parts.route.listed(changes, false));
         }
         watch.start();
         Log.info("started", "name", configuration.name, "listen", configuration.listen);
-        new Rehearsal(thread, buffers, clock, () -> counters.get(Counters.Name.TAKEN) == 0, () -> {
+        new WarmUp(thread, buffers, clock, () -> counters.get(Counters.Name.TAKEN) == 0, () -> {
             rehearsed = true;
             if (beside != null) {
                 beside.serving();
@@ -133,12 +135,13 @@
         }).start();
     }
 
-    private Door.Page ready() {
+    private ClientListener.Page ready() {
         if (stopping) {
-            return new Door.Page(503, "stopping\n");
+            return new ClientListener.Page(503, "stopping\n");
         }
-        return !haveList ? new Door.Page(503, "no list of workers yet\n")
-                : !rehearsed ? new Door.Page(503, "warming up\n") : new Door.Page(200, "ready\n");
+        return !haveList ? new ClientListener.Page(503, "no list of workers yet\n")
+                : !rehearsed ? new ClientListener.Page(503, "warming up\n")
+                        : new ClientListener.Page(200, "ready\n");
     }
 
     /**
--- a/src/main/java/rampshift/serve/Beside.java
+++ b/src/main/java/rampshift/serve/ServerExtension.java
@@ -3,12 +3,12 @@
 import java.io.IOException;
 import org.xnio.XnioIoThread;
 import org.xnio.XnioWorker;
-import rampshift.discovery.Listing;
+import rampshift.discovery.EndpointList;
 import rampshift.settings.Configuration;
 import rampshift.time.Clock;
 
 /** What runs beside a dispatcher by the operator's file. All of it is called on the I/O thread. */
-public interface Beside {
+public interface ServerExtension {
     /** How many descriptors it takes at the most: the dispatcher does with so many fewer. */
     int descriptors(Configuration configuration);
 
@@ -17,7 +17,7 @@
             throws IOException;
 
     /** The dispatcher's own list service has told this; what is to be gone by. */
-    Listing listed(Listing own);
+    EndpointList listed(EndpointList own);
 
     /** The list service is another from now on: what it counts as versions says nothing of the former's. */
     void moved();
@@ -33,6 +33,6 @@
 
     /** Told of workers that take nothing new, by others than the own list service. */
     interface Bound {
-        void bound(Listing changes);
+        void bound(EndpointList changes);
     }
 }
--- a/src/main/java/rampshift/serve/Rehearsal.java
+++ b/src/main/java/rampshift/serve/WarmUp.java
@@ -17,16 +17,16 @@
 import org.xnio.IoUtils;
 import org.xnio.StreamConnection;
 import org.xnio.XnioIoThread;
-import rampshift.connections.Connection;
 import rampshift.connections.Dialer;
-import rampshift.connections.Head;
-import rampshift.connections.Heard;
+import rampshift.connections.ExchangeListener;
+import rampshift.connections.HttpConnection;
+import rampshift.connections.ResponseHead;
 import rampshift.counters.Counters;
-import rampshift.discovery.Listing;
+import rampshift.discovery.EndpointList;
 import rampshift.log.Log;
 import rampshift.settings.Configuration;
-import rampshift.time.Alarm;
 import rampshift.time.Clock;
+import rampshift.time.IoTimer;
 import rampshift.time.Moment;
 import rampshift.time.Span;
 
@@ -35,7 +35,7 @@
  * the process: on a quarter of a core the first real tasks otherwise took up to 185 ms to their first
  * assignment, for classes that were not loaded and code that was not compiled yet.
  */
-final class Rehearsal {
+final class WarmUp {
     private static final int ENOUGH = 10;      // to be ready: more would keep clients waiting after a restart
     private static final int TASKS = 60;       // in all, while no real one has come
     private static final Span MOST = Span.ofMillis(1500);
@@ -48,14 +48,14 @@
     private final List<String> types;
     private final BooleanSupplier alone;
     private final Runnable done;
-    private Connection client;
-    private Alarm timer;
+    private HttpConnection client;
+    private IoTimer timer;
     private Moment began;
     private int played;
     private boolean ready;
     private boolean over;
 
-    Rehearsal(XnioIoThread thread, ByteBufferPool buffers, Clock clock, BooleanSupplier alone,
+    WarmUp(XnioIoThread thread, ByteBufferPool buffers, Clock clock, BooleanSupplier alone,
             Runnable done) throws IOException {
         Configuration configuration = configuration();
         this.alone = alone;
@@ -65,7 +65,7 @@
         parts = new Dispatcher(thread, buffers, new Dialer(thread, this::toWorker), clock, new Counters(),
                 configuration, 0);
         types = configuration.settings.platform().types();
-        parts.route.listed(Listing.read(configuration.known, configuration.known.length), false);
+        parts.route.listed(EndpointList.read(configuration.known, configuration.known.length), false);
     }
 
     /** What a worker says to the task that is being played. */
@@ -84,7 +84,7 @@
 
     /** Always the same one: a rehearsal does not hang on the deployment. */
     static Configuration configuration() {
-        try (var in = Rehearsal.class.getResourceAsStream("/rampshift/rehearsal.json")) {
+        try (var in = WarmUp.class.getResourceAsStream("/rampshift/rehearsal.json")) {
             return Configuration.read(in.readAllBytes());
         } catch (IOException e) {
             throw new UncheckedIOException(e);
@@ -97,10 +97,10 @@
 
     void start() {
         began = clock.now();
-        timer = Alarm.in(thread, MOST, () -> finish("time"));
+        timer = IoTimer.in(thread, MOST, () -> finish("time"));
         new Dialer(thread, this::toDoor).dial(null, MOST, new Dialer.Dialed() {
             @Override
-            public void connected(Connection connection) {
+            public void connected(HttpConnection connection) {
                 client = connection;
                 next();
             }
@@ -175,9 +175,9 @@
                 + "\r\nX-Lane: " + types.get(played % types.size()) + "\r\nX-Remaining: 5.000\r\n"
                 + "X-Labels: slots=1,memory=0.5\r\nIdempotency-Key: " + played + "\r\nContent-Length: "
                 + BODY.length + "\r\n\r\n";
-        client.exchange(new Heard() {
+        client.exchange(new ExchangeListener() {
             @Override
-            public void head(Head head) {
+            public void head(ResponseHead head) {
                 if (head.status() != 200) {
                     finish("status " + head.status());
                 }
@@ -185,7 +185,7 @@
 
             @Override
             public void ended() {
-                thread.execute(Rehearsal.this::next);
+                thread.execute(WarmUp.this::next);
             }
 
             @Override
--- a/src/main/java/rampshift/settings/Configuration.java
+++ b/src/main/java/rampshift/settings/Configuration.java
@@ -40,21 +40,21 @@
     public static Configuration read(Map<String, String> environment) {
         String file = environment.get("NODE_CONFIG");
         if (file == null || file.isEmpty()) {
-            throw new Malformed("NODE_CONFIG is not set");
+            throw new InvalidInputException("NODE_CONFIG is not set");
         }
         Configuration c = new Configuration();
         try {
             Path path = Path.of(file);
             if (Files.size(path) > LARGEST) {
-                throw new Malformed(file + ": over " + LARGEST + " bytes");
+                throw new InvalidInputException(file + ": over " + LARGEST + " bytes");
             }
             c.parse(Files.readAllBytes(path), environment);
         } catch (JsonProcessingException e) {
-            throw new Malformed(file + ": " + e.getOriginalMessage().replace('\n', ' '));
+            throw new InvalidInputException(file + ": " + e.getOriginalMessage().replace('\n', ' '));
         } catch (IOException | java.nio.file.InvalidPathException e) {
-            throw new Malformed(file + ": cannot be read (" + e.getClass().getSimpleName() + ")");
-        } catch (Malformed e) {
-            throw new Malformed(file + ": " + e.getMessage());
+            throw new InvalidInputException(file + ": cannot be read (" + e.getClass().getSimpleName() + ")");
+        } catch (InvalidInputException e) {
+            throw new InvalidInputException(file + ": " + e.getMessage());
         }
         return c;
     }
@@ -91,7 +91,7 @@
         JsonFactory json = new JsonFactory();
         try (JsonParser in = json.createParser(bytes)) {
             if (in.nextToken() != JsonToken.START_OBJECT) {
-                throw new Malformed("not an object");
+                throw new InvalidInputException("not an object");
             }
             while (in.nextToken() == JsonToken.FIELD_NAME) {
                 String field = in.currentName();
@@ -105,7 +105,7 @@
                     case "known" -> known = value == JsonToken.START_OBJECT ? copy(json, in) : skip(in);
                     case "settings" -> {
                         if (value != JsonToken.START_OBJECT) {
-                            throw new Malformed("settings is not an object");
+                            throw new InvalidInputException("settings is not an object");
                         }
                         settings = new SettingsReader(in);
                     }
@@ -117,7 +117,7 @@
         listen = address("listen", listenText);
         discovery = address("discovery", discoveryText);
         if (settings == null) {
-            throw new Malformed("settings is missing");
+            throw new InvalidInputException("settings is missing");
         }
         // Here, where the file is still named: serve met what was wrong in them too late.
         settings.read(seed);
@@ -125,7 +125,7 @@
 
     private void limits(JsonParser in) throws IOException {
         if (in.currentToken() != JsonToken.START_OBJECT) {
-            throw new Malformed("limits is not an object");
+            throw new InvalidInputException("limits is not an object");
         }
         while (in.nextToken() == JsonToken.FIELD_NAME) {
             String field = in.currentName();
@@ -137,20 +137,20 @@
             }
         }
         if (sockets < 64) {
-            throw new Malformed("limits.sockets: fewer than 64 are too few to serve with");
+            throw new InvalidInputException("limits.sockets: fewer than 64 are too few to serve with");
         }
     }
 
     private static double positive(JsonParser in, String field) throws IOException {
         if (!in.currentToken().isNumeric() || !(in.getDoubleValue() >= 1) || in.getDoubleValue() > 1e9) {
-            throw new Malformed("limits." + field + " is not a number of 1 or more");
+            throw new InvalidInputException("limits." + field + " is not a number of 1 or more");
         }
         return in.getDoubleValue();
     }
 
     private static String text(JsonParser in, String field) throws IOException {
         if (in.currentToken() != JsonToken.VALUE_STRING) {
-            throw new Malformed(field + " is not text");
+            throw new InvalidInputException(field + " is not text");
         }
         return in.getText();
     }
@@ -172,14 +172,14 @@
         try {
             return Long.parseUnsignedLong(text, 16);
         } catch (NumberFormatException e) {
-            throw new Malformed("seed is not a hexadecimal number of 64 bits");
+            throw new InvalidInputException("seed is not a hexadecimal number of 64 bits");
         }
     }
 
     /** An address and a port; names are not looked up. */
     public static InetSocketAddress address(String what, String text) {
         if (text == null) {
-            throw new Malformed(what + " is missing");
+            throw new InvalidInputException(what + " is missing");
         }
         Matcher m = ADDRESS.matcher(text);
         try {
@@ -189,6 +189,6 @@
         } catch (IOException e) {
             // Falls through: an address of four numbers over 255, say.
         }
-        throw new Malformed(what + " is not an address with a port");
+        throw new InvalidInputException(what + " is not an address with a port");
     }
 }
--- a/src/main/java/rampshift/settings/Platform.java
+++ b/src/main/java/rampshift/settings/HostSettings.java
@@ -4,7 +4,7 @@
 import rampshift.time.Span;
 
 /** What a host on sockets needs of the settings, beside what the decision module reads. */
-public record Platform(
+public record HostSettings(
         List<String> zones,
         List<String> kinds,
         List<String> types,
--- a/src/main/java/rampshift/settings/Malformed.java
+++ b/src/main/java/rampshift/settings/InvalidInputException.java
@@ -1,10 +1,10 @@
 package rampshift.settings;
 
 /** Input that the wire does not allow. */
-public final class Malformed extends RuntimeException {
+public final class InvalidInputException extends RuntimeException {
     private static final long serialVersionUID = 1L;
 
-    public Malformed(String what) {
+    public InvalidInputException(String what) {
         super(what);
     }
 }
--- a/src/main/java/rampshift/settings/Tree.java
+++ b/src/main/java/rampshift/settings/JsonTree.java
@@ -15,7 +15,7 @@
 import java.util.Map;
 
 /** JSON as plain maps and lists that keep their order. */
-public final class Tree {
+public final class JsonTree {
     private static final JsonFactory JSON = JsonFactory.builder()
             .enable(StreamReadFeature.STRICT_DUPLICATE_DETECTION).build();
 
@@ -24,7 +24,7 @@
         Object of(JsonParser at) throws IOException;
     }
 
-    private Tree() {}
+    private JsonTree() {}
 
     /**
      * Its numbers are kept as written. Throws a Malformed for what is no object, and an IOException, with
@@ -34,11 +34,11 @@
     public static Map<String, Object> read(byte[] bytes) throws IOException {
         try (JsonParser in = JSON.createParser(bytes)) {
             if (in.nextToken() != JsonToken.START_OBJECT) {
-                throw new Malformed("not an object");
+                throw new InvalidInputException("not an object");
             }
             Map<String, Object> tree = object(in, JsonParser::getDecimalValue);
             if (in.nextToken() != null) {
-                throw new Malformed("more than one object");
+                throw new InvalidInputException("more than one object");
             }
             return tree;
         }
--- a/src/main/java/rampshift/settings/SettingsReader.java
+++ b/src/main/java/rampshift/settings/SettingsReader.java
@@ -7,8 +7,8 @@
 import java.util.Map;
 import java.util.Set;
 import java.util.TreeSet;
-import rampshift.decide.Settings;
-import rampshift.decide.TrafficType;
+import rampshift.policy.Settings;
+import rampshift.policy.TrafficType;
 import rampshift.time.Span;
 
 /** Reads the settings of an instance; unknown ones are ignored, absent ones keep the wire's meaning. */
@@ -16,7 +16,7 @@
     private final Map<String, Object> root;
 
     public SettingsReader(JsonParser in) throws IOException {
-        root = Tree.object(in, JsonParser::getDoubleValue);
+        root = JsonTree.object(in, JsonParser::getDoubleValue);
     }
 
     @Override
@@ -40,7 +40,7 @@
         s.zone = (int) number(root, "Zone", 0);
         int zones = list(root, "Zones").size();
         if (s.zone < 0 || zones > 0 && s.zone >= zones) {
-            throw new Malformed("setting Zone is " + s.zone + ", and Zones has " + zones);
+            throw new InvalidInputException("setting Zone is " + s.zone + ", and Zones has " + zones);
         }
         s.tick = span(root, "GranularityMs", 1);
         s.mostAssignments = (int) need(limits, "Limits", "MostAssignments");
@@ -74,7 +74,7 @@
         s.tipMultiple = number(rules, "TipMultiple", 1);
         List<Object> types = list(root, "TrafficTypes");
         if (types.isEmpty()) {
-            throw new Malformed("the settings lack TrafficTypes");
+            throw new InvalidInputException("the settings lack TrafficTypes");
         }
         int kinds = list(root, "Kinds").size();
         for (int i = 0; i < types.size(); i++) {
@@ -83,7 +83,7 @@
             int only = (int) at(family, "ClassKind", i, -1);
             if (only >= 0) {
                 if (on != null && !on.contains(only)) {
-                    throw new Malformed("setting TrafficTypes.AllowedOn lacks the kind " + only
+                    throw new InvalidInputException("setting TrafficTypes.AllowedOn lacks the kind " + only
                             + " that ClassKind names");
                 }
                 on = Set.of(only);
@@ -111,14 +111,15 @@
         for (Object value : list(row, name)) {
             if (!(value instanceof Number n) || n.doubleValue() != n.intValue() || n.intValue() < 0
                     || most > 0 && n.intValue() >= most) {
-                throw new Malformed(
+                throw new InvalidInputException(
                         "setting TrafficTypes." + name + " holds " + value + ", expected places from 0"
                                 + (most > 0 ? " to " + (most - 1) : ""));
             }
             places.add(n.intValue());
         }
         if (places.isEmpty()) {
-            throw new Malformed("setting TrafficTypes." + name + " is empty: the type could run nowhere");
+            throw new InvalidInputException(
+                    "setting TrafficTypes." + name + " is empty: the type could run nowhere");
         }
         return places;
     }
@@ -136,9 +137,9 @@
     }
 
     /** What only a host on sockets needs. */
-    public Platform platform() {
+    public HostSettings platform() {
         Map<String, Object> limits = part("Limits");
-        return new Platform(names("Zones", false), names("Kinds", false), names("TrafficTypes", true),
+        return new HostSettings(names("Zones", false), names("Kinds", false), names("TrafficTypes", true),
                 names("Tenants", true),
                 span(limits, "DialTimeoutMs", 100), span(limits, "ConnIdleMs", 10_000),
                 (int) Math.max(1, Math.min(Integer.MAX_VALUE, number(limits, "OpenCap", Integer.MAX_VALUE))),
@@ -165,7 +166,8 @@
     /** Whether workers report load at all; where nothing is said they do. */
     private static boolean reports(Object how) {
         if (how != null && !Set.of("inline", "on_probe", "off").contains(how)) {
-            throw new Malformed("setting LoadInfo.How is " + how + ", not inline, on_probe or off");
+            throw new InvalidInputException(
+                    "setting LoadInfo.How is " + how + ", not inline, on_probe or off");
         }
         return !"off".equals(how);
     }
@@ -196,7 +198,7 @@
         if (value instanceof Map) {
             return (Map<String, Object>) value;
         }
-        throw new Malformed("setting " + name + " is not an object");
+        throw new InvalidInputException("setting " + name + " is not an object");
     }
 
     @SuppressWarnings("unchecked")
@@ -208,7 +210,7 @@
         if (value instanceof List) {
             return (List<Object>) value;
         }
-        throw new Malformed("setting " + name + " is not an array");
+        throw new InvalidInputException("setting " + name + " is not an array");
     }
 
     private static double at(Map<String, Object> from, String name, int place, double ifAbsent) {
@@ -218,7 +220,7 @@
 
     private static double need(Map<String, Object> from, String where, String name) {
         if (from.get(name) == null) {
-            throw new Malformed("the settings lack " + where + "." + name);
+            throw new InvalidInputException("the settings lack " + where + "." + name);
         }
         return number(from, name, 0);
     }
@@ -231,14 +233,14 @@
         if (value instanceof Number n) {
             return n.doubleValue();
         }
-        throw new Malformed("setting " + name + " is not a number");
+        throw new InvalidInputException("setting " + name + " is not a number");
     }
 
     private static double atLeast(double least, Map<String, Object> from, String where, String name,
             double ifAbsent) {
         double value = number(from, name, ifAbsent);
         if (!(value >= least)) {
-            throw new Malformed("setting " + where + "." + name
+            throw new InvalidInputException("setting " + where + "." + name
                     + (from.get(name) == null ? " is missing" : " is " + value) + ", expected " + least
                     + " or more");
         }
@@ -248,7 +250,7 @@
     private static boolean strictFlag(Map<String, Object> from, String where, String name) {
         Object value = from.get(name);
         if (value != null && !(value instanceof Boolean)) {
-            throw new Malformed(
+            throw new InvalidInputException(
                     "setting " + where + "." + name + " is " + value + ", expected true or false");
         }
         return Boolean.TRUE.equals(value);
--- a/src/main/java/rampshift/drill/Entry.java
+++ b/src/main/java/rampshift/simulator/EndpointEntry.java
@@ -1,15 +1,15 @@
-package rampshift.drill;
+package rampshift.simulator;
 
 import com.fasterxml.jackson.core.JsonParser;
 import com.fasterxml.jackson.core.JsonToken;
 import java.io.IOException;
-import rampshift.settings.Malformed;
+import rampshift.settings.InvalidInputException;
 
 /**
  * One worker as a list tells it. Lists are most of what comes, so each field is read to its place, not kept
  * by name.
  */
-final class Entry {
+final class EndpointEntry {
     private static final String WHAT = "Fleet: an entry";
 
     long worker;
@@ -22,7 +22,7 @@
 
     /** Reads it anew; the parser stands at its start. */
     void read(JsonParser in) throws IOException {
-        Fields.open(in, WHAT);
+        MessageFields.open(in, WHAT);
         worker = -1;
         site = pod = machine = 0;
         state = null;
@@ -37,11 +37,11 @@
                 case "Site" -> site = (int) whole(in, name, value);
                 case "Pod" -> pod = (int) whole(in, name, value);
                 case "Machine" -> machine = (int) whole(in, name, value);
-                case "BornMs" -> bornMs = Fields.number(in, name);
-                case "Nominal" -> weight = Fields.number(in, name);
+                case "BornMs" -> bornMs = MessageFields.number(in, name);
+                case "Nominal" -> weight = MessageFields.number(in, name);
                 case "Availability" -> {
                     if (value != JsonToken.VALUE_STRING) {
-                        throw new Malformed(WHAT + ": Availability is not text");
+                        throw new InvalidInputException(WHAT + ": Availability is not text");
                     }
                     state = in.getText();
                 }
@@ -49,13 +49,13 @@
             }
         }
         if (worker < 0 || state == null) {
-            throw new Malformed(WHAT + " without " + (state == null ? "Availability" : "Worker"));
+            throw new InvalidInputException(WHAT + " without " + (state == null ? "Availability" : "Worker"));
         }
     }
 
     private static long whole(JsonParser in, String name, JsonToken value) throws IOException {
         if (value != JsonToken.VALUE_NUMBER_INT) {
-            throw new Malformed(WHAT + ": " + name + " is not a whole number");
+            throw new InvalidInputException(WHAT + ": " + name + " is not a whole number");
         }
         return in.getLongValue();
     }
--- a/src/main/java/rampshift/drill/Lines.java
+++ b/src/main/java/rampshift/simulator/LineReader.java
@@ -1,4 +1,4 @@
-package rampshift.drill;
+package rampshift.simulator;
 
 import java.io.IOException;
 import java.io.InputStream;
@@ -6,13 +6,13 @@
 import java.util.Arrays;
 
 /** Lines of bytes, whole, as they come: to make text of them first took a fifth of the time of a batch. */
-final class Lines {
+final class LineReader {
     private final InputStream in;
     private byte[] bytes = new byte[1 << 16];
     private int from;
     private int to;
 
-    Lines(InputStream in) {
+    LineReader(InputStream in) {
         this.in = in;
     }
 
--- a/src/main/java/rampshift/drill/Fields.java
+++ b/src/main/java/rampshift/simulator/MessageFields.java
@@ -1,22 +1,22 @@
-package rampshift.drill;
+package rampshift.simulator;
 
 import com.fasterxml.jackson.core.JsonParser;
 import com.fasterxml.jackson.core.JsonToken;
 import java.io.IOException;
 import java.util.ArrayList;
 import java.util.List;
-import rampshift.settings.Malformed;
+import rampshift.settings.InvalidInputException;
 import rampshift.settings.SettingsReader;
 
 /** The fields of the message being read. One object is used for all messages in turn. */
-final class Fields {
+final class MessageFields {
     private final List<String> names = new ArrayList<>();
     private final List<Object> values = new ArrayList<>();
     SettingsReader settings;
     /** Of a list: so many, in the order in which they came. */
-    final List<Entry> entries = new ArrayList<>();
+    final List<EndpointEntry> entries = new ArrayList<>();
     int count;
-    Fields load;
+    MessageFields load;
 
     void read(JsonParser in) throws IOException {
         open(in, "a message");
@@ -33,12 +33,12 @@
             } else if (name.equals("Entries") && token == JsonToken.START_ARRAY) {
                 while (!in.nextToken().isStructEnd()) {
                     if (count == entries.size()) {
-                        entries.add(new Entry());
+                        entries.add(new EndpointEntry());
                     }
                     entries.get(count++).read(in);
                 }
             } else if (name.equals("Load") && token == JsonToken.START_OBJECT) {
-                load = new Fields();
+                load = new MessageFields();
                 load.read(in);
             } else if (token.isNumeric()) {
                 put(name, token == JsonToken.VALUE_NUMBER_INT ? whole(in) : (Object) in.getDoubleValue());
@@ -75,7 +75,7 @@
     private Object need(String name) {
         Object value = find(name);
         if (value == null) {
-            throw new Malformed(what() + " without " + name);
+            throw new InvalidInputException(what() + " without " + name);
         }
         return value;
     }
@@ -88,14 +88,14 @@
         if (need(name) instanceof String s) {
             return s;
         }
-        throw new Malformed(what() + ": " + name + " is not text");
+        throw new InvalidInputException(what() + ": " + name + " is not text");
     }
 
     long whole(String name) {
         if (need(name) instanceof Long n) {
             return n;
         }
-        throw new Malformed(what() + ": " + name + " is not a whole number");
+        throw new InvalidInputException(what() + ": " + name + " is not a whole number");
     }
 
     int index(String name) {
@@ -110,7 +110,7 @@
         if (value instanceof Number n) {
             return n.doubleValue();
         }
-        throw new Malformed(what() + ": " + name + " is not a number");
+        throw new InvalidInputException(what() + ": " + name + " is not a number");
     }
 
     boolean flag(String name) {
@@ -118,24 +118,24 @@
         if (value == null || value instanceof Boolean) {
             return Boolean.TRUE.equals(value);
         }
-        throw new Malformed(what() + ": " + name + " is neither true nor false");
+        throw new InvalidInputException(what() + ": " + name + " is neither true nor false");
     }
 
     static void open(JsonParser in, String what) throws IOException {
         if ((in.currentToken() == null ? in.nextToken() : in.currentToken()) != JsonToken.START_OBJECT) {
-            throw new Malformed(what + " is not an object");
+            throw new InvalidInputException(what + " is not an object");
         }
     }
 
     static void array(JsonParser in, String what) {
         if (in.currentToken() != JsonToken.START_ARRAY) {
-            throw new Malformed(what + " is not an array");
+            throw new InvalidInputException(what + " is not an array");
         }
     }
 
     static double number(JsonParser in, String name) throws IOException {
         if (!in.currentToken().isNumeric()) {
-            throw new Malformed(name + " is not a number");
+            throw new InvalidInputException(name + " is not a number");
         }
         return in.getDoubleValue();
     }
--- a/src/main/java/rampshift/drill/Instance.java
+++ b/src/main/java/rampshift/simulator/PolicyInstance.java
@@ -1,18 +1,18 @@
-package rampshift.drill;
+package rampshift.simulator;
 
-import rampshift.decide.Choice;
-import rampshift.decide.Outcome;
-import rampshift.settings.Malformed;
+import rampshift.policy.AttemptOutcome;
+import rampshift.policy.DispatchPolicy;
+import rampshift.settings.InvalidInputException;
 import rampshift.settings.SettingsReader;
 import rampshift.time.Moment;
 import rampshift.time.Span;
 
 /** One dispatcher's decision module, and the turning of its messages into calls. */
-final class Instance {
+final class PolicyInstance {
     private static final int JOB_BEGUN = 1;
     private static final int HINTED = 1;        // of StateBits
     private final String who;
-    private final Choice choice;
+    private final DispatchPolicy choice;
     private final int types;
     private final String freeSlots;
     private final String freeMemory;
@@ -20,14 +20,14 @@
     boolean retired;
     private String fault;
 
-    Instance(String who, SettingsReader settings, long seed, Moment now) {
+    PolicyInstance(String who, SettingsReader settings, long seed, Moment now) {
         if (settings == null) {
-            throw new Malformed("Attach without Setup");
+            throw new InvalidInputException("Attach without Setup");
         }
         this.who = who;
         var read = settings.read(seed);
         types = read.types.size();
-        choice = new Choice(read, now);
+        choice = new DispatchPolicy(read, now);
         freeSlots = settings.reportOf("free slots");
         freeMemory = settings.reportOf("free memory");
     }
@@ -36,16 +36,16 @@
         choice.clock(now);
     }
 
-    void event(String what, Fields f) {
+    void event(String what, MessageFields f) {
         if (!known(what)) {
-            throw new Malformed("a message with the unknown t " + what);
+            throw new InvalidInputException("a message with the unknown t " + what);
         }
         if (fault != null) {
             return;
         }
         try {
             hear(what, f);
-        } catch (Malformed e) {
+        } catch (InvalidInputException e) {
             throw e;
         } catch (RuntimeException e) {
             fault = what + ": " + e;
@@ -61,7 +61,7 @@
         };
     }
 
-    private void hear(String what, Fields f) {
+    private void hear(String what, MessageFields f) {
         switch (what) {
             case "Fleet" -> fleet(f);
             case "Arrival" -> arrival(f);
@@ -89,40 +89,42 @@
         }
     }
 
-    private void fleet(Fields f) {
+    private void fleet(MessageFields f) {
         String how = f.text("How");
         choice.listBegins(switch (how) {
-            case "failed" -> Choice.List.FAILED;
-            case "delta" -> Choice.List.CHANGES;
-            case "full" -> Choice.List.WHOLE;
-            case "cached" -> Choice.List.REMEMBERED;
-            default -> throw new Malformed("Fleet: unknown How " + how);
+            case "failed" -> DispatchPolicy.List.FAILED;
+            case "delta" -> DispatchPolicy.List.CHANGES;
+            case "full" -> DispatchPolicy.List.WHOLE;
+            case "cached" -> DispatchPolicy.List.REMEMBERED;
+            default -> throw new InvalidInputException("Fleet: unknown How " + how);
         });
         for (int i = 0; i < f.count; i++) {
-            Entry e = f.entries.get(i);
-            choice.listed(e.worker, e.site, e.pod, e.machine, e.state.equals("IN") ? Choice.Listed.READY
-                    : e.state.equals("LAME") ? Choice.Listed.DRAINING : Choice.Listed.GONE,
+            EndpointEntry e = f.entries.get(i);
+            choice.listed(
+                    e.worker, e.site, e.pod, e.machine, e.state.equals("IN") ? DispatchPolicy.Listed.READY
+                            : e.state.equals("LAME") ? DispatchPolicy.Listed.DRAINING
+                                    : DispatchPolicy.Listed.GONE,
                     Moment.ofMillis(e.bornMs), e.weight);
         }
         choice.listEnds();
     }
 
-    private void arrival(Fields f) {
+    private void arrival(MessageFields f) {
         int type = f.index("Priority");
         if (type < 0 || type >= types) {
-            throw new Malformed("Arrival: no traffic type " + type);
+            throw new InvalidInputException("Arrival: no traffic type " + type);
         }
         choice.arrived(f.whole("Ref"), type, f.index("Owner"), hint(f), f.number("Width", 1),
                 f.number("RamUnits", 0),
                 Span.ofMillis(f.number("PatienceLeftMs", 0)));
     }
 
-    private static Span hint(Fields f) {
+    private static Span hint(MessageFields f) {
         boolean valid = (f.index("StateBits") & HINTED) != 0;
         return valid ? Span.ofMillis(Math.max(0, f.number("ExpectedMs", 0))) : Span.ZERO;
     }
 
-    private void load(Fields f) {
+    private void load(MessageFields f) {
         if (f.load != null) {
             choice.reported(f.whole("Worker"),
                     freeSlots == null ? Double.NaN : f.load.number(freeSlots, Double.NaN),
@@ -131,22 +133,22 @@
         }
     }
 
-    private static Outcome outcome(String code) {
+    private static AttemptOutcome outcome(String code) {
         return switch (code) {
-            case "S" -> Outcome.FINISHED;
-            case "E" -> Outcome.ERRED;
-            case "F" -> Outcome.FULL;
-            case "T" -> Outcome.TIMED_OUT;
-            case "C" -> Outcome.NO_CONNECTION;
-            case "R" -> Outcome.BROKEN;
-            case "X" -> Outcome.CALLED_OFF;
-            case "N" -> Outcome.NOT_SENT;
-            default -> throw new Malformed("Ended: unknown Disposition " + code);
+            case "S" -> AttemptOutcome.FINISHED;
+            case "E" -> AttemptOutcome.ERRED;
+            case "F" -> AttemptOutcome.FULL;
+            case "T" -> AttemptOutcome.TIMED_OUT;
+            case "C" -> AttemptOutcome.NO_CONNECTION;
+            case "R" -> AttemptOutcome.BROKEN;
+            case "X" -> AttemptOutcome.CALLED_OFF;
+            case "N" -> AttemptOutcome.NOT_SENT;
+            default -> throw new InvalidInputException("Ended: unknown Disposition " + code);
         };
     }
 
     /** Pulls the decisions one by one; a fault of the module becomes one whole message. */
-    void answer(Reply out) {
+    void answer(ReplyWriter out) {
         out.who = who;
         if (fault == null) {
             try {
--- a/src/main/java/rampshift/drill/Reply.java
+++ b/src/main/java/rampshift/simulator/ReplyWriter.java
@@ -1,21 +1,21 @@
-package rampshift.drill;
+package rampshift.simulator;
 
 import com.fasterxml.jackson.core.JsonFactory;
 import com.fasterxml.jackson.core.JsonGenerator;
 import java.io.ByteArrayOutputStream;
 import java.io.IOException;
 import java.io.UncheckedIOException;
-import rampshift.decide.Decisions;
+import rampshift.policy.Decisions;
 import rampshift.time.Moment;
 import rampshift.time.Span;
 
 /** Writes a reply straight from the module's answers. */
-final class Reply implements Decisions {
+final class ReplyWriter implements Decisions {
     private final ByteArrayOutputStream bytes = new ByteArrayOutputStream(1024);
     final JsonGenerator out;
     String who;
 
-    Reply(JsonFactory json) throws IOException {
+    ReplyWriter(JsonFactory json) throws IOException {
         out = json.createGenerator(bytes);
     }
 
--- a/src/main/java/rampshift/drill/Drill.java
+++ b/src/main/java/rampshift/simulator/SimulatorHost.java
@@ -1,4 +1,4 @@
-package rampshift.drill;
+package rampshift.simulator;
 
 import com.fasterxml.jackson.core.JsonFactory;
 import com.fasterxml.jackson.core.JsonGenerator;
@@ -14,28 +14,28 @@
 import java.util.HashMap;
 import java.util.List;
 import java.util.Map;
-import rampshift.settings.Malformed;
+import rampshift.settings.InvalidInputException;
 import rampshift.time.Moment;
 
 /** Hosts many instances of the decision module on the simulator's wire; they share nothing. */
-public final class Drill {
+public final class SimulatorHost {
     private final JsonFactory json =
             JsonFactory.builder().enable(StreamReadFeature.USE_FAST_DOUBLE_PARSER).build();
-    private final Map<String, Instance> instances = new HashMap<>();
-    private final Fields fields = new Fields();
+    private final Map<String, PolicyInstance> instances = new HashMap<>();
+    private final MessageFields fields = new MessageFields();
 
     /** Plays the whole input; the result is the exit status. */
     public static int run(InputStream in, OutputStream out, PrintStream err) throws IOException {
-        Rehearsal.play();
-        Drill drill = new Drill();
-        Lines lines = new Lines(in);
+        SimulatorWarmUp.play();
+        SimulatorHost drill = new SimulatorHost();
+        LineReader lines = new LineReader(in);
         int number = 0;
         for (ByteBuffer line = lines.next(); line != null; line = lines.next()) {
             number++;
             try {
                 out.write(drill.reply(line));
                 out.flush();
-            } catch (JsonProcessingException | Malformed e) {
+            } catch (JsonProcessingException | InvalidInputException e) {
                 String what = e instanceof JsonProcessingException j
                         ? j.getOriginalMessage()
                         : e.getMessage();
@@ -48,16 +48,16 @@
 
     /** One batch in, one whole reply out. */
     byte[] reply(ByteBuffer line) throws IOException {
-        List<Instance> heard = new ArrayList<>();
+        List<PolicyInstance> heard = new ArrayList<>();
         Moment now = null;
         try (JsonParser in = json.createParser(line.array(), line.arrayOffset(), line.remaining())) {
-            Fields.open(in, "a batch");
+            MessageFields.open(in, "a batch");
             boolean news = false;
             while (in.nextToken() != null && in.currentName() != null && !in.currentToken().isStructEnd()) {
                 String name = in.currentName();
                 in.nextToken();
                 if (name.equals("SimTimeMs")) {
-                    now = Moment.ofMillis(Fields.number(in, name));
+                    now = Moment.ofMillis(MessageFields.number(in, name));
                 } else if (name.equals("news")) {
                     if (now == null) {
                         now = laterClock(line);
@@ -69,17 +69,17 @@
                 }
             }
             if (now == null || !news) {
-                throw new Malformed("a batch needs SimTimeMs and news");
+                throw new InvalidInputException("a batch needs SimTimeMs and news");
             }
             if (in.nextToken() != null) {
-                throw new Malformed("more than one value on the line");
+                throw new InvalidInputException("more than one value on the line");
             }
         }
-        Reply reply = new Reply(json);
+        ReplyWriter reply = new ReplyWriter(json);
         JsonGenerator out = reply.out;
         out.writeStartObject();
         out.writeArrayFieldStart("cmds");
-        for (Instance instance : heard) {
+        for (PolicyInstance instance : heard) {
             instance.heard = false;
             if (!instance.retired) {
                 instance.answer(reply);
@@ -96,31 +96,31 @@
                 String name = in.currentName();
                 in.nextToken();
                 if (name.equals("SimTimeMs")) {
-                    return Moment.ofMillis(Fields.number(in, name));
+                    return Moment.ofMillis(MessageFields.number(in, name));
                 }
                 in.skipChildren();
             }
         }
-        throw new Malformed("a batch needs SimTimeMs and news");
+        throw new InvalidInputException("a batch needs SimTimeMs and news");
     }
 
-    private void events(JsonParser in, Moment now, List<Instance> heard) throws IOException {
-        Fields.array(in, "news");
+    private void events(JsonParser in, Moment now, List<PolicyInstance> heard) throws IOException {
+        MessageFields.array(in, "news");
 
         while (!in.nextToken().isStructEnd()) {
             fields.read(in);
             String who = fields.text("Who");
             String what = fields.text("t");
             if (what.equals("Attach")) {
-                Instance instance = new Instance(who, fields.settings, fields.whole("Seed"), now);
-                Instance former = instances.put(who, instance);
+                PolicyInstance instance = new PolicyInstance(who, fields.settings, fields.whole("Seed"), now);
+                PolicyInstance former = instances.put(who, instance);
                 if (former != null) {
                     former.retired = true;
                 }
             }
-            Instance instance = instances.get(who);
+            PolicyInstance instance = instances.get(who);
             if (instance == null) {
-                throw new Malformed(what + " for the unknown instance " + who);
+                throw new InvalidInputException(what + " for the unknown instance " + who);
             }
             if (what.equals("Retire")) {
                 instance.retired = true;
--- a/src/main/java/rampshift/drill/Rehearsal.java
+++ b/src/main/java/rampshift/simulator/SimulatorWarmUp.java
@@ -1,4 +1,4 @@
-package rampshift.drill;
+package rampshift.simulator;
 
 import java.io.IOException;
 import java.nio.ByteBuffer;
@@ -11,7 +11,7 @@
  * that was not compiled
  * yet, half of all that a short day with several processes took.
  */
-final class Rehearsal {
+final class SimulatorWarmUp {
     private static final int ROUNDS = 120;
     private static final int TASKS = 6;         // a round
     private static final int WORKERS = 24;
@@ -27,10 +27,10 @@
                     {"DueTimeMs":300.0,"ExpiryMs":5000.0,"Effect":"unsafe","RunsIn":[0]}]}}"""
                     .replace("\n", "");
 
-    private Rehearsal() {}
+    private SimulatorWarmUp() {}
 
     static void play() throws IOException {
-        Drill drill = new Drill();
+        SimulatorHost drill = new SimulatorHost();
         String[] whos = {"r/0", "r/1", "r/2"};
         reply(drill, 0,
                 ATTACH.formatted(whos[0], "false", "inline", "live", "0.0", "true") + ','
@@ -82,7 +82,7 @@
         return list.append("]}").toString();
     }
 
-    private static void reply(Drill drill, double ms, String news) throws IOException {
+    private static void reply(SimulatorHost drill, double ms, String news) throws IOException {
         drill.reply(ByteBuffer.wrap(("{\"SimTimeMs\":" + (1e6 + ms) + ",\"news\":[" + news + "]}")
                 .getBytes(StandardCharsets.UTF_8)));
     }
--- a/src/main/java/rampshift/fleet/Commands.java
+++ b/src/main/java/rampshift/testbed/Commands.java
@@ -1,9 +1,9 @@
-package rampshift.fleet;
+package rampshift.testbed;
 
 import java.io.IOException;
 import java.io.PrintStream;
-import rampshift.fleet.trial.Desk;
-import rampshift.toml.Fault;
+import rampshift.testbed.experiment.FleetCommandLine;
+import rampshift.toml.ConfigurationException;
 
 /** The fleet's part of the command line. Loaded by name, from a jar of its own: `serve` never sees it. */
 public final class Commands {
@@ -15,8 +15,8 @@
      */
     public static int run(String[] arguments, PrintStream out, PrintStream err) {
         try {
-            return Desk.run(arguments, out);
-        } catch (Fault e) {
+            return FleetCommandLine.run(arguments, out);
+        } catch (ConfigurationException e) {
             out.flush();
             for (String line : e.getMessage().split("\n")) {
                 err.println(line.startsWith("  ") ? line : "rampshift " + arguments[0] + ": " + line);
--- a/src/main/java/rampshift/fleet/clients/Arrivals.java
+++ b/src/main/java/rampshift/testbed/clients/Arrivals.java
@@ -1,9 +1,9 @@
-package rampshift.fleet.clients;
+package rampshift.testbed.clients;
 
 import org.apache.commons.rng.UniformRandomProvider;
 import org.apache.commons.rng.sampling.distribution.ZigguratSampler;
-import rampshift.fleet.ledger.Chances;
-import rampshift.fleet.plan.Plan;
+import rampshift.testbed.plan.FleetPlan;
+import rampshift.testbed.random.RandomStreams;
 import rampshift.time.Span;
 
 /**
@@ -15,7 +15,7 @@
     /** At: since the start. Work: on a machine of speed 1. Object: -1 for none. */
     record Arrival(Span at, int site, int type, Span work, int object) {}
 
-    private final Plan plan;
+    private final FleetPlan plan;
     private final double most;
     private final UniformRandomProvider when;
     private final UniformRandomProvider what;
@@ -26,19 +26,19 @@
     private double micros;
 
     /** The part of one load process among so many. */
-    Arrivals(Plan plan, long seed, int process) {
+    Arrivals(FleetPlan plan, long seed, int process) {
         this.plan = plan;
-        when = Chances.of(seed, "arrivals " + process);
-        what = Chances.of(seed, "tasks " + process);
+        when = RandomStreams.of(seed, "arrivals " + process);
+        what = RandomStreams.of(seed, "tasks " + process);
         gaps = ZigguratSampler.Exponential.of(when);
         works = ZigguratSampler.Exponential.of(what);
         double times = 1;
-        for (Plan.Burst burst : plan.arrivals().bursts()) {
+        for (FleetPlan.Burst burst : plan.arrivals().bursts()) {
             times *= Math.max(1, burst.times());
         }
         most = plan.arrivals().rate() / plan.clients().processes() * times;
-        siteShares = plan.sites().stream().mapToDouble(Plan.Site::share).sum();
-        typeShares = plan.types().stream().mapToDouble(Plan.Type::share).sum();
+        siteShares = plan.sites().stream().mapToDouble(FleetPlan.Site::share).sum();
+        typeShares = plan.types().stream().mapToDouble(FleetPlan.Type::share).sum();
     }
 
     /** The next one, or null where none comes any more. */
@@ -73,7 +73,7 @@
                 break;
             }
         }
-        Plan.Type type = plan.types().get(number);
+        FleetPlan.Type type = plan.types().get(number);
         double times = switch (type.spread()) {
             case FIXED -> 1;
             case EXPONENTIAL -> works.sample();
@@ -97,7 +97,7 @@
 
     private double rate(Span at, int site) {
         double rate = plan.arrivals().rate() / plan.clients().processes();
-        for (Plan.Burst b : plan.arrivals().bursts()) {
+        for (FleetPlan.Burst b : plan.arrivals().bursts()) {
             boolean on = !b.at().longerThan(at) && b.at().plus(b.length()).longerThan(at);
             if (on && (b.site().isEmpty() || b.site().equals(plan.sites().get(site).name()))) {
                 rate *= b.times();
--- a/src/main/java/rampshift/fleet/clients/Front.java
+++ b/src/main/java/rampshift/testbed/clients/FrontProxy.java
@@ -1,10 +1,10 @@
-package rampshift.fleet.clients;
+package rampshift.testbed.clients;
 
 import java.net.InetSocketAddress;
 import java.util.ArrayList;
 import java.util.List;
 import org.apache.commons.rng.UniformRandomProvider;
-import rampshift.fleet.plan.Plan;
+import rampshift.testbed.plan.FleetPlan;
 import rampshift.time.Moment;
 
 /**
@@ -12,7 +12,7 @@
  * dead
  * one until it has noticed. No I/O, no clock.
  */
-final class Front {
+final class FrontProxy {
     /** One dispatcher as the front knows it. */
     static final class Member {
         final int number;
@@ -27,11 +27,11 @@
         }
     }
 
-    private final Plan plan;
+    private final FleetPlan plan;
     private final List<Member> members;
     private final UniformRandomProvider chance;
 
-    Front(Plan plan, List<InetSocketAddress> addresses, UniformRandomProvider chance) {
+    FrontProxy(FleetPlan plan, List<InetSocketAddress> addresses, UniformRandomProvider chance) {
         this.plan = plan;
         this.chance = chance;
         members = new ArrayList<>();
--- a/src/main/java/rampshift/fleet/clients/Load.java
+++ b/src/main/java/rampshift/testbed/clients/LoadGenerator.java
@@ -1,4 +1,4 @@
-package rampshift.fleet.clients;
+package rampshift.testbed.clients;
 
 import java.io.IOException;
 import java.net.InetSocketAddress;
@@ -19,14 +19,14 @@
 import org.xnio.XnioExecutor;
 import org.xnio.XnioIoThread;
 import org.xnio.XnioWorker;
-import rampshift.fleet.ledger.Chances;
-import rampshift.fleet.plan.Plan;
-import rampshift.fleet.wire.Line;
-import rampshift.fleet.wire.Message;
-import rampshift.fleet.wire.MessageReader;
-import rampshift.fleet.wire.Ports;
-import rampshift.ledger.Ledger;
-import rampshift.ledger.Stamp;
+import rampshift.eventlog.EventClock;
+import rampshift.eventlog.EventLog;
+import rampshift.testbed.plan.FleetPlan;
+import rampshift.testbed.random.RandomStreams;
+import rampshift.testbed.wire.FaultyConnection;
+import rampshift.testbed.wire.LoopbackNetwork;
+import rampshift.testbed.wire.Message;
+import rampshift.testbed.wire.MessageReader;
 import rampshift.time.Moment;
 import rampshift.time.Span;
 
@@ -35,7 +35,7 @@
  * from
  * then. A stall of the dispatcher is not hidden, and neither is one of this tool: it counts its own lateness.
  */
-public final class Load {
+public final class LoadGenerator {
     // still waited for, after a client gave up
     private static final Span LATE_ANSWERS = Span.ofMillis(400);
     private static final Span ASK_AGAIN = Span.ofMillis(200);
@@ -43,15 +43,15 @@
     private static final Span IDLE_APART = Span.ofMillis(10);   // they are not what is measured
     private static final OptionMap OPTIONS = OptionMap.create(Options.TCP_NODELAY, true);
 
-    private final Plan plan;
+    private final FleetPlan plan;
     private final long seed;
     private final int process;
-    private final Ledger ledger;
+    private final EventLog ledger;
     private final XnioWorker worker;
     private final XnioIoThread thread;
-    private final Front front;
+    private final FrontProxy front;
     private final UniformRandomProvider chance;
-    private final Tally tally;
+    private final LoadStatistics tally;
     private final List<ArrayDeque<Talk>> kept = new ArrayList<>();
     private final List<Talk> idle = new ArrayList<>();
     private final CountDownLatch idleUp;
@@ -65,16 +65,17 @@
     /** A task as its client sees it, through all its tries. */
     private record Task(long number, Arrivals.Arrival what, String key, Moment wanted) {}
 
-    public Load(Plan plan, long seed, int process, List<InetSocketAddress> dispatchers, Ledger ledger)
+    public LoadGenerator(FleetPlan plan, long seed, int process, List<InetSocketAddress> dispatchers,
+            EventLog ledger)
             throws IOException {
         this.plan = plan;
         this.seed = seed;
         this.process = process;
         this.ledger = ledger;
-        chance = Chances.of(seed, "clients " + process);
-        front = new Front(plan, dispatchers, Chances.of(seed, "front " + process));
-        tally = new Tally(plan);
-        worker = Ports.worker("load");
+        chance = RandomStreams.of(seed, "clients " + process);
+        front = new FrontProxy(plan, dispatchers, RandomStreams.of(seed, "front " + process));
+        tally = new LoadStatistics(plan);
+        worker = LoopbackNetwork.worker("load");
         thread = worker.getIoThread(0);
         for (int i = 0; i < dispatchers.size(); i++) {
             kept.add(new ArrayDeque<>());
@@ -93,9 +94,10 @@
     public void openIdle(Span most) {
         int count = idleCount();
         for (int i = 0; i < count; i++) {
-            Front.Member to = front.members().get(i % front.members().size());
+            FrontProxy.Member to = front.members().get(i % front.members().size());
             Arrivals.Arrival what = new Arrivals.Arrival(Span.ZERO, to.site, 0, Span.ofMillis(1), -1);
-            thread.executeAfter(() -> new Try(new Task(++ids, what, hex(), Stamp.now()), 0, to, true).start(),
+            thread.executeAfter(
+                    () -> new Try(new Task(++ids, what, hex(), EventClock.now()), 0, to, true).start(),
                     Math.round(i * IDLE_APART.millis()), TimeUnit.MILLISECONDS);
         }
         try {
@@ -137,7 +139,7 @@
     }
 
     private static void waitFor(Moment due) {
-        long nanos = Stamp.nanoTimeOf(due);
+        long nanos = EventClock.nanoTimeOf(due);
         for (long left = nanos - System.nanoTime(); left > 0; left = nanos - System.nanoTime()) {
             LockSupport.parkNanos(left);
         }
@@ -159,7 +161,7 @@
 
     private void nextInLoop() {
         if (!allSent) {
-            Moment now = Stamp.now();
+            Moment now = EventClock.now();
             arrives(closedLoop.draw(now.since(zero)), now);
         }
     }
@@ -198,16 +200,16 @@
     }
 
     private void askSuspects() {
-        for (Front.Member m : front.suspects()) {
+        for (FrontProxy.Member m : front.suspects()) {
             dial(m, connection -> {
-                Line[] line = new Line[1];
+                FaultyConnection[] line = new FaultyConnection[1];
                 MessageReader reader = new MessageReader(answer -> {
                     if (answer.status() == 200) {
                         front.ready(m);
                     }
                     line[0].close();
                 });
-                line[0] = new Line(connection, thread, reading(reader));
+                line[0] = new FaultyConnection(connection, thread, reading(reader));
                 line[0].write("GET /ready HTTP/1.1\r\nHost: f\r\nConnection: close\r\n\r\n");
                 line[0].start();
             }, why -> {});
@@ -217,12 +219,12 @@
         }
     }
 
-    private static Line.Told reading(MessageReader reader) {
-        return new Line.Told() {
+    private static FaultyConnection.Told reading(MessageReader reader) {
+        return new FaultyConnection.Told() {
             @Override
             public void bytes(byte[] bytes, int count) {
                 try {
-                    reader.take(bytes, 0, count, Stamp.now());
+                    reader.take(bytes, 0, count, EventClock.now());
                 } catch (IOException e) {
                     // It is not ready then.
                 }
@@ -243,7 +245,7 @@
         void why(String why);
     }
 
-    private void dial(Front.Member to, Opened opened, Unreachable failed) {
+    private void dial(FrontProxy.Member to, Opened opened, Unreachable failed) {
         boolean[] over = new boolean[1];
         IoFuture<StreamConnection> coming = thread.openStreamConnection(to.address, c -> {
             if (over[0]) {
@@ -274,16 +276,16 @@
     }
 
     /** A connection that is kept between tasks. */
-    private final class Talk implements Line.Told {
-        final Front.Member to;
-        final Line line;
+    private final class Talk implements FaultyConnection.Told {
+        final FrontProxy.Member to;
+        final FaultyConnection line;
         private final MessageReader reader = new MessageReader(this::answered);
         private Try now;
         private boolean used;
 
-        Talk(Front.Member to, StreamConnection connection) {
+        Talk(FrontProxy.Member to, StreamConnection connection) {
             this.to = to;
-            line = new Line(connection, thread, this);
+            line = new FaultyConnection(connection, thread, this);
             line.start();
             tally.opened++;
         }
@@ -297,12 +299,12 @@
         public void bytes(byte[] bytes, int count) {
             if (now == null) {
                 // The one that this connection answered last has got a second answer, or bytes of nobody's.
-                ledger.line(Stamp.now(), "unasked", to.number, count);
+                ledger.line(EventClock.now(), "unasked", to.number, count);
                 drop();
                 return;
             }
             try {
-                reader.take(bytes, 0, count, Stamp.now());
+                reader.take(bytes, 0, count, EventClock.now());
             } catch (IOException e) {
                 Try told = now;
                 drop();
@@ -350,7 +352,7 @@
     private final class Try {
         private final Task task;
         private final int number;
-        private final Front.Member to;
+        private final FrontProxy.Member to;
         private final boolean standsIdle;
         private final Moment due;
         private final String txn = hex().substring(0, 20);
@@ -361,12 +363,12 @@
         private boolean gaveUp;
         private boolean over;
 
-        Try(Task task, int number, Front.Member to, boolean standsIdle) {
+        Try(Task task, int number, FrontProxy.Member to, boolean standsIdle) {
             this.task = task;
             this.number = number;
             this.to = to;
             this.standsIdle = standsIdle;
-            due = number == 0 ? task.wanted() : Stamp.now();
+            due = number == 0 ? task.wanted() : EventClock.now();
         }
 
         void start() {
@@ -376,9 +378,9 @@
                 return;
             }
             sendAnew(why -> {
-                front.failed(to, Stamp.now());
-                ledger.line(Stamp.now(), "unreachable", txn, to.number);
-                end(Tally.End.UNREACHABLE, true, null, -1);
+                front.failed(to, EventClock.now());
+                ledger.line(EventClock.now(), "unreachable", txn, to.number);
+                end(LoadStatistics.End.UNREACHABLE, true, null, -1);
             });
         }
 
@@ -394,7 +396,7 @@
             }, failed);
         }
 
-        private Plan.Type type() {
+        private FleetPlan.Type type() {
             return plan.types().get(task.what().type());
         }
 
@@ -403,7 +405,7 @@
         }
 
         private void send(Talk talk) {
-            Moment now = Stamp.now();
+            Moment now = EventClock.now();
             on = talk;
             if (sent == null) {
                 if (!standsIdle && counts(task)) {
@@ -420,7 +422,7 @@
         }
 
         private byte[] message() {
-            Plan.Type t = type();
+            FleetPlan.Type t = type();
             StringBuilder body = new StringBuilder(t.body() + 40);
             body.append("work=").append(task.what().work().micros()).append(',').append(t.slots()).append(',')
                     .append(t.memory()).append(';');
@@ -435,7 +437,7 @@
             head.append(" HTTP/1.1\r\nHost: fleet\r\nX-Txn: ").append(txn).append("\r\nX-Lane: ")
                     .append(t.name())
                     .append("\r\nX-Remaining: ").append(patience().seconds());
-            if (t.effect() == Plan.Type.Effect.FINGERPRINTED) {
+            if (t.effect() == FleetPlan.Type.Effect.FINGERPRINTED) {
                 head.append("\r\nIdempotency-Key: ").append(task.key());
             }
             if (number > 0) {
@@ -450,24 +452,25 @@
             if (over) {
                 return;
             }
-            Moment now = Stamp.now();
+            Moment now = EventClock.now();
             String result = answer.text();
             int status = answer.status();
             ledger.line(now, "answer", txn, status, status == 200 ? result : "-");
             if (gaveUp) {
-                end(Tally.End.NO_ANSWER, false, null, -1);
+                end(LoadStatistics.End.NO_ANSWER, false, null, -1);
             } else if (status == 200) {
-                end(Tally.End.FINISHED, false, null, took(result));
+                end(LoadStatistics.End.FINISHED, false, null, took(result));
             } else if (status == 429 || status == 503) {
-                end(Tally.End.BOUNCED, true, answer.field("Retry-After"), -1);
+                end(LoadStatistics.End.BOUNCED, true, answer.field("Retry-After"), -1);
             } else {
-                end(status >= 500 ? Tally.End.ABANDONED : Tally.End.TURNED_DOWN, harmless(), null, -1);
+                end(status >= 500 ? LoadStatistics.End.ABANDONED : LoadStatistics.End.TURNED_DOWN, harmless(),
+                        null, -1);
             }
         }
 
         /** A client may try again what may have run, if its traffic type lets it. */
         private boolean harmless() {
-            return type().effect() != Plan.Type.Effect.SIDE_EFFECTING;
+            return type().effect() != FleetPlan.Type.Effect.SIDE_EFFECTING;
         }
 
         private long took(String result) {
@@ -480,7 +483,7 @@
             if (over) {
                 return;
             }
-            Moment now = Stamp.now();
+            Moment now = EventClock.now();
             if (unread && !resent && !gaveUp) {
                 resent = true;
                 ledger.line(now, "crossed", txn, how);
@@ -491,30 +494,30 @@
         }
 
         private void lost(String how) {
-            Moment now = Stamp.now();
+            Moment now = EventClock.now();
             front.failed(to, now);
             ledger.line(now, "broken", txn, how);
-            end(Tally.End.BROKEN, harmless(), null, -1);
+            end(LoadStatistics.End.BROKEN, harmless(), null, -1);
         }
 
         /** The client's time is up. The tool waits a little more, to tell an answer too late from none. */
         private void givesUp() {
             gaveUp = true;
             timer = thread.executeAfter(() -> {
-                ledger.line(Stamp.now(), "none", txn);
-                end(Tally.End.NO_ANSWER, harmless(), null, -1);
+                ledger.line(EventClock.now(), "none", txn);
+                end(LoadStatistics.End.NO_ANSWER, harmless(), null, -1);
                 if (on != null) {
                     on.drop();
                 }
             }, Math.round(LATE_ANSWERS.millis()), TimeUnit.MILLISECONDS);
         }
 
-        private void end(Tally.End how, boolean mayTryAgain, String comeBack, long took) {
+        private void end(LoadStatistics.End how, boolean mayTryAgain, String comeBack, long took) {
             if (over) {
                 return;
             }
             over = true;
-            Moment now = Stamp.now();
+            Moment now = EventClock.now();
             if (timer != null) {
                 timer.remove();
             }
@@ -525,24 +528,24 @@
             if (counts(task)) {
                 tally.ended(task.what().type(), how, since(now), now.since(due), took);
             }
-            if (how == Tally.End.FINISHED && counts(task)) {
-                Plan.Type t = type();
+            if (how == LoadStatistics.End.FINISHED && counts(task)) {
+                FleetPlan.Type t = type();
                 tally.earns(task.what().type(), since(now), now.since(task.wanted()),
                         t.due().plus(task.what().work().times(t.stretch())));
-            } else if (how != Tally.End.FINISHED && mayTryAgain && number < plan.clients().retries()
+            } else if (how != LoadStatistics.End.FINISHED && mayTryAgain && number < plan.clients().retries()
                     && !allSent) {
                 Span wait = plan.clients().pause().at(chance.nextDouble());
                 if (comeBack != null && plan.clients().honourReturn()) {
                     wait = wait.orLonger(seconds(comeBack));
                 }
                 thread.executeAfter(() -> new Try(task, number + 1,
-                        front.pick(task.what().site(), Stamp.now()), false).start(),
+                        front.pick(task.what().site(), EventClock.now()), false).start(),
                         Math.max(1, Math.round(wait.millis())), TimeUnit.MILLISECONDS);
                 return;
             }
             out--;
             if (plan.clients().inHand() > 0) {
-                thread.execute(Load.this::nextInLoop);
+                thread.execute(LoadGenerator.this::nextInLoop);
             }
             look();
         }
@@ -558,9 +561,10 @@
     /** How it stands, in one line: read by whoever started this process. */
     public String progress() {
         return String.format(Locale.ROOT, "progress %d %d %d %d %.4f %.4f", tally.sent(),
-                tally.count(Tally.End.FINISHED), tally.count(Tally.End.BOUNCED),
-                tally.count(Tally.End.ABANDONED) + tally.count(Tally.End.BROKEN)
-                        + tally.count(Tally.End.UNREACHABLE) + tally.count(Tally.End.NO_ANSWER),
+                tally.count(LoadStatistics.End.FINISHED), tally.count(LoadStatistics.End.BOUNCED),
+                tally.count(LoadStatistics.End.ABANDONED) + tally.count(LoadStatistics.End.BROKEN)
+                        + tally.count(LoadStatistics.End.UNREACHABLE)
+                        + tally.count(LoadStatistics.End.NO_ANSWER),
                 tally.earnedShare(), tally.lateShare());
     }
 
--- a/src/main/java/rampshift/fleet/clients/Tally.java
+++ b/src/main/java/rampshift/testbed/clients/LoadStatistics.java
@@ -1,4 +1,4 @@
-package rampshift.fleet.clients;
+package rampshift.testbed.clients;
 
 import com.fasterxml.jackson.databind.ObjectMapper;
 import com.fasterxml.jackson.databind.node.ArrayNode;
@@ -10,11 +10,11 @@
 import java.util.List;
 import org.HdrHistogram.Histogram;
 import org.HdrHistogram.HistogramLogWriter;
-import rampshift.fleet.plan.Plan;
+import rampshift.testbed.plan.FleetPlan;
 import rampshift.time.Span;
 
 /** What one load process counts: by traffic type and by second, and full histograms in microseconds. */
-final class Tally {
+final class LoadStatistics {
     /** How a try ended, as its client saw it. */
     enum End {
         FINISHED, BOUNCED, ABANDONED, TURNED_DOWN, BROKEN, UNREACHABLE, NO_ANSWER
@@ -22,7 +22,7 @@
 
     private static final long LONGEST_US = 120_000_000;
 
-    private final Plan plan;
+    private final FleetPlan plan;
     private final long[][] ends;
     private final long[] tasks;
     private final long[] inTime;
@@ -36,7 +36,7 @@
     long opened;
     long idleLost;
 
-    Tally(Plan plan) {
+    LoadStatistics(FleetPlan plan) {
         this.plan = plan;
         int types = plan.types().size();
         ends = new long[types][End.values().length];
@@ -78,7 +78,7 @@
 
     /** A task has come to a good end. Since its client first wanted to send it. */
     void earns(int type, Span at, Span since, Span dueIn) {
-        Plan.Type row = plan.types().get(type);
+        FleetPlan.Type row = plan.types().get(type);
         boolean good = !since.longerThan(dueIn);
         inTime[type] += good ? 1 : 0;
         double worth = good ? row.earnings() : row.earnings() * row.lateEarnings();
--- a/src/main/java/rampshift/fleet/roster/Agent.java
+++ b/src/main/java/rampshift/testbed/discovery/DiscoveryAgent.java
@@ -1,4 +1,4 @@
-package rampshift.fleet.roster;
+package rampshift.testbed.discovery;
 
 import java.io.IOException;
 import java.net.InetSocketAddress;
@@ -20,27 +20,27 @@
 import org.xnio.XnioIoThread;
 import org.xnio.XnioWorker;
 import org.xnio.channels.AcceptingChannel;
-import rampshift.fleet.wire.Line;
-import rampshift.fleet.wire.Message;
-import rampshift.fleet.wire.MessageReader;
-import rampshift.fleet.wire.Ports;
-import rampshift.ledger.Ledger;
-import rampshift.ledger.Stamp;
+import rampshift.eventlog.EventClock;
+import rampshift.eventlog.EventLog;
+import rampshift.testbed.wire.FaultyConnection;
+import rampshift.testbed.wire.LoopbackNetwork;
+import rampshift.testbed.wire.Message;
+import rampshift.testbed.wire.MessageReader;
 import rampshift.time.Moment;
 import rampshift.time.Span;
 import rampshift.toml.Range;
 
 /** Discovery as one dispatcher sees it: the agent on its machine, which is sent changes late. */
-public final class Agent {
+public final class DiscoveryAgent {
     private static final Pattern WATCH = Pattern.compile("/v1/endpoints\\?index=(\\d{1,18})&wait=(\\d{1,9})");
     private static final long LONGEST_WAIT_MS = 60_000;
 
     private final int dispatcher;
     private final XnioIoThread thread;
-    private final Ledger ledger;
+    private final EventLog ledger;
     private final Range delay;
     private final UniformRandomProvider chance;
-    private final Versions versions;
+    private final ListHistory versions;
     private final AcceptingChannel<StreamConnection> socket;
     private final Set<Talk> talks = new LinkedHashSet<>();
     private Moment lastDue = new Moment(0);
@@ -48,17 +48,17 @@
     private boolean restates;
     private boolean silent;
 
-    public Agent(int dispatcher, XnioWorker worker, int port, Ledger ledger, Range delay,
-            UniformRandomProvider chance, Collection<Entry> first) throws IOException {
+    public DiscoveryAgent(int dispatcher, XnioWorker worker, int port, EventLog ledger, Range delay,
+            UniformRandomProvider chance, Collection<WorkerEntry> first) throws IOException {
         this.dispatcher = dispatcher;
         thread = worker.getIoThread(0);
         this.ledger = ledger;
         this.delay = delay;
         this.chance = chance;
-        versions = new Versions(first);
+        versions = new ListHistory(first);
         ChannelListener<AcceptingChannel<StreamConnection>> accept = this::accept;
-        Ports.needs(port);
-        socket = worker.createStreamConnectionServer(Ports.at(port), accept, OptionMap.builder()
+        LoopbackNetwork.needs(port);
+        socket = worker.createStreamConnectionServer(LoopbackNetwork.at(port), accept, OptionMap.builder()
                 .set(Options.TCP_NODELAY, true).set(Options.REUSE_ADDRESSES, true)
                 .set(Options.BACKLOG, 128).getMap());
         socket.resumeAccepts();
@@ -74,14 +74,14 @@
     }
 
     /** Something has changed in the world: the agent is sent it after a while, and never out of order. */
-    public void changed(Collection<Entry> entries, boolean late) {
-        Moment now = Stamp.now();
+    public void changed(Collection<WorkerEntry> entries, boolean late) {
+        Moment now = EventClock.now();
         Span wait = late ? delay.at(chance.nextDouble()) : Span.ZERO;
         Moment due = now.plus(wait);
         lastDue = due.before(lastDue) ? lastDue : due;
-        List<Entry> copy = List.copyOf(entries);
+        List<WorkerEntry> copy = List.copyOf(entries);
         thread.executeAfter(() -> {
-            versions.apply(copy, Stamp.now());
+            versions.apply(copy, EventClock.now());
             tell();
         }, Math.round(lastDue.since(now).millis()), TimeUnit.MILLISECONDS);
     }
@@ -113,7 +113,7 @@
         }
     }
 
-    private String json(long version, boolean whole, List<Entry> entries) {
+    private String json(long version, boolean whole, List<WorkerEntry> entries) {
         StringBuilder text = new StringBuilder(64 + entries.size() * 160);
         text.append("{\"rev\":").append(version).append(",\"all\":").append(whole).append(",\"targets\":[");
         for (int i = 0; i < entries.size(); i++) {
@@ -132,8 +132,8 @@
         }
     }
 
-    private final class Talk implements Line.Told {
-        private final Line line;
+    private final class Talk implements FaultyConnection.Told {
+        private final FaultyConnection line;
         private final MessageReader reader = new MessageReader(this::asked);
         private boolean waits;
         private boolean restate = restates;
@@ -141,7 +141,7 @@
         private XnioExecutor.Key timer;
 
         Talk(StreamConnection connection) {
-            line = new Line(connection, thread, this);
+            line = new FaultyConnection(connection, thread, this);
             talks.add(this);
             line.start();
         }
@@ -149,7 +149,7 @@
         @Override
         public void bytes(byte[] bytes, int count) {
             try {
-                reader.take(bytes, 0, count, Stamp.now());
+                reader.take(bytes, 0, count, EventClock.now());
             } catch (IOException e) {
                 drop();
             }
@@ -173,8 +173,8 @@
             if (!waits || silent) {
                 return;
             }
-            long version = old.micros() > 0 ? versions.version(old, Stamp.now()) : versions.version();
-            List<Entry> news = known < 0 || restate ? null
+            long version = old.micros() > 0 ? versions.version(old, EventClock.now()) : versions.version();
+            List<WorkerEntry> news = known < 0 || restate ? null
                     : old.micros() > 0 && known > version ? List.of() : versions.since(known, version);
             restate = false;
             if (news != null && news.isEmpty() && !over) {
@@ -186,7 +186,7 @@
             }
             boolean whole = news == null;
             if (whole) {
-                news = old.micros() > 0 ? versions.whole(old, Stamp.now()) : versions.whole();
+                news = old.micros() > 0 ? versions.whole(old, EventClock.now()) : versions.whole();
             }
             String body = json(version, whole, news);
             line.write("HTTP/1.1 200 OK\r\nContent-Type: application/json\r\nContent-Length: " + body.length()
@@ -194,12 +194,12 @@
             told(whole, news);
         }
 
-        private void told(boolean whole, List<Entry> entries) {
-            Moment now = Stamp.now();
+        private void told(boolean whole, List<WorkerEntry> entries) {
+            Moment now = EventClock.now();
             if (whole) {
                 ledger.line(now, "told-whole", dispatcher);
             }
-            for (Entry entry : entries) {
+            for (WorkerEntry entry : entries) {
                 ledger.line(now, "told", dispatcher, entry.uid(),
                         entry.state().name().toLowerCase(java.util.Locale.ROOT));
             }
--- a/src/main/java/rampshift/fleet/roster/Versions.java
+++ b/src/main/java/rampshift/testbed/discovery/ListHistory.java
@@ -1,4 +1,4 @@
-package rampshift.fleet.roster;
+package rampshift.testbed.discovery;
 
 import java.util.ArrayDeque;
 import java.util.ArrayList;
@@ -14,19 +14,19 @@
  * while
  * ago. No I/O, no clock.
  */
-final class Versions {
+final class ListHistory {
     private static final int MOST_CHANGES = 20_000;
 
     /** One change as a dispatcher is told of it; the version is the one that it made. */
-    private record Change(long version, Moment when, Entry entry) {}
+    private record Change(long version, Moment when, WorkerEntry entry) {}
 
-    private final Map<String, Entry> entries = new LinkedHashMap<>();
-    private final Map<String, Entry> atStart = new LinkedHashMap<>();
+    private final Map<String, WorkerEntry> entries = new LinkedHashMap<>();
+    private final Map<String, WorkerEntry> atStart = new LinkedHashMap<>();
     private final ArrayDeque<Change> changes = new ArrayDeque<>();
     private long version = 1;
     private long oldest = 1;
 
-    Versions(Collection<Entry> first) {
+    ListHistory(Collection<WorkerEntry> first) {
         first.forEach(e -> entries.put(e.uid(), e));
         atStart.putAll(entries);
     }
@@ -36,10 +36,10 @@
     }
 
     /** Several changes that come together make one version. */
-    void apply(Collection<Entry> changed, Moment now) {
+    void apply(Collection<WorkerEntry> changed, Moment now) {
         version++;
-        for (Entry entry : changed) {
-            if (entry.state() == Entry.State.GONE) {
+        for (WorkerEntry entry : changed) {
+            if (entry.state() == WorkerEntry.State.GONE) {
                 entries.remove(entry.uid());
             } else {
                 entries.put(entry.uid(), entry);
@@ -63,11 +63,11 @@
     }
 
     /** What changed between two versions, the last state of each; null: too long ago, or never so. */
-    List<Entry> since(long known, long upTo) {
+    List<WorkerEntry> since(long known, long upTo) {
         if (known > upTo || known < oldest) {
             return null;
         }
-        Map<String, Entry> last = new LinkedHashMap<>();
+        Map<String, WorkerEntry> last = new LinkedHashMap<>();
         for (Change change : changes) {
             if (change.version() > known && change.version() <= upTo) {
                 last.put(change.entry().uid(), change.entry());
@@ -76,19 +76,19 @@
         return new ArrayList<>(last.values());
     }
 
-    List<Entry> whole() {
+    List<WorkerEntry> whole() {
         return new ArrayList<>(entries.values());
     }
 
     /** The whole list as it was so long ago. */
-    List<Entry> whole(Span ago, Moment now) {
-        Map<String, Entry> then = new LinkedHashMap<>(atStart);
+    List<WorkerEntry> whole(Span ago, Moment now) {
+        Map<String, WorkerEntry> then = new LinkedHashMap<>(atStart);
         for (Change change : changes) {
             if (!now.minus(ago).before(change.when())) {
                 then.put(change.entry().uid(), change.entry());
             }
         }
-        then.values().removeIf(e -> e.state() == Entry.State.GONE);
+        then.values().removeIf(e -> e.state() == WorkerEntry.State.GONE);
         return new ArrayList<>(then.values());
     }
 }
--- a/src/main/java/rampshift/fleet/roster/Entry.java
+++ b/src/main/java/rampshift/testbed/discovery/WorkerEntry.java
@@ -1,26 +1,26 @@
-package rampshift.fleet.roster;
+package rampshift.testbed.discovery;
 
 import java.util.Locale;
 
 /**
  * What the roster knows of one worker. Ports: one for each dispatcher. Born: Unix time in ms, 0 for long ago.
  */
-public record Entry(String uid, String site, String machine, int cell, State state, double weight,
+public record WorkerEntry(String uid, String site, String machine, int cell, State state, double weight,
         long bornMs,
         int[] ports) {
     /** Of the process, as far as the roster can know. */
     public enum State { READY, DRAINING, GONE }
 
-    public Entry with(State other) {
-        return new Entry(uid, site, machine, cell, other, weight, bornMs, ports);
+    public WorkerEntry with(State other) {
+        return new WorkerEntry(uid, site, machine, cell, other, weight, bornMs, ports);
     }
 
-    public Entry weighing(double other) {
-        return new Entry(uid, site, machine, cell, state, other, bornMs, ports);
+    public WorkerEntry weighing(double other) {
+        return new WorkerEntry(uid, site, machine, cell, state, other, bornMs, ports);
     }
 
-    public Entry bornAt(long ms) {
-        return new Entry(uid, site, machine, cell, State.READY, weight, ms, ports);
+    public WorkerEntry bornAt(long ms) {
+        return new WorkerEntry(uid, site, machine, cell, State.READY, weight, ms, ports);
     }
 
     /** As a dispatcher is told of it. */
--- a/src/main/java/rampshift/fleet/trial/Ladder.java
+++ b/src/main/java/rampshift/testbed/experiment/CapacitySearch.java
@@ -1,4 +1,4 @@
-package rampshift.fleet.trial;
+package rampshift.testbed.experiment;
 
 import com.fasterxml.jackson.databind.ObjectMapper;
 import com.fasterxml.jackson.databind.node.ArrayNode;
@@ -10,28 +10,28 @@
 import java.util.ArrayList;
 import java.util.List;
 import java.util.Locale;
-import rampshift.fleet.plan.Plan;
-import rampshift.fleet.plan.PlanReader;
+import rampshift.testbed.plan.FleetPlan;
+import rampshift.testbed.plan.FleetPlanReader;
 
 /**
  * What the dispatchers of a plan carry: the rate at which added time passes its bound, and what comes beyond
  * it.
  */
-final class Ladder {
+final class CapacitySearch {
     private static final double FINISHED = 0.99;        // of the tasks: less is not carried, however quick
     private static final int[] TIMES = {1, 2, 4};
 
     private final Path file;
     private final String arm;
-    private final Plan plan;
+    private final FleetPlan plan;
     private final Path folder;
     private final PrintStream out;
-    private final Children children = new Children();
+    private final ChildProcesses children = new ChildProcesses();
     private final ArrayNode rows;
     private final ObjectNode root = new ObjectMapper().createObjectNode();
 
     /** Arm: of the file, or null. */
-    Ladder(Path file, String arm, Plan plan, Path folder, PrintStream out) {
+    CapacitySearch(Path file, String arm, FleetPlan plan, Path folder, PrintStream out) {
         this.file = file;
         this.arm = arm;
         this.plan = plan;
@@ -44,10 +44,11 @@
     int run() throws IOException, InterruptedException {
         out.printf("%10s %12s %10s %10s %10s %10s %9s%n", "tasks/s", "finished/s", "added p50", "added p99",
                 "latency p99", "CPU a try", "bounced");
-        Climb climb = new Climb(plan.arrivals().rate(), plan.ladder().most(), plan.ladder().narrow());
+        RateSearch climb =
+                new RateSearch(plan.arrivals().rate(), plan.ladder().most(), plan.ladder().narrow());
         boolean kept = true;
         while (climb.next() > 0) {
-            Outcome o = play(climb.next());
+            RunOutcome o = play(climb.next());
             kept &= o.verdict.kept();
             // A late tool can only have made it look worse: a good run counts though it is void, a bad one is
             // played twice.
@@ -65,7 +66,7 @@
         return kept ? 0 : 1;
     }
 
-    private Outcome play(double rate) throws IOException, InterruptedException {
+    private RunOutcome play(double rate) throws IOException, InterruptedException {
         String whole = String.format(Locale.ROOT, "%.0f", rate);
         Path place = Files.createDirectories(folder.resolve(whole + "-" + rows.size()));
         // The same file with another rate, so that whoever finds it in the folder can play it again.
@@ -77,8 +78,8 @@
         lines.addAll(
                 List.of("", "[[arm]]", "name = \"rung\"", set + "\"arrivals.rate\" = " + whole + ".0 }"));
         Path rung = Files.write(place.resolve("rung.toml"), lines);
-        Plan one = PlanReader.read(rung, "rung");
-        Outcome o = new Trial(children, one, rung, "rung", plan.seed(), place, l -> {}).play();
+        FleetPlan one = FleetPlanReader.read(rung, "rung");
+        RunOutcome o = new FleetRun(children, one, rung, "rung", plan.seed(), place, l -> {}).play();
         out.printf(Locale.ROOT, "%10s %12.0f %10.2f %10.2f %10.2f %10.0f %8.1f%%%s%s%n", whole,
                 o.sum("finished") / o.seconds, o.all("added").getValueAtPercentile(50) / 1000.0,
                 o.all("added").getValueAtPercentile(99) / 1000.0,
--- a/src/main/java/rampshift/fleet/trial/Children.java
+++ b/src/main/java/rampshift/testbed/experiment/ChildProcesses.java
@@ -1,4 +1,4 @@
-package rampshift.fleet.trial;
+package rampshift.testbed.experiment;
 
 import java.io.BufferedReader;
 import java.io.IOException;
@@ -21,7 +21,7 @@
  * short of
  * SIGKILL, none of them is left; those that read commands end by themselves when their input does.
  */
-final class Children {
+final class ChildProcesses {
     private static final int LAST_LINES = 12;
     private static final long WAIT_MS = 2000;
 
@@ -138,13 +138,13 @@
                 process.destroyForcibly();
                 Thread.currentThread().interrupt();
             }
-            synchronized (Children.this) {
+            synchronized (ChildProcesses.this) {
                 living.remove(this);
             }
         }
     }
 
-    Children() {
+    ChildProcesses() {
         Runtime.getRuntime().addShutdownHook(new Thread(this::endAll, "children"));
     }
 
--- a/src/main/java/rampshift/fleet/trial/Comparison.java
+++ b/src/main/java/rampshift/testbed/experiment/Comparison.java
@@ -1,4 +1,4 @@
-package rampshift.fleet.trial;
+package rampshift.testbed.experiment;
 
 import java.util.Arrays;
 import org.apache.commons.statistics.distribution.BinomialDistribution;
--- a/src/main/java/rampshift/fleet/trial/Configurations.java
+++ b/src/main/java/rampshift/testbed/experiment/Configurations.java
@@ -1,4 +1,4 @@
-package rampshift.fleet.trial;
+package rampshift.testbed.experiment;
 
 import com.fasterxml.jackson.databind.JsonNode;
 import com.fasterxml.jackson.databind.ObjectMapper;
@@ -10,10 +10,10 @@
 import java.nio.file.Path;
 import java.util.ArrayList;
 import java.util.List;
-import rampshift.fleet.plan.Plan;
-import rampshift.fleet.ways.Ways;
-import rampshift.fleet.wire.Ports;
-import rampshift.toml.Fault;
+import rampshift.testbed.links.LinkProxy;
+import rampshift.testbed.plan.FleetPlan;
+import rampshift.testbed.wire.LoopbackNetwork;
+import rampshift.toml.ConfigurationException;
 
 /** The configurations of a plan's dispatchers, as files that {@code NODE_CONFIG} can name. */
 final class Configurations {
@@ -31,7 +31,8 @@
         return folder.resolve(name(dispatcher) + ".json");
     }
 
-    static void write(Path folder, Plan plan, long seed, int dispatcher, int site, InetSocketAddress listen,
+    static void write(Path folder, FleetPlan plan, long seed, int dispatcher, int site,
+            InetSocketAddress listen,
             int agentPort, String known) throws IOException {
         ObjectNode root = JSON.createObjectNode();
         root.put("name", name(dispatcher)).put("listen", "127.0.0.1:" + listen.getPort())
@@ -53,9 +54,9 @@
     }
 
     /** Its fellows as it reaches them; the first two, or whoever is there, are its seeds. */
-    static void writeOperator(Path folder, Plan plan, int dispatcher, int site,
+    static void writeOperator(Path folder, FleetPlan plan, int dispatcher, int site,
             List<InetSocketAddress> members,
-            Ways ways) throws IOException {
+            LinkProxy ways) throws IOException {
         StringBuilder text =
                 new StringBuilder("[members]\nfleet = \"trial\"\nsite = \"" + plan.sites().get(site).name()
                         + "\"\nlisten = \"" + members.get(dispatcher).getHostString() + ":"
@@ -84,8 +85,8 @@
         Files.writeString(operatorFile(folder, dispatcher), text.toString());
     }
 
-    private static void leases(StringBuilder text, Path folder, Plan plan, int dispatcher) {
-        Plan.Leases l = plan.leases();
+    private static void leases(StringBuilder text, Path folder, FleetPlan plan, int dispatcher) {
+        FleetPlan.Leases l = plan.leases();
         List<String> keepers = new ArrayList<>();
         for (int k = 0; k < Math.min(l.keepers(), plan.dispatcherCount()); k++) {
             keepers.add('"' + name(k) + '"');
@@ -97,8 +98,8 @@
         if (dispatcher < l.keepers()) {
             text.append("directory = '").append(keeps(folder, dispatcher)).append("'\n");
         }
-        for (Plan.Duty d : l.duties()) {
-            Plan.Type type =
+        for (FleetPlan.Duty d : l.duties()) {
+            FleetPlan.Type type =
                     plan.types().stream().filter(t -> t.name().equals(d.type())).findFirst().orElseThrow();
             text.append("[[duty]]\nname = \"").append(d.name()).append("\"\ntype = \"").append(d.type())
                     .append("\"\nevery = \"")
@@ -115,7 +116,7 @@
         return folder.resolve("keeper-" + name(dispatcher));
     }
 
-    private static ObjectNode settings(Plan plan, int dispatcher, int site) {
+    private static ObjectNode settings(FleetPlan plan, int dispatcher, int site) {
         ObjectNode s = JSON.createObjectNode();
         ArrayNode zones = s.putArray("Zones");
         plan.sites().forEach(x -> zones.add(x.name()));
@@ -128,8 +129,8 @@
         ObjectNode family = s.putObject("FamilyInfo").put("TellsStart", plan.workers().tellsStart())
                 .put("ProgressMs", plan.workers().progress().millis());
         ArrayNode names = JSON.createArrayNode();
-        if (plan.reports().how() != Plan.Reports.How.NONE) {
-            for (Plan.Reports.Figure figure : plan.reports().figures()) {
+        if (plan.reports().how() != FleetPlan.Reports.How.NONE) {
+            for (FleetPlan.Reports.Figure figure : plan.reports().figures()) {
                 switch (figure) {
                     case FREE_SLOTS -> {
                         family.put("ReportX0", "free slots");
@@ -145,7 +146,7 @@
             }
         }
         s.putObject("LoadInfo")
-                .put("How", plan.reports().how() == Plan.Reports.How.PROBE ? "on_probe" : "inline")
+                .put("How", plan.reports().how() == FleetPlan.Reports.How.PROBE ? "on_probe" : "inline")
                 .set("Names", names);
         s.putObject("Limits").put("Cancel", plan.workers().stops())
                 .put("SecondCopies", plan.dispatchers().copies())
@@ -157,7 +158,7 @@
                 .put("TipMultiple", plan.cold().tip()).put("FallMs", plan.cold().fall().millis())
                 .put("StopSendingWithinMs", plan.roster().grace().millis());
         ArrayNode types = s.putArray("TrafficTypes");
-        for (Plan.Type t : plan.types()) {
+        for (FleetPlan.Type t : plan.types()) {
             types.addObject().put("Name", t.name()).put("DueTimeMs", t.due().millis())
                     .put("AimStretch", t.stretch())
                     .put("ExpiryMs", t.expiry().millis()).put("Earnings", t.earnings())
@@ -181,10 +182,11 @@
         for (int d = 0; Files.exists(file(folder, d)); d++) {
             JsonNode root = JSON.readTree(file(folder, d).toFile());
             String listen = root.path("listen").asText();
-            all.add(Ports.at(Integer.parseInt(listen.substring(listen.lastIndexOf(':') + 1))));
+            all.add(LoopbackNetwork.at(Integer.parseInt(listen.substring(listen.lastIndexOf(':') + 1))));
         }
         if (all.isEmpty()) {
-            throw new Fault(folder + ": holds no configuration " + name(0) + ".json; `fleet` writes them");
+            throw new ConfigurationException(
+                    folder + ": holds no configuration " + name(0) + ".json; `fleet` writes them");
         }
         return all;
     }
--- a/src/main/java/rampshift/fleet/trial/Profile.java
+++ b/src/main/java/rampshift/testbed/experiment/CpuProfile.java
@@ -1,4 +1,4 @@
-package rampshift.fleet.trial;
+package rampshift.testbed.experiment;
 
 import java.io.IOException;
 import java.io.PrintStream;
@@ -16,7 +16,7 @@
  * by the
  * part of this program that was at work, and by method.
  */
-final class Profile {
+final class CpuProfile {
     private static final int MOST_METHODS = 15;
     private static final String OWN = "rampshift.";
 
@@ -24,8 +24,8 @@
     private final Map<String, Integer> methods = new TreeMap<>();
     private int all;
 
-    static Profile read(Path recording) throws IOException {
-        Profile p = new Profile();
+    static CpuProfile read(Path recording) throws IOException {
+        CpuProfile p = new CpuProfile();
         try (RecordingFile in = new RecordingFile(recording)) {
             while (in.hasMoreEvents()) {
                 RecordedEvent event = in.readEvent();
--- a/src/main/java/rampshift/fleet/trial/Experiment.java
+++ b/src/main/java/rampshift/testbed/experiment/Experiment.java
@@ -1,4 +1,4 @@
-package rampshift.fleet.trial;
+package rampshift.testbed.experiment;
 
 import com.fasterxml.jackson.databind.ObjectMapper;
 import com.fasterxml.jackson.databind.node.ArrayNode;
@@ -13,8 +13,8 @@
 import java.util.Locale;
 import java.util.Map;
 import java.util.stream.Stream;
-import rampshift.fleet.plan.Plan;
-import rampshift.fleet.plan.PlanReader;
+import rampshift.testbed.plan.FleetPlan;
+import rampshift.testbed.plan.FleetPlanReader;
 
 /**
  * Arms against one another: each seed once with each arm, in turn, so that the machine's moods befall both.
@@ -24,16 +24,16 @@
     private static final int AGAIN = 1;
 
     private final Path file;
-    private final Plan plan;
+    private final FleetPlan plan;
     private final Path folder;
     private final PrintStream out;
-    private final Children children = new Children();
-    private final Map<String, Plan> arms = new LinkedHashMap<>();
+    private final ChildProcesses children = new ChildProcesses();
+    private final Map<String, FleetPlan> arms = new LinkedHashMap<>();
     /** By arm: the runs by seed, null for one left out. */
-    final Map<String, Map<Long, Outcome>> runs = new LinkedHashMap<>();
+    final Map<String, Map<Long, RunOutcome>> runs = new LinkedHashMap<>();
 
     /** All arms are read before the first run: a fault in the last one is told at once. */
-    Experiment(Path file, Plan plan, Path folder, PrintStream out) {
+    Experiment(Path file, FleetPlan plan, Path folder, PrintStream out) {
         this.file = file;
         this.plan = plan;
         this.folder = folder;
@@ -41,8 +41,8 @@
         if (plan.arms().isEmpty()) {
             arms.put("as it is", plan);
         }
-        for (Plan.Arm arm : plan.arms()) {
-            arms.put(arm.name(), PlanReader.read(file, arm.name()));
+        for (FleetPlan.Arm arm : plan.arms()) {
+            arms.put(arm.name(), FleetPlanReader.read(file, arm.name()));
         }
         arms.keySet().forEach(a -> runs.put(a, new LinkedHashMap<>()));
     }
@@ -71,12 +71,13 @@
         return sound.isEmpty() ? 3 : kept ? 0 : 1;
     }
 
-    private Outcome one(String arm, long seed) throws IOException, InterruptedException {
-        Outcome outcome = null;
+    private RunOutcome one(String arm, long seed) throws IOException, InterruptedException {
+        RunOutcome outcome = null;
         for (int i = 0; i <= AGAIN && (outcome == null || outcome.isVoid()); i++) {
             Path place = folder.resolve(arm.replace(' ', '-') + "-" + seed + (i == 0 ? "" : "-again"));
             outcome =
-                    new Trial(children, arms.get(arm), file, plan.arms().isEmpty() ? null : arm, seed, place,
+                    new FleetRun(children, arms.get(arm), file, plan.arms().isEmpty() ? null : arm, seed,
+                            place,
                             line -> {}).play();
             out.printf(Locale.ROOT,
                     "%-16s seed %3d  earnings served %5.1f%%  finished/s %8.1f  added p99 %8.2f ms%s%s%n",
--- a/src/main/java/rampshift/fleet/trial/Together.java
+++ b/src/main/java/rampshift/testbed/experiment/FaultCampaign.java
@@ -1,4 +1,4 @@
-package rampshift.fleet.trial;
+package rampshift.testbed.experiment;
 
 import java.io.IOException;
 import java.io.PrintStream;
@@ -8,18 +8,18 @@
 import java.util.List;
 import java.util.Locale;
 import org.apache.commons.rng.UniformRandomProvider;
-import rampshift.fleet.judge.Verdict;
-import rampshift.fleet.ledger.Chances;
-import rampshift.fleet.plan.Plan;
-import rampshift.fleet.plan.PlanReader;
-import rampshift.toml.Fault;
+import rampshift.testbed.plan.FleetPlan;
+import rampshift.testbed.plan.FleetPlanReader;
+import rampshift.testbed.random.RandomStreams;
+import rampshift.testbed.verification.Verdict;
+import rampshift.toml.ConfigurationException;
 
 /**
  * Real dispatchers that know each other, under faults drawn by a seed, judged after each round. What breaks a
  * rule is
  * told with its seed and its faults, as a fleet file that plays it again.
  */
-final class Together {
+final class FaultCampaign {
     private static final int MOST_FAULTS = 5;
     private static final double FIRST = 0.1;            // of the length, until the first fault
     private static final double LAST = 0.6;             // no fault goes on beyond that: then all are to agree
@@ -27,21 +27,22 @@
     private static final int WORST_VOID = 3;
 
     private final Path file;
-    private final Plan plan;
+    private final FleetPlan plan;
     private final Path folder;
     private final long first;
     private final long last;
     private final boolean shrink;
     private final PrintStream out;
-    private final Children children = new Children();
+    private final ChildProcesses children = new ChildProcesses();
 
-    Together(Path file, Plan plan, Path folder, String seeds, boolean shrink, PrintStream out) {
+    FaultCampaign(Path file, FleetPlan plan, Path folder, String seeds, boolean shrink, PrintStream out) {
         if (!seeds.matches("\\d{1,6}(-\\d{1,6})?")) {
-            throw new Fault(
+            throw new ConfigurationException(
                     "--seeds is \"" + seeds + "\", expected a number, or the first and the last as 5-9");
         }
         if (!plan.members().on()) {
-            throw new Fault(file + ": has no [members]: its dispatchers don't know each other");
+            throw new ConfigurationException(
+                    file + ": has no [members]: its dispatchers don't know each other");
         }
         this.file = file;
         this.plan = plan;
@@ -60,7 +61,7 @@
         double worst = 1;
         for (long seed = first; seed <= last; seed++) {
             List<String> faults = drawn(seed);
-            Outcome o = play(seed, faults, "seed-" + seed);
+            RunOutcome o = play(seed, faults, "seed-" + seed);
             worst = Math.min(worst, o.earningsServed());
             empty += o.isVoid() ? 1 : 0;
             out.printf(Locale.ROOT, "seed %d: %d faults, earnings served %.1f%%, %s%n", seed, faults.size(),
@@ -68,7 +69,7 @@
                             : o.verdict.kept() ? "kept" : "BROKEN: " + brokenRules(o.verdict));
             if (!o.isVoid() && !o.verdict.kept()) {
                 broken++;
-                Table.rules(o.verdict, out);
+                SummaryTable.rules(o.verdict, out);
                 List<String> least = shrink ? shrunk(seed, faults) : faults;
                 Path again = Files.writeString(folder.resolve("breach-" + seed + ".toml"), text(least));
                 out.println("its faults, to be played again by `experiment " + again + "`:");
@@ -86,11 +87,11 @@
                 v.rules().stream().filter(r -> r.broken() > 0).map(Verdict.Rule::name).toList());
     }
 
-    private Outcome play(long seed, List<String> faults, String name)
+    private RunOutcome play(long seed, List<String> faults, String name)
             throws IOException, InterruptedException {
         Path place = Files.createDirectories(folder.resolve(name));
         Path one = Files.writeString(place.resolve("plan.toml"), text(faults));
-        return new Trial(children, PlanReader.read(one), one, null, seed, place, l -> {}).play();
+        return new FleetRun(children, FleetPlanReader.read(one), one, null, seed, place, l -> {}).play();
     }
 
     private String text(List<String> faults) throws IOException {
@@ -103,7 +104,7 @@
         for (int i = least.size() - 1; i >= 0 && least.size() > 1; i--) {
             List<String> fewer = new ArrayList<>(least);
             fewer.remove(i);
-            Outcome o = play(seed, fewer, "seed-" + seed + "-without-" + i);
+            RunOutcome o = play(seed, fewer, "seed-" + seed + "-without-" + i);
             if (!o.isVoid() && !o.verdict.kept()) {
                 least = fewer;
             }
@@ -112,7 +113,7 @@
     }
 
     private List<String> drawn(long seed) {
-        UniformRandomProvider chance = Chances.of(seed, "together");
+        UniformRandomProvider chance = RandomStreams.of(seed, "together");
         double length = plan.length().millis();
         int count = 1 + chance.nextInt(MOST_FAULTS);
         List<String> faults = new ArrayList<>();
--- a/src/main/java/rampshift/fleet/trial/Desk.java
+++ b/src/main/java/rampshift/testbed/experiment/FleetCommandLine.java
@@ -1,4 +1,4 @@
-package rampshift.fleet.trial;
+package rampshift.testbed.experiment;
 
 import java.io.IOException;
 import java.io.InputStream;
@@ -16,15 +16,16 @@
 import org.apache.commons.cli.Option;
 import org.apache.commons.cli.Options;
 import org.apache.commons.cli.ParseException;
-import rampshift.fleet.judge.Verdict;
-import rampshift.fleet.plan.Plan;
-import rampshift.fleet.plan.PlanReader;
+import rampshift.eventlog.EventClock;
 import rampshift.settings.Configuration;
-import rampshift.settings.Malformed;
-import rampshift.toml.Fault;
+import rampshift.settings.InvalidInputException;
+import rampshift.testbed.plan.FleetPlan;
+import rampshift.testbed.plan.FleetPlanReader;
+import rampshift.testbed.verification.Verdict;
+import rampshift.toml.ConfigurationException;
 
 /** The fleet's commands, and what each is given. */
-public final class Desk {
+public final class FleetCommandLine {
     private static final Options OPTIONS = new Options()
             .addOption(option("folder", "where configurations, ledgers and results go"))
             .addOption(option("seed", "another seed than the file's"))
@@ -37,7 +38,7 @@
             .addOption(option("keep", "for try: keep the run's folder, here"))
             .addOption(Option.builder().longOpt("steered").get());
 
-    private Desk() {}
+    private FleetCommandLine() {}
 
     private static Option option(String name, String what) {
         return Option.builder().longOpt(name).hasArg().desc(what).get();
@@ -48,35 +49,38 @@
         try {
             line = new DefaultParser().parse(OPTIONS, Arrays.copyOfRange(arguments, 1, arguments.length));
         } catch (ParseException e) {
-            throw new Fault(e.getMessage() + "; rampshift --help tells more");
+            throw new ConfigurationException(e.getMessage() + "; rampshift --help tells more");
         }
         String command = arguments[0];
         int wanted = command.equals("try") ? 0 : 1;
         if (line.getArgList().size() != wanted) {
-            throw new Fault(wanted == 0 ? "takes no file" : "takes one file; rampshift --help tells more");
+            throw new ConfigurationException(
+                    wanted == 0 ? "takes no file" : "takes one file; rampshift --help tells more");
         }
         if (command.equals("try")) {
             return tryOut(line, out);
         }
         Path file = Path.of(line.getArgList().get(0));
         if (command.equals("profile")) {
-            Profile.read(file).print(out);
+            CpuProfile.read(file).print(out);
             return 0;
         }
-        Plan plan = PlanReader.read(file, line.getOptionValue("arm"));
+        FleetPlan plan = FleetPlanReader.read(file, line.getOptionValue("arm"));
         long seed = number(line, "seed", plan.seed());
         return switch (command) {
             case "fleet" -> {
-                Sitting.fleet(plan, seed, folder(line, "rampshift-fleet"), line.hasOption("steered"), out);
+                RunProcesses.fleet(plan, seed, folder(line, "rampshift-fleet"), line.hasOption("steered"),
+                        out);
                 yield 0;
             }
             case "load" -> load(line, plan, seed, out);
             case "experiment" -> new Experiment(file, plan, folder(line, "rampshift-experiment"), out).run();
-            case "together" -> new Together(file, plan, folder(line, "rampshift-together"),
+            case "together" -> new FaultCampaign(file, plan, folder(line, "rampshift-together"),
                     line.getOptionValue("seeds", "10"),
                     line.hasOption("shrink"), out).run();
             case "ladder" ->
-                new Ladder(file, line.getOptionValue("arm"), plan, folder(line, "rampshift-ladder"), out)
+                new CapacitySearch(file, line.getOptionValue("arm"), plan, folder(line, "rampshift-ladder"),
+                        out)
                         .run();
             default -> judge(line, plan, out);
         };
@@ -96,42 +100,44 @@
             return ifAbsent;
         }
         if (!given.matches("\\d{1,15}")) {
-            throw new Fault("--" + option + " is \"" + given + "\", expected a whole number");
+            throw new ConfigurationException(
+                    "--" + option + " is \"" + given + "\", expected a whole number");
         }
         return Long.parseLong(given);
     }
 
-    private static int load(CommandLine line, Plan plan, long seed, PrintStream out) throws IOException {
+    private static int load(CommandLine line, FleetPlan plan, long seed, PrintStream out) throws IOException {
         Path folder = folder(line, "rampshift-load");
         List<InetSocketAddress> to = new ArrayList<>();
         if (line.hasOption("to")) {
             for (String address : line.getOptionValue("to").split(",")) {
                 try {
                     to.add(Configuration.address("--to " + address, address));
-                } catch (Malformed e) {
-                    throw new Fault(e.getMessage());
+                } catch (InvalidInputException e) {
+                    throw new ConfigurationException(e.getMessage());
                 }
             }
         } else {
             to = Configurations.listens(folder);
         }
         boolean steered = line.hasOption("steered");
-        int status = Sitting.load(plan, seed, (int) number(line, "process", 0), to, folder, steered, out);
+        int status =
+                RunProcesses.load(plan, seed, (int) number(line, "process", 0), to, folder, steered, out);
         if (!steered && status == 0) {
-            Outcome o = Outcome.read(plan, folder, new Outcome.Costs(List.of(), List.of(), 0),
-                    rampshift.ledger.Stamp.now());
-            Table.print(o, out);
+            RunOutcome o = RunOutcome.read(plan, folder, new RunOutcome.Costs(List.of(), List.of(), 0),
+                    EventClock.now());
+            SummaryTable.print(o, out);
             return o.isVoid() ? 3 : 0;
         }
         return status;
     }
 
-    private static int judge(CommandLine line, Plan plan, PrintStream out) throws IOException {
+    private static int judge(CommandLine line, FleetPlan plan, PrintStream out) throws IOException {
         if (!line.hasOption("folder")) {
-            throw new Fault("--folder is missing: where the ledgers are");
+            throw new ConfigurationException("--folder is missing: where the ledgers are");
         }
-        Verdict verdict = Outcome.judge(plan, Path.of(line.getOptionValue("folder")));
-        Table.rules(verdict, out);
+        Verdict verdict = RunOutcome.judge(plan, Path.of(line.getOptionValue("folder")));
+        SummaryTable.rules(verdict, out);
         return verdict.kept() ? 0 : 1;
     }
 
@@ -141,23 +147,24 @@
         Path folder = kept ? Files.createDirectories(Path.of(line.getOptionValue("keep"))).toAbsolutePath()
                 : Files.createTempDirectory("rampshift-try");
         Path file = folder.resolve("try.toml");
-        try (InputStream in = Desk.class.getResourceAsStream("/rampshift/fleet/try.toml")) {
+        try (InputStream in = FleetCommandLine.class.getResourceAsStream("/rampshift/testbed/try.toml")) {
             Files.write(file, in.readAllBytes());
         }
         if (!kept) {
             Runtime.getRuntime().addShutdownHook(new Thread(() -> delete(folder)));
         }
-        Plan plan = PlanReader.read(file);
+        FleetPlan plan = FleetPlanReader.read(file);
         long seed = number(line, "seed", plan.seed());
         out.println("two sites, " + plan.workerCount() + " workers, " + plan.dispatcherCount()
                 + " dispatchers, " + Math.round(plan.length().millis() / 1000) + " s of mixed traffic:");
-        for (Plan.Trouble t : plan.troubles()) {
+        for (FleetPlan.Trouble t : plan.troubles()) {
             out.printf("  at %2.0f s  %s, %s, for %.0f s%n", t.at().millis() / 1000,
                     t.what().name().toLowerCase(java.util.Locale.ROOT), String.join(" ", t.names()),
                     t.length().millis() / 1000);
         }
-        Outcome o = new Trial(new Children(), plan, file, null, seed, folder, out::println).play();
-        Table.print(o, out);
+        RunOutcome o =
+                new FleetRun(new ChildProcesses(), plan, file, null, seed, folder, out::println).play();
+        SummaryTable.print(o, out);
         if (kept) {
             out.println("\nledgers, logs and configurations are in " + folder);
         }
