--- a/src/main/java/rampshift/fleet/trial/Trial.java
+++ b/src/main/java/rampshift/testbed/experiment/FleetRun.java
@@ -1,4 +1,4 @@
-package rampshift.fleet.trial;
+package rampshift.testbed.experiment;
 
 import java.io.IOException;
 import java.net.HttpURLConnection;
@@ -14,17 +14,17 @@
 import java.util.Map;
 import java.util.concurrent.TimeUnit;
 import java.util.function.Consumer;
-import rampshift.fleet.ledger.Chances;
-import rampshift.fleet.plan.Plan;
-import rampshift.fleet.troubles.Draw;
-import rampshift.ledger.Ledger;
-import rampshift.ledger.Stamp;
+import rampshift.eventlog.EventClock;
+import rampshift.eventlog.EventLog;
+import rampshift.testbed.faults.FaultTargets;
+import rampshift.testbed.plan.FleetPlan;
+import rampshift.testbed.random.RandomStreams;
 import rampshift.time.Moment;
 import rampshift.time.Span;
-import rampshift.toml.Fault;
+import rampshift.toml.ConfigurationException;
 
 /** One run: real processes, started in order, troubled as planned, judged when they have ended. */
-final class Trial {
+final class FleetRun {
     private static final Span READY = Span.ofMillis(30_000);
     // from the last process ready to the first task
     private static final Span LEAD = Span.ofMillis(300);
@@ -65,23 +65,23 @@
             done
             """;
 
-    private final Children children;
-    private final Plan plan;
+    private final ChildProcesses children;
+    private final FleetPlan plan;
     private final Path file;
     private final String arm;
     private final long seed;
     private final Path folder;
     private final Consumer<String> progress;
-    private final List<Children.Child> dispatchers = new ArrayList<>();
-    private final List<Children.Child> loads = new ArrayList<>();
+    private final List<ChildProcesses.Child> dispatchers = new ArrayList<>();
+    private final List<ChildProcesses.Child> loads = new ArrayList<>();
     private final Map<Integer, String> said = new HashMap<>();
-    private final Map<Integer, Children.Child> starving = new HashMap<>();
+    private final Map<Integer, ChildProcesses.Child> starving = new HashMap<>();
     private final List<Duration> cpuBefore = new ArrayList<>();
     private final List<Duration> cpuOfDead = new ArrayList<>();
-    private Host hostBefore;
+    private HostMetrics hostBefore;
 
     /** Progress: a line now and then, for a person. The arm is null for the file as it stands. */
-    Trial(Children children, Plan plan, Path file, String arm, long seed, Path folder,
+    FleetRun(ChildProcesses children, FleetPlan plan, Path file, String arm, long seed, Path folder,
             Consumer<String> progress) {
         this.children = children;
         this.plan = plan;
@@ -93,11 +93,11 @@
     }
 
     /** Plays it all. Throws a Fault where a process dies that should not, with its last lines. */
-    Outcome play() throws IOException, InterruptedException {
+    RunOutcome play() throws IOException, InterruptedException {
         Files.createDirectories(folder);
-        Children.Child fleet = children.start("fleet", self("fleet", List.of()), Map.of(), null,
+        ChildProcesses.Child fleet = children.start("fleet", self("fleet", List.of()), Map.of(), null,
                 folder.resolve("fleet.log"), this::nothing);
-        try (Ledger ledger = new Ledger(folder.resolve("trial.ledger"))) {
+        try (EventLog ledger = new EventLog(folder.resolve("trial.ledger"))) {
             awaitLine(fleet, "ready");
             List<InetSocketAddress> listens = Configurations.listens(folder);
             for (int d = 0; d < plan.dispatcherCount(); d++) {
@@ -113,29 +113,29 @@
                         Map.of(),
                         null, folder.resolve("load-" + p + ".log"), line -> told(number, line)));
             }
-            for (Children.Child load : loads) {
+            for (ChildProcesses.Child load : loads) {
                 awaitLine(load, "ready");
             }
             dispatchers.forEach(d -> cpuOfDead.add(Duration.ZERO));
-            Moment zero = Stamp.now().plus(LEAD);
+            Moment zero = EventClock.now().plus(LEAD);
             fleet.say("go " + zero.micros());
-            for (Children.Child load : loads) {
+            for (ChildProcesses.Child load : loads) {
                 load.say("go " + zero.micros());
             }
             watch(zero, ledger, listens);
-            ledger.line(Stamp.now(), "finish");
-            Outcome.Costs costs = costs();
-            for (Children.Child d : dispatchers) {
+            ledger.line(EventClock.now(), "finish");
+            RunOutcome.Costs costs = costs();
+            for (ChildProcesses.Child d : dispatchers) {
                 d.end(STOP_MS);
             }
             fleet.endInput();
             fleet.process.waitFor(STOP_MS, TimeUnit.MILLISECONDS);
             ledger.close();         // the judge reads it
-            return Outcome.read(plan, folder, costs, zero);
+            return RunOutcome.read(plan, folder, costs, zero);
         } finally {
-            starving.values().forEach(Children.Child::kill);
-            dispatchers.forEach(Children.Child::kill);
-            loads.forEach(Children.Child::kill);
+            starving.values().forEach(ChildProcesses.Child::kill);
+            dispatchers.forEach(ChildProcesses.Child::kill);
+            loads.forEach(ChildProcesses.Child::kill);
             fleet.kill();
         }
     }
@@ -152,31 +152,31 @@
             arguments.addAll(List.of("--arm", arm));
         }
         arguments.addAll(more);
-        return Program.self("2g", arguments);
+        return ProcessLauncher.self("2g", arguments);
     }
 
-    private Children.Child startDispatcher(int d) throws IOException {
-        List<String> command = Program.dispatcher(plan.dispatchers(), folder);
+    private ChildProcesses.Child startDispatcher(int d) throws IOException {
+        List<String> command = ProcessLauncher.dispatcher(plan.dispatchers(), folder);
         if (plan.members().on()) {
             command.addAll(List.of("--operator", Configurations.operatorFile(folder, d).toString()));
         }
         return children.start(Configurations.name(d), command,
                 Map.of("NODE_CONFIG", Configurations.file(folder, d).toString()),
-                Program.homeOf(plan.dispatchers()),
+                ProcessLauncher.homeOf(plan.dispatchers()),
                 folder.resolve(Configurations.name(d) + "-" + System.nanoTime() + ".log"), this::nothing);
     }
 
-    private void awaitLine(Children.Child child, String line) throws InterruptedException {
-        Moment end = Stamp.now().plus(READY).plus(READY);
+    private void awaitLine(ChildProcesses.Child child, String line) throws InterruptedException {
+        Moment end = EventClock.now().plus(READY).plus(READY);
         while (!child.lastLinesNow().contains(line)) {
-            if (!child.process.isAlive() || end.before(Stamp.now())) {
+            if (!child.process.isAlive() || end.before(EventClock.now())) {
                 throw died(child, "before it was ready");
             }
             Thread.sleep(LOOK_MS);
         }
     }
 
-    private static Fault died(Children.Child child, String when) {
+    private static ConfigurationException died(ChildProcesses.Child child, String when) {
         List<String> lines = new ArrayList<>();
         boolean alive = child.process.isAlive();
         lines.add(child.name + (alive ? " was not ready in time"
@@ -184,13 +184,13 @@
                         + child.process.exitValue())
                 + "; its last lines:");
         child.lastLines().forEach(l -> lines.add("  " + l));
-        return Fault.ofRun(lines);
+        return ConfigurationException.ofRun(lines);
     }
 
     private void awaitReady(int d, InetSocketAddress listen) throws InterruptedException {
-        Moment end = Stamp.now().plus(READY);
+        Moment end = EventClock.now().plus(READY);
         while (!ready(listen)) {
-            if (!dispatchers.get(d).process.isAlive() || end.before(Stamp.now())) {
+            if (!dispatchers.get(d).process.isAlive() || end.before(EventClock.now())) {
                 throw died(dispatchers.get(d), "before it was ready");
             }
             Thread.sleep(LOOK_MS);
@@ -218,22 +218,22 @@
     }
 
     /** Until the clients are done: kills dispatchers as planned, tells how it goes, sees who dies. */
-    private void watch(Moment zero, Ledger ledger, List<InetSocketAddress> listens)
+    private void watch(Moment zero, EventLog ledger, List<InetSocketAddress> listens)
             throws IOException, InterruptedException {
-        List<Plan.Trouble> coming =
-                new ArrayList<>(plan.troubles().stream().filter(Plan.Trouble::ofDispatchers).toList());
+        List<FleetPlan.Trouble> coming =
+                new ArrayList<>(plan.troubles().stream().filter(FleetPlan.Trouble::ofDispatchers).toList());
         Map<Integer, Moment> back = new HashMap<>();
         Map<Integer, Moment> goesOn = new HashMap<>();
         Moment nextWord = zero.plus(Span.ofMillis(1000));
         Moment warm = zero.plus(plan.clients().warmUp());
         while (loads.stream().anyMatch(l -> l.process.isAlive())) {
             Thread.sleep(LOOK_MS);
-            Moment now = Stamp.now();
+            Moment now = EventClock.now();
             if (cpuBefore.isEmpty() && !now.before(warm)) {
                 dispatchers.forEach(d -> cpuBefore.add(d.cpu()));
-                hostBefore = Host.now();
+                hostBefore = HostMetrics.now();
             }
-            for (Plan.Trouble trouble : List.copyOf(coming)) {
+            for (FleetPlan.Trouble trouble : List.copyOf(coming)) {
                 if (now.before(zero.plus(trouble.at()))) {
                     continue;
                 }
@@ -242,16 +242,16 @@
                     if (back.containsKey(d)) {
                         continue;       // an earlier trouble has it down already
                     }
-                    if (trouble.what() == Plan.Trouble.Kind.DISPATCHER_KILLED) {
+                    if (trouble.what() == FleetPlan.Trouble.Kind.DISPATCHER_KILLED) {
                         goesOn.remove(d);
                         fed(d, ledger);
                         kill(d, ledger);
                         back.put(d, now.plus(trouble.length()));
-                    } else if (trouble.what() == Plan.Trouble.Kind.DISPATCHER_ENDED) {
+                    } else if (trouble.what() == FleetPlan.Trouble.Kind.DISPATCHER_ENDED) {
                         ledger.line(now, "ended", d);
                         dispatchers.get(d).process.destroy();
                         back.put(d, now.plus(trouble.length()));
-                    } else if (trouble.what() == Plan.Trouble.Kind.DISPATCHER_STARVED) {
+                    } else if (trouble.what() == FleetPlan.Trouble.Kind.DISPATCHER_STARVED) {
                         ledger.line(now, "starved", d);
                         starving.put(d, starve(d, trouble.rate()));
                         goesOn.put(d, now.plus(trouble.length()));
@@ -289,7 +289,7 @@
                 progress.accept(word(now.since(zero)));
             }
         }
-        for (Children.Child load : loads) {
+        for (ChildProcesses.Child load : loads) {
             if (load.process.exitValue() != 0) {
                 throw died(load, "under way");
             }
@@ -303,7 +303,7 @@
      * has had that, or until
      * as long as ten slices have passed.
      */
-    private Children.Child starve(int d, double share) throws IOException {
+    private ChildProcesses.Child starve(int d, double share) throws IOException {
         String loop = String.format(java.util.Locale.ROOT, STARVER, (long) (SLICE * share * 1e9),
                 SLICE * (1 - share), SLICE * share);
         return children.start("starver of " + Configurations.name(d), List.of("sh", "-c", loop,
@@ -311,30 +311,30 @@
                 folder.resolve("starver-" + System.nanoTime() + ".log"), this::nothing);
     }
 
-    private boolean fed(int d, Ledger ledger) {
-        Children.Child held = starving.remove(d);
+    private boolean fed(int d, EventLog ledger) {
+        ChildProcesses.Child held = starving.remove(d);
         if (held != null) {
             held.kill();
-            ledger.line(Stamp.now(), "fed", d);
+            ledger.line(EventClock.now(), "fed", d);
         }
         return held != null;
     }
 
-    private List<Integer> drawn(Plan.Trouble kill) {
+    private List<Integer> drawn(FleetPlan.Trouble kill) {
         List<String> names = new ArrayList<>();
         for (int d = 0; d < dispatchers.size(); d++) {
             names.add(Configurations.name(d));
         }
-        return Draw.of(kill, names, Chances.of(seed, "kill " + kill.at())).stream()
+        return FaultTargets.of(kill, names, RandomStreams.of(seed, "kill " + kill.at())).stream()
                 .map(n -> Integer.parseInt(n.substring(1)) - 1).toList();
     }
 
-    private void kill(int d, Ledger ledger) {
-        Children.Child child = dispatchers.get(d);
+    private void kill(int d, EventLog ledger) {
+        ChildProcesses.Child child = dispatchers.get(d);
         if (child.process.isAlive()) {
             // What it used while it warmed up is taken off once, from the one that is there at the end.
             cpuOfDead.set(d, cpuOfDead.get(d).plus(child.cpu()));
-            ledger.line(Stamp.now(), "killed", d);
+            ledger.line(EventClock.now(), "killed", d);
             child.kill();
         }
     }
@@ -353,7 +353,7 @@
                 at.millis() / 1000, sums[0], sums[1], sums[2], sums[3], 100 * sums[4] / all);
     }
 
-    private Outcome.Costs costs() {
+    private RunOutcome.Costs costs() {
         List<Double> cpu = new ArrayList<>();
         List<Long> memory = new ArrayList<>();
         for (int d = 0; d < dispatchers.size(); d++) {
@@ -362,6 +362,7 @@
             cpu.add(used.toNanos() / 1e9);
             memory.add(dispatchers.get(d).residentKb());
         }
-        return new Outcome.Costs(cpu, memory, hostBefore == null ? 0 : Host.now().stolenSince(hostBefore));
+        return new RunOutcome.Costs(cpu, memory,
+                hostBefore == null ? 0 : HostMetrics.now().stolenSince(hostBefore));
     }
 }
--- a/src/main/java/rampshift/fleet/trial/Host.java
+++ b/src/main/java/rampshift/testbed/experiment/HostMetrics.java
@@ -1,4 +1,4 @@
-package rampshift.fleet.trial;
+package rampshift.testbed.experiment;
 
 import java.io.IOException;
 import java.nio.file.Files;
@@ -8,22 +8,24 @@
  * What this machine says of itself, where it does. Under a host that gives cores to others, latencies are its
  * too.
  */
-record Host(long worked, long stolen) {
+record HostMetrics(long worked, long stolen) {
     private static final Path STAT = Path.of("/proc/stat");
 
-    static Host now() {
+    static HostMetrics now() {
         try {
             // cpu user nice system idle iowait irq softirq steal ...
             String[] fields = Files.readAllLines(STAT).get(0).trim().split(" +");
-            return new Host(Long.parseLong(fields[1]) + Long.parseLong(fields[3]) + Long.parseLong(fields[6])
-                    + Long.parseLong(fields[7]), Long.parseLong(fields[8]));
+            return new HostMetrics(
+                    Long.parseLong(fields[1]) + Long.parseLong(fields[3]) + Long.parseLong(fields[6])
+                            + Long.parseLong(fields[7]),
+                    Long.parseLong(fields[8]));
         } catch (IOException | RuntimeException e) {
-            return new Host(0, 0);      // another system: nothing is known
+            return new HostMetrics(0, 0);      // another system: nothing is known
         }
     }
 
     /** The share of the wanted time that was stolen since; 0 where nothing is known. */
-    double stolenSince(Host before) {
+    double stolenSince(HostMetrics before) {
         long mine = worked - before.worked;
         long lost = stolen - before.stolen;
         return mine + lost <= 0 ? 0 : lost / (double) (mine + lost);
--- a/src/main/java/rampshift/fleet/trial/Program.java
+++ b/src/main/java/rampshift/testbed/experiment/ProcessLauncher.java
@@ -1,17 +1,17 @@
-package rampshift.fleet.trial;
+package rampshift.testbed.experiment;
 
 import java.io.File;
 import java.nio.file.Files;
 import java.nio.file.Path;
 import java.util.ArrayList;
 import java.util.List;
-import rampshift.fleet.plan.Plan;
+import rampshift.testbed.plan.FleetPlan;
 
 /** How the processes of a run are started: this program again, or a dispatcher of another version. */
-final class Program {
+final class ProcessLauncher {
     private static final String JAVA = Path.of(System.getProperty("java.home"), "bin", "java").toString();
 
-    private Program() {}
+    private ProcessLauncher() {}
 
     /** This program with other arguments. */
     static List<String> self(String heap, List<String> arguments) {
@@ -31,7 +31,7 @@
     }
 
     /** A dispatcher, with heap and buffers by its memory as deploy/serve.sh sizes them. */
-    static List<String> dispatcher(Plan.Dispatchers plan, Path folder) {
+    static List<String> dispatcher(FleetPlan.Dispatchers plan, Path folder) {
         int memory = plan.memoryMb();
         int heap = Math.min(512, Math.max(12, memory * 9 / 20));
         int direct = Math.max(4, memory / 8);
@@ -63,7 +63,7 @@
     }
 
     /** The folder that a dispatcher of that jar is started in; null for this one. */
-    static Path homeOf(Plan.Dispatchers plan) {
+    static Path homeOf(FleetPlan.Dispatchers plan) {
         String jar = plan.jar().isEmpty() ? System.getProperty("java.class.path") : plan.jar();
         Path path = Path.of(jar.split(File.pathSeparator)[0]).toAbsolutePath();
         return path.toString().endsWith(".jar") ? home(path) : null;
--- a/src/main/java/rampshift/fleet/trial/Climb.java
+++ b/src/main/java/rampshift/testbed/experiment/RateSearch.java
@@ -1,11 +1,11 @@
-package rampshift.fleet.trial;
+package rampshift.testbed.experiment;
 
 /**
  * Which rate to try next, to find the highest that is carried: doubles until one is not, then halves the gap
  * until
  * it is narrow. A rate counts as not carried once it has failed twice. No I/O.
  */
-final class Climb {
+final class RateSearch {
     private final double most;
     private final double narrow;
     private double carried;
@@ -16,7 +16,7 @@
     /**
      * Begins at a rate, and never tries one above the other. Narrow: the share of a gap that ends the search.
      */
-    Climb(double first, double most, double narrow) {
+    RateSearch(double first, double most, double narrow) {
         this.narrow = narrow;
         next = Math.min(first, most);
         this.most = most;
--- a/src/main/java/rampshift/fleet/trial/Report.java
+++ b/src/main/java/rampshift/testbed/experiment/Report.java
@@ -1,4 +1,4 @@
-package rampshift.fleet.trial;
+package rampshift.testbed.experiment;
 
 import de.erichseifert.vectorgraphics2d.Document;
 import de.erichseifert.vectorgraphics2d.Processors;
@@ -20,8 +20,8 @@
 import org.knowm.xchart.XYSeries;
 import org.knowm.xchart.style.Styler;
 import org.knowm.xchart.style.markers.SeriesMarkers;
-import rampshift.fleet.judge.Verdict;
-import rampshift.fleet.plan.Plan;
+import rampshift.testbed.plan.FleetPlan;
+import rampshift.testbed.verification.Verdict;
 
 /** An experiment as one page that needs nothing beside it: figures, differences, rules, and plots. */
 final class Report {
@@ -34,10 +34,10 @@
             {1, 5, 10, 25, 50, 75, 90, 95, 98, 99, 99.5, 99.8, 99.9, 99.95, 99.99};
 
     private final Experiment experiment;
-    private final Plan plan;
+    private final FleetPlan plan;
     private final List<Long> seeds;
 
-    Report(Experiment experiment, Plan plan, List<Long> seeds) {
+    Report(Experiment experiment, FleetPlan plan, List<Long> seeds) {
         this.experiment = experiment;
         this.plan = plan;
         this.seeds = seeds;
@@ -115,10 +115,10 @@
         for (int r = 0; r < rules; r++) {
             StringBuilder row = new StringBuilder();
             String name = "";
-            for (Map<Long, Outcome> bySeed : experiment.runs.values()) {
+            for (Map<Long, RunOutcome> bySeed : experiment.runs.values()) {
                 long stake = 0;
                 long broken = 0;
-                for (Outcome o : bySeed.values()) {
+                for (RunOutcome o : bySeed.values()) {
                     Verdict.Rule rule = o.verdict.rules().get(r);
                     name = rule.name();
                     stake += rule.atStake();
@@ -157,7 +157,7 @@
 
     private String earnings() throws IOException {
         XYChart chart = chart("earned of what was asked, each second, all runs together", "s", "%");
-        for (Map.Entry<String, Map<Long, Outcome>> arm : experiment.runs.entrySet()) {
+        for (Map.Entry<String, Map<Long, RunOutcome>> arm : experiment.runs.entrySet()) {
             int seconds = (int) Math.ceil(plan.length().millis() / 1000);
             double[] asked = new double[seconds];
             double[] earned = new double[seconds];
@@ -178,13 +178,13 @@
                 chart.addSeries(arm.getKey(), x, y).setMarker(SeriesMarkers.NONE);
             }
         }
-        for (Plan.Trouble t : plan.troubles()) {
+        for (FleetPlan.Trouble t : plan.troubles()) {
             mark(chart, t.at().millis() / 1000, 100, true);
             mark(chart, Math.min(plan.length().millis(), t.at().plus(t.length()).millis()) / 1000, 100,
                     false);
         }
         StringBuilder words = new StringBuilder();
-        for (Plan.Trouble t : plan.troubles()) {
+        for (FleetPlan.Trouble t : plan.troubles()) {
             words.append(words.length() == 0 ? "<p>Troubles, begin red and end green: " : "; ")
                     .append(t.what().name().toLowerCase(Locale.ROOT).replace('_', ' ')).append(' ')
                     .append(plain(String.join(" ", t.names()))).append(plain(t.site())).append(" at ")
@@ -206,7 +206,7 @@
     private String latency() throws IOException {
         XYChart chart = chart("finished tasks", "percentile, as nines: 1 is 90%, 2 is 99%, 3 is 99.9%", "ms");
         chart.getStyler().setYAxisLogarithmic(true);
-        for (Map.Entry<String, Map<Long, Outcome>> arm : experiment.runs.entrySet()) {
+        for (Map.Entry<String, Map<Long, RunOutcome>> arm : experiment.runs.entrySet()) {
             Histogram all = new Histogram(120_000_000, 3);
             seeds.forEach(s -> all.add(arm.getValue().get(s).all("latency")));
             if (all.getTotalCount() == 0) {
@@ -227,7 +227,7 @@
         if (seeds.isEmpty()) {
             return "";
         }
-        Outcome o = experiment.runs.get(arm).get(seeds.get(0));
+        RunOutcome o = experiment.runs.get(arm).get(seeds.get(0));
         Map<String, long[]> busiest = new LinkedHashMap<>();
         o.verdict.taken().entrySet().stream()
                 .sorted((a, b) -> Long.compare(Arrays.stream(b.getValue()).sum(),
--- a/src/main/java/rampshift/fleet/trial/Outcome.java
+++ b/src/main/java/rampshift/testbed/experiment/RunOutcome.java
@@ -1,4 +1,4 @@
-package rampshift.fleet.trial;
+package rampshift.testbed.experiment;
 
 import com.fasterxml.jackson.databind.JsonNode;
 import com.fasterxml.jackson.databind.ObjectMapper;
@@ -16,15 +16,15 @@
 import java.util.stream.Stream;
 import org.HdrHistogram.Histogram;
 import org.HdrHistogram.HistogramLogReader;
-import rampshift.fleet.judge.Judge;
-import rampshift.fleet.judge.Verdict;
-import rampshift.fleet.plan.Plan;
+import rampshift.testbed.plan.FleetPlan;
+import rampshift.testbed.verification.RuleChecker;
+import rampshift.testbed.verification.Verdict;
 import rampshift.time.Moment;
 
 /**
  * What came of a run: the clients' counts and histograms of all processes together, costs, and the verdict.
  */
-final class Outcome {
+final class RunOutcome {
     /** The simulator's limits, 50 ms longer on sockets. */
     private static final long SLACK_US = 50_000;
     /** More than one send in a hundred late: the tool has measured itself. */
@@ -53,15 +53,15 @@
     long idleLost;
     long sent;
 
-    private Outcome(Plan plan, Verdict verdict, Costs costs, Moment zero) {
+    private RunOutcome(FleetPlan plan, Verdict verdict, Costs costs, Moment zero) {
         this.verdict = verdict;
         this.costs = costs;
         seconds = plan.length().minus(plan.clients().warmUp()).millis() / 1000;
         zeroSecond = (zero.micros() - verdict.fromMicros()) / 1e6;
     }
 
-    static Outcome read(Plan plan, Path folder, Costs costs, Moment zero) throws IOException {
-        Outcome o = new Outcome(plan, judge(plan, folder), costs, zero);
+    static RunOutcome read(FleetPlan plan, Path folder, Costs costs, Moment zero) throws IOException {
+        RunOutcome o = new RunOutcome(plan, judge(plan, folder), costs, zero);
         for (int p = 0; p < plan.clients().processes(); p++) {
             o.add(new ObjectMapper().readTree(folder.resolve("load-" + p + ".json").toFile()));
             o.add(folder.resolve("load-" + p + ".hlog"));
@@ -70,9 +70,10 @@
     }
 
     /** Judges all ledgers of a folder. */
-    static Verdict judge(Plan plan, Path folder) throws IOException {
-        Judge judge = new Judge(plan.roster().grace().micros(), SLACK_US, plan.members().knownBy().micros(),
-                plan.members().agreeBy().micros());
+    static Verdict judge(FleetPlan plan, Path folder) throws IOException {
+        RuleChecker judge =
+                new RuleChecker(plan.roster().grace().micros(), SLACK_US, plan.members().knownBy().micros(),
+                        plan.members().agreeBy().micros());
         List<Path> ledgers;
         try (Stream<Path> files = Files.list(folder)) {
             ledgers = files.filter(f -> f.toString().endsWith(".ledger")).sorted().toList();
--- a/src/main/java/rampshift/fleet/trial/Sitting.java
+++ b/src/main/java/rampshift/testbed/experiment/RunProcesses.java
@@ -1,4 +1,4 @@
-package rampshift.fleet.trial;
+package rampshift.testbed.experiment;
 
 import java.io.BufferedReader;
 import java.io.IOException;
@@ -9,30 +9,32 @@
 import java.nio.file.Path;
 import java.util.ArrayList;
 import java.util.List;
-import rampshift.fleet.clients.Load;
-import rampshift.fleet.ledger.Chances;
-import rampshift.fleet.plan.Plan;
-import rampshift.fleet.troubles.Timeline;
-import rampshift.fleet.ways.Ways;
-import rampshift.fleet.wire.Ports;
-import rampshift.fleet.workers.Fleet;
-import rampshift.ledger.Ledger;
-import rampshift.ledger.Stamp;
+import rampshift.eventlog.EventClock;
+import rampshift.eventlog.EventLog;
+import rampshift.testbed.clients.LoadGenerator;
+import rampshift.testbed.faults.FaultInjector;
+import rampshift.testbed.links.LinkProxy;
+import rampshift.testbed.plan.FleetPlan;
+import rampshift.testbed.random.RandomStreams;
+import rampshift.testbed.wire.LoopbackNetwork;
+import rampshift.testbed.workers.Fleet;
 import rampshift.time.Moment;
 import rampshift.time.Span;
 
 /** The two processes of a run that are no dispatchers: workers with the roster, and clients. */
-final class Sitting {
+final class RunProcesses {
     private static final Span IDLE_UP = Span.ofMillis(20_000);
 
-    private Sitting() {}
+    private RunProcesses() {}
 
     /** Workers and roster until standard input ends, if it steers, or until it is stopped. */
-    static void fleet(Plan plan, long seed, Path folder, boolean steered, PrintStream out)
+    static void fleet(FleetPlan plan, long seed, Path folder, boolean steered, PrintStream out)
             throws IOException {
-        List<InetSocketAddress> members = plan.members().on() ? Ports.own(plan.dispatcherCount()) : List.of();
-        try (Ledger ledger = new Ledger(folder.resolve("fleet.ledger"));
-                Ways ways = members.isEmpty() ? null : new Ways(members, Chances.of(seed, "ways"))) {
+        List<InetSocketAddress> members =
+                plan.members().on() ? LoopbackNetwork.own(plan.dispatcherCount()) : List.of();
+        try (EventLog ledger = new EventLog(folder.resolve("fleet.ledger"));
+                LinkProxy ways =
+                        members.isEmpty() ? null : new LinkProxy(members, RandomStreams.of(seed, "ways"))) {
             Fleet fleet = new Fleet(plan, seed, ledger);
             List<InetSocketAddress> listens = listens(plan);
             int d = 0;
@@ -45,7 +47,7 @@
                     }
                 }
             }
-            Timeline timeline = new Timeline(plan, fleet, ways, ledger);
+            FaultInjector timeline = new FaultInjector(plan, fleet, ways, ledger);
             if (steered) {
                 out.println("ready");
                 BufferedReader in = input();
@@ -65,7 +67,7 @@
             }
             out.println(
                     "Troubles count from the first task. Ctrl-C ends it; the ledger is in " + folder + ".");
-            fleet.whenFirstTask(() -> timeline.start(seed, Stamp.now()));
+            fleet.whenFirstTask(() -> timeline.start(seed, EventClock.now()));
             Runtime.getRuntime().addShutdownHook(new Thread(() -> {
                 try {
                     ledger.close();
@@ -79,26 +81,26 @@
         }
     }
 
-    private static List<InetSocketAddress> listens(Plan plan) throws IOException {
+    private static List<InetSocketAddress> listens(FleetPlan plan) throws IOException {
         if (plan.dispatchers().port() == 0) {
-            return Ports.free(plan.dispatcherCount());
+            return LoopbackNetwork.free(plan.dispatcherCount());
         }
         List<InetSocketAddress> listens = new ArrayList<>();
         for (int d = 0; d < plan.dispatcherCount(); d++) {
-            Ports.needs(plan.dispatchers().port() + d);
-            listens.add(Ports.at(plan.dispatchers().port() + d));
+            LoopbackNetwork.needs(plan.dispatchers().port() + d);
+            listens.add(LoopbackNetwork.at(plan.dispatchers().port() + d));
         }
         return listens;
     }
 
     /** Clients for the length of the plan; its own end follows. Status 3: it fell behind its own plan. */
-    static int load(Plan plan, long seed, int process, List<InetSocketAddress> to, Path folder,
+    static int load(FleetPlan plan, long seed, int process, List<InetSocketAddress> to, Path folder,
             boolean steered,
             PrintStream out) throws IOException {
-        try (Ledger ledger = new Ledger(folder.resolve("load-" + process + ".ledger"))) {
-            Load load = new Load(plan, seed, process, to, ledger);
+        try (EventLog ledger = new EventLog(folder.resolve("load-" + process + ".ledger"))) {
+            LoadGenerator load = new LoadGenerator(plan, seed, process, to, ledger);
             load.openIdle(IDLE_UP);
-            Moment zero = Stamp.now();
+            Moment zero = EventClock.now();
             if (steered) {
                 out.println("ready");
                 BufferedReader in = input();
@@ -144,7 +146,7 @@
         watch.start();
     }
 
-    private static void tell(Load load, PrintStream out) {
+    private static void tell(LoadGenerator load, PrintStream out) {
         try {
             while (true) {
                 Thread.sleep(500);
--- a/src/main/java/rampshift/fleet/trial/Table.java
+++ b/src/main/java/rampshift/testbed/experiment/SummaryTable.java
@@ -1,16 +1,16 @@
-package rampshift.fleet.trial;
+package rampshift.testbed.experiment;
 
 import java.io.PrintStream;
 import java.util.Locale;
 import java.util.Map;
 import org.HdrHistogram.Histogram;
-import rampshift.fleet.judge.Verdict;
+import rampshift.testbed.verification.Verdict;
 
 /** The short table at the end of a run. */
-final class Table {
-    private Table() {}
+final class SummaryTable {
+    private SummaryTable() {}
 
-    static void print(Outcome o, PrintStream out) {
+    static void print(RunOutcome o, PrintStream out) {
         out.printf(Locale.ROOT,
                 "%nearnings served %.1f%%   tasks %.0f   tries %d   assignments %d   copies %d%n%n",
                 100 * o.earningsServed(), o.sum("tasks"), o.sent, o.verdict.assignments(),
@@ -26,7 +26,7 @@
         }
         row(out, "all", o.sum("tasks"), o.sum("in_time"), o.sum("finished"), o.sum("bounced"),
                 o.sum("abandoned"),
-                o.types.values().stream().mapToDouble(Table::others).sum(), o.all("latency"));
+                o.types.values().stream().mapToDouble(SummaryTable::others).sum(), o.all("latency"));
         out.println();
         rules(o.verdict, out);
         if (o.isVoid()) {
--- a/src/main/java/rampshift/fleet/troubles/Timeline.java
+++ b/src/main/java/rampshift/testbed/faults/FaultInjector.java
@@ -1,30 +1,30 @@
-package rampshift.fleet.troubles;
+package rampshift.testbed.faults;
 
 import java.util.List;
 import java.util.concurrent.TimeUnit;
 import java.util.function.Consumer;
-import rampshift.fleet.ledger.Chances;
-import rampshift.fleet.plan.Plan;
-import rampshift.fleet.ways.Way;
-import rampshift.fleet.ways.Ways;
-import rampshift.fleet.workers.Fleet;
-import rampshift.ledger.Ledger;
-import rampshift.ledger.Stamp;
+import rampshift.eventlog.EventClock;
+import rampshift.eventlog.EventLog;
+import rampshift.testbed.links.LinkFaults;
+import rampshift.testbed.links.LinkProxy;
+import rampshift.testbed.plan.FleetPlan;
+import rampshift.testbed.random.RandomStreams;
+import rampshift.testbed.workers.Fleet;
 import rampshift.time.Moment;
 import rampshift.time.Span;
 
 /** Brings the plan's troubles over a fleet, each at its time, and takes them away again. */
-public final class Timeline {
+public final class FaultInjector {
     private static final double NARROWEST = 1000;       // bytes a second, times the factor
     private static final double PAUSE_EVERY = 20;       // pauses' lengths apart
 
-    private final Plan plan;
+    private final FleetPlan plan;
     private final Fleet fleet;
-    private final Ledger ledger;
-    private final Ways ways;
+    private final EventLog ledger;
+    private final LinkProxy ways;
 
     /** Ways: null where the dispatchers don't know each other. */
-    public Timeline(Plan plan, Fleet fleet, Ways ways, Ledger ledger) {
+    public FaultInjector(FleetPlan plan, Fleet fleet, LinkProxy ways, EventLog ledger) {
         this.plan = plan;
         this.fleet = fleet;
         this.ways = ways;
@@ -34,29 +34,30 @@
     /** Begins to count at that moment. */
     public void start(long seed, Moment zero) {
         int number = 0;
-        for (Plan.Trouble trouble : plan.troubles()) {
+        for (FleetPlan.Trouble trouble : plan.troubles()) {
             number++;
             if (trouble.ofDispatchers()) {
                 continue;
             }
             List<String> names = ofDispatchersNamed(trouble) ? trouble.names()
-                    : Draw.of(trouble, fleet.names(trouble.site()), Chances.of(seed, "trouble " + number));
+                    : FaultTargets.of(trouble, fleet.names(trouble.site()),
+                            RandomStreams.of(seed, "trouble " + number));
             at(zero.plus(trouble.at()), () -> begin(trouble, names));
             at(zero.plus(trouble.at()).plus(trouble.length()), () -> end(trouble, names));
         }
     }
 
-    private static boolean ofDispatchersNamed(Plan.Trouble trouble) {
-        return trouble.ofWays() || trouble.what() == Plan.Trouble.Kind.ROSTER_SILENT
-                || trouble.what() == Plan.Trouble.Kind.ROSTER_OLD;
+    private static boolean ofDispatchersNamed(FleetPlan.Trouble trouble) {
+        return trouble.ofWays() || trouble.what() == FleetPlan.Trouble.Kind.ROSTER_SILENT
+                || trouble.what() == FleetPlan.Trouble.Kind.ROSTER_OLD;
     }
 
     private void at(Moment when, Runnable what) {
-        fleet.thread().executeAfter(what, Math.max(0, Math.round(when.since(Stamp.now()).millis())),
+        fleet.thread().executeAfter(what, Math.max(0, Math.round(when.since(EventClock.now()).millis())),
                 TimeUnit.MILLISECONDS);
     }
 
-    private void begin(Plan.Trouble trouble, List<String> names) {
+    private void begin(FleetPlan.Trouble trouble, List<String> names) {
         mark(trouble, "begins", names);
         switch (trouble.what()) {
             case DRAIN -> names.forEach(fleet::drain);
@@ -68,18 +69,18 @@
             case ROSTER_SILENT -> fleet.rosterSilent(names, true);
             case ROSTER_OLD -> fleet.rosterOld(names, trouble.delay());
             case WAY_CUT -> ways(trouble, w -> w.cut(true));
-            case WAY_FLAPPING -> flap(trouble, true, Stamp.now().plus(trouble.length()));
+            case WAY_FLAPPING -> flap(trouble, true, EventClock.now().plus(trouble.length()));
             case WAY_LOSSY -> ways(trouble, w -> w.lost(trouble.rate()));
             case WAY_SLOW -> ways(trouble, w -> w.late(trouble.delay()));
             case WAY_SCATTERED -> ways(trouble, w -> w.scattered(trouble.delay()));
             case WAY_REPEATING -> ways(trouble, w -> w.repeated(trouble.rate()));
             case WAY_NARROW -> ways(trouble, w -> w.narrow(NARROWEST * trouble.factor()));
-            case PAUSES -> pause(trouble, names, Stamp.now().plus(trouble.length()));
+            case PAUSES -> pause(trouble, names, EventClock.now().plus(trouble.length()));
             default -> names.forEach(n -> fleet.ill(n, trouble, true));
         }
     }
 
-    private void end(Plan.Trouble trouble, List<String> names) {
+    private void end(FleetPlan.Trouble trouble, List<String> names) {
         mark(trouble, "ends", names);
         switch (trouble.what()) {
             case DRAIN -> names.stream().filter(n -> !fleet.down(n)).forEach(fleet::leave);
@@ -105,7 +106,7 @@
     }
 
     /** Of a site: all ways between its dispatchers and the others, both directions. */
-    private void ways(Plan.Trouble trouble, Consumer<Way> change) {
+    private void ways(FleetPlan.Trouble trouble, Consumer<LinkFaults> change) {
         int[] siteOf = fleet.siteOfDispatchers();
         for (int from = 0; ways != null && from < siteOf.length; from++) {
             for (int to = 0; to < siteOf.length; to++) {
@@ -120,7 +121,7 @@
         }
     }
 
-    private boolean here(Plan.Trouble trouble, int site) {
+    private boolean here(FleetPlan.Trouble trouble, int site) {
         return plan.sites().get(site).name().equals(trouble.site());
     }
 
@@ -135,24 +136,25 @@
         return name.equals("*") || name.equals("d" + (dispatcher + 1));
     }
 
-    private void flap(Plan.Trouble trouble, boolean cut, Moment until) {
-        if (Stamp.now().before(until)) {
+    private void flap(FleetPlan.Trouble trouble, boolean cut, Moment until) {
+        if (EventClock.now().before(until)) {
             ways(trouble, w -> w.cut(cut));
-            at(Stamp.now().plus(trouble.delay()), () -> flap(trouble, !cut, until));
+            at(EventClock.now().plus(trouble.delay()), () -> flap(trouble, !cut, until));
         }
     }
 
-    private void pause(Plan.Trouble trouble, List<String> names, Moment until) {
-        if (!Stamp.now().before(until)) {
+    private void pause(FleetPlan.Trouble trouble, List<String> names, Moment until) {
+        if (!EventClock.now().before(until)) {
             return;
         }
         names.forEach(n -> fleet.ill(n, trouble, true));
-        at(Stamp.now().plus(trouble.delay()), () -> names.forEach(n -> fleet.ill(n, trouble, false)));
-        at(Stamp.now().plus(trouble.delay().times(PAUSE_EVERY)), () -> pause(trouble, names, until));
+        at(EventClock.now().plus(trouble.delay()), () -> names.forEach(n -> fleet.ill(n, trouble, false)));
+        at(EventClock.now().plus(trouble.delay().times(PAUSE_EVERY)), () -> pause(trouble, names, until));
     }
 
-    private void mark(Plan.Trouble trouble, String which, List<String> names) {
-        ledger.line(Stamp.now(), "trouble", trouble.what().name().toLowerCase(java.util.Locale.ROOT), which,
+    private void mark(FleetPlan.Trouble trouble, String which, List<String> names) {
+        ledger.line(EventClock.now(), "trouble", trouble.what().name().toLowerCase(java.util.Locale.ROOT),
+                which,
                 names.isEmpty() ? trouble.site()
                         : names.size() > 3 ? names.size() + "-workers"
                                 : String.join(",", names));
--- a/src/main/java/rampshift/fleet/troubles/Draw.java
+++ b/src/main/java/rampshift/testbed/faults/FaultTargets.java
@@ -1,19 +1,19 @@
-package rampshift.fleet.troubles;
+package rampshift.testbed.faults;
 
 import java.util.ArrayList;
 import java.util.List;
 import org.apache.commons.rng.UniformRandomProvider;
-import rampshift.fleet.plan.Plan;
+import rampshift.testbed.plan.FleetPlan;
 
 /** Whom a trouble befalls: those it names, or a share of all, drawn by the seed. */
-public final class Draw {
-    private Draw() {}
+public final class FaultTargets {
+    private FaultTargets() {}
 
     /**
      * At least one where the share is above 0. A name may stand for all that begin with it, as {@code
      * north-*}.
      */
-    public static List<String> of(Plan.Trouble trouble, List<String> all, UniformRandomProvider chance) {
+    public static List<String> of(FleetPlan.Trouble trouble, List<String> all, UniformRandomProvider chance) {
         List<String> drawn = new ArrayList<>();
         for (String one : all) {
             if (trouble.names().stream().anyMatch(n -> n.equals(one)
--- a/src/main/java/rampshift/fleet/ways/Way.java
+++ b/src/main/java/rampshift/testbed/links/LinkFaults.java
@@ -1,4 +1,4 @@
-package rampshift.fleet.ways;
+package rampshift.testbed.links;
 
 import org.apache.commons.rng.UniformRandomProvider;
 import rampshift.time.Span;
@@ -11,7 +11,7 @@
  * one another. Narrow: bytes a second that get through, 0 for all; what would wait longer than a second is
  * lost.
  */
-public final class Way {
+public final class LinkFaults {
     private static final double MOST_QUEUED = 1.0;
 
     private boolean cut;
--- a/src/main/java/rampshift/fleet/ways/Ways.java
+++ b/src/main/java/rampshift/testbed/links/LinkProxy.java
@@ -1,4 +1,4 @@
-package rampshift.fleet.ways;
+package rampshift.testbed.links;
 
 import java.io.Closeable;
 import java.io.IOException;
@@ -17,7 +17,7 @@
 import java.util.concurrent.ConcurrentLinkedQueue;
 import java.util.function.Consumer;
 import org.apache.commons.rng.UniformRandomProvider;
-import rampshift.fleet.wire.Ports;
+import rampshift.testbed.wire.LoopbackNetwork;
 
 /**
  * The ways between dispatchers. Each ordered pair has an address of its own, for datagrams and streams: where
@@ -26,14 +26,14 @@
  * it has,
  * and each direction can be troubled alone. One thread; it owns every socket here.
  */
-public final class Ways implements Closeable {
+public final class LinkProxy implements Closeable {
     private static final int PIECE = 16 * 1024;
     private static final int TRIES = 50;
     private static final double LONGEST_WRITE_MS = 200;
 
     private final int count;
     private final InetSocketAddress[] members;
-    private final Way[][] ways;
+    private final LinkFaults[][] ways;
     private final DatagramChannel[][] datagrams;
     private final ServerSocketChannel[][] servers;
     private final InetSocketAddress[][] addresses;
@@ -55,17 +55,17 @@
     }
 
     /** Between members that listen at these addresses. */
-    public Ways(List<InetSocketAddress> members, UniformRandomProvider chance) throws IOException {
+    public LinkProxy(List<InetSocketAddress> members, UniformRandomProvider chance) throws IOException {
         count = members.size();
         this.members = members.toArray(new InetSocketAddress[0]);
         this.chance = chance;
-        ways = new Way[count][count];
+        ways = new LinkFaults[count][count];
         datagrams = new DatagramChannel[count][count];
         servers = new ServerSocketChannel[count][count];
         addresses = new InetSocketAddress[count][count];
         for (int from = 0; from < count; from++) {
             for (int to = 0; to < count; to++) {
-                ways[from][to] = new Way();
+                ways[from][to] = new LinkFaults();
                 if (from != to) {
                     open(from, to);
                 }
@@ -82,7 +82,7 @@
             ServerSocketChannel s = ServerSocketChannel.open();
             try {
                 s.setOption(StandardSocketOptions.SO_REUSEADDR, true);
-                s.bind(Ports.at(0));
+                s.bind(LoopbackNetwork.at(0));
                 addresses[from][to] = (InetSocketAddress) s.getLocalAddress();
                 d.bind(addresses[from][to]);
                 d.configureBlocking(false);
@@ -110,7 +110,7 @@
     }
 
     /** Has something done to one way, on the thread that owns it. */
-    public void change(int from, int to, Consumer<Way> change) {
+    public void change(int from, int to, Consumer<LinkFaults> change) {
         orders.add(() -> {
             change.accept(ways[from][to]);
             pipes.forEach(Pipe::look);
@@ -246,7 +246,7 @@
             }
         }
 
-        private void move(SocketChannel in, SocketChannel out, Way way) {
+        private void move(SocketChannel in, SocketChannel out, LinkFaults way) {
             try {
                 buffer.clear();
                 int count = in.read(buffer);
--- a/src/main/java/rampshift/fleet/plan/Plan.java
+++ b/src/main/java/rampshift/testbed/plan/FleetPlan.java
@@ -1,4 +1,4 @@
-package rampshift.fleet.plan;
+package rampshift.testbed.plan;
 
 import com.fasterxml.jackson.databind.JsonNode;
 import java.util.List;
@@ -10,7 +10,7 @@
  * shares
  * lie between 0 and 1, rates are a second.
  */
-public record Plan(
+public record FleetPlan(
         Span length,
         long seed,
         List<Site> sites,
--- a/src/main/java/rampshift/fleet/plan/PlanReader.java
+++ b/src/main/java/rampshift/testbed/plan/FleetPlanReader.java
@@ -1,4 +1,4 @@
-package rampshift.fleet.plan;
+package rampshift.testbed.plan;
 
 import com.fasterxml.jackson.databind.JsonNode;
 import com.fasterxml.jackson.databind.node.ArrayNode;
@@ -9,42 +9,41 @@
 import java.util.List;
 import java.util.Map;
 import rampshift.time.Span;
-import rampshift.toml.Fault;
 import rampshift.toml.Range;
-import rampshift.toml.Section;
-import rampshift.toml.Toml;
+import rampshift.toml.TomlFile;
+import rampshift.toml.TomlTable;
 
 /** The one reader of fleet files. */
-public final class PlanReader {
+public final class FleetPlanReader {
     private static final int MOST = 1_000_000;
     private static final int MOST_DISPATCHERS = 1024;   // a site
 
-    private PlanReader() {}
+    private FleetPlanReader() {}
 
     /** Reads a file, or throws a Fault that says in plain lines all that is wrong with it. */
-    public static Plan read(Path file) {
+    public static FleetPlan read(Path file) {
         return read(file, null);
     }
 
     /** Reads it as the arm of that name has it. */
-    public static Plan read(Path file, String arm) {
-        return read(file.toString(), Toml.text(file), arm);
+    public static FleetPlan read(Path file, String arm) {
+        return read(file.toString(), TomlFile.text(file), arm);
     }
 
-    public static Plan read(String name, String text, String arm) {
-        Toml file = Toml.read(name, text);
-        Section.Source source = file.source();
+    public static FleetPlan read(String name, String text, String arm) {
+        TomlFile file = TomlFile.read(name, text);
+        TomlTable.Source source = file.source();
         JsonNode root = file.root();
         if (arm != null) {
             set(source, root, arm);
         }
-        Plan plan = plan(source, new Section(source, root, ""));
+        FleetPlan plan = plan(source, new TomlTable(source, root, ""));
         file.sound();
         return plan;
     }
 
     /** Sets in the tree what the arm sets: the reading after it is as strict as for the file itself. */
-    private static void set(Section.Source source, JsonNode root, String arm) {
+    private static void set(TomlTable.Source source, JsonNode root, String arm) {
         JsonNode arms = root.path("arm");
         for (int i = 0; i < arms.size(); i++) {
             if (!arms.get(i).path("name").asText().equals(arm)) {
@@ -60,7 +59,8 @@
         source.fault("arm", "there is no arm \"" + arm + "\"");
     }
 
-    private static void put(Section.Source source, JsonNode root, String path, JsonNode value, String from) {
+    private static void put(TomlTable.Source source, JsonNode root, String path, JsonNode value,
+            String from) {
         JsonNode at = root;
         String[] steps = path.split("[.\\[\\]]+");
         for (int i = 0; i < steps.length; i++) {
@@ -86,26 +86,26 @@
         }
     }
 
-    private static Plan plan(Section.Source source, Section s) {
-        List<Plan.Machine> machines = new ArrayList<>();
-        for (Section m : s.sections("machine")) {
-            machines.add(new Plan.Machine(m.name("name"), m.whole("slots", 1, 10_000, 4),
+    private static FleetPlan plan(TomlTable.Source source, TomlTable s) {
+        List<FleetPlan.Machine> machines = new ArrayList<>();
+        for (TomlTable m : s.sections("machine")) {
+            machines.add(new FleetPlan.Machine(m.name("name"), m.whole("slots", 1, 10_000, 4),
                     m.number("speed", 0.001, 1000, 1), m.whole("waiting", 0, MOST, 64),
                     m.number("memory", 0, 1e9, 1e6)));
             m.end();
         }
-        List<Plan.Site> sites = new ArrayList<>();
-        for (Section site : s.sections("site")) {
+        List<FleetPlan.Site> sites = new ArrayList<>();
+        for (TomlTable site : s.sections("site")) {
             sites.add(site(site, machines));
         }
-        List<Plan.Type> types = new ArrayList<>();
-        for (Section t : s.sections("type")) {
+        List<FleetPlan.Type> types = new ArrayList<>();
+        for (TomlTable t : s.sections("type")) {
             types.add(type(t));
         }
         needs(source, sites.isEmpty(), "site", "at least one site, as [[site]]");
         needs(source, machines.isEmpty(), "machine", "at least one machine, as [[machine]]");
         needs(source, types.isEmpty(), "type", "at least one traffic type, as [[type]]");
-        Plan plan = new Plan(s.span("length", Span.ofMillis(20_000)),
+        FleetPlan plan = new FleetPlan(s.span("length", Span.ofMillis(20_000)),
                 s.whole("seed", 0, Integer.MAX_VALUE, 1), sites,
                 machines, types, arrivals(s.section("arrivals"), sites), clients(s.section("clients")),
                 workers(s.section("workers")), cold(s.section("cold")), reports(s.section("reports")),
@@ -121,35 +121,35 @@
         return plan;
     }
 
-    private static void needs(Section.Source source, boolean lacks, String key, String what) {
+    private static void needs(TomlTable.Source source, boolean lacks, String key, String what) {
         if (lacks) {
             source.fault(key, "the file lacks " + what);
         }
     }
 
-    private static Plan.Site site(Section s, List<Plan.Machine> machines) {
-        List<Plan.Group> groups = new ArrayList<>();
-        for (Section w : s.sections("workers")) {
+    private static FleetPlan.Site site(TomlTable s, List<FleetPlan.Machine> machines) {
+        List<FleetPlan.Group> groups = new ArrayList<>();
+        for (TomlTable w : s.sections("workers")) {
             String machine = w.name("machine");
             if (machines.stream().noneMatch(m -> m.name().equals(machine))) {
                 w.fault("machine", "is \"" + machine + "\", which no [[machine]] is named");
             }
-            groups.add(new Plan.Group(machine, w.whole("count", 1, 20_000, 1)));
+            groups.add(new FleetPlan.Group(machine, w.whole("count", 1, 20_000, 1)));
             w.end();
         }
-        Plan.Site site = new Plan.Site(s.name("name"), s.number("share", 0, 1e6, 1),
+        FleetPlan.Site site = new FleetPlan.Site(s.name("name"), s.number("share", 0, 1e6, 1),
                 s.whole("dispatchers", 0, MOST_DISPATCHERS, 1), groups);
         s.end();
         return site;
     }
 
-    private static Plan.Type type(Section s) {
-        Plan.Type type = new Plan.Type(s.name("name"), s.number("share", 0, 1e6, 1),
-                s.oneOf("effect", Plan.Type.Effect.class, Plan.Type.Effect.IDEMPOTENT),
-                s.oneOf("group", Plan.Type.Group.class, Plan.Type.Group.CELL),
+    private static FleetPlan.Type type(TomlTable s) {
+        FleetPlan.Type type = new FleetPlan.Type(s.name("name"), s.number("share", 0, 1e6, 1),
+                s.oneOf("effect", FleetPlan.Type.Effect.class, FleetPlan.Type.Effect.IDEMPOTENT),
+                s.oneOf("group", FleetPlan.Type.Group.class, FleetPlan.Type.Group.CELL),
                 s.span("window", Span.ofMillis(5000)),
                 s.span("work", Span.ofMillis(50)),
-                s.oneOf("spread", Plan.Type.Spread.class, Plan.Type.Spread.FIXED),
+                s.oneOf("spread", FleetPlan.Type.Spread.class, FleetPlan.Type.Spread.FIXED),
                 s.span("due", Span.ofMillis(200)), s.number("stretch", 0, 100, 2),
                 s.span("expiry", Span.ofMillis(5000)), s.number("earnings", 0, 1e6, 1),
                 s.number("late_earnings", 0, 1e6, 0), s.number("slots", 0.001, 1000, 1),
@@ -161,32 +161,34 @@
         return type;
     }
 
-    private static Plan.Arrivals arrivals(Section s, List<Plan.Site> sites) {
-        List<Plan.Burst> bursts = new ArrayList<>();
-        for (Section b : s.sections("burst")) {
-            bursts.add(new Plan.Burst(b.span("at", Span.ZERO), b.span("length", Span.ofMillis(1000)),
+    private static FleetPlan.Arrivals arrivals(TomlTable s, List<FleetPlan.Site> sites) {
+        List<FleetPlan.Burst> bursts = new ArrayList<>();
+        for (TomlTable b : s.sections("burst")) {
+            bursts.add(new FleetPlan.Burst(b.span("at", Span.ZERO), b.span("length", Span.ofMillis(1000)),
                     b.number("times", 0, 1000, 2), siteName(b, sites)));
             b.end();
         }
-        Plan.Arrivals arrivals = new Plan.Arrivals(s.number("rate", 0, 1e6, 100), s.flag("even", false),
-                s.whole("objects", 0, MOST, 1000), bursts);
+        FleetPlan.Arrivals arrivals =
+                new FleetPlan.Arrivals(s.number("rate", 0, 1e6, 100), s.flag("even", false),
+                        s.whole("objects", 0, MOST, 1000), bursts);
         s.end();
         return arrivals;
     }
 
-    private static Plan.Clients clients(Section s) {
-        Plan.Clients clients = new Plan.Clients(s.whole("processes", 1, 16, 1), s.whole("retries", 0, 20, 2),
-                s.range("wait", Range.of(200, 400)), s.flag("honour_return", true),
-                s.number("patience", 0.01, 1, 1), s.range("dead_front", Range.of(1000, 2000)),
-                s.span("most_late", Span.ofMillis(5)), s.whole("idle", 0, MOST, 0),
-                s.whole("in_hand", 0, 100_000, 0), s.flag("keep", true),
-                s.span("warm_up", Span.ZERO));
+    private static FleetPlan.Clients clients(TomlTable s) {
+        FleetPlan.Clients clients =
+                new FleetPlan.Clients(s.whole("processes", 1, 16, 1), s.whole("retries", 0, 20, 2),
+                        s.range("wait", Range.of(200, 400)), s.flag("honour_return", true),
+                        s.number("patience", 0.01, 1, 1), s.range("dead_front", Range.of(1000, 2000)),
+                        s.span("most_late", Span.ofMillis(5)), s.whole("idle", 0, MOST, 0),
+                        s.whole("in_hand", 0, 100_000, 0), s.flag("keep", true),
+                        s.span("warm_up", Span.ZERO));
         s.end();
         return clients;
     }
 
-    private static Plan.Workers workers(Section s) {
-        Plan.Workers workers = new Plan.Workers(s.flag("tell_start", true),
+    private static FleetPlan.Workers workers(TomlTable s) {
+        FleetPlan.Workers workers = new FleetPlan.Workers(s.flag("tell_start", true),
                 s.span("progress", Span.ofMillis(1000)),
                 s.flag("stop_work", true), s.flag("in_order", true), s.span("idle", Span.ofMillis(60_000)),
                 s.whole("cell", 1, MOST, 2), s.span("connection_cost", Span.ZERO));
@@ -194,47 +196,49 @@
         return workers;
     }
 
-    private static Plan.Cold cold(Section s) {
-        Plan.Cold cold = new Plan.Cold(s.number("from", 0.01, 1, 0.12), s.span("warm", Span.ofMillis(8000)),
-                s.number("tip", 1, 1000, 4), s.span("fall", Span.ofMillis(1500)));
+    private static FleetPlan.Cold cold(TomlTable s) {
+        FleetPlan.Cold cold =
+                new FleetPlan.Cold(s.number("from", 0.01, 1, 0.12), s.span("warm", Span.ofMillis(8000)),
+                        s.number("tip", 1, 1000, 4), s.span("fall", Span.ofMillis(1500)));
         s.end();
         return cold;
     }
 
-    private static Plan.Reports reports(Section s) {
-        List<Plan.Reports.Figure> figures = new ArrayList<>();
+    private static FleetPlan.Reports reports(TomlTable s) {
+        List<FleetPlan.Reports.Figure> figures = new ArrayList<>();
         for (String name : s.texts("figures", List.of("free-slots", "waiting"))) {
             try {
-                figures.add(Plan.Reports.Figure
+                figures.add(FleetPlan.Reports.Figure
                         .valueOf(name.toUpperCase(java.util.Locale.ROOT).replace('-', '_')));
             } catch (IllegalArgumentException e) {
                 s.fault("figures",
                         "holds \"" + name + "\", expected free-slots, waiting, held or free-memory");
             }
         }
-        Plan.Reports reports =
-                new Plan.Reports(s.oneOf("how", Plan.Reports.How.class, Plan.Reports.How.INLINE),
+        FleetPlan.Reports reports =
+                new FleetPlan.Reports(
+                        s.oneOf("how", FleetPlan.Reports.How.class, FleetPlan.Reports.How.INLINE),
                         figures, s.span("refresh", Span.ofMillis(500)));
         s.end();
         return reports;
     }
 
-    private static Plan.Roster roster(Section s) {
-        Plan.Roster roster = new Plan.Roster(s.whole("port", 0, 65_000, 0),
+    private static FleetPlan.Roster roster(TomlTable s) {
+        FleetPlan.Roster roster = new FleetPlan.Roster(s.whole("port", 0, 65_000, 0),
                 s.range("delay", Range.of(200, 1000)), s.flag("live_weights", false),
                 s.span("refresh", Span.ofMillis(1000)), s.span("grace", Span.ofMillis(250)));
         s.end();
         return roster;
     }
 
-    private static Plan.Network network(Section s) {
-        Plan.Network network = new Plan.Network(s.range("crossing", Range.of(0, 0)));
+    private static FleetPlan.Network network(TomlTable s) {
+        FleetPlan.Network network = new FleetPlan.Network(s.range("crossing", Range.of(0, 0)));
         s.end();
         return network;
     }
 
-    private static Plan.Dispatchers dispatchers(Section s) {
-        Plan.Dispatchers d = new Plan.Dispatchers(s.whole("port", 0, 65_000, 0),
+    private static FleetPlan.Dispatchers dispatchers(TomlTable s) {
+        FleetPlan.Dispatchers d = new FleetPlan.Dispatchers(s.whole("port", 0, 65_000, 0),
                 s.whole("memory_mb", 32, 65_536, 192),
                 s.whole("sockets", 104, MOST, 1024), s.text("cpus", ""), s.text("jar", ""),
                 s.texts("java", List.of()), s.flag("probes", true), s.flag("copies", true),
@@ -244,22 +248,23 @@
         return d;
     }
 
-    private static Plan.Members members(Section s, boolean named) {
+    private static FleetPlan.Members members(TomlTable s, boolean named) {
         Span period = s.span("period", Span.ofMillis(200));
-        Plan.Members m =
-                new Plan.Members(s.flag("on", named), period, s.span("forget", Span.ofMillis(86_400_000)),
+        FleetPlan.Members m =
+                new FleetPlan.Members(s.flag("on", named), period,
+                        s.span("forget", Span.ofMillis(86_400_000)),
                         s.flag("news", true), s.span("known_by", period.times(40)),
                         s.span("agree_by", period.times(60)));
         s.end();
         return m;
     }
 
-    private static Plan.Leases leases(Section s, List<Plan.Type> types) {
-        Section l = s.section("leases");
-        List<Plan.Duty> duties = new ArrayList<>();
-        for (Section d : s.sections("duty")) {
-            Plan.Duty duty =
-                    new Plan.Duty(d.name("name"), d.name("type"), d.span("every", Span.ofMillis(5000)),
+    private static FleetPlan.Leases leases(TomlTable s, List<FleetPlan.Type> types) {
+        TomlTable l = s.section("leases");
+        List<FleetPlan.Duty> duties = new ArrayList<>();
+        for (TomlTable d : s.sections("duty")) {
+            FleetPlan.Duty duty =
+                    new FleetPlan.Duty(d.name("name"), d.name("type"), d.span("every", Span.ofMillis(5000)),
                             d.whole("objects", 1, MOST, 10), d.number("rate", 0.1, 10_000, 10));
             if (types.stream().noneMatch(t -> t.name().equals(duty.type()))) {
                 d.fault("type", "is \"" + duty.type() + "\", which no [[type]] is named");
@@ -267,13 +272,14 @@
             d.end();
             duties.add(duty);
         }
-        Plan.Leases leases = new Plan.Leases(l.whole("keepers", 1, 7, 3), l.span("term", Span.ofMillis(2000)),
-                l.number("drift", 0, 0.3, 0.01), l.flag("checked", true), duties);
+        FleetPlan.Leases leases =
+                new FleetPlan.Leases(l.whole("keepers", 1, 7, 3), l.span("term", Span.ofMillis(2000)),
+                        l.number("drift", 0, 0.3, 0.01), l.flag("checked", true), duties);
         l.end();
         return leases;
     }
 
-    private static String siteName(Section s, List<Plan.Site> sites) {
+    private static String siteName(TomlTable s, List<FleetPlan.Site> sites) {
         String name = s.text("site", "");
         if (!name.isEmpty() && sites.stream().noneMatch(x -> x.name().equals(name))) {
             s.fault("site", "is \"" + name + "\", which no [[site]] is named");
@@ -281,18 +287,19 @@
         return name;
     }
 
-    private static List<Plan.Trouble> troubles(Section s, List<Plan.Site> sites) {
-        List<Plan.Trouble> troubles = new ArrayList<>();
-        for (Section t : s.sections("trouble")) {
+    private static List<FleetPlan.Trouble> troubles(TomlTable s, List<FleetPlan.Site> sites) {
+        List<FleetPlan.Trouble> troubles = new ArrayList<>();
+        for (TomlTable t : s.sections("trouble")) {
             if (!t.has("what")) {
                 t.fault("what", "is missing, expected a kind of trouble");
             }
-            Plan.Trouble trouble = new Plan.Trouble(
-                    t.oneOf("what", Plan.Trouble.Kind.class, Plan.Trouble.Kind.SLOW), t.span("at", Span.ZERO),
+            FleetPlan.Trouble trouble = new FleetPlan.Trouble(
+                    t.oneOf("what", FleetPlan.Trouble.Kind.class, FleetPlan.Trouble.Kind.SLOW),
+                    t.span("at", Span.ZERO),
                     t.span("length", Span.ofMillis(5000)), t.number("share", 0, 1, 0), siteName(t, sites),
                     t.texts("names", List.of()), t.number("factor", 1, 1000, 4),
                     t.number("rate", 0, 1, 0.5), t.span("delay", Span.ofMillis(1000)));
-            if (trouble.what() == Plan.Trouble.Kind.CUT && trouble.site().isEmpty()) {
+            if (trouble.what() == FleetPlan.Trouble.Kind.CUT && trouble.site().isEmpty()) {
                 t.fault("site", "is missing: a cut is of one site");
             }
             for (String pair : trouble.ofWays() ? trouble.names() : List.<String>of()) {
@@ -310,31 +317,31 @@
         return troubles;
     }
 
-    private static Plan.Trials trials(Section s) {
+    private static FleetPlan.Trials trials(TomlTable s) {
         List<Long> seeds = new ArrayList<>();
         int pairs = s.whole("pairs", 1, 1000, 6);
         int first = s.whole("first_seed", 0, MOST, 1);
         for (int i = 0; i < pairs; i++) {
             seeds.add((long) first + i);
         }
-        Plan.Trials trials = new Plan.Trials(seeds, s.number("confidence", 0.5, 0.999, 0.95),
+        FleetPlan.Trials trials = new FleetPlan.Trials(seeds, s.number("confidence", 0.5, 0.999, 0.95),
                 s.span("settle", Span.ofMillis(1000)));
         s.end();
         return trials;
     }
 
-    private static Plan.Ladder ladder(Section s) {
-        Plan.Ladder ladder =
-                new Plan.Ladder(s.span("bound", Span.ofMillis(2)), s.number("most", 1, 1e6, 20_000),
+    private static FleetPlan.Ladder ladder(TomlTable s) {
+        FleetPlan.Ladder ladder =
+                new FleetPlan.Ladder(s.span("bound", Span.ofMillis(2)), s.number("most", 1, 1e6, 20_000),
                         s.number("narrow", 0.01, 1, 0.1));
         s.end();
         return ladder;
     }
 
-    private static List<Plan.Arm> arms(Section s) {
-        List<Plan.Arm> arms = new ArrayList<>();
-        for (Section a : s.sections("arm")) {
-            Plan.Arm arm = new Plan.Arm(a.name("name"), a.raw("set"));
+    private static List<FleetPlan.Arm> arms(TomlTable s) {
+        List<FleetPlan.Arm> arms = new ArrayList<>();
+        for (TomlTable a : s.sections("arm")) {
+            FleetPlan.Arm arm = new FleetPlan.Arm(a.name("name"), a.raw("set"));
             if (arms.stream().anyMatch(b -> b.name().equals(arm.name()))) {
                 a.fault("name", "is \"" + arm.name() + "\", like the name of another arm");
             }
--- a/src/main/java/rampshift/fleet/ledger/Chances.java
+++ b/src/main/java/rampshift/testbed/random/RandomStreams.java
@@ -1,4 +1,4 @@
-package rampshift.fleet.ledger;
+package rampshift.testbed.random;
 
 import java.nio.charset.StandardCharsets;
 import java.util.zip.CRC32;
@@ -10,8 +10,8 @@
  * actor
  * more, or one that draws more often, changes nothing for the others, and paired runs stay alike.
  */
-public final class Chances {
-    private Chances() {}
+public final class RandomStreams {
+    private RandomStreams() {}
 
     public static UniformRandomProvider of(long seed, String actor) {
         CRC32 crc = new CRC32();
--- a/src/main/java/rampshift/fleet/judge/Acts.java
+++ b/src/main/java/rampshift/testbed/verification/LeaseEffectChecker.java
@@ -1,4 +1,4 @@
-package rampshift.fleet.judge;
+package rampshift.testbed.verification;
 
 import java.util.ArrayList;
 import java.util.Comparator;
@@ -14,7 +14,7 @@
  * another
  * and against what the dispatchers say of their leases.
  */
-final class Acts {
+final class LeaseEffectChecker {
     // micros that two processes' stamps of one instant may differ
     private static final long STAMPS = 2000;
 
@@ -34,7 +34,7 @@
     private record Change(long asked, long known, long version, String says) {}
 
     /** A line of any ledger, in the order of their times. */
-    void line(long at, String[] f, Judge.Count order, Judge.Count rise) {
+    void line(long at, String[] f, RuleChecker.Count order, RuleChecker.Count rise) {
         switch (f[1]) {
             case "effect" -> {
                 long token = Long.parseLong(f[3]);
@@ -87,7 +87,7 @@
      * was asked for comes before it. Versions make the order total, so this is all that there is to be
      * checked.
      */
-    void oneRegister(Judge.Count rule) {
+    void oneRegister(RuleChecker.Count rule) {
         changes.forEach((register, all) -> {
             Map<Long, String> says = new HashMap<>();
             for (Change c : all) {
@@ -117,7 +117,7 @@
     }
 
     /** A task whose effect must not come twice has one at the most; one that is told as done has one. */
-    void once(Judge.Count rule) {
+    void once(RuleChecker.Count rule) {
         effects.forEach((task, count) -> {
             if (!effectOf.get(task).equals("idempotent")) {
                 rule.atStake++;
--- a/src/main/java/rampshift/fleet/judge/Fellows.java
+++ b/src/main/java/rampshift/testbed/verification/MembershipChecker.java
@@ -1,4 +1,4 @@
-package rampshift.fleet.judge;
+package rampshift.testbed.verification;
 
 import java.util.ArrayList;
 import java.util.HashMap;
@@ -13,7 +13,7 @@
  * killed, stopped and ended, and the troubles of the ways between them. Times are in microseconds of Unix
  * time.
  */
-final class Fellows {
+final class MembershipChecker {
     private static final Set<String> THERE = Set.of("joined", "changed", "cleared");
 
     private final long knownBy;
@@ -34,7 +34,7 @@
 
     private record Saw(long at, String by, String what, String of) {}
 
-    Fellows(long knownBy, long agreeBy) {
+    MembershipChecker(long knownBy, long agreeBy) {
         this.knownBy = knownBy;
         this.agreeBy = agreeBy;
     }
@@ -96,7 +96,7 @@
     /**
      * A process that was killed is known to have failed by all that could know it, within the stated time.
      */
-    void known(Judge.Count rule) {
+    void known(RuleChecker.Count rule) {
         killed.forEach((name, spans) -> spans.forEach(span -> {
             for (String other : names) {
                 long until = span[0] + knownBy;
@@ -124,7 +124,7 @@
     }
 
     /** Nobody is taken for failed who answered, as did the ways to it. */
-    void accused(Judge.Count rule) {
+    void accused(RuleChecker.Count rule) {
         for (Saw s : saw) {
             if (!s.what.equals("failed") || s.at > finish) {
                 continue;
@@ -141,7 +141,7 @@
     }
 
     /** Once the last fault is long enough over all who are there take all who are there for that. */
-    void agree(Judge.Count rule) {
+    void agree(RuleChecker.Count rule) {
         long last = 0;
         for (List<long[]> spans : away.values()) {
             for (long[] span : spans) {
--- a/src/main/java/rampshift/fleet/judge/Judge.java
+++ b/src/main/java/rampshift/testbed/verification/RuleChecker.java
@@ -1,4 +1,4 @@
-package rampshift.fleet.judge;
+package rampshift.testbed.verification;
 
 import java.util.ArrayList;
 import java.util.Arrays;
@@ -17,7 +17,7 @@
  * with the dispatcher, so that both are not wrong in the same way. No I/O, no clock: lines in, a verdict out.
  * All times are in microseconds of Unix time.
  */
-public final class Judge {
+public final class RuleChecker {
     private static final int EXAMPLES = 5;
     private static final Set<String> MARKS =
             Set.of("trouble", "killed", "started", "stopped", "continued", "starved", "fed");
@@ -109,23 +109,23 @@
     private final Count rising = new Count("tokens only rise");
     private final Count oneRegister = new Count("tokens' registers are one each");
     private final Count once = new Count("a duty's task takes effect once where it must");
-    private final Fellows fellows;
-    private final Acts acts = new Acts();
+    private final MembershipChecker fellows;
+    private final LeaseEffectChecker acts = new LeaseEffectChecker();
     private final Map<String, Try> tries = new LinkedHashMap<>();
     private final Map<String, List<Long>> killed = new HashMap<>();
     private final Map<String, List<long[]>> stopped = new HashMap<>();
     private final Map<String, List<long[]>> ended = new HashMap<>();
 
     /** Grace: of drains. Slack: what clocks, queues and links may add to any time limit. */
-    public Judge(long graceMicros, long slackMicros) {
+    public RuleChecker(long graceMicros, long slackMicros) {
         this(graceMicros, slackMicros, 0, 0);
     }
 
     /** Known by, agree by: what dispatchers that know each other are held to. */
-    public Judge(long graceMicros, long slackMicros, long knownByMicros, long agreeByMicros) {
+    public RuleChecker(long graceMicros, long slackMicros, long knownByMicros, long agreeByMicros) {
         grace = graceMicros;
         slack = slackMicros;
-        fellows = new Fellows(knownByMicros, agreeByMicros);
+        fellows = new MembershipChecker(knownByMicros, agreeByMicros);
     }
 
     /** A line of any ledger, in any order. Throws where it is none, naming it. */
@@ -229,7 +229,7 @@
         Map<String, Set<String>> whole = new HashMap<>();
         // A send counts from its first byte, which may have come before later lines were written.
         List<Event> inOrder = new ArrayList<>(events);
-        inOrder.sort(Comparator.comparingLong(Judge::first));
+        inOrder.sort(Comparator.comparingLong(RuleChecker::first));
         for (Event e : inOrder) {
             switch (e.word()) {
                 case "told-whole" -> whole.put(e.field(1), new HashSet<>());
--- a/src/main/java/rampshift/fleet/judge/Verdict.java
+++ b/src/main/java/rampshift/testbed/verification/Verdict.java
@@ -1,4 +1,4 @@
-package rampshift.fleet.judge;
+package rampshift.testbed.verification;
 
 import java.util.List;
 import java.util.Map;
--- a/src/main/java/rampshift/fleet/wire/Line.java
+++ b/src/main/java/rampshift/testbed/wire/FaultyConnection.java
@@ -1,4 +1,4 @@
-package rampshift.fleet.wire;
+package rampshift.testbed.wire;
 
 import java.io.IOException;
 import java.nio.ByteBuffer;
@@ -9,7 +9,7 @@
 import org.xnio.Options;
 import org.xnio.StreamConnection;
 import org.xnio.XnioIoThread;
-import rampshift.ledger.Stamp;
+import rampshift.eventlog.EventClock;
 import rampshift.time.Moment;
 import rampshift.time.Span;
 
@@ -18,7 +18,7 @@
  * one.
  * Owned by one I/O thread; whoever holds it closes it, and is told once when the other side has.
  */
-public final class Line {
+public final class FaultyConnection {
     private static final int PIECE = 16 * 1024;
     private static final ByteBuffer NOTHING = ByteBuffer.allocate(0);
 
@@ -44,7 +44,7 @@
     private boolean closed;
     private boolean closeWhenWritten;
 
-    public Line(StreamConnection connection, XnioIoThread thread, Told told) {
+    public FaultyConnection(StreamConnection connection, XnioIoThread thread, Told told) {
         this.connection = connection;
         this.thread = thread;
         this.told = told;
@@ -53,7 +53,7 @@
     }
 
     /** Begins to read. */
-    public Line start() {
+    public FaultyConnection start() {
         if (!held) {
             connection.getSourceChannel().wakeupReads();
         }
@@ -72,7 +72,7 @@
 
     /** Nothing comes through and nothing is reset, until it is released. */
     public void hold(boolean hold) {
-        heldFrom = hold && !held ? Stamp.now() : heldFrom;
+        heldFrom = hold && !held ? EventClock.now() : heldFrom;
         unreadFrom = hold ? null : heldFrom;
         held = hold;
         if (closed) {
@@ -92,7 +92,7 @@
      * in it.
      */
     public Moment earliest() {
-        return unreadFrom == null ? Stamp.now() : unreadFrom;
+        return unreadFrom == null ? EventClock.now() : unreadFrom;
     }
 
     public boolean closed() {
--- a/src/main/java/rampshift/fleet/wire/Ports.java
+++ b/src/main/java/rampshift/testbed/wire/LoopbackNetwork.java
@@ -1,4 +1,4 @@
-package rampshift.fleet.wire;
+package rampshift.testbed.wire;
 
 import java.io.IOException;
 import java.net.BindException;
@@ -13,8 +13,8 @@
 import org.xnio.XnioWorker;
 
 /** Addresses on loopback, and the one I/O thread that stand-ins live on. */
-public final class Ports {
-    private Ports() {}
+public final class LoopbackNetwork {
+    private LoopbackNetwork() {}
 
     /** So many ports that nobody listens on now; the system may give them away again at once. */
     public static List<InetSocketAddress> free(int count) throws IOException {
@@ -66,7 +66,7 @@
 
     public static XnioWorker worker(String name) throws IOException {
         System.setProperty("javax.management.builder.initial", "none");
-        return Xnio.getInstance(Ports.class.getClassLoader()).createWorker(OptionMap.builder()
+        return Xnio.getInstance(LoopbackNetwork.class.getClassLoader()).createWorker(OptionMap.builder()
                 .set(Options.WORKER_NAME, name).set(Options.WORKER_IO_THREADS, 1)
                 .set(Options.WORKER_TASK_CORE_THREADS, 1).set(Options.WORKER_TASK_MAX_THREADS, 1)
                 .set(Options.THREAD_DAEMON, true).getMap());
--- a/src/main/java/rampshift/fleet/wire/Message.java
+++ b/src/main/java/rampshift/testbed/wire/Message.java
@@ -1,4 +1,4 @@
-package rampshift.fleet.wire;
+package rampshift.testbed.wire;
 
 import java.nio.charset.StandardCharsets;
 import java.util.List;
--- a/src/main/java/rampshift/fleet/wire/MessageReader.java
+++ b/src/main/java/rampshift/testbed/wire/MessageReader.java
@@ -1,4 +1,4 @@
-package rampshift.fleet.wire;
+package rampshift.testbed.wire;
 
 import java.io.ByteArrayOutputStream;
 import java.io.IOException;
--- a/src/main/java/rampshift/fleet/workers/StandIn.java
+++ b/src/main/java/rampshift/testbed/workers/EmulatedWorker.java
@@ -1,4 +1,4 @@
-package rampshift.fleet.workers;
+package rampshift.testbed.workers;
 
 import java.io.IOException;
 import java.nio.charset.StandardCharsets;
@@ -9,40 +9,42 @@
 import org.xnio.StreamConnection;
 import org.xnio.XnioExecutor;
 import org.xnio.XnioIoThread;
-import rampshift.fleet.plan.Plan;
-import rampshift.fleet.wire.Line;
-import rampshift.fleet.wire.Message;
-import rampshift.fleet.wire.MessageReader;
-import rampshift.ledger.Ledger;
-import rampshift.ledger.Stamp;
+import rampshift.eventlog.EventClock;
+import rampshift.eventlog.EventLog;
+import rampshift.testbed.plan.FleetPlan;
+import rampshift.testbed.wire.FaultyConnection;
+import rampshift.testbed.wire.Message;
+import rampshift.testbed.wire.MessageReader;
 import rampshift.time.Moment;
 import rampshift.time.Span;
 
 /** One worker: its machine, and how it speaks our protocol. */
-final class StandIn {
+final class EmulatedWorker {
     final String uid;
     final int site;
     final int cell;
-    final Plan.Machine kind;
-    final Ill ill = new Ill();
+    final FleetPlan.Machine kind;
+    final WorkerFaults ill = new WorkerFaults();
     final List<Link> links = new ArrayList<>();
-    final Reports reports;
-    private final Plan plan;
-    private final Fingerprints[] groups;
-    private final Tokens tokens;
-    private final Beat beat;
+    final LoadReports reports;
+    private final FleetPlan plan;
+    private final IdempotencyKeys[] groups;
+    private final FencingTokens tokens;
+    private final StallMonitor beat;
     private final XnioIoThread thread;
-    private final Ledger ledger;
+    private final EventLog ledger;
     private final UniformRandomProvider chance;
     private final Runnable taskCame;
-    private final Machine machine;
+    private final WorkerModel machine;
     private final List<Talk> talks = new ArrayList<>();
     private XnioExecutor.Key look;
     private boolean down;
 
     /** Groups: for each traffic type, what this worker remembers together with others. */
-    StandIn(String uid, int site, int cell, Plan.Machine kind, Plan plan, Fingerprints[] groups,
-            Tokens tokens, Beat beat, XnioIoThread thread, Ledger ledger, UniformRandomProvider chance,
+    EmulatedWorker(String uid, int site, int cell, FleetPlan.Machine kind, FleetPlan plan,
+            IdempotencyKeys[] groups,
+            FencingTokens tokens, StallMonitor beat, XnioIoThread thread, EventLog ledger,
+            UniformRandomProvider chance,
             Runnable taskCame) {
         this.taskCame = taskCame;
         this.uid = uid;
@@ -56,8 +58,8 @@
         this.thread = thread;
         this.ledger = ledger;
         this.chance = chance;
-        reports = new Reports(plan.reports());
-        machine = new Machine(kind, plan.workers().inOrder(), plan.cold(), Stamp.now(), null);
+        reports = new LoadReports(plan.reports());
+        machine = new WorkerModel(kind, plan.workers().inOrder(), plan.cold(), EventClock.now(), null);
     }
 
     Moment born() {
@@ -87,7 +89,7 @@
 
     /** Sets its speed from what is wrong with it. */
     void changed() {
-        Moment now = Stamp.now();
+        Moment now = EventClock.now();
         machine.factor(ill.speed, now);
         machine.stand(ill.hangs, now);
         work();
@@ -95,7 +97,7 @@
 
     void crash() {
         down = true;
-        machine.restart(Stamp.now());
+        machine.restart(EventClock.now());
         links.forEach(Link::shut);      // it resets what it still knows, so before that is forgotten
         for (Talk talk : new ArrayList<>(talks)) {
             talk.forget();
@@ -104,8 +106,8 @@
 
     void comeBack() {
         down = false;
-        machine.restart(Stamp.now());
-        ledger.line(Stamp.now(), "boot", uid, "cold");
+        machine.restart(EventClock.now());
+        ledger.line(EventClock.now(), "boot", uid, "cold");
         links.forEach(Link::open);
         work();
     }
@@ -113,7 +115,7 @@
     // ---- its work
 
     private void work() {
-        Moment now = Stamp.now();
+        Moment now = EventClock.now();
         machine.advance(now);
         for (Job job = machine.nextBegun(); job != null; job = machine.nextBegun()) {
             begins(job, now);
@@ -147,8 +149,8 @@
     }
 
     private void begins(Job job, Moment now) {
-        Plan.Type type = plan.types().get(job.type);
-        boolean repeat = type.effect() == Plan.Type.Effect.FINGERPRINTED
+        FleetPlan.Type type = plan.types().get(job.type);
+        boolean repeat = type.effect() == FleetPlan.Type.Effect.FINGERPRINTED
                 && groups[job.type].repeat(job.key, type.window(), now);
         if (!repeat && job.lease != null) {
             repeat = !tokens.take(job.lease, job.token);
@@ -182,14 +184,14 @@
         return share > 0 && chance.nextDouble() < share;
     }
 
-    private final class Talk implements Line.Told {
+    private final class Talk implements FaultyConnection.Told {
         final Link link;
-        final Line line;
+        final FaultyConnection line;
         private final MessageReader reader = new MessageReader(this::message);
         private Job job;
         private Moment beganAt;
         private Moment tookAt;
-        private Moment idleSince = Stamp.now();
+        private Moment idleSince = EventClock.now();
         private boolean answering;
         private boolean first = true;
         private boolean silent;
@@ -198,14 +200,14 @@
 
         Talk(Link link, StreamConnection connection) {
             this.link = link;
-            line = new Line(connection, thread, this);
+            line = new FaultyConnection(connection, thread, this);
             line.delay(link.crossing());
             idleLater();
         }
 
         @Override
         public void bytes(byte[] bytes, int count) {
-            Moment now = Stamp.now();
+            Moment now = EventClock.now();
             boolean begins = !reader.within();
             if (begins && hit(ill.resetBefore)) {
                 ledger.line(now, "part", uid, link.dispatcher);
@@ -223,7 +225,7 @@
         }
 
         private void message(Message message) {
-            Moment now = Stamp.now();
+            Moment now = EventClock.now();
             idleSince = now;
             if (message.method().equals("GET")) {
                 page(message, now);
@@ -234,7 +236,7 @@
             if (wait.micros() > 0) {
                 thread.executeAfter(() -> {
                     if (!line.closed()) {
-                        task(message, Stamp.now());
+                        task(message, EventClock.now());
                     }
                 }, Math.max(1, Math.round(wait.millis())), TimeUnit.MILLISECONDS);
             } else {
@@ -292,7 +294,7 @@
         private void turnAway(Job came, Moment now) {
             ledger.line(now, "away", uid, came.txn);
             String report =
-                    plan.reports().how() == Plan.Reports.How.INLINE ? reports.now(machine, now) : null;
+                    plan.reports().how() == FleetPlan.Reports.How.INLINE ? reports.now(machine, now) : null;
             line.write("HTTP/1.1 503 Service Unavailable\r\nX-Turned-Away: 1\r\n"
                     + (report == null ? "" : "X-Pressure: " + report + "\r\n") + "Content-Length: 0\r\n\r\n");
         }
@@ -352,7 +354,7 @@
                 progress = thread.executeAfter(() -> {
                     if (job != null && !line.closed()) {
                         if (!ill.hangs) {
-                            machine.advance(Stamp.now());
+                            machine.advance(EventClock.now());
                             note("\"running\",\"share\":" + Math.round(job.share() * 1000) / 1000.0);
                         }
                         progressLater();
@@ -363,7 +365,7 @@
 
         private String load(Moment now) {
             String report =
-                    plan.reports().how() == Plan.Reports.How.INLINE ? reports.now(machine, now) : null;
+                    plan.reports().how() == FleetPlan.Reports.How.INLINE ? reports.now(machine, now) : null;
             return report == null ? "" : ",\"load\":" + report;
         }
 
@@ -423,7 +425,7 @@
         private void idleLater() {
             Span most = plan.workers().idle();
             idle = thread.executeAfter(() -> {
-                if (job == null && !reader.within() && !most.longerThan(Stamp.now().since(idleSince))) {
+                if (job == null && !reader.within() && !most.longerThan(EventClock.now().since(idleSince))) {
                     line.close();
                     forget();
                 } else {
@@ -437,9 +439,9 @@
             Job had = job;
             forget();
             if (had != null) {
-                ledger.line(Stamp.now(), "off", uid, had.txn, had.begun ? "begun" : "unbegun");
+                ledger.line(EventClock.now(), "off", uid, had.txn, had.begun ? "begun" : "unbegun");
                 if (!had.begun || plan.workers().stops()) {
-                    machine.remove(had, Stamp.now());
+                    machine.remove(had, EventClock.now());
                 }
                 work();
             }
--- a/src/main/java/rampshift/fleet/workers/Tokens.java
+++ b/src/main/java/rampshift/testbed/workers/FencingTokens.java
@@ -1,4 +1,4 @@
-package rampshift.fleet.workers;
+package rampshift.testbed.workers;
 
 import java.util.HashMap;
 import java.util.Map;
@@ -6,12 +6,12 @@
 /**
  * What takes effects under leases, for all workers together: no effect under a lower token than it has seen.
  */
-final class Tokens {
+final class FencingTokens {
     private final boolean checked;
     private final Map<String, Long> highest = new HashMap<>();
 
     /** Checked: false for a taker that can't tell tokens, which takes all. */
-    Tokens(boolean checked) {
+    FencingTokens(boolean checked) {
         this.checked = checked;
     }
 
--- a/src/main/java/rampshift/fleet/workers/Fleet.java
+++ b/src/main/java/rampshift/testbed/workers/Fleet.java
@@ -1,4 +1,4 @@
-package rampshift.fleet.workers;
+package rampshift.testbed.workers;
 
 import java.io.IOException;
 import java.util.ArrayList;
@@ -10,32 +10,32 @@
 import org.apache.commons.rng.UniformRandomProvider;
 import org.xnio.XnioIoThread;
 import org.xnio.XnioWorker;
-import rampshift.fleet.ledger.Chances;
-import rampshift.fleet.plan.Plan;
-import rampshift.fleet.roster.Agent;
-import rampshift.fleet.roster.Entry;
-import rampshift.fleet.wire.Ports;
-import rampshift.ledger.Ledger;
-import rampshift.ledger.Stamp;
+import rampshift.eventlog.EventClock;
+import rampshift.eventlog.EventLog;
+import rampshift.testbed.discovery.DiscoveryAgent;
+import rampshift.testbed.discovery.WorkerEntry;
+import rampshift.testbed.plan.FleetPlan;
+import rampshift.testbed.random.RandomStreams;
+import rampshift.testbed.wire.LoopbackNetwork;
 import rampshift.time.Span;
 
 /** The workers and the roster of a plan, all on one I/O thread of one process. */
 public final class Fleet {
-    private final Plan plan;
+    private final FleetPlan plan;
     private final XnioWorker worker;
     private final XnioIoThread thread;
-    private Beat beat;
-    private final Ledger ledger;
-    private final List<StandIn> standIns = new ArrayList<>();
-    private final List<Agent> agents = new ArrayList<>();
-    private final List<Entry> entries = new ArrayList<>();
+    private StallMonitor beat;
+    private final EventLog ledger;
+    private final List<EmulatedWorker> standIns = new ArrayList<>();
+    private final List<DiscoveryAgent> agents = new ArrayList<>();
+    private final List<WorkerEntry> entries = new ArrayList<>();
     private Runnable firstTask;
 
     /** Opens everything; throws where a port or a descriptor can't be had. */
-    public Fleet(Plan plan, long seed, Ledger ledger) throws IOException {
+    public Fleet(FleetPlan plan, long seed, EventLog ledger) throws IOException {
         this.plan = plan;
         this.ledger = ledger;
-        worker = Ports.worker("fleet");
+        worker = LoopbackNetwork.worker("fleet");
         thread = worker.getIoThread(0);
         Callable<Void> opening = () -> {
             open(seed);
@@ -57,19 +57,19 @@
     }
 
     private void open(long seed) throws IOException {
-        Fingerprints[] all = fingerprints();
-        beat = new Beat(thread);
-        Tokens tokens = new Tokens(plan.leases().checked());
+        IdempotencyKeys[] all = fingerprints();
+        beat = new StallMonitor(thread);
+        FencingTokens tokens = new FencingTokens(plan.leases().checked());
         int[] siteOf = siteOfDispatchers();
         int cell = 0;
         for (int s = 0; s < plan.sites().size(); s++) {
-            Plan.Site site = plan.sites().get(s);
-            Fingerprints[] ofSite = fingerprints();
-            Fingerprints[] ofCell = null;
+            FleetPlan.Site site = plan.sites().get(s);
+            IdempotencyKeys[] ofSite = fingerprints();
+            IdempotencyKeys[] ofCell = null;
             int inCell = 0;
             int number = 0;
-            for (Plan.Group group : site.workers()) {
-                Plan.Machine kind = machine(group.machine());
+            for (FleetPlan.Group group : site.workers()) {
+                FleetPlan.Machine kind = machine(group.machine());
                 for (int i = 0; i < group.count(); i++) {
                     if (ofCell == null || inCell == plan.workers().cell()) {
                         ofCell = fingerprints();
@@ -78,10 +78,11 @@
                     }
                     inCell++;
                     String uid = site.name() + "-" + group.machine() + "-" + ++number;
-                    StandIn one = new StandIn(uid, s, cell, kind, plan, groups(all, ofSite, ofCell), tokens,
-                            beat, thread, ledger,
-                            Chances.of(seed, uid), this::taskCame);
-                    UniformRandomProvider chance = Chances.of(seed, "link " + uid);
+                    EmulatedWorker one =
+                            new EmulatedWorker(uid, s, cell, kind, plan, groups(all, ofSite, ofCell), tokens,
+                                    beat, thread, ledger,
+                                    RandomStreams.of(seed, uid), this::taskCame);
+                    UniformRandomProvider chance = RandomStreams.of(seed, "link " + uid);
                     int[] ports = new int[siteOf.length];
                     for (int d = 0; d < siteOf.length; d++) {
                         Span crossing = siteOf[d] == s ? Span.ZERO
@@ -92,15 +93,17 @@
                     }
                     standIns.add(one);
                     entries.add(
-                            new Entry(uid, site.name(), kind.name(), cell, Entry.State.READY, one.weight(), 0,
+                            new WorkerEntry(uid, site.name(), kind.name(), cell, WorkerEntry.State.READY,
+                                    one.weight(), 0,
                                     ports));
-                    ledger.line(Stamp.now(), "boot", uid, "warm");
+                    ledger.line(EventClock.now(), "boot", uid, "warm");
                 }
             }
         }
         for (int d = 0; d < siteOf.length; d++) {
-            agents.add(new Agent(d, worker, plan.roster().port() == 0 ? 0 : plan.roster().port() + d, ledger,
-                    plan.roster().delay(), Chances.of(seed, "agent " + d), entries));
+            agents.add(new DiscoveryAgent(d, worker, plan.roster().port() == 0 ? 0 : plan.roster().port() + d,
+                    ledger,
+                    plan.roster().delay(), RandomStreams.of(seed, "agent " + d), entries));
         }
         if (plan.roster().liveWeights()) {
             weighLater();
@@ -120,20 +123,21 @@
         }
     }
 
-    private Plan.Machine machine(String name) {
+    private FleetPlan.Machine machine(String name) {
         return plan.machines().stream().filter(m -> m.name().equals(name)).findFirst().orElseThrow();
     }
 
-    private Fingerprints[] fingerprints() {
-        Fingerprints[] each = new Fingerprints[plan.types().size()];
+    private IdempotencyKeys[] fingerprints() {
+        IdempotencyKeys[] each = new IdempotencyKeys[plan.types().size()];
         for (int i = 0; i < each.length; i++) {
-            each[i] = new Fingerprints();
+            each[i] = new IdempotencyKeys();
         }
         return each;
     }
 
-    private Fingerprints[] groups(Fingerprints[] all, Fingerprints[] ofSite, Fingerprints[] ofCell) {
-        Fingerprints[] mine = new Fingerprints[all.length];
+    private IdempotencyKeys[] groups(IdempotencyKeys[] all, IdempotencyKeys[] ofSite,
+            IdempotencyKeys[] ofCell) {
+        IdempotencyKeys[] mine = new IdempotencyKeys[all.length];
         for (int i = 0; i < mine.length; i++) {
             mine[i] = switch (plan.types().get(i).group()) {
                 case ALL -> all[i];
@@ -173,7 +177,7 @@
 
     public List<String> names(String site) {
         List<String> names = new ArrayList<>();
-        for (StandIn one : standIns) {
+        for (EmulatedWorker one : standIns) {
             if (site.isEmpty() || plan.sites().get(one.site).name().equals(site)) {
                 names.add(one.uid);
             }
@@ -181,9 +185,9 @@
         return names;
     }
 
-    public void ill(String name, Plan.Trouble t, boolean on) {
-        StandIn one = find(name);
-        Ill ill = one.ill;
+    public void ill(String name, FleetPlan.Trouble t, boolean on) {
+        EmulatedWorker one = find(name);
+        WorkerFaults ill = one.ill;
         double rate = on ? t.rate() : 0;
         switch (t.what()) {
             case SLOW -> ill.speed = on ? 1 / t.factor() : 1;
@@ -204,25 +208,25 @@
 
     /** It drains: it goes on with what it has, and the roster tells of it. */
     public void drain(String name) {
-        publish(name, entry(name).with(Entry.State.DRAINING));
+        publish(name, entry(name).with(WorkerEntry.State.DRAINING));
     }
 
     /** It is gone in order, as far as the roster knows. */
     public void leave(String name) {
         find(name).crash();
-        publish(name, entry(name).with(Entry.State.GONE));
+        publish(name, entry(name).with(WorkerEntry.State.GONE));
     }
 
     public void comeBack(String name) {
-        StandIn one = find(name);
+        EmulatedWorker one = find(name);
         one.comeBack();
-        publish(name, entry(name).bornAt(Stamp.now().micros() / 1000));
+        publish(name, entry(name).bornAt(EventClock.now().micros() / 1000));
     }
 
     /** The site and the others can't hear one another. Its dispatchers still reach its own workers. */
     public void cut(String site, boolean on) {
         int[] siteOf = siteOfDispatchers();
-        for (StandIn one : standIns) {
+        for (EmulatedWorker one : standIns) {
             for (Link link : one.links) {
                 boolean here = plan.sites().get(one.site).name().equals(site);
                 boolean from = plan.sites().get(siteOf[link.dispatcher]).name().equals(site);
@@ -242,8 +246,8 @@
         of(dispatchers).forEach(a -> a.old(ago));
     }
 
-    private List<Agent> of(List<String> dispatchers) {
-        List<Agent> some = new ArrayList<>();
+    private List<DiscoveryAgent> of(List<String> dispatchers) {
+        List<DiscoveryAgent> some = new ArrayList<>();
         for (int d = 0; d < agents.size(); d++) {
             if (dispatchers.isEmpty() || dispatchers.contains("d" + (d + 1))) {
                 some.add(agents.get(d));
@@ -252,26 +256,27 @@
         return some;
     }
 
-    private StandIn find(String name) {
+    private EmulatedWorker find(String name) {
         return standIns.stream().filter(s -> s.uid.equals(name)).findFirst().orElseThrow();
     }
 
-    private Entry entry(String name) {
+    private WorkerEntry entry(String name) {
         return entries.stream().filter(e -> e.uid().equals(name)).findFirst().orElseThrow();
     }
 
-    private void publish(String name, Entry entry) {
+    private void publish(String name, WorkerEntry entry) {
         entries.replaceAll(e -> e.uid().equals(name) ? entry : e);
         agents.forEach(a -> a.changed(List.of(entry), true));
     }
 
     private void weighLater() {
         thread.executeAfter(() -> {
-            List<Entry> changed = new ArrayList<>();
+            List<WorkerEntry> changed = new ArrayList<>();
             for (int i = 0; i < entries.size(); i++) {
-                Entry old = entries.get(i);
+                WorkerEntry old = entries.get(i);
                 double weight = standIns.get(i).weight();
-                if (old.state() == Entry.State.READY && Math.abs(weight - old.weight()) > 0.01 * weight) {
+                if (old.state() == WorkerEntry.State.READY
+                        && Math.abs(weight - old.weight()) > 0.01 * weight) {
                     entries.set(i, old.weighing(weight));
                     changed.add(entries.get(i));
                 }
@@ -290,8 +295,8 @@
 
     public void close() {
         FutureTask<Void> end = new FutureTask<>(() -> {
-            standIns.forEach(StandIn::close);
-            agents.forEach(Agent::close);
+            standIns.forEach(EmulatedWorker::close);
+            agents.forEach(DiscoveryAgent::close);
             beat.stop();
         }, null);
         thread.execute(end);
--- a/src/main/java/rampshift/fleet/workers/Fingerprints.java
+++ b/src/main/java/rampshift/testbed/workers/IdempotencyKeys.java
@@ -1,4 +1,4 @@
-package rampshift.fleet.workers;
+package rampshift.testbed.workers;
 
 import java.util.ArrayDeque;
 import java.util.HashMap;
@@ -7,7 +7,7 @@
 import rampshift.time.Span;
 
 /** The marks of fingerprinted tasks that one group of workers remembers together, each for its window. */
-final class Fingerprints {
+final class IdempotencyKeys {
     private record Seen(String key, Moment until) {}
 
     private final Map<String, Moment> until = new HashMap<>();
--- a/src/main/java/rampshift/fleet/workers/Job.java
+++ b/src/main/java/rampshift/testbed/workers/Job.java
@@ -1,4 +1,4 @@
-package rampshift.fleet.workers;
+package rampshift.testbed.workers;
 
 import rampshift.time.Span;
 
--- a/src/main/java/rampshift/fleet/workers/Link.java
+++ b/src/main/java/rampshift/testbed/workers/Link.java
@@ -1,4 +1,4 @@
-package rampshift.fleet.workers;
+package rampshift.testbed.workers;
 
 import java.io.IOException;
 import java.net.InetSocketAddress;
@@ -16,8 +16,8 @@
 import org.xnio.StreamConnection;
 import org.xnio.XnioWorker;
 import org.xnio.channels.AcceptingChannel;
-import rampshift.fleet.wire.Line;
-import rampshift.fleet.wire.Ports;
+import rampshift.testbed.wire.FaultyConnection;
+import rampshift.testbed.wire.LoopbackNetwork;
 import rampshift.time.Span;
 
 /**
@@ -33,7 +33,7 @@
     private final XnioWorker worker;
     private final Span crossing;
     private final BiConsumer<Link, StreamConnection> opened;
-    private final Set<Line> lines = new LinkedHashSet<>();
+    private final Set<FaultyConnection> lines = new LinkedHashSet<>();
     private final List<SocketChannel> fillers = new ArrayList<>();
     private InetSocketAddress address;
     private AcceptingChannel<StreamConnection> socket;
@@ -47,7 +47,7 @@
         this.worker = worker;
         this.crossing = crossing;
         this.opened = opened;
-        address = Ports.at(0);
+        address = LoopbackNetwork.at(0);
         socket = listen(BACKLOG);
         address = (InetSocketAddress) socket.getLocalAddress();
         socket.resumeAccepts();
@@ -61,12 +61,12 @@
         return crossing;
     }
 
-    void add(Line line) {
+    void add(FaultyConnection line) {
         lines.add(line);
         line.hold(cut);
     }
 
-    void remove(Line line) {
+    void remove(FaultyConnection line) {
         lines.remove(line);
     }
 
@@ -93,7 +93,7 @@
             return;
         }
         cut = on;
-        for (Line line : new ArrayList<>(lines)) {
+        for (FaultyConnection line : new ArrayList<>(lines)) {
             line.hold(on);
         }
         if (!shut) {
@@ -107,7 +107,7 @@
         generation++;
         dropFillers();
         IoUtils.safeClose(socket);
-        for (Line line : new ArrayList<>(lines)) {
+        for (FaultyConnection line : new ArrayList<>(lines)) {
             line.reset();
         }
         lines.clear();
--- a/src/main/java/rampshift/fleet/workers/Reports.java
+++ b/src/main/java/rampshift/testbed/workers/LoadReports.java
@@ -1,20 +1,20 @@
-package rampshift.fleet.workers;
+package rampshift.testbed.workers;
 
 import java.util.ArrayDeque;
 import java.util.Locale;
-import rampshift.fleet.plan.Plan;
+import rampshift.testbed.plan.FleetPlan;
 import rampshift.time.Moment;
 import rampshift.time.Span;
 
 /** What a worker tells of its load: figures taken now and then, and told late where a trouble says so. */
-final class Reports {
+final class LoadReports {
     private record Taken(Moment when, String text) {}
 
-    private final Plan.Reports plan;
+    private final FleetPlan.Reports plan;
     private final ArrayDeque<Taken> taken = new ArrayDeque<>();
     private Span late = Span.ZERO;
 
-    Reports(Plan.Reports plan) {
+    LoadReports(FleetPlan.Reports plan) {
         this.plan = plan;
     }
 
@@ -24,8 +24,8 @@
     }
 
     /** The newest that may be told now, as a JSON object; null where workers tell nothing. */
-    String now(Machine machine, Moment now) {
-        if (plan.how() == Plan.Reports.How.NONE || plan.figures().isEmpty()) {
+    String now(WorkerModel machine, Moment now) {
+        if (plan.how() == FleetPlan.Reports.How.NONE || plan.figures().isEmpty()) {
             return null;
         }
         if (taken.isEmpty() || !now.before(taken.peekLast().when().plus(plan.refresh()))) {
@@ -41,9 +41,9 @@
         return taken.peek().text();
     }
 
-    private String text(Machine machine) {
+    private String text(WorkerModel machine) {
         StringBuilder text = new StringBuilder(64);
-        for (Plan.Reports.Figure figure : plan.figures()) {
+        for (FleetPlan.Reports.Figure figure : plan.figures()) {
             text.append(text.length() == 0 ? "{\"" : ",\"");
             text.append(wireName(figure)).append("\":").append(switch (figure) {
                 case FREE_SLOTS -> String.format(Locale.ROOT, "%.2f", machine.freeSlots());
@@ -56,7 +56,7 @@
     }
 
     /** As the settings tell dispatchers to read it. */
-    static String wireName(Plan.Reports.Figure figure) {
+    static String wireName(FleetPlan.Reports.Figure figure) {
         return switch (figure) {
             case FREE_SLOTS -> "x0";
             case FREE_MEMORY -> "x1";
--- a/src/main/java/rampshift/fleet/workers/Beat.java
+++ b/src/main/java/rampshift/testbed/workers/StallMonitor.java
@@ -1,9 +1,9 @@
-package rampshift.fleet.workers;
+package rampshift.testbed.workers;
 
 import java.util.concurrent.TimeUnit;
 import org.xnio.XnioExecutor;
 import org.xnio.XnioIoThread;
-import rampshift.ledger.Stamp;
+import rampshift.eventlog.EventClock;
 import rampshift.time.Moment;
 import rampshift.time.Span;
 
@@ -12,7 +12,7 @@
  * may have
  * been written at any time since, and a send is not to count as late for that. All on that thread.
  */
-final class Beat {
+final class StallMonitor {
     private static final Span EVERY = Span.ofMillis(5);
     private static final Span STILL = Span.ofMillis(20);    // between two beats: it stood still
     private static final Span READS_OFF = Span.ofMillis(20);    // after it went on
@@ -23,13 +23,13 @@
     private Moment stoodFrom;
     private Moment stoodTo;
 
-    Beat(XnioIoThread thread) {
+    StallMonitor(XnioIoThread thread) {
         this.thread = thread;
         beat();
     }
 
     private void beat() {
-        beat(Stamp.now());
+        beat(EventClock.now());
         next = thread.executeAfter(this::beat, EVERY.micros(), TimeUnit.MICROSECONDS);
     }
 
--- a/src/main/java/rampshift/fleet/workers/Ill.java
+++ b/src/main/java/rampshift/testbed/workers/WorkerFaults.java
@@ -1,9 +1,9 @@
-package rampshift.fleet.workers;
+package rampshift.testbed.workers;
 
 import rampshift.time.Span;
 
 /** What is wrong with a worker just now; a trouble sets it, and its end puts it back. */
-final class Ill {
+final class WorkerFaults {
     /** Of the machine's speed. */
     double speed = 1;
     boolean hangs;
--- a/src/main/java/rampshift/fleet/workers/Machine.java
+++ b/src/main/java/rampshift/testbed/workers/WorkerModel.java
@@ -1,10 +1,10 @@
-package rampshift.fleet.workers;
+package rampshift.testbed.workers;
 
 import java.util.ArrayDeque;
 import java.util.ArrayList;
 import java.util.Iterator;
 import java.util.List;
-import rampshift.fleet.plan.Plan;
+import rampshift.testbed.plan.FleetPlan;
 import rampshift.time.Moment;
 import rampshift.time.Span;
 
@@ -15,13 +15,13 @@
  * tells
  * the time with each call, and pulls what has begun and what is done.
  */
-final class Machine {
+final class WorkerModel {
     /** While it warms up its speed changes all the time: looked at so many times on the way. */
     private static final int COLD_LOOKS = 200;
 
-    private final Plan.Machine kind;
+    private final FleetPlan.Machine kind;
     private final boolean inOrder;
-    private final Plan.Cold cold;
+    private final FleetPlan.Cold cold;
     private final List<Job> running = new ArrayList<>();
     private final ArrayDeque<Job> waiting = new ArrayDeque<>();
     private final ArrayDeque<Job> begun = new ArrayDeque<>();
@@ -40,7 +40,7 @@
     private record Sent(Moment when, double work) {}
 
     /** Born null: warm for long. */
-    Machine(Plan.Machine kind, boolean inOrder, Plan.Cold cold, Moment now, Moment born) {
+    WorkerModel(FleetPlan.Machine kind, boolean inOrder, FleetPlan.Cold cold, Moment now, Moment born) {
         this.kind = kind;
         this.inOrder = inOrder;
         this.cold = cold;
--- a/src/main/java/rampshift/time/Alarm.java
+++ b/src/main/java/rampshift/time/IoTimer.java
@@ -10,23 +10,23 @@
  * time of a call
  * that had just been answered, and the last byte of an assignment was looked after that had been called off.
  */
-public final class Alarm {
+public final class IoTimer {
     private final XnioExecutor.Key key;
     private Runnable rings;
 
-    private Alarm(XnioExecutor thread, long time, TimeUnit unit, Runnable rings) {
+    private IoTimer(XnioExecutor thread, long time, TimeUnit unit, Runnable rings) {
         this.rings = rings;
         key = thread.executeAfter(this::ring, time, unit);
     }
 
     /** To be called, as {@link #off} is, on that thread. */
-    public static Alarm in(XnioExecutor thread, Span span, Runnable rings) {
-        return new Alarm(thread, span.micros(), TimeUnit.MICROSECONDS, rings);
+    public static IoTimer in(XnioExecutor thread, Span span, Runnable rings) {
+        return new IoTimer(thread, span.micros(), TimeUnit.MICROSECONDS, rings);
     }
 
     /** Never early: XNIO drops what is left of a millisecond. */
-    public static Alarm notBefore(XnioExecutor thread, Span span, Runnable rings) {
-        return new Alarm(thread, wholeMillis(span), TimeUnit.MILLISECONDS, rings);
+    public static IoTimer notBefore(XnioExecutor thread, Span span, Runnable rings) {
+        return new IoTimer(thread, wholeMillis(span), TimeUnit.MILLISECONDS, rings);
     }
 
     static long wholeMillis(Span span) {
--- a/src/main/java/rampshift/time/NextTurn.java
+++ b/src/main/java/rampshift/time/NextTick.java
@@ -15,13 +15,13 @@
  * told by a
  * pipe to itself, which takes two descriptors.
  */
-public final class NextTurn {
+public final class NextTick {
     private final ByteBuffer one = ByteBuffer.allocateDirect(1);
     private final ChannelPipe<StreamSourceChannel, StreamSinkChannel> pipe;
     private Runnable next;
 
     /** To be called, as all else here is, on that thread. */
-    public NextTurn(XnioIoThread thread) throws IOException {
+    public NextTick(XnioIoThread thread) throws IOException {
         pipe = thread.createHalfDuplexPipe();
         pipe.getLeftSide().getReadSetter().set(c -> come());
         pipe.getLeftSide().resumeReads();
--- a/src/main/java/rampshift/toml/Lines.java
+++ b/src/main/java/rampshift/toml/KeyPositions.java
@@ -9,14 +9,14 @@
  * Where in a TOML text each key stands. The parser checks the grammar but forgets the lines; a fault is of no
  * use without them. Tables in one line and arrays over several lines count as the key that they belong to.
  */
-final class Lines {
+final class KeyPositions {
     private static final Pattern HEADER = Pattern.compile("\\s*(\\[\\[?)\\s*([^\\]]+?)\\s*\\]\\]?\\s*(#.*)?");
     private static final Pattern KEY =
             Pattern.compile("\\s*([A-Za-z0-9_\"'.-]+(?:\\s*\\.\\s*[A-Za-z0-9_\"'-]+)*)\\s*=.*");
 
     private final Map<String, Integer> lines = new HashMap<>();
 
-    Lines(String text) {
+    KeyPositions(String text) {
         Map<String, Integer> counts = new HashMap<>();
         String table = "";
         int depth = 0;
--- a/src/main/java/rampshift/toml/Toml.java
+++ b/src/main/java/rampshift/toml/TomlFile.java
@@ -9,41 +9,43 @@
 import java.util.ArrayList;
 
 /** A TOML file, read strictly: all that is wrong with it is told at once, each with its line. */
-public record Toml(Section.Source source, JsonNode root) {
+public record TomlFile(TomlTable.Source source, JsonNode root) {
     private static final long LARGEST = 1 << 20;
 
     /** The text of a file, or a Fault that says why it can't be had. */
     public static String text(Path file) {
         try {
             if (Files.size(file) > LARGEST) {
-                throw new Fault(file + ": over " + LARGEST + " bytes");
+                throw new ConfigurationException(file + ": over " + LARGEST + " bytes");
             }
             return Files.readString(file);
         } catch (IOException e) {
-            throw new Fault(file + ": cannot be read (" + e.getClass().getSimpleName() + ")");
+            throw new ConfigurationException(
+                    file + ": cannot be read (" + e.getClass().getSimpleName() + ")");
         }
     }
 
     /** Throws a Fault where the text is no TOML. */
-    public static Toml read(String name, String text) {
+    public static TomlFile read(String name, String text) {
         try {
-            return new Toml(new Section.Source(name, new Lines(text), new ArrayList<>()),
+            return new TomlFile(new TomlTable.Source(name, new KeyPositions(text), new ArrayList<>()),
                     new TomlMapper().readTree(text));
         } catch (JsonProcessingException e) {
             int line = e.getLocation() == null ? 1 : e.getLocation().getLineNr();
-            throw new Fault(name + ":" + line + ": " + e.getOriginalMessage().split("\n")[0]);
+            throw new ConfigurationException(
+                    name + ":" + line + ": " + e.getOriginalMessage().split("\n")[0]);
         }
     }
 
     /** The table that all others are in. */
-    public Section top() {
-        return new Section(source, root, "");
+    public TomlTable top() {
+        return new TomlTable(source, root, "");
     }
 
     /** Once all was read: throws a Fault with all that was wrong. */
     public void sound() {
         if (!source.faults().isEmpty()) {
-            throw new Fault(source.faults());
+            throw new ConfigurationException(source.faults());
         }
     }
 }
--- a/src/main/java/rampshift/toml/Section.java
+++ b/src/main/java/rampshift/toml/TomlTable.java
@@ -14,7 +14,7 @@
 import rampshift.time.Span;
 
 /** One table of a file, read strictly: each key that is asked for is known, all others are faults. */
-public final class Section {
+public final class TomlTable {
     private static final Pattern SPAN = Pattern.compile("(\\d{1,9}(?:\\.\\d{1,6})?)\\s*(us|ms|s|min)");
     private static final LevenshteinDistance DISTANCE = LevenshteinDistance.getDefaultInstance();
 
@@ -24,13 +24,13 @@
     private final Set<String> known = new LinkedHashSet<>();
 
     /** What all tables of a file share. */
-    public record Source(String file, Lines lines, List<String> faults) {
+    public record Source(String file, KeyPositions lines, List<String> faults) {
         public void fault(String path, String what) {
             faults.add(file + ":" + lines.of(path) + ": " + what);
         }
     }
 
-    public Section(Source source, JsonNode node, String path) {
+    public TomlTable(Source source, JsonNode node, String path) {
         this.source = source;
         this.path = path;
         if (node != null && !node.isObject()) {
@@ -183,18 +183,18 @@
         return texts;
     }
 
-    public Section section(String key) {
-        return new Section(source, at(key), path(key));
+    public TomlTable section(String key) {
+        return new TomlTable(source, at(key), path(key));
     }
 
-    public List<Section> sections(String key) {
+    public List<TomlTable> sections(String key) {
         JsonNode value = at(key);
-        List<Section> sections = new ArrayList<>();
+        List<TomlTable> sections = new ArrayList<>();
         if (value != null && !value.isArray()) {
             fault(key, "is to be an array of tables, [[" + path(key) + "]]");
         } else if (value != null) {
             for (int i = 0; i < value.size(); i++) {
-                sections.add(new Section(source, value.get(i), path(key) + "[" + i + "]"));
+                sections.add(new TomlTable(source, value.get(i), path(key) + "[" + i + "]"));
             }
         }
         return sections;
--- a/src/main/java/rampshift/workers/Assignment.java
+++ b/src/main/java/rampshift/workers/AttemptExchange.java
@@ -6,11 +6,11 @@
 import java.nio.ByteBuffer;
 import java.util.Arrays;
 import java.util.function.Supplier;
-import rampshift.connections.Head;
+import rampshift.connections.ResponseHead;
 import rampshift.counters.Counters;
-import rampshift.decide.Outcome;
 import rampshift.log.Log;
-import rampshift.time.Alarm;
+import rampshift.policy.AttemptOutcome;
+import rampshift.time.IoTimer;
 import rampshift.time.Moment;
 import rampshift.time.Span;
 
@@ -18,7 +18,7 @@
  * One sending of a task to a worker, until its outcome is known. Whether the last byte was written decides
  * between "never ran" and "may have run".
  */
-public final class Assignment extends Errand {
+public final class AttemptExchange extends WorkerExchange {
     private static final int LONGEST = 64 * 1024;
     private static final double LEAST_HOLD = 0.02;     // of the time that a dial may take
     private static final double MOST_HOLD = 0.1;
@@ -39,7 +39,7 @@
         void reported(long worker, LoadReport load);
 
         /** The result is null unless it finished. */
-        void ended(Outcome outcome, byte[] result);
+        void ended(AttemptOutcome outcome, byte[] result);
     }
 
     private final String txn;
@@ -49,13 +49,13 @@
     private final Moment expiry;
     private final Supplier<ByteBuffer[]> message;
     private final Told out;
-    private final Alarm timeout;
+    private final IoTimer timeout;
     private boolean written;
     private int status;
     private byte[] line = new byte[1024];
     private int length;
 
-    Assignment(Pool pool, Place place, String txn, boolean once, Moment expiry,
+    AttemptExchange(ConnectionPool pool, WorkerEndpoint place, String txn, boolean once, Moment expiry,
             Supplier<ByteBuffer[]> message,
             Span timeout, Told out) {
         super(pool, place);
@@ -65,8 +65,8 @@
         this.message = message;
         this.out = out;
         this.timeout = timeout.micros() <= 0 ? null
-                : Alarm.in(pool.thread, timeout,
-                        () -> callOff(written ? Outcome.TIMED_OUT : Outcome.NOT_SENT));
+                : IoTimer.in(pool.thread, timeout,
+                        () -> callOff(written ? AttemptOutcome.TIMED_OUT : AttemptOutcome.NOT_SENT));
     }
 
     @Override
@@ -94,10 +94,10 @@
 
     /** Closes its connection; the outcome is told if none was before. */
     public void callOff() {
-        callOff(written ? Outcome.CALLED_OFF : Outcome.NOT_SENT);
+        callOff(written ? AttemptOutcome.CALLED_OFF : AttemptOutcome.NOT_SENT);
     }
 
-    private void callOff(Outcome outcome) {
+    private void callOff(AttemptOutcome outcome) {
         if (!told()) {
             pool.counters.add(Counters.Name.CALLED_OFF);
             end(outcome, null);
@@ -113,7 +113,7 @@
         boolean may = place.ready && current() && inTime() && out.wanted();
         if (!may) {
             pool.counters.add(Counters.Name.FIRST_BYTE_HELD_BACK);
-            end(Outcome.NOT_SENT, null);
+            end(AttemptOutcome.NOT_SENT, null);
         }
         return may;
     }
@@ -127,7 +127,7 @@
     public boolean mayFinish() {
         boolean may = inTime() && out.wanted();
         if (!may) {
-            end(Outcome.NOT_SENT, null);
+            end(AttemptOutcome.NOT_SENT, null);
         }
         return may;
     }
@@ -139,17 +139,17 @@
 
     @Override
     void noRoom() {
-        end(Outcome.NOT_SENT, null);
+        end(AttemptOutcome.NOT_SENT, null);
     }
 
     @Override
     public void unreachable(String why) {
         pool.counters.add(Counters.Name.DIAL_FAILED);
-        end(Outcome.NO_CONNECTION, null);
+        end(AttemptOutcome.NO_CONNECTION, null);
     }
 
     @Override
-    public void head(Head head) {
+    public void head(ResponseHead head) {
         status = head.status();
         Span after = answeredAfter();
         place.quickest = place.quickest.micros() == 0 ? after : place.quickest.orShorter(after);
@@ -164,7 +164,7 @@
         if (!away && status != 500) {
             odd("status " + status);
         }
-        tell(away ? Outcome.FULL : Outcome.ERRED, null);
+        tell(away ? AttemptOutcome.FULL : AttemptOutcome.ERRED, null);
     }
 
     private void headerLoad(String text) {
@@ -189,7 +189,7 @@
                 line();
             } else if (length == LONGEST) {
                 odd("a line over " + LONGEST + " bytes");
-                end(Outcome.ERRED, null);
+                end(AttemptOutcome.ERRED, null);
             } else {
                 if (length == line.length) {
                     line = Arrays.copyOf(line, length * 2);
@@ -205,18 +205,18 @@
         if (size == 0 || size == 1 && line[0] == '\r') {
             return;
         }
-        Note note;
+        ProgressMessage note;
         try {
-            note = Note.read(line, size, pool.platform.freeSlots(), pool.platform.freeMemory());
+            note = ProgressMessage.read(line, size, pool.platform.freeSlots(), pool.platform.freeMemory());
         } catch (IOException e) {
             odd("a line that is no JSON object");
-            end(Outcome.BROKEN, null);
+            end(AttemptOutcome.BROKEN, null);
             return;
         }
         boolean tells = "done".equals(note.state) || "returned".equals(note.state);
         if (note.id == null ? tells : !note.id.equals(txn)) {
             odd("a line for another task");
-            end(Outcome.BROKEN, null);
+            end(AttemptOutcome.BROKEN, null);
             return;
         }
         if (note.from != null && !note.from.equals(place.uid)) {
@@ -228,7 +228,7 @@
         state(note);
     }
 
-    private void state(Note note) {
+    private void state(ProgressMessage note) {
         switch (note.state == null ? "" : note.state) {
             case "started" -> out.begun();
             case "running" -> {
@@ -236,10 +236,10 @@
                     out.progressed(note.share);
                 }
             }
-            case "done" -> tell(Outcome.FINISHED, note.result);
-            case "failed" -> tell(Outcome.ERRED, null);
-            case "returned" -> tell(Outcome.FULL, null);
-            case "lost" -> tell(Outcome.BROKEN, null);
+            case "done" -> tell(AttemptOutcome.FINISHED, note.result);
+            case "failed" -> tell(AttemptOutcome.ERRED, null);
+            case "returned" -> tell(AttemptOutcome.FULL, null);
+            case "lost" -> tell(AttemptOutcome.BROKEN, null);
             default -> odd("the unknown state " + note.state);
         }
     }
@@ -249,15 +249,15 @@
         if (!told() && length > 0) {
             line();
         }
-        end(Outcome.BROKEN, null);
+        end(AttemptOutcome.BROKEN, null);
     }
 
     @Override
     public void broken(String why) {
         boolean stale = status == 0 && stale();
         // What befalls a kept connection tells nothing of its worker: the best ones were set aside for it.
-        end(written ? stale ? Outcome.STALE : Outcome.BROKEN
-                : stale ? Outcome.NOT_SENT : Outcome.NO_CONNECTION, null);
+        end(written ? stale ? AttemptOutcome.STALE : AttemptOutcome.BROKEN
+                : stale ? AttemptOutcome.NOT_SENT : AttemptOutcome.NO_CONNECTION, null);
     }
 
     private void odd(String what) {
@@ -266,7 +266,7 @@
     }
 
     /** Tells the outcome while the rest of the answer is still to come. */
-    private void tell(Outcome outcome, byte[] result) {
+    private void tell(AttemptOutcome outcome, byte[] result) {
         if (tell()) {
             giveTimerBack();
             linger();
@@ -274,7 +274,7 @@
         }
     }
 
-    private void end(Outcome outcome, byte[] result) {
+    private void end(AttemptOutcome outcome, byte[] result) {
         boolean first = tell();
         over();
         if (first) {
--- a/src/main/java/rampshift/workers/Pool.java
+++ b/src/main/java/rampshift/workers/ConnectionPool.java
@@ -11,17 +11,17 @@
 import java.util.Set;
 import java.util.function.Supplier;
 import org.xnio.XnioIoThread;
-import rampshift.connections.Connection;
 import rampshift.connections.Dialer;
+import rampshift.connections.HttpConnection;
 import rampshift.counters.Counters;
-import rampshift.settings.Platform;
-import rampshift.time.Alarm;
+import rampshift.settings.HostSettings;
 import rampshift.time.Clock;
+import rampshift.time.IoTimer;
 import rampshift.time.Moment;
 import rampshift.time.Span;
 
 /** All connections to workers: it owns the idle ones, and lends them to assignments and probes. */
-public final class Pool {
+public final class ConnectionPool {
     private static final double IDLE_SHARE = 0.5;      // of the time after which a worker may close it
     // of that time, tasks that must not run twice avoid kept ones
     private static final double STALE_SHARE = 0.5;
@@ -29,21 +29,22 @@
     private static final Span SWEEP = Span.ofMillis(500);
 
     final XnioIoThread thread;
-    final Platform platform;
+    final HostSettings platform;
     final Counters counters;
     private final Clock clock;
     private final Dialer dialer;
     private final int most;
-    private final Map<Long, Place> places = new HashMap<>();
-    private final Set<Errand> lingering = new LinkedHashSet<>();
+    private final Map<Long, WorkerEndpoint> places = new HashMap<>();
+    private final Set<WorkerExchange> lingering = new LinkedHashSet<>();
     private int idle;
     private Moment lastStale;
     private boolean closed;
-    private Alarm sweep;
+    private IoTimer sweep;
     /** Has it read what the list service has written, before a first byte goes by an old list. */
     Runnable beforeFirstByte = () -> {};
 
-    public Pool(XnioIoThread thread, Dialer dialer, Clock clock, Platform platform, Counters counters,
+    public ConnectionPool(XnioIoThread thread, Dialer dialer, Clock clock, HostSettings platform,
+            Counters counters,
             int most) {
         this.thread = thread;
         this.dialer = dialer;
@@ -65,7 +66,7 @@
      */
     public void listed(long number, String uid, InetSocketAddress address, String where, long bootMs,
             boolean ready) {
-        Place place = places.computeIfAbsent(number, n -> new Place(n, uid));
+        WorkerEndpoint place = places.computeIfAbsent(number, n -> new WorkerEndpoint(n, uid));
         boolean other = address != null && !address.equals(place.address) || bootMs != place.bootMs
                 || !where.equals(place.where);
         place.life += other ? 1 : 0;
@@ -80,13 +81,13 @@
 
     /** A whole list follows: what it does not name is gone. */
     public void beginWhole() {
-        for (Place place : places.values()) {
+        for (WorkerEndpoint place : places.values()) {
             place.ready = false;
         }
     }
 
     public void endWhole() {
-        for (Place place : places.values()) {
+        for (WorkerEndpoint place : places.values()) {
             if (!place.ready) {
                 dropIdle(place);
             }
@@ -94,22 +95,23 @@
     }
 
     public boolean ready(long number) {
-        Place place = places.get(number);
+        WorkerEndpoint place = places.get(number);
         return place != null && place.ready;
     }
 
     /** May tell before it returns. */
-    public Assignment assign(long number, String txn, boolean once, Moment expiry,
+    public AttemptExchange assign(long number, String txn, boolean once, Moment expiry,
             Supplier<ByteBuffer[]> message,
-            Span timeout, Assignment.Told told) {
-        Assignment a = new Assignment(this, places.get(number), txn, once, expiry, message, timeout, told);
+            Span timeout, AttemptExchange.Told told) {
+        AttemptExchange a =
+                new AttemptExchange(this, places.get(number), txn, once, expiry, message, timeout, told);
         a.start();
         return a;
     }
 
     /** May tell before it returns. */
     public void probe(long number, Probed told) {
-        new Probe(this, places.get(number), told::echoed).start();
+        new HealthCheck(this, places.get(number), told::echoed).start();
     }
 
     /** Who is told of a probe's end. */
@@ -130,11 +132,11 @@
      * taken for the
      * next one's.
      */
-    Connection idle(Place place, Span quiet) {
+    HttpConnection idle(WorkerEndpoint place, Span quiet) {
         Moment now = clock.now();
         while (!place.idle.isEmpty()) {
             boolean oldest = quiet.micros() > 0;
-            Connection c = oldest ? place.idle.peekLast() : place.idle.peek();
+            HttpConnection c = oldest ? place.idle.peekLast() : place.idle.peek();
             Span been = now.since(c.idleSince);
             if (!been.longerThan(mostIdle()) && quiet.longerThan(been)) {
                 return null;
@@ -158,8 +160,8 @@
     /** Whether one more may be opened; the connection that idled longest makes room. */
     boolean room() {
         if (dialer.open() >= most && idle > 0) {
-            Place with = null;
-            for (Place p : places.values()) {
+            WorkerEndpoint with = null;
+            for (WorkerEndpoint p : places.values()) {
                 if (!p.idle.isEmpty() && (with == null
                         || p.idle.peekLast().idleSince.before(with.idle.peekLast().idleSince))) {
                     with = p;
@@ -170,12 +172,12 @@
         return dialer.open() < most;
     }
 
-    Dialer.Dial dial(Place place, Errand errand) {
+    Dialer.Dial dial(WorkerEndpoint place, WorkerExchange errand) {
         counters.add(Counters.Name.DIALED);
         return dialer.dial(place.address, platform.dialTimeout(), errand);
     }
 
-    void giveBack(Place place, int life, Connection connection) {
+    void giveBack(WorkerEndpoint place, int life, HttpConnection connection) {
         // One that was out while its worker moved is to the old address: kept, it was used on and on.
         if (closed || !connection.usable() || !place.ready || life != place.life) {
             connection.close();
@@ -198,29 +200,29 @@
     }
 
     /** Those kept to that worker may be reset too: they are not used any more. */
-    void suspect(Place place) {
+    void suspect(WorkerEndpoint place) {
         lastStale = clock.now();
         dropIdle(place);
     }
 
-    void linger(Errand errand) {
+    void linger(WorkerExchange errand) {
         errand.lingersSince = clock.now();
         lingering.add(errand);
     }
 
-    void lingerEnds(Errand errand) {
+    void lingerEnds(WorkerExchange errand) {
         lingering.remove(errand);
     }
 
     // ---- the idle ones
 
-    private void dropIdle(Place place) {
+    private void dropIdle(WorkerEndpoint place) {
         while (!place.idle.isEmpty()) {
             dropOldest(place);
         }
     }
 
-    private void dropOldest(Place place) {
+    private void dropOldest(WorkerEndpoint place) {
         idle--;
         counters.add(Counters.Name.IDLE_DROPPED);
         place.idle.pollLast().close();
@@ -234,25 +236,25 @@
     }
 
     private void sweepLater() {
-        sweep = Alarm.in(thread, SWEEP, this::sweep);
+        sweep = IoTimer.in(thread, SWEEP, this::sweep);
     }
 
     private void sweep() {
         Moment now = clock.now();
-        for (Place place : places.values()) {
+        for (WorkerEndpoint place : places.values()) {
             while (!place.idle.isEmpty()
                     && now.since(place.idle.peekLast().idleSince).longerThan(mostIdle())) {
                 dropOldest(place);
             }
         }
-        List<Errand> late = new ArrayList<>();
-        for (Iterator<Errand> i = lingering.iterator(); i.hasNext();) {
-            Errand e = i.next();
+        List<WorkerExchange> late = new ArrayList<>();
+        for (Iterator<WorkerExchange> i = lingering.iterator(); i.hasNext();) {
+            WorkerExchange e = i.next();
             if (now.since(e.lingersSince).longerThan(LINGER)) {
                 late.add(e);
             }
         }
-        late.forEach(Errand::over);
+        late.forEach(WorkerExchange::over);
         sweepLater();
     }
 }
--- a/src/main/java/rampshift/workers/Probe.java
+++ b/src/main/java/rampshift/workers/HealthCheck.java
@@ -6,13 +6,13 @@
 import java.nio.ByteBuffer;
 import java.nio.charset.StandardCharsets;
 import java.util.Arrays;
-import rampshift.connections.Head;
+import rampshift.connections.ResponseHead;
 import rampshift.log.Log;
-import rampshift.time.Alarm;
+import rampshift.time.IoTimer;
 import rampshift.time.Span;
 
 /** Asks a worker how it is. Its answer, or that there is none in time, is told once. */
-final class Probe extends Errand {
+final class HealthCheck extends WorkerExchange {
     private static final int LONGEST = 4096;
     private static final JsonFactory JSON = new JsonFactory();
 
@@ -21,16 +21,16 @@
     }
 
     private final Told out;
-    private final Alarm timer;
+    private final IoTimer timer;
     private int status;
     private byte[] bytes = new byte[256];
     private int length;
 
-    Probe(Pool pool, Place place, Told out) {
+    HealthCheck(ConnectionPool pool, WorkerEndpoint place, Told out) {
         super(pool, place);
         this.out = out;
         Span most = pool.platform.dialTimeout().times(2);
-        timer = Alarm.in(pool.thread, most, () -> end(false, null));
+        timer = IoTimer.in(pool.thread, most, () -> end(false, null));
     }
 
     @Override
@@ -50,7 +50,7 @@
     }
 
     @Override
-    public void head(Head head) {
+    public void head(ResponseHead head) {
         status = head.status();
     }
 
--- a/src/main/java/rampshift/workers/Note.java
+++ b/src/main/java/rampshift/workers/ProgressMessage.java
@@ -8,7 +8,7 @@
 import java.util.Arrays;
 
 /** One line of a worker's answer. */
-final class Note {
+final class ProgressMessage {
     private static final JsonFactory JSON = new JsonFactory();
     private static final byte[] NOTHING = {};
 
@@ -20,8 +20,9 @@
     byte[] result = NOTHING;
 
     /** Reads a line, or throws where it is no JSON object. */
-    static Note read(byte[] line, int length, String freeSlots, String freeMemory) throws IOException {
-        Note note = new Note();
+    static ProgressMessage read(byte[] line, int length, String freeSlots, String freeMemory)
+            throws IOException {
+        ProgressMessage note = new ProgressMessage();
         try (JsonParser in = JSON.createParser(line, 0, length)) {
             if (in.nextToken() != JsonToken.START_OBJECT) {
                 throw new IOException("no object");
--- a/src/main/java/rampshift/workers/Place.java
+++ b/src/main/java/rampshift/workers/WorkerEndpoint.java
@@ -2,11 +2,11 @@
 
 import java.net.InetSocketAddress;
 import java.util.ArrayDeque;
-import rampshift.connections.Connection;
+import rampshift.connections.HttpConnection;
 import rampshift.time.Span;
 
 /** One worker as the pool knows it, and the idle connections to it. */
-final class Place {
+final class WorkerEndpoint {
     final long number;
     final String uid;
     InetSocketAddress address;
@@ -22,9 +22,9 @@
     /** The shortest time in which an answer began; ZERO where none came yet. */
     Span quickest = Span.ZERO;
     /** The last used first. */
-    final ArrayDeque<Connection> idle = new ArrayDeque<>();
+    final ArrayDeque<HttpConnection> idle = new ArrayDeque<>();
 
-    Place(long number, String uid) {
+    WorkerEndpoint(long number, String uid) {
         this.number = number;
         this.uid = uid;
     }
--- a/src/main/java/rampshift/workers/Errand.java
+++ b/src/main/java/rampshift/workers/WorkerExchange.java
@@ -1,18 +1,18 @@
 package rampshift.workers;
 
 import java.nio.ByteBuffer;
-import rampshift.connections.Connection;
 import rampshift.connections.Dialer;
-import rampshift.connections.Heard;
+import rampshift.connections.ExchangeListener;
+import rampshift.connections.HttpConnection;
 import rampshift.time.Moment;
 import rampshift.time.Span;
 
 /** Something carried to a worker and back: it gets a connection, and gives it back once, in {@link #over}. */
-abstract class Errand implements Heard, Dialer.Dialed {
-    final Pool pool;
-    final Place place;
+abstract class WorkerExchange implements ExchangeListener, Dialer.Dialed {
+    final ConnectionPool pool;
+    final WorkerEndpoint place;
     private Dialer.Dial dial;
-    private Connection connection;
+    private HttpConnection connection;
     /** Its connection has served another before. */
     private boolean reused;
     private int life;
@@ -20,7 +20,7 @@
     /** When it was told of as ended while its answer had not wholly come. */
     Moment lingersSince;
 
-    Errand(Pool pool, Place place) {
+    WorkerExchange(ConnectionPool pool, WorkerEndpoint place) {
         this.pool = pool;
         this.place = place;
     }
@@ -72,7 +72,7 @@
     }
 
     @Override
-    public final void connected(Connection made) {
+    public final void connected(HttpConnection made) {
         dial = null;
         connection = made;
         connection.exchange(this, hold(), this::message);
@@ -108,7 +108,7 @@
             dial = null;
         }
         if (connection != null) {
-            Connection given = connection;
+            HttpConnection given = connection;
             connection = null;
             pool.lingerEnds(this);
             pool.giveBack(place, life, given);
--- a/src/test/java/rampshift/Events.java
+++ b/src/test/java/rampshift/EventSimulation.java
@@ -4,7 +4,7 @@
 import java.util.function.BooleanSupplier;
 
 /** Simulated time for stories of many processes: what is due, in order of its time, then of its asking. */
-public class Events {
+public class EventSimulation {
     private record Due(long at, long number, Runnable what) {}
 
     private final PriorityQueue<Due> due =
--- a/src/test/java/rampshift/StartAndStop.java
+++ b/src/test/java/rampshift/MainAccess.java
@@ -1,13 +1,13 @@
 package rampshift;
 
 import java.util.concurrent.FutureTask;
-import rampshift.serve.Serve;
+import rampshift.serve.DispatcherServer;
 
 /** Lets the stories of other packages at what the command line does on SIGTERM. */
-public final class StartAndStop {
-    private StartAndStop() {}
+public final class MainAccess {
+    private MainAccess() {}
 
-    public static Thread stopper(FutureTask<Serve> start) {
+    public static Thread stopper(FutureTask<DispatcherServer> start) {
         return Main.stopper(start);
     }
 }
--- a/src/test/java/rampshift/MainTest.java
+++ b/src/test/java/rampshift/MainTest.java
@@ -22,11 +22,11 @@
     /** Met on the first day with new configurations: SIGHUP ended the dispatcher, or left it stopping. */
     @Test
     void aHangupHasTheFileReadAgainAndTheDispatcherLives(@TempDir Path folder) throws Exception {
-        try (StandIns.Peer one = StandIns.Peer.discovery(List.of());
-                StandIns.Peer other = StandIns.Peer.discovery(List.of())) {
+        try (TestPeers.Peer one = TestPeers.Peer.discovery(List.of());
+                TestPeers.Peer other = TestPeers.Peer.discovery(List.of())) {
             Path file = folder.resolve("config.json");
             String limits = "{\"memory_mb\":192,\"sockets\":256}";
-            Files.writeString(file, StandIns.configuration(one, StandIns.list(true), limits));
+            Files.writeString(file, TestPeers.configuration(one, TestPeers.list(true), limits));
             Path log = folder.resolve("log");
             ProcessBuilder builder =
                     new ProcessBuilder(Path.of(System.getProperty("java.home"), "bin", "java").toString(),
@@ -35,18 +35,18 @@
             builder.environment().put("NODE_CONFIG", file.toString());
             Process process = builder.start();
             try {
-                StandIns.until("it watches", () -> one.received.size() > 0);
-                StandIns.until("warmed up", () -> Files.readString(log).contains(" INFO rehearsed "));
+                TestPeers.until("it watches", () -> one.received.size() > 0);
+                TestPeers.until("warmed up", () -> Files.readString(log).contains(" INFO rehearsed "));
                 assertTrue(Files.readString(log).indexOf(" INFO ready ") < Files.readString(log)
                         .indexOf(" INFO rehearsed "), "ready sooner");
                 assertTrue(Files.readString(log).contains(" INFO ready "));
                 Files.writeString(file, "{half");
                 signal("HUP", process);
-                StandIns.until("a plain line", () -> Files.readString(log).contains(" WARN reload kept="));
-                Files.writeString(file, StandIns.configuration(other, StandIns.list(true), limits));
+                TestPeers.until("a plain line", () -> Files.readString(log).contains(" WARN reload kept="));
+                Files.writeString(file, TestPeers.configuration(other, TestPeers.list(true), limits));
                 signal("HUP", process);
                 signal("HUP", process);
-                StandIns.until("it watches elsewhere", () -> other.received.size() > 0);
+                TestPeers.until("it watches elsewhere", () -> other.received.size() > 0);
                 signal("TERM", process);
                 signal("HUP", process);
                 assertEquals(143, process.waitFor(), "it ends by SIGTERM alone");
@@ -95,7 +95,7 @@
     @Test
     void aWrongSettingIsNamedWithItsFileByCheck(@TempDir Path folder) throws Exception {
         Path file = folder.resolve("config.json");
-        String good = StandIns.configuration(null, StandIns.list(true), "{}");
+        String good = TestPeers.configuration(null, TestPeers.list(true), "{}");
         Files.writeString(file, good);
         Map<String, String> environment = Map.of("NODE_CONFIG", file.toString());
         assertEquals(0,
--- a/src/test/java/rampshift/StandIns.java
+++ b/src/test/java/rampshift/TestPeers.java
@@ -15,22 +15,22 @@
 import java.util.List;
 import java.util.Set;
 import java.util.concurrent.Callable;
-import rampshift.decide.Choice;
-import rampshift.decide.Decisions;
-import rampshift.decide.Outcome;
-import rampshift.decide.Settings;
-import rampshift.decide.TrafficType;
-import rampshift.serve.Serve;
+import rampshift.policy.AttemptOutcome;
+import rampshift.policy.Decisions;
+import rampshift.policy.DispatchPolicy;
+import rampshift.policy.Settings;
+import rampshift.policy.TrafficType;
+import rampshift.serve.DispatcherServer;
 import rampshift.settings.Configuration;
 import rampshift.time.Moment;
 import rampshift.time.Span;
 
 /** What the stories are told with: a fake host of the module, and small stand-ins on loopback. */
-public final class StandIns {
+public final class TestPeers {
     /** Far beyond what anything here takes: a story that waits so long has failed. */
     private static final int LONG_MS = 20_000;
 
-    private StandIns() {}
+    private TestPeers() {}
 
     /** Waits until it is so. */
     public static void until(String what, Callable<Boolean> so) throws Exception {
@@ -109,7 +109,7 @@
         }
 
         /** Connects to a dispatcher, as a client does. */
-        public Line(Serve node) throws IOException {
+        public Line(DispatcherServer node) throws IOException {
             this(new Socket(node.address().getAddress(), node.address().getPort()));
         }
 
@@ -305,8 +305,8 @@
     }
 
     /** A dispatcher that is ready. */
-    public static Serve node(Peer discovery, String known, String limits) throws Exception {
-        Serve node = new Serve(
+    public static DispatcherServer node(Peer discovery, String known, String limits) throws Exception {
+        DispatcherServer node = new DispatcherServer(
                 Configuration.read(configuration(discovery, known, limits).getBytes(StandardCharsets.UTF_8)));
         node.awaitReady();
         return node;
@@ -333,7 +333,7 @@
     public static final class Host implements Decisions {
         public final Settings settings = new Settings();
         public final List<String> said = new ArrayList<>();
-        private Choice choice;
+        private DispatchPolicy choice;
         private long tasks;
         private double clock = 1_000_000;
 
@@ -357,9 +357,9 @@
                             Span.ofMillis(1000), null, null));
         }
 
-        public Choice choice() {
+        public DispatchPolicy choice() {
             if (choice == null) {
-                choice = new Choice(settings, Moment.ofMillis(clock));
+                choice = new DispatchPolicy(settings, Moment.ofMillis(clock));
             }
             choice.clock(Moment.ofMillis(clock));
             return choice;
@@ -367,9 +367,9 @@
 
         /** Workers 1 to n, all in zone 0, two a cell, warm. */
         public Host fleet(int n) {
-            choice().listBegins(Choice.List.REMEMBERED);
+            choice().listBegins(DispatchPolicy.List.REMEMBERED);
             for (int id = 1; id <= n; id++) {
-                choice.listed(id, 0, (id + 1) / 2, 0, Choice.Listed.READY, new Moment(0), 1);
+                choice.listed(id, 0, (id + 1) / 2, 0, DispatchPolicy.Listed.READY, new Moment(0), 1);
             }
             choice.listEnds();
             return pull();
@@ -389,9 +389,10 @@
 
         /** Workers 1 to n, warm, each in a zone, cell and of a kind as told by its row. */
         public Host places(int[]... rows) {
-            choice().listBegins(Choice.List.REMEMBERED);
+            choice().listBegins(DispatchPolicy.List.REMEMBERED);
             for (int i = 0; i < rows.length; i++) {
-                choice.listed(i + 1, rows[i][0], rows[i][1], rows[i][2], Choice.Listed.READY, new Moment(0),
+                choice.listed(i + 1, rows[i][0], rows[i][1], rows[i][2], DispatchPolicy.Listed.READY,
+                        new Moment(0),
                         1);
             }
             choice.listEnds();
@@ -399,18 +400,18 @@
         }
 
         /** A change of one worker. */
-        public Host place(long id, int zone, int cell, int kind, Choice.Listed as, double bornMs) {
-            choice().listBegins(Choice.List.CHANGES);
+        public Host place(long id, int zone, int cell, int kind, DispatchPolicy.Listed as, double bornMs) {
+            choice().listBegins(DispatchPolicy.List.CHANGES);
             choice.listed(id, zone, cell, kind, as, Moment.ofMillis(bornMs), 1);
             choice.listEnds();
             return pull();
         }
 
         public Host change(long id, boolean ready, double bornMs) {
-            return change(id, ready ? Choice.Listed.READY : Choice.Listed.DRAINING, bornMs);
+            return change(id, ready ? DispatchPolicy.Listed.READY : DispatchPolicy.Listed.DRAINING, bornMs);
         }
 
-        public Host change(long id, Choice.Listed as, double bornMs) {
+        public Host change(long id, DispatchPolicy.Listed as, double bornMs) {
             return place(id, 0, (int) (id + 1) / 2, 0, as, bornMs);
         }
 
@@ -448,8 +449,8 @@
             return pull();
         }
 
-        public Host ended(long task, int number, Outcome outcome) {
-            choice().ended(task, number, outcome, outcome == Outcome.FINISHED);
+        public Host ended(long task, int number, AttemptOutcome outcome) {
+            choice().ended(task, number, outcome, outcome == AttemptOutcome.FINISHED);
             return pull();
         }
 
@@ -493,10 +494,10 @@
                 long id = task(type);
                 begun(id, 0);
                 after(ms);
-                ended(id, 0, Outcome.FINISHED);
+                ended(id, 0, AttemptOutcome.FINISHED);
                 int copies = count("assign " + id + " ") - 1;
                 for (int n = 1; n <= copies; n++) {
-                    ended(id, n, Outcome.CALLED_OFF);
+                    ended(id, n, AttemptOutcome.CALLED_OFF);
                 }
             }
             return this;
--- a/src/test/java/rampshift/clients/CallReaderTest.java
+++ b/src/test/java/rampshift/clients/RequestReaderTest.java
@@ -12,7 +12,7 @@
 import org.junit.jupiter.params.provider.CsvSource;
 import org.junit.jupiter.params.provider.ValueSource;
 
-class CallReaderTest {
+class RequestReaderTest {
     private static final String CHUNKED = "POST /a HTTP/1.1\r\nTransfer-Encoding: chunked\r\n\r\n";
 
     private static String plain(String text) {
@@ -31,7 +31,7 @@
             "CHUNKEDa ~0123456789~0~~"})
     void aSoundCallIsWholeAtItsLastByteHoweverItComes(String call) throws Exception {
         String text = plain(call);
-        CallReader reader = new CallReader();
+        RequestReader reader = new RequestReader();
         for (int i = 0; i < text.length(); i++) {
             assertFalse(reader.whole(), "after " + i);
             reader.take(bytes(text.substring(i, i + 1)));
@@ -68,21 +68,21 @@
             "400 | post", "400 | ^", "400 | 1f9a", "417 | POST /a HTTP/1.1~Expect: more~",
             "400 | ANENDLESSMETHOD"})
     void whatIsNotSoundIsTurnedDownAtOnce(int status, String call) {
-        assertEquals(status, assertThrows(CallReader.Unsound.class,
-                () -> new CallReader().take(bytes(plain(call)))).status);
+        assertEquals(status, assertThrows(RequestReader.Unsound.class,
+                () -> new RequestReader().take(bytes(plain(call)))).status);
     }
 
     @Test
     void aLineWithoutItsCarriageReturnAndEndlessHeadsAreTurnedDown() {
-        assertThrows(CallReader.Unsound.class,
-                () -> new CallReader().take(bytes("GET / HTTP/1.1\nA: b\r\n")));
-        assertEquals(431, assertThrows(CallReader.Unsound.class,
-                () -> new CallReader().take(bytes("GET /" + "a".repeat(20_000)))).status);
+        assertThrows(RequestReader.Unsound.class,
+                () -> new RequestReader().take(bytes("GET / HTTP/1.1\nA: b\r\n")));
+        assertEquals(431, assertThrows(RequestReader.Unsound.class,
+                () -> new RequestReader().take(bytes("GET /" + "a".repeat(20_000)))).status);
         String fields = "A: b\r\n".repeat(65);
-        assertEquals(431, assertThrows(CallReader.Unsound.class,
-                () -> new CallReader().take(bytes("GET / HTTP/1.1\r\n" + fields))).status);
+        assertEquals(431, assertThrows(RequestReader.Unsound.class,
+                () -> new RequestReader().take(bytes("GET / HTTP/1.1\r\n" + fields))).status);
         String chunks = "1\r\na\r\n".repeat(40_000);
-        assertEquals(413, assertThrows(CallReader.Unsound.class,
-                () -> new CallReader().take(bytes(CHUNKED + chunks))).status);
+        assertEquals(413, assertThrows(RequestReader.Unsound.class,
+                () -> new RequestReader().take(bytes(CHUNKED + chunks))).status);
     }
 }
--- a/src/test/java/rampshift/connections/AnswerReaderTest.java
+++ b/src/test/java/rampshift/connections/ResponseReaderTest.java
@@ -10,11 +10,11 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.ValueSource;
 
-class AnswerReaderTest implements Heard {
-    private final AnswerReader reader = new AnswerReader();
+class ResponseReaderTest implements ExchangeListener {
+    private final ResponseReader reader = new ResponseReader();
     private final StringBuilder said = new StringBuilder();
 
-    private int read(String text) throws AnswerReader.Odd {
+    private int read(String text) throws ResponseReader.Odd {
         byte[] bytes = text.getBytes(StandardCharsets.ISO_8859_1);
         return reader.read(bytes, 0, bytes.length, this);
     }
@@ -61,24 +61,24 @@
     })
     void oddAnswersAreNamed(String text) {
         reader.begin();
-        assertThrows(AnswerReader.Odd.class, () -> read(text));
+        assertThrows(ResponseReader.Odd.class, () -> read(text));
     }
 
     @Test
     void linesAndFieldsAreBounded() {
         reader.begin();
-        assertThrows(AnswerReader.Odd.class,
-                () -> read("HTTP/1.1 200 OK\r\nA: " + "a".repeat(AnswerReader.LONGEST_LINE)));
+        assertThrows(ResponseReader.Odd.class,
+                () -> read("HTTP/1.1 200 OK\r\nA: " + "a".repeat(ResponseReader.LONGEST_LINE)));
         reader.begin();
-        assertThrows(AnswerReader.Odd.class,
-                () -> read("HTTP/1.1 200 OK\r\n" + "a: b\r\n".repeat(AnswerReader.MOST_FIELDS + 1)));
+        assertThrows(ResponseReader.Odd.class,
+                () -> read("HTTP/1.1 200 OK\r\n" + "a: b\r\n".repeat(ResponseReader.MOST_FIELDS + 1)));
         reader.begin();
         String interim = "HTTP/1.1 100 x\r\n\r\n";
-        assertThrows(AnswerReader.Odd.class, () -> read(interim.repeat(AnswerReader.MOST_FIELDS + 1)));
+        assertThrows(ResponseReader.Odd.class, () -> read(interim.repeat(ResponseReader.MOST_FIELDS + 1)));
     }
 
     @Override
-    public void head(Head head) {
+    public void head(ResponseHead head) {
         said.append(head.status()).append(' ').append(head.field("X-Load")).append(' ');
     }
 
--- a/src/test/java/rampshift/discovery/WatchTest.java
+++ b/src/test/java/rampshift/discovery/EndpointWatchTest.java
@@ -2,8 +2,8 @@
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
-import static rampshift.StandIns.list;
-import static rampshift.StandIns.until;
+import static rampshift.TestPeers.list;
+import static rampshift.TestPeers.until;
 
 import java.net.InetAddress;
 import java.net.InetSocketAddress;
@@ -25,25 +25,25 @@
 import org.xnio.Xnio;
 import org.xnio.XnioIoThread;
 import org.xnio.XnioWorker;
-import rampshift.StandIns.Line;
-import rampshift.StandIns.Peer;
-import rampshift.StandIns.Script;
+import rampshift.TestPeers.Line;
+import rampshift.TestPeers.Peer;
+import rampshift.TestPeers.Script;
 import rampshift.connections.Dialer;
 import rampshift.counters.Counters;
 import rampshift.time.Clock;
 import rampshift.time.Span;
 
 /** The watch on a thread that has much else to do. */
-class WatchTest {
+class EndpointWatchTest {
     private final XnioWorker xnio;
     private final XnioIoThread thread;
     private final List<Long> told = Collections.synchronizedList(new ArrayList<>());
     private final List<String> versions = Collections.synchronizedList(new ArrayList<>(List.of(list(true))));
     private final Peer agent = Peer.discovery(versions);
     private final Counters counters = new Counters();
-    private Watch watch;
+    private EndpointWatch watch;
 
-    WatchTest() throws Exception {
+    EndpointWatchTest() throws Exception {
         xnio = Xnio.getInstance()
                 .createWorker(OptionMap.create(Options.WORKER_IO_THREADS, 1, Options.THREAD_DAEMON, true));
         thread = xnio.getIoThread(0);
@@ -71,7 +71,7 @@
 
     private void watch(int grace, Runnable whenTold) throws Exception {
         on(() -> {
-            watch = new Watch(thread, new Dialer(thread), new Clock(),
+            watch = new EndpointWatch(thread, new Dialer(thread), new Clock(),
                     new InetSocketAddress("127.0.0.1", agent.port()),
                     Span.ofMillis(grace), counters, l -> {
                         told.add(l.version());
@@ -150,7 +150,7 @@
         try (Peer second = Peer.discovery(new ArrayList<>(List.of(list(true).replace("REV", "20"))));
                 Peer third = Peer.discovery(new ArrayList<>(List.of(list(true).replace("REV", "30"))))) {
             on(() -> {
-                watch = new Watch(thread, new Dialer(thread), new Clock(),
+                watch = new EndpointWatch(thread, new Dialer(thread), new Clock(),
                         new InetSocketAddress("127.0.0.1", agent.port()),
                         Span.ofMillis(2000), counters, l -> told.add(l.version()), () -> {});
                 watch.start();
@@ -177,7 +177,7 @@
             line.write("HTTP/1.1 200 OK\r\nContent-Length: " + body.length() + "\r\n\r\n" + body);
         })) {
             on(() -> {
-                watch = new Watch(thread, new Dialer(thread), new Clock(),
+                watch = new EndpointWatch(thread, new Dialer(thread), new Clock(),
                         new InetSocketAddress("127.0.0.1", odd.port()),
                         Span.ofMillis(2000), counters, l -> {
                             told.add(l.version());
@@ -331,7 +331,7 @@
             try (Peer one = new Peer(agentsWay); Peer two = new Peer(agentsWay)) {
                 long[] wrong = {0};
                 on(() -> {
-                    watch = new Watch(thread, new Dialer(thread), new Clock(),
+                    watch = new EndpointWatch(thread, new Dialer(thread), new Clock(),
                             new InetSocketAddress("127.0.0.1", one.port()),
                             Span.ofMillis(250), counters, l -> {
                                 told.add(l.version());
@@ -367,7 +367,7 @@
             waiting.add(new Socket("127.0.0.1", port));     // its backlog is full: the next dial hangs
         }
         on(() -> {
-            watch = new Watch(thread, new Dialer(thread), new Clock(),
+            watch = new EndpointWatch(thread, new Dialer(thread), new Clock(),
                     new InetSocketAddress("127.0.0.1", port), Span.ofMillis(250), counters,
                     l -> {
                         told.add(l.version());
@@ -395,7 +395,7 @@
 
     private void listen(Peer at, int grace) throws Exception {
         on(() -> {
-            watch = new Watch(thread, new Dialer(thread), new Clock(),
+            watch = new EndpointWatch(thread, new Dialer(thread), new Clock(),
                     new InetSocketAddress("127.0.0.1", at.port()),
                     Span.ofMillis(grace), counters, l -> {
                         told.add(l.version());
--- a/src/test/java/rampshift/operator/OperatorFileTest.java
+++ b/src/test/java/rampshift/extensions/OperatorFileTest.java
@@ -1,4 +1,4 @@
-package rampshift.operator;
+package rampshift.extensions;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertNull;
@@ -7,15 +7,16 @@
 
 import java.nio.file.Path;
 import org.junit.jupiter.api.Test;
-import rampshift.members.host.Setting;
-import rampshift.toml.Fault;
+import rampshift.membership.host.MembershipSettings;
+import rampshift.toml.ConfigurationException;
 
 class OperatorFileTest {
     @Test
     void theSampleIsGoodAndSaysWhatIsTheDefault() {
-        Setting m = OperatorFile.read(Path.of("deploy/operator.toml")).members();
-        Setting bare = OperatorFile.read("f", "[members]\nfleet = \"valle\"\nlisten = \"127.0.0.1:7946\"\n")
-                .members();
+        MembershipSettings m = OperatorFile.read(Path.of("deploy/operator.toml")).members();
+        MembershipSettings bare =
+                OperatorFile.read("f", "[members]\nfleet = \"valle\"\nlisten = \"127.0.0.1:7946\"\n")
+                        .members();
         assertEquals(bare.rules(), m.rules());
         assertEquals(bare.newsFor(), m.newsFor());
         assertTrue(m.news() && bare.news());
@@ -38,12 +39,13 @@
         assertEquals(java.util.List.of("archive", "sweep"), read.leases().names());
         assertEquals(5000, read.leases().rules().term().millis());
         assertEquals(7, read.duties().get(0).objects().size());
-        Fault fault = assertThrows(Fault.class, () -> OperatorFile.read("op.toml", members + """
-                [leases]
-                keepers = ["d1", "d2"]
-                names = ["a,b"]
-                drift = 0.5
-                """));
+        ConfigurationException fault =
+                assertThrows(ConfigurationException.class, () -> OperatorFile.read("op.toml", members + """
+                        [leases]
+                        keepers = ["d1", "d2"]
+                        names = ["a,b"]
+                        drift = 0.5
+                        """));
         assertEquals(
                 """
                         op.toml:5: leases.keepers names 2, expected 1, 3, 5 or 7: a majority of them has to be there
@@ -54,18 +56,19 @@
 
     @Test
     void allThatIsWrongIsToldAtOnceWithItsLine() {
-        Fault fault = assertThrows(Fault.class, () -> OperatorFile.read("op.toml", """
-                [members]
-                fleet = "two words"
-                listen = "0.0.0.0:7946"
-                seeds = ["127.0.0.1:7946", "nowhere"]
-                period = "5ms"
-                forgett = "1min"
-                [[members.reach]]
-                name = "d2"
-                address = "127.0.0.1:99999"
-                [durable]
-                """));
+        ConfigurationException fault =
+                assertThrows(ConfigurationException.class, () -> OperatorFile.read("op.toml", """
+                        [members]
+                        fleet = "two words"
+                        listen = "0.0.0.0:7946"
+                        seeds = ["127.0.0.1:7946", "nowhere"]
+                        period = "5ms"
+                        forgett = "1min"
+                        [[members.reach]]
+                        name = "d2"
+                        address = "127.0.0.1:99999"
+                        [durable]
+                        """));
         assertEquals(
                 """
                         op.toml:3: members.listen is a wildcard, expected the address where the others reach this dispatcher
--- a/src/test/java/rampshift/duties/DutyTest.java
+++ b/src/test/java/rampshift/jobs/PeriodicJobTest.java
@@ -1,4 +1,4 @@
-package rampshift.duties;
+package rampshift.jobs;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertFalse;
@@ -23,18 +23,18 @@
  * A duty over changes of whoever holds its lease. Time goes in steps of 10 ms; the register is written after
  * 30.
  */
-class DutyTest {
+class PeriodicJobTest {
     private static final int OBJECTS = 40;
 
-    private static Plan plan(boolean again, int catchUp) {
-        return new Plan("sweep", "t", Span.ofMillis(1000), 0, "",
+    private static PeriodicJobSettings plan(boolean again, int catchUp) {
+        return new PeriodicJobSettings("sweep", "t", Span.ofMillis(1000), 0, "",
                 IntStream.range(0, OBJECTS).mapToObj(String::valueOf).toList(), 100, catchUp, "/{object}", "",
                 again, Span.ofMillis(500));
     }
 
     /** The register, and whoever holds the lease at the time. */
-    private static final class Fleet implements Duty.Out {
-        final Plan plan;
+    private static final class Fleet implements PeriodicJob.Out {
+        final PeriodicJobSettings plan;
         final Map<String, Integer> effects = new TreeMap<>();
         final List<String> told = new ArrayList<>();
         final Set<String> unsure = new HashSet<>();
@@ -42,17 +42,17 @@
         private final List<Runnable> later = new ArrayList<>();
         private final Map<Runnable, Long> at = new HashMap<>();
         String register = "";
-        Duty holder;
+        PeriodicJob holder;
         long token;
         long ms = 5000;
 
-        Fleet(long seed, Plan plan) {
+        Fleet(long seed, PeriodicJobSettings plan) {
             chance = new SplittableRandom(seed);
             this.plan = plan;
         }
 
         void takeOver() {
-            holder = new Duty(plan, Span.ofMillis(1000), this);
+            holder = new PeriodicJob(plan, Span.ofMillis(1000), this);
             token++;
         }
 
@@ -77,7 +77,7 @@
 
         @Override
         public void hand(int object, String id, String txn) {
-            Duty by = holder;
+            PeriodicJob by = holder;
             long under = token;
             long took = chance.nextInt(60);
             int fate = chance.nextInt(10);
@@ -86,16 +86,16 @@
                     effects.merge(id, 1, Integer::sum);
                 }
                 by.ended(new Moment(ms * 1000), under, object,
-                        fate > 2 ? Duty.End.DONE
-                                : fate > 1 ? Duty.End.MAY_HAVE_RUN
-                                        : Duty.End.NEVER_RAN,
+                        fate > 2 ? PeriodicJob.End.DONE
+                                : fate > 1 ? PeriodicJob.End.MAY_HAVE_RUN
+                                        : PeriodicJob.End.NEVER_RAN,
                         Span.ofMillis(50));
             });
         }
 
         @Override
         public void note(String text) {
-            Duty by = holder;
+            PeriodicJob by = holder;
             after(30, () -> register = holder == by ? text : register);
         }
 
@@ -175,14 +175,16 @@
     @Test
     void aRunIsDueAtATimeOfItsDayOrAfterAnothers() {
         long hour = 3_600_000_000L;
-        Plan at = new Plan("a", "t", new Span(24 * hour), 3 * hour, "", List.of("0"), 1, 0, "/", "", true,
+        PeriodicJobSettings at = new PeriodicJobSettings("a", "t", new Span(24 * hour), 3 * hour, "",
+                List.of("0"), 1, 0, "/", "", true,
                 Span.ZERO);
-        assertEquals(9, at.due(10 * 24 * hour + 2 * hour, Progress.NONE));
-        assertEquals(10, at.due(10 * 24 * hour + 3 * hour, Progress.NONE));
-        Plan after =
-                new Plan("b", "t", new Span(24 * hour), 0, "a", List.of("0"), 1, 0, "/", "", true, Span.ZERO);
-        assertEquals(9, after.due(0, new Progress(10, 3, 7, false)), "that one is under way");
-        assertEquals(10, after.due(0, new Progress(10, 7, 7, true)));
+        assertEquals(9, at.due(10 * 24 * hour + 2 * hour, JobProgress.NONE));
+        assertEquals(10, at.due(10 * 24 * hour + 3 * hour, JobProgress.NONE));
+        PeriodicJobSettings after =
+                new PeriodicJobSettings("b", "t", new Span(24 * hour), 0, "a", List.of("0"), 1, 0, "/", "",
+                        true, Span.ZERO);
+        assertEquals(9, after.due(0, new JobProgress(10, 3, 7, false)), "that one is under way");
+        assertEquals(10, after.due(0, new JobProgress(10, 7, 7, true)));
     }
 
     @Test
--- a/src/test/java/rampshift/leases/Explorer.java
+++ b/src/test/java/rampshift/leases/InterleavingExplorer.java
@@ -24,10 +24,10 @@
  * still at any
  * point. What is asserted holds in each state.
  */
-final class Explorer {
+final class InterleavingExplorer {
     /** Micros of a step of time, and of a term. */
     static final long TICK = 1000;
-    static final Rules RULES = new Rules(new Span(4 * TICK), 0.2, new Span(1L << 40));
+    static final LeaseTimings RULES = new LeaseTimings(new Span(4 * TICK), 0.2, new Span(1L << 40));
 
     /**
      * What a walk may use up.
@@ -72,8 +72,8 @@
         Node own(String name) {
             Node from = nodes.get(name);
             Map<Object, Object> shared = new IdentityHashMap<>();
-            shared.put(Explorer.this, Explorer.this);
-            Node to = Twin.copy(from, shared);
+            shared.put(InterleavingExplorer.this, InterleavingExplorer.this);
+            Node to = StateCopier.copy(from, shared);
             nodes.put(name, to);
             return to;
         }
@@ -118,11 +118,11 @@
     }
 
     /** A keeper or a contender. */
-    final class Node implements Keeper.Out, Lease.Around {
+    final class Node implements Acceptor.Out, LeaseClient.Around {
         final String name;
         final double rate;
-        Keeper keeper;
-        Lease lease;
+        Acceptor keeper;
+        LeaseClient lease;
         final TreeMap<String, byte[]> disk = new TreeMap<>();
         final List<Object[]> unsynced = new ArrayList<>();      // key and record, or whom and what to answer
         long numbers;
@@ -169,7 +169,7 @@
         }
 
         @Override
-        public Keepers keepers() {
+        public AcceptorSet keepers() {
             return KEEPERS;
         }
 
@@ -179,7 +179,7 @@
         }
 
         @Override
-        public Span after(String lease, Value seen) {
+        public Span after(String lease, LeaseRecord seen) {
             return new Span(delay * TICK);
         }
 
@@ -189,12 +189,12 @@
         }
 
         @Override
-        public void done(String lease, Value value, Span took) {
+        public void done(String lease, LeaseRecord value, Span took) {
             // Not looked at here.
         }
 
         @Override
-        public void tell(String lease, String what, Value value) {
+        public void tell(String lease, String what, LeaseRecord value) {
             // Not looked at here.
         }
 
@@ -205,11 +205,11 @@
                 shared.put(this, "");
                 shared.put(answered(), "");
                 StringBuilder text = new StringBuilder(1000);
-                Twin.print(keeper == null ? null : Twin.get(keeper, "slots"), text, shared);
-                Twin.print(lease, text, shared);
+                StateCopier.print(keeper == null ? null : StateCopier.get(keeper, "slots"), text, shared);
+                StateCopier.print(lease, text, shared);
                 unsynced.forEach(o -> {
-                    Twin.print(o[0], text, shared);
-                    Twin.print(o[1], text, shared);
+                    StateCopier.print(o[0], text, shared);
+                    StateCopier.print(o[1], text, shared);
                 });
                 printed = hash(text.append(numbers));
             }
@@ -218,8 +218,8 @@
 
         @SuppressWarnings("unchecked")
         Set<String> answered() {
-            Object change = lease == null ? null : Twin.get(lease, "change");
-            return change == null ? Set.of() : (Set<String>) Twin.get(change, "answered");
+            Object change = lease == null ? null : StateCopier.get(lease, "change");
+            return change == null ? Set.of() : (Set<String>) StateCopier.get(change, "answered");
         }
 
         void sync() {
@@ -247,8 +247,9 @@
         NONE, NO_SYNC, NO_DRIFT
     }
 
-    static final Keepers KEEPERS = new Keepers(1, List.of(new Keepers.One("k1", 1), new Keepers.One("k2", 2),
-            new Keepers.One("k3", 3)), List.of());
+    static final AcceptorSet KEEPERS =
+            new AcceptorSet(1, List.of(new AcceptorSet.One("k1", 1), new AcceptorSet.One("k2", 2),
+                    new AcceptorSet.One("k3", 3)), List.of());
 
     private final ThreadLocal<World> now = new ThreadLocal<>();
     private final Bounds bounds;
@@ -264,23 +265,23 @@
     boolean whole;                                  // all within the bounds was walked
 
     /** Cut: ways by which nothing comes, as "a>k3". */
-    Explorer(Bounds bounds, Bug bug, Set<String> cut) {
+    InterleavingExplorer(Bounds bounds, Bug bug, Set<String> cut) {
         this.bounds = bounds;
         this.cut = cut;
         this.unsafe = bug;
     }
 
     /** One that votes at once: its start is another story. */
-    private static Keeper keeper(Node node) {
-        Keeper k = new Keeper(node.name, List.of("k1"), new Span(1L << 40), node);
+    private static Acceptor keeper(Node node) {
+        Acceptor k = new Acceptor(node.name, List.of("k1"), new Span(1L << 40), node);
         TreeMap<String, byte[]> disk = new TreeMap<>(node.disk);
         k.start(new Moment(0), disk, 0, 0);
-        Twin.set(k, "state", Keeper.State.VOTING);
+        StateCopier.set(k, "state", Acceptor.State.VOTING);
         return k;
     }
 
-    private Rules rules() {
-        return unsafe == Bug.NO_DRIFT ? new Rules(RULES.term(), 0, RULES.balanceEvery()) : RULES;
+    private LeaseTimings rules() {
+        return unsafe == Bug.NO_DRIFT ? new LeaseTimings(RULES.term(), 0, RULES.balanceEvery()) : RULES;
     }
 
     World begin() {
@@ -297,12 +298,12 @@
         w.under.clear();
         Node a = new Node("a", 1 - RULES.drift(), 0);
         Node b = new Node("b", 1 + RULES.drift(), 0);
-        a.lease = new Lease("l", "a", 101, rules(), a);
-        b.lease = new Lease("l", "b", 102, rules(), b);
+        a.lease = new LeaseClient("l", "a", 101, rules(), a);
+        b.lease = new LeaseClient("l", "b", 102, rules(), b);
         w.nodes.put("a", a);
         w.nodes.put("b", b);
-        a.lease.heard(a.now(), Value.FREE);
-        b.lease.heard(b.now(), Value.FREE);
+        a.lease.heard(a.now(), LeaseRecord.FREE);
+        b.lease.heard(b.now(), LeaseRecord.FREE);
         return w;
     }
 
@@ -316,7 +317,7 @@
                 w = with(w, k, "syncs", Node::sync);
             }
         }
-        Value stands = w.nodes.get("a").lease.seen();
+        LeaseRecord stands = w.nodes.get("a").lease.seen();
         return with(w, "b", "hears", x -> x.lease.heard(x.now(), stands));
     }
 
--- a/src/test/java/rampshift/leases/ExplorerTest.java
+++ b/src/test/java/rampshift/leases/InterleavingExplorerTest.java
@@ -11,14 +11,15 @@
  * Three keepers, two contenders, whose clocks are a fifth slow and a fifth fast; every interleaving within
  * the bounds.
  */
-class ExplorerTest {
+class InterleavingExplorerTest {
     private static final int THREADS = Math.max(2, Runtime.getRuntime().availableProcessors() / 2);
     private static final long MOST = Long.getLong("explorer.states", 80_000);
 
-    private static Explorer walk(boolean held, Explorer.Bounds bounds, Explorer.Bug bug, String found,
+    private static InterleavingExplorer walk(boolean held, InterleavingExplorer.Bounds bounds,
+            InterleavingExplorer.Bug bug, String found,
             String... cut)
             throws Exception {
-        Explorer e = new Explorer(bounds, bug, Set.of(cut));
+        InterleavingExplorer e = new InterleavingExplorer(bounds, bug, Set.of(cut));
         String broken = e.walk(held ? e.beginHeld() : e.begin(), THREADS);
         if (Boolean.getBoolean("explorer.talk")) {
             System.out.println(bounds + " " + bug + ": " + e.states + " states"
@@ -36,34 +37,40 @@
 
     @Test
     void twoThatAskAtOnceWithAMessageThatComesTwice() throws Exception {
-        Explorer e = walk(false, new Explorer.Bounds(0, 2, 1, 0, 1_000_000), Explorer.Bug.NONE, null);
+        InterleavingExplorer e = walk(false, new InterleavingExplorer.Bounds(0, 2, 1, 0, 1_000_000),
+                InterleavingExplorer.Bug.NONE, null);
         assertTrue(e.whole);
     }
 
     @Test
     void aKeeperThatCrashesWhileTwoAsk() throws Exception {
-        assertTrue(walk(false, new Explorer.Bounds(0, 2, 1, 2, 1_000_000), Explorer.Bug.NONE, null, "a>k3",
+        assertTrue(walk(false, new InterleavingExplorer.Bounds(0, 2, 1, 2, 1_000_000),
+                InterleavingExplorer.Bug.NONE, null, "a>k3",
                 "b>k2").whole);
-        assertTrue(walk(false, new Explorer.Bounds(0, 3, 0, 1, 1_000_000), Explorer.Bug.NONE, null, "a>k3",
+        assertTrue(walk(false, new InterleavingExplorer.Bounds(0, 3, 0, 1, 1_000_000),
+                InterleavingExplorer.Bug.NONE, null, "a>k3",
                 "b>k2").whole);
     }
 
     @Test
     void oneRenewsWhileTheOtherWaitsAndTakes() throws Exception {
-        walk(true, new Explorer.Bounds(4, 4, 0, 0, MOST), Explorer.Bug.NONE, null);
-        walk(true, new Explorer.Bounds(6, 6, 0, 0, MOST), Explorer.Bug.NONE, null);
-        Explorer taken = walk(true, new Explorer.Bounds(6, 3, 0, 0, MOST), Explorer.Bug.NONE, null);
+        walk(true, new InterleavingExplorer.Bounds(4, 4, 0, 0, MOST), InterleavingExplorer.Bug.NONE, null);
+        walk(true, new InterleavingExplorer.Bounds(6, 6, 0, 0, MOST), InterleavingExplorer.Bug.NONE, null);
+        InterleavingExplorer taken = walk(true, new InterleavingExplorer.Bounds(6, 3, 0, 0, MOST),
+                InterleavingExplorer.Bug.NONE, null);
         assertEquals(2, taken.tokens.get(), "without a renewal it is taken over");
     }
 
     @Test
     void anAnswerBeforeItIsOnDiskIsFound() throws Exception {
-        walk(false, new Explorer.Bounds(0, 2, 0, 1, 1_000_000), Explorer.Bug.NO_SYNC, "two act at once",
+        walk(false, new InterleavingExplorer.Bounds(0, 2, 0, 1, 1_000_000), InterleavingExplorer.Bug.NO_SYNC,
+                "two act at once",
                 "a>k3", "b>k2");
     }
 
     @Test
     void aWaitThatLeavesOutDriftIsFound() throws Exception {
-        walk(true, new Explorer.Bounds(4, 4, 0, 0, 2_000_000), Explorer.Bug.NO_DRIFT, "two act at once");
+        walk(true, new InterleavingExplorer.Bounds(4, 4, 0, 0, 2_000_000), InterleavingExplorer.Bug.NO_DRIFT,
+                "two act at once");
     }
 }
--- a/src/test/java/rampshift/leases/LeasesTest.java
+++ b/src/test/java/rampshift/leases/LeaseManagerTest.java
@@ -19,20 +19,20 @@
 /**
  * Leases over a simulated network: three keepers among five dispatchers, a term of 1 s, clocks up to 5% off.
  */
-class LeasesTest {
-    private static Sim five() {
-        Sim sim = new Sim(1, 5, 3, 1).startAll();
+class LeaseManagerTest {
+    private static LeaseSimulation five() {
+        LeaseSimulation sim = new LeaseSimulation(1, 5, 3, 1).startAll();
         assertTrue(sim.until(5, () -> sim.actor("l0") != null) >= 0, "somebody takes it");
         return sim;
     }
 
-    private static Sim.Node holder(Sim sim) {
+    private static LeaseSimulation.Node holder(LeaseSimulation sim) {
         return sim.nodes.get(sim.actor("l0"));
     }
 
     @Test
     void oneTakesItAndKeepsIt() {
-        Sim sim = five();
+        LeaseSimulation sim = five();
         String first = sim.actor("l0");
         sim.run(30);
         assertEquals(first, sim.actor("l0"));
@@ -41,7 +41,7 @@
 
     @Test
     void afterItsHoldersDeathAnotherHasItWithinTwoTerms() {
-        Sim sim = five();
+        LeaseSimulation sim = five();
         holder(sim).kill();
         double took = sim.until(3, () -> sim.actor("l0") != null);
         assertTrue(took > 0.7 && took < 2, took + " s");
@@ -50,8 +50,8 @@
 
     @Test
     void whoeverEndsInOrderGivesItBackAndTheNextIsQuick() {
-        Sim sim = five();
-        Sim.Node first = holder(sim);
+        LeaseSimulation sim = five();
+        LeaseSimulation.Node first = holder(sim);
         first.all.end(first.clock());
         double took = sim.until(3, () -> sim.actor("l0") != null);
         assertTrue(took >= 0 && took < 0.5, took + " s");
@@ -60,8 +60,8 @@
 
     @Test
     void aHolderThatIsCutOffStopsByItselfBeforeAnotherActs() {
-        Sim sim = five();
-        Sim.Node first = holder(sim);
+        LeaseSimulation sim = five();
+        LeaseSimulation.Node first = holder(sim);
         first.cut = true;
         double stopped = sim.until(3, () -> !first.acts("l0"));
         assertTrue(stopped <= 0.9, stopped + " s");
@@ -71,8 +71,8 @@
 
     @Test
     void aHolderThatStoodStillDoesNotActWhenItGoesOn() {
-        Sim sim = five();
-        Sim.Node first = holder(sim);
+        LeaseSimulation sim = five();
+        LeaseSimulation.Node first = holder(sim);
         first.stop(true);
         sim.run(3);
         assertNotEquals(first.name, sim.actor("l0"));
@@ -84,12 +84,12 @@
 
     @Test
     void withoutAMajorityOfKeepersNobodyActsAndWithItAgainOneDoes() {
-        Sim sim = five();
+        LeaseSimulation sim = five();
         sim.node(1).kill();
         sim.node(2).kill();
         sim.run(3600);
         assertNull(sim.actor("l0"));
-        Sim.Node third = sim.node(3);
+        LeaseSimulation.Node third = sim.node(3);
         assertTrue(third.all.page(third.clock()).contains("no keeper has answered for ")
                 || third.all.page(third.clock())
                         .contains("asks the keepers"),
@@ -100,7 +100,7 @@
 
     @Test
     void allKeepersKilledAtOnceComeBackWithWhatTheyKnew() {
-        Sim sim = five();
+        LeaseSimulation sim = five();
         long before = sim.token("l0");
         for (int i = 1; i <= 5; i++) {
             sim.node(i).kill();
@@ -115,8 +115,8 @@
 
     @Test
     void aKeeperWhoseDiskIsLostDoesNotVoteUntilItIsTakenInAgain() {
-        Sim sim = five();
-        Sim.Node lost = sim.node(1);
+        LeaseSimulation sim = five();
+        LeaseSimulation.Node lost = sim.node(1);
         lost.kill();
         lost.disk = new TreeMap<>();
         lost.position = 0;
@@ -128,7 +128,7 @@
         assertNull(sim.actor("l0"), "it is one of two that are there, and does not count");
         sim.node(2).start();
         assertTrue(sim.until(10, () -> sim.actor("l0") != null) >= 0);
-        Sim.Node any = sim.node(4);
+        LeaseSimulation.Node any = sim.node(4);
         assertNull(any.all.keepers(any.clock(), List.of("d1", "d2", "d3")));
         assertTrue(sim.until(10,
                 () -> lost.told.contains(new Event("", "keeper", 0, "VOTING")) && lost.told.stream()
@@ -141,8 +141,8 @@
 
     @Test
     void aKeeperWithAnOldCopyOfItsDiskDoesNotVote() {
-        Sim sim = five();
-        Sim.Node old = sim.node(1);
+        LeaseSimulation sim = five();
+        LeaseSimulation.Node old = sim.node(1);
         TreeMap<String, byte[]> copy = new TreeMap<>(old.disk);
         long position = old.position;
         old.kill();
@@ -159,18 +159,20 @@
 
     @Test
     void anAnswerToAFormerProcessOfTheSameNumberIsNone() {
-        Keepers three = new Keepers(1,
-                List.of(new Keepers.One("d1", 1), new Keepers.One("d2", 2), new Keepers.One("d3", 3)),
+        AcceptorSet three = new AcceptorSet(1,
+                List.of(new AcceptorSet.One("d1", 1), new AcceptorSet.One("d2", 2),
+                        new AcceptorSet.One("d3", 3)),
                 List.of());
-        Change change =
-                new Change("l", new Intent(Intent.Kind.TAKE, Value.FREE, "d4", 2, 0, 1, 1000, null), 2, 0);
+        RegisterChange change =
+                new RegisterChange("l", new RegisterUpdate(RegisterUpdate.Kind.TAKE, LeaseRecord.FREE, "d4",
+                        2, 0, 1, 1000, null), 2, 0);
         List<Message> sent = new java.util.ArrayList<>();
         change.attempt(three, 3, new Moment(1000), (to, m) -> sent.add(m));
         for (Ballot of : List.of(new Ballot(1, 1), new Ballot(1, 2))) {
             Message asked = Message.prepare(3, 1, "l", of);
             for (String keeper : List.of("d1", "d2")) {
                 change.answer(new Moment(1), keeper,
-                        Message.answer(Message.Kind.PROMISED, asked, of, Ballot.NONE, Value.FREE),
+                        Message.answer(Message.Kind.PROMISED, asked, of, Ballot.NONE, LeaseRecord.FREE),
                         (to, m) -> sent.add(m));
             }
             assertEquals(of.life() == 2, sent.stream().anyMatch(m -> m.kind() == Message.Kind.ACCEPT));
@@ -179,8 +181,8 @@
 
     @Test
     void oneThatKeepsNothingIsNoWitnessOfAnOldCopy() {
-        Sim sim = five();
-        Sim.Node old = sim.node(1);
+        LeaseSimulation sim = five();
+        LeaseSimulation.Node old = sim.node(1);
         TreeMap<String, byte[]> copy = new TreeMap<>(old.disk);
         long position = old.position;
         old.kill();
@@ -199,15 +201,15 @@
 
     @Test
     void keepersAreReplacedAndBecomeFiveWhileOneOfThemDies() {
-        Sim sim = five();
+        LeaseSimulation sim = five();
         for (int i : new int[]{4, 5}) {
-            Sim.Node n = sim.node(i);
+            LeaseSimulation.Node n = sim.node(i);
             n.kill();
             n.disk = new TreeMap<>();
             n.start();
         }
         sim.run(2);
-        Sim.Node any = sim.node(5);
+        LeaseSimulation.Node any = sim.node(5);
         assertNull(any.all.keepers(any.clock(), List.of("d1", "d2", "d3", "d4", "d5")));
         sim.run(0.02);
         sim.node(1).kill();
@@ -226,9 +228,10 @@
 
     @Test
     void itGoesToWhomItIsGivenAndRestsWhenItIsHeld() {
-        Sim sim = five();
-        Sim.Node first = holder(sim);
-        Sim.Node other = sim.nodes.values().stream().filter(n -> n != first).findFirst().orElseThrow();
+        LeaseSimulation sim = five();
+        LeaseSimulation.Node first = holder(sim);
+        LeaseSimulation.Node other =
+                sim.nodes.values().stream().filter(n -> n != first).findFirst().orElseThrow();
         assertTrue(sim.node(5).all.give(sim.node(5).clock(), "l0", other.name));
         assertTrue(sim.until(2, () -> other.acts("l0")) >= 0);
         assertTrue(sim.node(4).all.rest(sim.node(4).clock(), "l0", Span.ofMillis(20_000)));
@@ -240,8 +243,8 @@
 
     @Test
     void anUnfinishedNoteIsThereForTheNext() {
-        Sim sim = five();
-        Sim.Node first = holder(sim);
+        LeaseSimulation sim = five();
+        LeaseSimulation.Node first = holder(sim);
         first.all.note(first.clock(), "l0", "17 of 40");
         sim.run(0.2);
         first.kill();
@@ -251,9 +254,9 @@
 
     @Test
     void manyAreSpreadAndMoveLittleWhenOneComesBack() {
-        Sim sim = new Sim(3, 10, 3, 100).startAll();
+        LeaseSimulation sim = new LeaseSimulation(3, 10, 3, 100).startAll();
         assertTrue(sim.until(30, () -> sim.leases.stream().allMatch(l -> sim.actor(l) != null)) >= 0);
-        for (Sim.Node n : sim.nodes.values()) {
+        for (LeaseSimulation.Node n : sim.nodes.values()) {
             long mine = sim.leases.stream().filter(n::acts).count();
             assertTrue(mine >= 2 && mine <= 25, n.name + " has " + mine);
         }
@@ -268,11 +271,11 @@
 
     @Test
     void twoThatStartInTheSameInstantNeverBothActOverAThousandRounds() {
-        Sim sim = new Sim(5, 5, 3, 1).startAll();
+        LeaseSimulation sim = new LeaseSimulation(5, 5, 3, 1).startAll();
         for (int round = 0; round < 1000; round++) {
             String acts = sim.actor("l0");
             if (acts != null) {
-                Sim.Node n = sim.nodes.get(acts);
+                LeaseSimulation.Node n = sim.nodes.get(acts);
                 n.all.end(n.clock());
                 sim.run(0.05);
                 n.kill();
@@ -286,7 +289,7 @@
     @Test
     void aDiskThatTakesAFifthOfATermMovesNoLease() {
         for (long seed = 0; seed < 20; seed++) {
-            Sim sim = new Sim(seed, 5, 3, 1).startAll();
+            LeaseSimulation sim = new LeaseSimulation(seed, 5, 3, 1).startAll();
             assertTrue(sim.until(5, () -> sim.actor("l0") != null) >= 0);
             String first = sim.actor("l0");
             sim.syncMs = 130;       // 65 to 195 ms of a term of 1 s, behind another as long
@@ -298,12 +301,12 @@
 
     @Test
     void aHistoryThatIsNoRegistersIsFound() {
-        Sim sim = five();
+        LeaseSimulation sim = five();
         sim.run(5);
         assertTrue(sim.linear() > 5);
-        Sim.Node forgets = sim.node(1);
-        Sim.Node too = sim.node(2);
-        for (Sim.Node n : List.of(forgets, too)) {
+        LeaseSimulation.Node forgets = sim.node(1);
+        LeaseSimulation.Node too = sim.node(2);
+        for (LeaseSimulation.Node n : List.of(forgets, too)) {
             n.kill();
             // as if a majority had never promised anything
             n.disk.keySet().removeIf(k -> k.startsWith("r "));
@@ -321,11 +324,12 @@
 
     @Test
     void whateverComesOverTheWireMovesNothingThatIsNotOurs() {
-        Sim sim = five();
+        LeaseSimulation sim = five();
         SplittableRandom chance = new SplittableRandom(7);
         byte[] real = Codec.write(
-                Message.accept(1, 1, "l0", new Ballot(9, 9), new Value(3, 3, "d9", 9, 9, 9, "", 0, "note")));
-        Sim.Node keeper = sim.node(1);
+                Message.accept(1, 1, "l0", new Ballot(9, 9),
+                        new LeaseRecord(3, 3, "d9", 9, 9, 9, "", 0, "note")));
+        LeaseSimulation.Node keeper = sim.node(1);
         for (int i = 0; i < 50_000; i++) {
             byte[] bytes = i % 2 == 0 ? new byte[chance.nextInt(300)] : real.clone();
             if (i % 2 == 0) {
@@ -353,7 +357,7 @@
         AtomicLong takeovers = new AtomicLong();
         AtomicLong changes = new AtomicLong();
         LongStream.range(from, from + seeds).parallel().forEach(seed -> {
-            Sim sim = play(seed);
+            LeaseSimulation sim = play(seed);
             takeovers.addAndGet(sim.takeovers);
             assertTrue(sim.linear() > 2);
             changes.addAndGet(sim.nodes.values().stream().flatMap(n -> n.told.stream())
@@ -363,24 +367,24 @@
         assertTrue(takeovers.get() > 2 * seeds);
     }
 
-    private static Sim play(long seed) {
+    private static LeaseSimulation play(long seed) {
         SplittableRandom chance = new SplittableRandom(seed);
         int dispatchers = 3 + chance.nextInt(18);
         int keeping = dispatchers > 5 && chance.nextBoolean() ? 5 : 3;
-        Sim sim = new Sim(seed, dispatchers, keeping, 2);
+        LeaseSimulation sim = new LeaseSimulation(seed, dispatchers, keeping, 2);
         sim.drift();
         sim.lost = chance.nextInt(3) * 0.1;
         sim.repeated = chance.nextInt(2) * 0.1;
         sim.mostMs = chance.nextBoolean() ? 5 : 120;
         sim.syncMs = chance.nextBoolean() ? 1 : 60;
-        for (Sim.Node n : sim.nodes.values()) {
+        for (LeaseSimulation.Node n : sim.nodes.values()) {
             n.disk = n.disk == null && chance.nextInt(3) == 0 ? new TreeMap<>() : n.disk;
         }
         sim.startAll();
         try {
             sim.run(3);
             for (int fault = 0; fault < 12; fault++) {
-                Sim.Node n = sim.node(1 + chance.nextInt(dispatchers));
+                LeaseSimulation.Node n = sim.node(1 + chance.nextInt(dispatchers));
                 double seconds = chance.nextDouble() * 2.5;
                 switch (chance.nextInt(6)) {
                     case 0 -> {
@@ -400,7 +404,7 @@
                         sim.after(1000 * seconds, () -> n.cut = false);
                     }
                     case 3 -> {
-                        for (Sim.Node each : sim.nodes.values()) {
+                        for (LeaseSimulation.Node each : sim.nodes.values()) {
                             each.cut = chance.nextBoolean();
                         }
                         sim.after(1000 * seconds, () -> sim.nodes.values().forEach(x -> x.cut = false));
--- a/src/test/java/rampshift/leases/Sim.java
+++ b/src/test/java/rampshift/leases/LeaseSimulation.java
@@ -5,7 +5,7 @@
 import java.util.Map;
 import java.util.SplittableRandom;
 import java.util.TreeMap;
-import rampshift.Events;
+import rampshift.EventSimulation;
 import rampshift.time.Moment;
 import rampshift.time.Span;
 
@@ -13,8 +13,8 @@
  * Dispatchers with leases in simulated time: clocks that differ, lost messages, crashes, slow disks, all by a
  * seed.
  */
-final class Sim extends Events {
-    static final Rules RULES = new Rules(Span.ofMillis(1000), 0.05, Span.ofMillis(1L << 40));
+final class LeaseSimulation extends EventSimulation {
+    static final LeaseTimings RULES = new LeaseTimings(Span.ofMillis(1000), 0.05, Span.ofMillis(1L << 40));
 
     final Map<String, Node> nodes = new TreeMap<>();
     final SplittableRandom chance;
@@ -34,14 +34,14 @@
     long syncs;
 
     /** One process after another under one name. */
-    final class Node implements Leases.Out {
+    final class Node implements LeaseManager.Out {
         final String name;
         final List<Event> told = new ArrayList<>();
         TreeMap<String, byte[]> disk;       // null: it keeps nothing
         long position;
         double rate = 1;
-        Leases all;
-        private Map<String, Lease> lease = Map.of();
+        LeaseManager all;
+        private Map<String, LeaseClient> lease = Map.of();
         boolean cut;
         private final List<Object[]> unsynced = new ArrayList<>();
         private final List<Runnable> waiting = new ArrayList<>();
@@ -66,7 +66,7 @@
             unsynced.clear();
             syncing = false;
             wakes++;
-            all = new Leases(new Leases.Start(name, life, keepers, leases, RULES, life), this);
+            all = new LeaseManager(new LeaseManager.Start(name, life, keepers, leases, RULES, life), this);
             lease = leasesOf(all);
             all.start(clock(), disk, position, 1000 + life);
             List<String> there = nodes.values().stream().filter(n -> n.all != null).map(n -> n.name).toList();
@@ -92,10 +92,11 @@
             if (stopped) {
                 waiting.add(what);
             } else if (all != null) {
-                Map<String, Change> before = new TreeMap<>();
-                lease.forEach((name, l) -> before.put(name, (Change) Twin.get(l, "change")));
+                Map<String, RegisterChange> before = new TreeMap<>();
+                lease.forEach((name, l) -> before.put(name, (RegisterChange) StateCopier.get(l, "change")));
                 what.run();
-                lease.forEach((name, l) -> history(name, before.get(name), (Change) Twin.get(l, "change")));
+                lease.forEach((name, l) -> history(name, before.get(name),
+                        (RegisterChange) StateCopier.get(l, "change")));
                 check(this);
             }
         }
@@ -183,7 +184,7 @@
         }
     }
 
-    Sim(long seed, int dispatchers, int keeping, int leases) {
+    LeaseSimulation(long seed, int dispatchers, int keeping, int leases) {
         chance = new SplittableRandom(seed);
         this.leases = java.util.stream.IntStream.range(0, leases).mapToObj(i -> "l" + i).toList();
         for (int i = 1; i <= dispatchers; i++) {
@@ -196,7 +197,7 @@
         }
     }
 
-    Sim startAll() {
+    LeaseSimulation startAll() {
         nodes.values().forEach(Node::start);
         return this;
     }
@@ -214,7 +215,7 @@
         due(now + Math.round(ms * 1000), what);
     }
 
-    Sim run(double seconds) {
+    LeaseSimulation run(double seconds) {
         go(seconds);
         return this;
     }
@@ -252,23 +253,23 @@
     }
 
     @SuppressWarnings("unchecked")
-    private static Map<String, Lease> leasesOf(Leases all) {
-        return (Map<String, Lease>) Twin.get(all, "leases");
+    private static Map<String, LeaseClient> leasesOf(LeaseManager all) {
+        return (Map<String, LeaseClient>) StateCopier.get(all, "leases");
     }
 
     /** A change that was asked for, and known as done: by which value. */
-    private record Done(long asked, long known, Value value) {}
+    private record Done(long asked, long known, LeaseRecord value) {}
 
-    private final Map<Change, Long> asked = new java.util.IdentityHashMap<>();
+    private final Map<RegisterChange, Long> asked = new java.util.IdentityHashMap<>();
     private final Map<String, List<Done>> done = new TreeMap<>();
 
-    private void history(String lease, Change before, Change after) {
+    private void history(String lease, RegisterChange before, RegisterChange after) {
         if (after != null) {
             asked.putIfAbsent(after, now);
         }
         if (before != null && before != after) {
             Long from = asked.remove(before);
-            if (before.state() == Change.State.DONE) {
+            if (before.state() == RegisterChange.State.DONE) {
                 done.computeIfAbsent(lease, k -> new ArrayList<>()).add(new Done(from, now, before.value()));
             }
         }
@@ -283,9 +284,9 @@
     long linear() {
         long looked = 0;
         for (List<Done> all : done.values()) {
-            Map<Long, Value> values = new TreeMap<>();
+            Map<Long, LeaseRecord> values = new TreeMap<>();
             for (Done d : all) {
-                Value one = values.putIfAbsent(d.value.version(), d.value);
+                LeaseRecord one = values.putIfAbsent(d.value.version(), d.value);
                 if (one != null && !one.equals(d.value)) {
                     throw new AssertionError("two values of one version: " + one + " and " + d.value);
                 }
--- a/src/test/java/rampshift/leases/RecordsTest.java
+++ b/src/test/java/rampshift/leases/RecordLogTest.java
@@ -10,10 +10,10 @@
 import java.nio.file.Path;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.io.TempDir;
-import rampshift.leases.store.Records;
+import rampshift.leases.store.RecordLog;
 
 /** A keeper's directory. */
-class RecordsTest {
+class RecordLogTest {
     @TempDir
     private Path folder;
 
@@ -26,7 +26,7 @@
     }
 
     private void write(int count) throws IOException {
-        try (Records r = new Records(folder)) {
+        try (RecordLog r = new RecordLog(folder)) {
             for (int i = 0; i < count; i++) {
                 r.add("k" + i % 3, bytes(i));
                 r.sync();
@@ -37,7 +37,7 @@
     @Test
     void theLastOfEachKeyIsThereAgain() throws IOException {
         write(7);
-        try (Records r = new Records(folder)) {
+        try (RecordLog r = new RecordLog(folder)) {
             assertEquals(7, r.position());
             assertArrayEquals(bytes(6), r.all().get("k0"));
             assertArrayEquals(bytes(5), r.all().get("k2"));
@@ -51,18 +51,18 @@
         int last = (whole.length - 8) / 4;
         for (int cut = 1; cut <= last; cut++) {
             Files.write(file(), java.util.Arrays.copyOf(whole, whole.length - cut));
-            try (Records r = new Records(folder)) {
+            try (RecordLog r = new RecordLog(folder)) {
                 assertEquals(3, r.position(), "cut by " + cut);
             }
         }
         // the system had made room already
         Files.write(file(), java.util.Arrays.copyOf(whole, whole.length + 4096));
-        try (Records r = new Records(folder)) {
+        try (RecordLog r = new RecordLog(folder)) {
             assertEquals(4, r.position());
             r.add("new", bytes(9));
             r.sync();
         }
-        try (Records r = new Records(folder)) {
+        try (RecordLog r = new RecordLog(folder)) {
             assertArrayEquals(bytes(9), r.all().get("new"));
         }
     }
@@ -76,7 +76,7 @@
             byte[] changed = whole.clone();
             changed[at] ^= 0x11;
             Files.write(file(), changed);
-            String why = assertThrows(IOException.class, () -> new Records(folder).close(), "byte " + at)
+            String why = assertThrows(IOException.class, () -> new RecordLog(folder).close(), "byte " + at)
                     .getMessage();
             assertTrue(why.startsWith(file().toString()) && why.split("\n").length == 1, why);
         }
@@ -84,8 +84,8 @@
 
     @Test
     void aSecondProcessIsRefused() throws IOException {
-        try (Records r = new Records(folder)) {
-            assertTrue(assertThrows(IOException.class, () -> new Records(folder)).getMessage()
+        try (RecordLog r = new RecordLog(folder)) {
+            assertTrue(assertThrows(IOException.class, () -> new RecordLog(folder)).getMessage()
                     .contains("another process"));
         }
         write(1);
@@ -94,7 +94,7 @@
     @Test
     void itStaysSmallAndKeepsCounting() throws IOException {
         byte[] much = new byte[20_000];
-        try (Records r = new Records(folder)) {
+        try (RecordLog r = new RecordLog(folder)) {
             for (int i = 0; i < 400; i++) {
                 r.add("k" + i % 3, much);
                 r.sync();
@@ -102,7 +102,7 @@
             assertTrue(r.position() >= 400);
         }
         assertTrue(Files.size(file()) < 2 << 20, Files.size(file()) + " bytes");
-        try (Records r = new Records(folder)) {
+        try (RecordLog r = new RecordLog(folder)) {
             assertEquals(3, r.all().size());
             assertTrue(r.position() >= 400);
         }
--- a/src/test/java/rampshift/leases/Twin.java
+++ b/src/test/java/rampshift/leases/StateCopier.java
@@ -17,10 +17,10 @@
  * Copies of real state machines, and their state as text: what an explorer needs of objects that know of
  * neither.
  */
-final class Twin {
+final class StateCopier {
     private static final Map<Class<?>, Field[]> FIELDS = new java.util.concurrent.ConcurrentHashMap<>();
 
-    private Twin() {}
+    private StateCopier() {}
 
     /** Shared: what is not copied and not looked into, as the outside world. */
     static <T> T copy(T from, Map<Object, Object> shared) {
