--- a/src/test/java/rampshift/leases/host/HostPartsTest.java
+++ b/src/test/java/rampshift/leases/host/HostPartsTest.java
@@ -11,7 +11,7 @@
 import java.util.concurrent.TimeUnit;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.io.TempDir;
-import rampshift.leases.store.Records;
+import rampshift.leases.store.RecordLog;
 import rampshift.time.Moment;
 
 /** The clock and the disk of leases. */
@@ -22,7 +22,7 @@
     @Test
     void anHourAsleepIsAnHourGone() throws Exception {
         Path uptime = Files.writeString(folder.resolve("uptime"), "1000.00 0.00\n");
-        Awake clock = new Awake(uptime);
+        BootTimeClock clock = new BootTimeClock(uptime);
         Moment before = clock.now();
         Files.writeString(uptime, "4600.00 0.00\n");
         double gone = clock.now().since(before).millis();
@@ -40,8 +40,8 @@
         CountDownLatch first = new CountDownLatch(1);
         CountDownLatch failed = new CountDownLatch(1);
         Path directory = folder.resolve("keeper");
-        Records records = new Records(directory);
-        Disk disk = new Disk(records, Runnable::run, failed::countDown);
+        RecordLog records = new RecordLog(directory);
+        RecordWriter disk = new RecordWriter(records, Runnable::run, failed::countDown);
         disk.put("k", new byte[]{1});
         disk.then(position -> {
             try {
--- a/src/test/java/rampshift/members/Net.java
+++ b/src/test/java/rampshift/membership/SimulatedNetwork.java
@@ -1,4 +1,4 @@
-package rampshift.members;
+package rampshift.membership;
 
 import java.util.ArrayList;
 import java.util.HashMap;
@@ -6,13 +6,14 @@
 import java.util.Map;
 import java.util.SplittableRandom;
 import java.util.TreeMap;
-import rampshift.Events;
+import rampshift.EventSimulation;
 import rampshift.time.Moment;
 import rampshift.time.Span;
 
 /** A network in simulated time, drawn by a seed, between as many members as a story wants. */
-final class Net extends Events {
-    static final Rules RULES = new Rules(Span.ofMillis(1000), Span.ofMillis(3_600_000));
+final class SimulatedNetwork extends EventSimulation {
+    static final MembershipTimings RULES =
+            new MembershipTimings(Span.ofMillis(1000), Span.ofMillis(3_600_000));
     private static final double STREAM_AFTER = 2;       // times a datagram's way
 
     final Map<String, Node> nodes = new TreeMap<>();
@@ -25,13 +26,13 @@
     int mostMs = 20;
 
     /** One process after another under one name. */
-    final class Node implements Roll.Out {
+    final class Node implements SwimMembership.Out {
         final String name;
         final int place;
         final List<Event> told = new ArrayList<>();
-        final List<News> heard = new ArrayList<>();
+        final List<DrainNotice> heard = new ArrayList<>();
         final Map<String, Long> incarnations = new HashMap<>();
-        Roll roll;
+        SwimMembership roll;
         private long lives;
         private long wakes;
         private long clockMs = 1_000_000;
@@ -51,9 +52,9 @@
         void start(long clockMs) {
             this.clockMs = clockMs;
             long life = ++lives * 1000 + place;
-            roll = new Roll(new Roll.Start("fleet",
-                    new Card(name, clockMs, life, address(), "site" + place % 2, "b", clockMs,
-                            Card.Doing.SERVING),
+            roll = new SwimMembership(new SwimMembership.Start("fleet",
+                    new MemberIdentity(name, clockMs, life, address(), "site" + place % 2, "b", clockMs,
+                            MemberIdentity.Doing.SERVING),
                     seeds, Map.of(), RULES, place), this);
             stopped = false;
             waiting.clear();
@@ -92,7 +93,7 @@
         }
 
         private void watch() {
-            for (Claim c : roll == null ? List.<Claim>of() : roll.others()) {
+            for (MemberUpdate c : roll == null ? List.<MemberUpdate>of() : roll.others()) {
                 long before = incarnations.getOrDefault(c.card().name(), 0L);
                 if (c.card().incarnation() < before) {
                     throw new AssertionError(name + " took an older word of " + c);
@@ -116,7 +117,7 @@
         @Override
         public void exchange(String to, byte[] whole) {
             Node other = byAddress(to);
-            Roll asker = roll;
+            SwimMembership asker = roll;
             if (other == null || loss(this, other) >= 1 || loss(other, this) >= 1) {
                 return;
             }
@@ -148,12 +149,12 @@
         }
 
         @Override
-        public void heard(News news) {
+        public void heard(DrainNotice news) {
             heard.add(news);
         }
 
-        Claim.Belief of(String other) {
-            return roll.others().stream().filter(c -> c.card().name().equals(other)).map(Claim::belief)
+        MemberUpdate.Belief of(String other) {
+            return roll.others().stream().filter(c -> c.card().name().equals(other)).map(MemberUpdate::belief)
                     .findFirst().orElse(null);
         }
 
@@ -162,7 +163,7 @@
         }
     }
 
-    Net(long seed, int count) {
+    SimulatedNetwork(long seed, int count) {
         chance = new SplittableRandom(seed);
         for (int i = 0; i < count; i++) {
             Node node = new Node("d" + (i + 1), i);
@@ -178,7 +179,7 @@
         return nodes.get("d" + number);
     }
 
-    Net startAll() {
+    SimulatedNetwork startAll() {
         nodes.values().forEach(Node::start);
         return this;
     }
@@ -227,7 +228,7 @@
         due(now + Math.round(seconds * 1_000_000), what);
     }
 
-    Net run(double seconds) {
+    SimulatedNetwork run(double seconds) {
         go(seconds);
         return this;
     }
@@ -241,9 +242,9 @@
         for (Node a : nodes.values()) {
             for (Node b : nodes.values()) {
                 if (a != b && a.roll != null) {
-                    Claim.Belief belief = a.of(b.name);
-                    if (b.roll != null ? belief != Claim.Belief.ALIVE
-                            : belief == Claim.Belief.ALIVE || belief == Claim.Belief.SUSPECT) {
+                    MemberUpdate.Belief belief = a.of(b.name);
+                    if (b.roll != null ? belief != MemberUpdate.Belief.ALIVE
+                            : belief == MemberUpdate.Belief.ALIVE || belief == MemberUpdate.Belief.SUSPECT) {
                         return false;
                     }
                 }
--- a/src/test/java/rampshift/members/host/BindingsTest.java
+++ b/src/test/java/rampshift/membership/host/DrainOverridesTest.java
@@ -1,4 +1,4 @@
-package rampshift.members.host;
+package rampshift.membership.host;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertFalse;
@@ -8,23 +8,24 @@
 import java.util.Arrays;
 import java.util.List;
 import org.junit.jupiter.api.Test;
-import rampshift.discovery.Listing;
-import rampshift.discovery.Target;
-import rampshift.members.Bulletin;
-import rampshift.members.News;
+import rampshift.discovery.Endpoint;
+import rampshift.discovery.EndpointList;
+import rampshift.membership.DrainNotice;
+import rampshift.membership.DrainNotices;
+import rampshift.membership.DrainNoticesAccess;
 import rampshift.time.Moment;
 import rampshift.time.Span;
 
 /** News from fellows beside the own list. */
-class BindingsTest {
+class DrainOverridesTest {
     private final List<String> bound = new ArrayList<>();
-    private final List<News> learnt = new ArrayList<>();
-    private final Bulletin bulletin = new Bulletin();
-    private Bindings bindings = bindings(true);
+    private final List<DrainNotice> learnt = new ArrayList<>();
+    private final DrainNotices bulletin = new DrainNotices();
+    private DrainOverrides bindings = bindings(true);
     private double clock;
 
-    private Bindings bindings(boolean on) {
-        return new Bindings(on, Span.ofMillis(30_000),
+    private DrainOverrides bindings(boolean on) {
+        return new DrainOverrides(on, Span.ofMillis(30_000),
                 l -> l.targets().forEach(t -> bound.add(t.uid() + " " + t.state())), "d1");
     }
 
@@ -32,29 +33,30 @@
         return Moment.ofMillis(clock);
     }
 
-    private static Target target(String uid, String state, long boot) {
-        return new Target(uid, null, "a", "m", 1, Target.State.valueOf(state), 1, boot);
+    private static Endpoint target(String uid, String state, long boot) {
+        return new Endpoint(uid, null, "a", "m", 1, Endpoint.State.valueOf(state), 1, boot);
     }
 
-    private String list(long version, boolean whole, Target... targets) {
-        Listing out = bindings.listed(now(), new Listing(version, whole, Arrays.asList(targets)), bulletin,
-                learnt::add);
+    private String list(long version, boolean whole, Endpoint... targets) {
+        EndpointList out =
+                bindings.listed(now(), new EndpointList(version, whole, Arrays.asList(targets)), bulletin,
+                        learnt::add);
         return String.join(", ", out.targets().stream().map(t -> t.uid() + " " + t.state()).toList());
     }
 
     /** What the roll does first. */
-    private boolean news(News n) {
+    private boolean news(DrainNotice n) {
         return bulletinTakes(n) && bindings.heard(now(), n);
     }
 
-    private boolean bulletinTakes(News n) {
-        News had = bulletin.of(n.worker());
-        rampshift.members.BulletinAccess.put(bulletin, n);
+    private boolean bulletinTakes(DrainNotice n) {
+        DrainNotice had = bulletin.of(n.worker());
+        DrainNoticesAccess.put(bulletin, n);
         return bulletin.of(n.worker()) != had;
     }
 
-    private static News drains(String worker, long boot, long version) {
-        return new News(worker, boot, version, News.Kind.DRAINS);
+    private static DrainNotice drains(String worker, long boot, long version) {
+        return new DrainNotice(worker, boot, version, DrainNotice.Kind.DRAINS);
     }
 
     @Test
@@ -97,8 +99,9 @@
         list(5, true, target("w", "READY", 10), target("v", "READY", 10), target("u", "DRAINING", 10));
         list(6, false, target("v", "GONE", 10));
         list(7, true, target("u", "DRAINING", 10));
-        assertEquals(List.of(drains("u", 10, 5), new News("v", 10, 6, News.Kind.GONE), drains("u", 10, 7),
-                new News("w", 10, 7, News.Kind.GONE)), learnt);
+        assertEquals(List.of(drains("u", 10, 5), new DrainNotice("v", 10, 6, DrainNotice.Kind.GONE),
+                drains("u", 10, 7),
+                new DrainNotice("w", 10, 7, DrainNotice.Kind.GONE)), learnt);
     }
 
     @Test
--- a/src/test/java/rampshift/migrate/MigrateTest.java
+++ b/src/test/java/rampshift/migrate/MigrateCommandTest.java
@@ -22,13 +22,13 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
 import org.junit.jupiter.params.provider.ValueSource;
-import rampshift.StandIns;
-import rampshift.StandIns.Line;
-import rampshift.StandIns.Peer;
-import rampshift.serve.Serve;
+import rampshift.TestPeers;
+import rampshift.TestPeers.Line;
+import rampshift.TestPeers.Peer;
+import rampshift.serve.DispatcherServer;
 import rampshift.settings.Configuration;
 
-class MigrateTest {
+class MigrateCommandTest {
     private static final String LIMITS = "{\"memory_mb\":100,\"sockets\":200}";
     private static final String SHAPE =
             "{\"zones\":[\"a\",\"b\",\"c\",\"d\"],\"zone\":\"c\",\"ask_within_ms\":4000}";
@@ -46,7 +46,8 @@
         made = folder.resolve("new.json");
         shape = folder.resolve("shape.json");
         Files.writeString(shape, SHAPE);
-        Files.writeString(old, StandIns.configuration(null, StandIns.list(true, "{\"uid\":\"s-1\"}"), LIMITS)
+        Files.writeString(old, TestPeers
+                .configuration(null, TestPeers.list(true, "{\"uid\":\"s-1\"}"), LIMITS)
                 .replace("\"settings\"", "\"more\":{},\"settings\"")
                 .replace("\"Zones\"",
                         "\"Me\":3,\"Own\":1.250,\"LoadInfo\":{\"How\":\"inline\",\"Names\":[\"x0\"]},\"Zones\""));
@@ -61,7 +62,7 @@
     private int run(List<String> args) {
         ByteArrayOutputStream out = new ByteArrayOutputStream();
         ByteArrayOutputStream err = new ByteArrayOutputStream();
-        int status = Migrate.run(args, new PrintStream(out), new PrintStream(err));
+        int status = MigrateCommand.run(args, new PrintStream(out), new PrintStream(err));
         said = out.toString();
         refused = err.toString();
         return status;
@@ -231,7 +232,7 @@
             line.lines("{\"id\":\"" + id + "\",\"state\":\"started\"}",
                     "{\"id\":\"" + id + "\",\"state\":\"done\",\"result\":\"ok\"}");
         });
-        String list = StandIns.list(true, hung.entry("s-1", "in_service"),
+        String list = TestPeers.list(true, hung.entry("s-1", "in_service"),
                 good.entry("s-2", "in_service").replace("\"az\":\"a\"", "\"az\":\"d\"")).replace("REV", "1");
         AtomicInteger asked = new AtomicInteger();
         Peer discovery = new Peer((message, line) -> {
@@ -247,10 +248,10 @@
         Files.writeString(shape,
                 SHAPE.replace("4000", "4000,\"discovery\":\"127.0.0.1:" + discovery.port() + "\""));
         assertEquals(0, migrateTo(made), refused);
-        Serve node = new Serve(read(made));
+        DispatcherServer node = new DispatcherServer(read(made));
         try (hung; good; discovery; Line client = new Line(node)) {
             node.awaitReady();
-            StandIns.until("the list has come",
+            TestPeers.until("the list has come",
                     () -> client.write("GET /ready HTTP/1.1\r\nHost: a\r\n\r\n").read()
                             .status() == 200);
             for (int i = 0; i < 6; i++) {
--- a/src/test/java/rampshift/stages/RouteTest.java
+++ b/src/test/java/rampshift/pipeline/PolicyHostTest.java
@@ -1,15 +1,15 @@
-package rampshift.stages;
+package rampshift.pipeline;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertNotEquals;
 
 import org.junit.jupiter.api.Test;
 
-class RouteTest {
+class PolicyHostTest {
     @Test
     void aWorkersNumberHangsOnItsUidAlone() {
-        Uids one = new Uids();
-        Uids other = new Uids();
+        WorkerIds one = new WorkerIds();
+        WorkerIds other = new WorkerIds();
         long first = one.number("s-5be2a07c");
         assertNotEquals(first, one.number("s-5be2a07d"));
         other.number("s-0badcafe");
--- a/src/test/java/rampshift/stages/PulseTest.java
+++ b/src/test/java/rampshift/pipeline/StallDetectorTest.java
@@ -1,7 +1,7 @@
-package rampshift.stages;
+package rampshift.pipeline;
 
 import static org.junit.jupiter.api.Assertions.assertTrue;
-import static rampshift.StandIns.until;
+import static rampshift.TestPeers.until;
 
 import java.util.concurrent.FutureTask;
 import org.junit.jupiter.api.Test;
@@ -13,15 +13,16 @@
 import rampshift.time.Clock;
 import rampshift.time.Span;
 
-class PulseTest {
+class StallDetectorTest {
     @Test
     void whatIsReadAfterAStallMayHaveLainUnreadForAllOfIt() throws Exception {
         XnioWorker xnio = Xnio.getInstance()
                 .createWorker(OptionMap.create(Options.WORKER_IO_THREADS, 1, Options.THREAD_DAEMON, true));
         try {
             XnioIoThread thread = xnio.getIoThread(0);
-            Pulse[] pulse = new Pulse[1];
-            FutureTask<Void> made = new FutureTask<>(() -> pulse[0] = new Pulse(thread, new Clock()), null);
+            StallDetector[] pulse = new StallDetector[1];
+            FutureTask<Void> made =
+                    new FutureTask<>(() -> pulse[0] = new StallDetector(thread, new Clock()), null);
             thread.execute(made);
             made.get();
             FutureTask<Span> after = new FutureTask<>(() -> {
--- a/src/test/java/rampshift/decide/ChoiceTest.java
+++ b/src/test/java/rampshift/policy/DispatchPolicyTest.java
@@ -1,4 +1,4 @@
-package rampshift.decide;
+package rampshift.policy;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertFalse;
@@ -18,10 +18,10 @@
 import org.junit.jupiter.params.provider.CsvSource;
 import org.junit.jupiter.params.provider.EnumSource;
 import org.junit.jupiter.params.provider.ValueSource;
-import rampshift.StandIns.Host;
+import rampshift.TestPeers.Host;
 import rampshift.time.Span;
 
-class ChoiceTest {
+class DispatchPolicyTest {
     private static final int IDEMPOTENT = 0;
     private static final int FINGERPRINTED = 1;
     private static final int SIDE_EFFECTING = 2;
@@ -33,7 +33,7 @@
         Host host = new Host().fleet(4).train(SIDE_EFFECTING, 40, 50);
         long id = host.task(IDEMPOTENT);
         assertTrue(host.count("assign " + id + " ") >= 2, "budget saved up: more than one copy");
-        host.begun(id, 0).after(50).ended(id, 0, Outcome.FINISHED);
+        host.begun(id, 0).after(50).ended(id, 0, AttemptOutcome.FINISHED);
         assertEquals(host.count("assign " + id + " ") - 1, host.count("cancel " + id + " "));
     }
 
@@ -101,9 +101,10 @@
         host.settings.liveWeights = true;
         host.fleet(4).free(1, 4).free(2, 4);
         for (int round = 0; round < 4; round++) {
-            host.choice().listBegins(Choice.List.CHANGES);
+            host.choice().listBegins(DispatchPolicy.List.CHANGES);
             for (int id = 1; id <= 4; id++) {
-                host.choice().listed(id, 0, 1, 0, Choice.Listed.READY, host.choiceBorn(), id == 3 ? 8 : 2);
+                host.choice().listed(id, 0, 1, 0, DispatchPolicy.Listed.READY, host.choiceBorn(),
+                        id == 3 ? 8 : 2);
             }
             host.choice().listEnds();
             host.after(200);
@@ -111,7 +112,7 @@
         for (int i = 0; i < 10; i++) {
             long id = host.task(SIDE_EFFECTING);
             assertEquals(3, host.worker(id, 0), "the others hold three times their room");
-            host.begun(id, 0).after(40).ended(id, 0, Outcome.FINISHED);
+            host.begun(id, 0).after(40).ended(id, 0, AttemptOutcome.FINISHED);
         }
     }
 
@@ -131,7 +132,7 @@
         assertEquals(0, host.count("abandon"));
         host.after(9);
         assertEquals(1, host.count("abandon " + id + " "));
-        host.ended(id, 0, Outcome.TIMED_OUT).after(50);
+        host.ended(id, 0, AttemptOutcome.TIMED_OUT).after(50);
         assertEquals(1, host.count("abandon"));
         assertEquals(1, host.count("assign"));
     }
@@ -142,7 +143,7 @@
         long id = host.task(IDEMPOTENT);
         int sent = host.count("assign");
         host.choice().clientLeft(id);
-        host.pull().ended(id, 0, Outcome.ERRED).after(6000);
+        host.pull().ended(id, 0, AttemptOutcome.ERRED).after(6000);
         assertEquals(sent, host.count("assign"));
         assertEquals(0, host.count("bounce") + host.count("abandon"));
     }
@@ -158,19 +159,21 @@
     void oddEventsChangeNothing() {
         Host host = new Host().fleet(2);
         long id = host.task(SIDE_EFFECTING);
-        host.begun(99, 0).begun(id, 7).ended(99, 0, Outcome.FINISHED).ended(id, -1, Outcome.ERRED);
+        host.begun(99, 0).begun(id, 7).ended(99, 0, AttemptOutcome.FINISHED).ended(id, -1,
+                AttemptOutcome.ERRED);
         host.choice().echoed(77, true);
         host.choice().reported(77, 1, 1, 1, 1);
         host.choice().progressed(id, 9, 0.5);
-        host.ended(id, 0, Outcome.FINISHED).ended(id, 0, Outcome.ERRED).after(10);
+        host.ended(id, 0, AttemptOutcome.FINISHED).ended(id, 0, AttemptOutcome.ERRED).after(10);
         assertEquals(1, host.count("assign"));
     }
 
     // ---- rule 2: no effect twice
 
     @ParameterizedTest
-    @EnumSource(value = Outcome.class, mode = EnumSource.Mode.EXCLUDE, names = {"FINISHED", "NOT_SENT"})
-    void aSideEffectingTaskGoesAgainOnlyWhenItNeverRan(Outcome outcome) {
+    @EnumSource(value = AttemptOutcome.class, mode = EnumSource.Mode.EXCLUDE, names = {"FINISHED",
+            "NOT_SENT"})
+    void aSideEffectingTaskGoesAgainOnlyWhenItNeverRan(AttemptOutcome outcome) {
         Host host = new Host().fleet(4);
         long id = host.task(SIDE_EFFECTING);
         host.ended(id, 0, outcome);
@@ -183,7 +186,7 @@
     void aFingerprintedTaskStaysInItsGroup() {
         Host host = new Host().fleet(8);
         long id = host.task(FINGERPRINTED);
-        host.ended(id, 0, Outcome.ERRED);
+        host.ended(id, 0, AttemptOutcome.ERRED);
         assertEquals((host.worker(id, 0) + 1) / 2, (host.worker(id, 1) + 1) / 2);
     }
 
@@ -195,7 +198,7 @@
         host.after(1100);
         int sent = host.count("assign " + id + " ");
         for (int n = 0; n < sent; n++) {
-            host.ended(id, n, Outcome.BROKEN);
+            host.ended(id, n, AttemptOutcome.BROKEN);
         }
         assertEquals(sent, host.count("assign " + id + " "));
         assertEquals(1, host.count("abandon " + id + " "),
@@ -207,7 +210,7 @@
         Host host = new Host().fleet(8);
         long id = host.task(IDEMPOTENT);
         for (int n = 0; n < 6; n++) {
-            host.ended(id, n, Outcome.ERRED);
+            host.ended(id, n, AttemptOutcome.ERRED);
         }
         assertTrue(host.count("assign " + id + " ") > 1);
         assertTrue(host.count("assign " + id + " ") <= host.settings.mostAssignments);
@@ -222,8 +225,8 @@
         for (int i = 0; i < 20; i++) {
             assertNotEquals(2, host.worker(host.task(SIDE_EFFECTING), 0));
         }
-        host.choice().listBegins(Choice.List.WHOLE);
-        host.choice().listed(3, 0, 2, 0, Choice.Listed.READY, host.choiceBorn(), 1);
+        host.choice().listBegins(DispatchPolicy.List.WHOLE);
+        host.choice().listed(3, 0, 2, 0, DispatchPolicy.Listed.READY, host.choiceBorn(), 1);
         host.choice().listEnds();
         long id = host.task(SIDE_EFFECTING);
         assertTrue(host.worker(id, 0) == 3 || host.worker(id, 0) == -1);
@@ -236,7 +239,7 @@
         host.settings.askWithin = Span.ofMillis(10_000);
         host.fleet(2);
         assertEquals(1, host.count("subscribe"));
-        host.choice().listBegins(Choice.List.FAILED);
+        host.choice().listBegins(DispatchPolicy.List.FAILED);
         host.choice().listEnds();
         host.pull().after(100);
         assertEquals(1, host.count("subscribe"), "not at once");
@@ -267,7 +270,7 @@
         for (int i = 0; i < 60; i++) {
             long id = host.task(IDEMPOTENT);
             for (int n = 0; host.worker(id, n) >= 0; n++) {
-                host.ended(id, n, host.worker(id, n) == 1 ? Outcome.ERRED : Outcome.CALLED_OFF);
+                host.ended(id, n, host.worker(id, n) == 1 ? AttemptOutcome.ERRED : AttemptOutcome.CALLED_OFF);
             }
             host.after(5);
         }
@@ -276,7 +279,7 @@
             assertNotEquals(1, host.worker(host.task(SIDE_EFFECTING), 0), "set aside");
         }
         for (int i = 0; i < 20; i++) {
-            host.ended(host.taskCount() - i, 0, Outcome.FINISHED);
+            host.ended(host.taskCount() - i, 0, AttemptOutcome.FINISHED);
         }
         host.after(2000).train(IDEMPOTENT, 200, 50);
         assertTrue(host.said.subList(before, host.said.size()).stream()
@@ -295,7 +298,7 @@
         for (int i = 0; i < 20; i++) {
             long id = host.task(SIDE_EFFECTING);
             assertNotEquals(hung, host.worker(id, 0));
-            host.begun(id, 0).after(50).ended(id, 0, Outcome.FINISHED);
+            host.begun(id, 0).after(50).ended(id, 0, AttemptOutcome.FINISHED);
         }
         assertEquals(1, host.count("assign " + side + " "), "may have run: never sent again");
     }
@@ -336,7 +339,7 @@
             if (i >= 20) {
                 used.add(host.worker(id, 0));
             }
-            host.after(60).begun(id, 0).after(50).ended(id, 0, Outcome.FINISHED);
+            host.after(60).begun(id, 0).after(50).ended(id, 0, AttemptOutcome.FINISHED);
         }
         assertTrue(used.size() > 1, "reports are late and worker 1 is overrun: " + used);
     }
@@ -352,7 +355,7 @@
             host.fleet(1).train(SIDE_EFFECTING, 30, 100).free(1, 2);
             for (int i = 0; i < 10; i++) {
                 long id = host.task(SIDE_EFFECTING, tenant);
-                host.begun(id, 0).after(100).ended(id, 0, Outcome.FINISHED);
+                host.begun(id, 0).after(100).ended(id, 0, AttemptOutcome.FINISHED);
             }
             for (int i = 0; i < 30; i++) {
                 host.after(1);
@@ -367,9 +370,9 @@
     void aDearCrossingIsMadeOnlyWhenTheOwnZoneWouldBeLate() {
         Host host = new Host();
         host.settings.crossingPrice = 0.2;
-        host.choice().listBegins(Choice.List.REMEMBERED);
-        host.choice().listed(1, 0, 1, 0, Choice.Listed.READY, host.choiceBorn(), 1);
-        host.choice().listed(2, 1, 2, 0, Choice.Listed.READY, host.choiceBorn(), 1);
+        host.choice().listBegins(DispatchPolicy.List.REMEMBERED);
+        host.choice().listed(1, 0, 1, 0, DispatchPolicy.Listed.READY, host.choiceBorn(), 1);
+        host.choice().listed(2, 1, 2, 0, DispatchPolicy.Listed.READY, host.choiceBorn(), 1);
         host.choice().listEnds();
         host.pull().free(1, 2).free(2, 2);
         assertEquals(1, host.worker(host.task(SIDE_EFFECTING), 0));
@@ -384,16 +387,16 @@
     @Test
     void aZoneThatIsCutOffIsLeftAloneAndTriedAgainLater() {
         Host host = new Host();
-        host.choice().listBegins(Choice.List.REMEMBERED);
+        host.choice().listBegins(DispatchPolicy.List.REMEMBERED);
         for (int id = 1; id <= 12; id++) {
-            host.choice().listed(id, 1, id, 0, Choice.Listed.READY, host.choiceBorn(), 1);
+            host.choice().listed(id, 1, id, 0, DispatchPolicy.Listed.READY, host.choiceBorn(), 1);
         }
         host.choice().listEnds();
         host.pull().train(SIDE_EFFECTING, 20, 50);
         long lost = host.task(SIDE_EFFECTING);
-        host.ended(lost, 0, Outcome.NO_CONNECTION).ended(lost, 1, Outcome.NO_CONNECTION);
-        host.choice().listBegins(Choice.List.CHANGES);
-        host.choice().listed(13, 0, 13, 0, Choice.Listed.READY, host.choiceBorn(), 1);
+        host.ended(lost, 0, AttemptOutcome.NO_CONNECTION).ended(lost, 1, AttemptOutcome.NO_CONNECTION);
+        host.choice().listBegins(DispatchPolicy.List.CHANGES);
+        host.choice().listed(13, 0, 13, 0, DispatchPolicy.Listed.READY, host.choiceBorn(), 1);
         host.choice().listEnds();
         for (int i = 0; i < 3; i++) {
             assertEquals(13, host.worker(host.task(SIDE_EFFECTING), 0), "only the own zone is reached");
@@ -463,10 +466,10 @@
             long id = host.task(SIDE_EFFECTING);
             int last = 0;
             while (last < 3 && host.worker(id, last) != 10) {
-                host.ended(id, last++, Outcome.FULL);
+                host.ended(id, last++, AttemptOutcome.FULL);
             }
             if (host.worker(id, last) > 0) {
-                host.begun(id, last).after(50).ended(id, last, Outcome.FINISHED);
+                host.begun(id, last).after(50).ended(id, last, AttemptOutcome.FINISHED);
                 ran++;
             }
         }
@@ -488,7 +491,7 @@
         for (int i = 0; i < 60; i++) {
             long id = host.after(30).task(SIDE_EFFECTING);
             used.add(host.worker(id, 0));
-            host.begun(id, 0).after(20).ended(id, 0, Outcome.FINISHED);
+            host.begun(id, 0).after(20).ended(id, 0, AttemptOutcome.FINISHED);
         }
         return used.size();
     }
@@ -524,9 +527,9 @@
             there += false3 && i >= 20 ? 1 : 0;
             int last = 0;
             while (host.worker(id, last) > 0 && host.worker(id, last) <= 3) {
-                host.ended(id, last++, Outcome.FULL);
+                host.ended(id, last++, AttemptOutcome.FULL);
             }
-            host.begun(id, last).after(50).ended(id, last, Outcome.FINISHED);
+            host.begun(id, last).after(50).ended(id, last, AttemptOutcome.FINISHED);
         }
         assertTrue(there <= 25, "most go there by their reports: " + there + " of 40");
     }
@@ -557,7 +560,7 @@
         for (int i = 0; i < full; i++) {
             long id = host.task(4);
             for (int n = 0; host.worker(id, n) > 0; n++) {
-                host.ended(id, n, Outcome.FULL);
+                host.ended(id, n, AttemptOutcome.FULL);
             }
         }
         host.said.clear();
@@ -572,7 +575,7 @@
 
     @ParameterizedTest
     @CsvSource({"GONE,true,true", "GONE,false,false", "DRAINING,true,false"})
-    void aWorkerCalledGoneThatSpeaksIsSentToWhereOnlyDrainingBinds(Choice.Listed as, boolean only,
+    void aWorkerCalledGoneThatSpeaksIsSentToWhereOnlyDrainingBinds(DispatchPolicy.Listed as, boolean only,
             boolean sent) {
         Host host = new Host();
         host.settings.onlyDrainingBinds = only;
@@ -588,7 +591,8 @@
         Host host = new Host();
         host.settings.onlyDrainingBinds = true;
         long id = host.fleet(1).task(SIDE_EFFECTING);
-        host.change(1, Choice.Listed.DRAINING, 0).change(1, Choice.Listed.GONE, 0).begun(id, 0)
+        host.change(1, DispatchPolicy.Listed.DRAINING, 0).change(1, DispatchPolicy.Listed.GONE, 0)
+                .begun(id, 0)
                 .task(SIDE_EFFECTING);
         assertEquals(1, host.count("assign"));
     }
@@ -599,7 +603,7 @@
         for (int i = 0; i < tasks; i++) {
             long id = host.after(1).task(IDEMPOTENT);
             for (int n = 0; host.worker(id, n) > 0; n++) {
-                host.ended(id, n, Outcome.ERRED);
+                host.ended(id, n, AttemptOutcome.ERRED);
             }
         }
         return host;
@@ -638,9 +642,9 @@
         Host host = erring(new Host().fleet(6).train(SIDE_EFFECTING, 20, 50), 10);
         host.after(2000);
         long id = host.task(IDEMPOTENT);
-        host.ended(id, 0, Outcome.ERRED);
+        host.ended(id, 0, AttemptOutcome.ERRED);
         assertTrue(host.worker(id, 1) > 0);
-        host.ended(id, 1, Outcome.FINISHED);
+        host.ended(id, 1, AttemptOutcome.FINISHED);
     }
 
     @Test
@@ -651,7 +655,7 @@
             long id = host.after(5).task(IDEMPOTENT);
             for (int n = 0; host.worker(id, n) > 0; n++) {
                 there += host.worker(id, n) == 1 && i >= 60 ? 1 : 0;
-                host.ended(id, n, host.worker(id, n) == 1 ? Outcome.ERRED : Outcome.FINISHED);
+                host.ended(id, n, host.worker(id, n) == 1 ? AttemptOutcome.ERRED : AttemptOutcome.FINISHED);
             }
         }
         assertTrue(there < 8, "one in six tasks went there before: " + there);
@@ -686,8 +690,9 @@
                 host.task(random.nextInt(4));
             } else {
                 long[] a = out.remove(random.nextInt(out.size()));
-                Outcome outcome = Outcome.values()[random.nextInt(Outcome.values().length)];
-                if (outcome == Outcome.NOT_SENT) {
+                AttemptOutcome outcome =
+                        AttemptOutcome.values()[random.nextInt(AttemptOutcome.values().length)];
+                if (outcome == AttemptOutcome.NOT_SENT) {
                     further.remove(a[0] + " " + a[1]);
                 }
                 host.ended(a[0], (int) a[1], outcome);
@@ -718,10 +723,10 @@
         Host host = budgeted().fleet(12);
         for (int i = 0; i < 30; i++) {
             long id = host.after(50).task(IDEMPOTENT);
-            host.ended(id, 0, Outcome.FULL).ended(id, 1, Outcome.FINISHED);
+            host.ended(id, 0, AttemptOutcome.FULL).ended(id, 1, AttemptOutcome.FINISHED);
         }
         long mark = host.after(50).task(FINGERPRINTED);
-        host.ended(mark, 0, Outcome.FULL);
+        host.ended(mark, 0, AttemptOutcome.FULL);
         assertTrue(host.worker(mark, 1) > 0, "it goes again");
     }
 
@@ -730,7 +735,8 @@
         Host host = budgeted().fleet(12);
         for (int i = 0; i < 6; i++) {
             long id = host.task(IDEMPOTENT);
-            host.ended(id, 0, Outcome.FULL).ended(id, 1, Outcome.FULL).ended(id, 2, Outcome.FULL);
+            host.ended(id, 0, AttemptOutcome.FULL).ended(id, 1, AttemptOutcome.FULL).ended(id, 2,
+                    AttemptOutcome.FULL);
         }
         assertTrue(host.count("bounce") >= 4, host.said.toString());
     }
@@ -753,7 +759,7 @@
         Host host = new Host().fleet(1);
         host.choice().listAwaited(true);
         long id = host.task(SIDE_EFFECTING);
-        host.choice().listBegins(Choice.List.FAILED);
+        host.choice().listBegins(DispatchPolicy.List.FAILED);
         host.choice().listEnds();
         host.pull();
         assertEquals(1, host.worker(id, 0));
@@ -790,7 +796,7 @@
         Host host = new Host().fleet(2);
         long id = host.task(SIDE_EFFECTING);
         host.choice().listAwaited(true);
-        host.ended(id, 0, Outcome.FULL);
+        host.ended(id, 0, AttemptOutcome.FULL);
         assertEquals(1, host.count("assign"), "the next one waits for the list");
         host.choice().clientLeft(id);
         host.pull().change(1, true, 0);
@@ -833,7 +839,7 @@
             long id = host.task(SIDE_EFFECTING);
             boolean soon = host.worker(id, 0) == quick;
             there += soon ? 1 : 0;
-            host.after(soon ? 1 : late).begun(id, 0).after(run).ended(id, 0, Outcome.FINISHED);
+            host.after(soon ? 1 : late).begun(id, 0).after(run).ended(id, 0, AttemptOutcome.FINISHED);
         }
         return there;
     }
@@ -852,10 +858,12 @@
         for (int i = 0; i < 10; i++) {
             long id = host.task(SIDE_EFFECTING);
             long full = host.worker(id, 0);
-            host.ended(id, 0, Outcome.FULL).begun(id, 1).after(50).ended(id, 1, Outcome.FINISHED);
+            host.ended(id, 0, AttemptOutcome.FULL).begun(id, 1).after(50).ended(id, 1,
+                    AttemptOutcome.FINISHED);
             long next = host.task(SIDE_EFFECTING);
             assertNotEquals(full, host.worker(next, 0));
-            host.begun(next, 0).after(50).ended(next, 0, Outcome.FINISHED).train(SIDE_EFFECTING, 4, 50);
+            host.begun(next, 0).after(50).ended(next, 0, AttemptOutcome.FINISHED).train(SIDE_EFFECTING, 4,
+                    50);
         }
     }
 
@@ -864,11 +872,12 @@
         Host host = unreported(2).train(SIDE_EFFECTING, 4, 50);
         long id = host.task(IDEMPOTENT);
         long busy = host.worker(id, 0);
-        host.after(40).begun(id, 1).ended(id, 0, Outcome.CALLED_OFF).ended(id, 1, Outcome.FINISHED);
+        host.after(40).begun(id, 1).ended(id, 0, AttemptOutcome.CALLED_OFF).ended(id, 1,
+                AttemptOutcome.FINISHED);
         for (int i = 0; i < 5; i++) {
             long next = host.task(SIDE_EFFECTING);
             assertNotEquals(busy, host.worker(next, 0));
-            host.begun(next, 0).ended(next, 0, Outcome.FINISHED);
+            host.begun(next, 0).ended(next, 0, AttemptOutcome.FINISHED);
         }
     }
 
@@ -888,20 +897,21 @@
         long look = host.task(IDEMPOTENT);
         long dies = host.worker(look, 0);
         host.begun(look, 0);
-        host.change(dies, false, 0).ended(look, 0, Outcome.BROKEN);
+        host.change(dies, false, 0).ended(look, 0, AttemptOutcome.BROKEN);
         assertTrue(host.worker(look, 1) > 0 && host.worker(look, 1) != dies, "another takes it");
         long sale = host.task(SIDE_EFFECTING);
         assertNotEquals(dies, host.worker(sale, 0));
-        host.begun(sale, 0).ended(sale, 0, Outcome.BROKEN);
+        host.begun(sale, 0).ended(sale, 0, AttemptOutcome.BROKEN);
         assertEquals(1, host.count("abandon " + sale), "it may have run");
     }
 
     @Test
     void idleCandidatesAreDrawnInProportionToTheirListedSize() {
         Host host = unreported(0);
-        host.choice().listBegins(Choice.List.WHOLE);
+        host.choice().listBegins(DispatchPolicy.List.WHOLE);
         for (int id = 1; id <= 4; id++) {
-            host.choice().listed(id, 0, id, id, Choice.Listed.READY, host.choiceBorn(), id == 1 ? 6 : 2);
+            host.choice().listed(id, 0, id, id, DispatchPolicy.Listed.READY, host.choiceBorn(),
+                    id == 1 ? 6 : 2);
         }
         host.choice().listEnds();
         host.pull().train(IDEMPOTENT, 400, 50);
@@ -918,7 +928,7 @@
         int before = host.count("assign");
         for (int i = 0; i < 20; i++) {
             long id = host.task(IDEMPOTENT);
-            host.after(40).begun(id, 0).after(50).ended(id, 0, Outcome.FINISHED);
+            host.after(40).begun(id, 0).after(50).ended(id, 0, AttemptOutcome.FINISHED);
         }
         int sent = host.count("assign") - before;
         assertTrue(sent >= 36, "nearly each at a second worker, not a fifth of them: " + sent);
@@ -943,7 +953,7 @@
         }
         host.after(300);
         for (long id : ids) {
-            host.begun(id, 0).ended(id, 0, Outcome.FINISHED);
+            host.begun(id, 0).ended(id, 0, AttemptOutcome.FINISHED);
         }
         long late = host.task(IDEMPOTENT);
         assertEquals(1, host.count("bounce " + late + " "), "the last tasks waited longer than this one may");
@@ -975,7 +985,7 @@
             host.free(6, 4);
             long id = host.task(SIDE_EFFECTING);
             assertEquals(6, host.worker(id, 0));
-            host.begun(id, 0).after(50).ended(id, 0, Outcome.FINISHED);
+            host.begun(id, 0).after(50).ended(id, 0, AttemptOutcome.FINISHED);
         }
     }
 
@@ -988,7 +998,7 @@
         host.fleet(6);
         for (int i = 0; i < 100; i++) {
             long id = host.after(1).task(SIDE_EFFECTING, i % 2);
-            host.begun(id, 0).ended(id, 0, Outcome.FINISHED);
+            host.begun(id, 0).ended(id, 0, AttemptOutcome.FINISHED);
         }
         assertEquals(0, host.count("bounce"), "1,000 a second here are not 11,000 in all");
     }
@@ -1039,7 +1049,7 @@
         for (int i = 0; i < 20; i++) {
             long id = host.task(SIDE_EFFECTING, 0, 1500);
             turnedAway += host.count("bounce " + id + " ");
-            host.begun(id, 0).after(50).ended(id, 0, Outcome.FINISHED);
+            host.begun(id, 0).after(50).ended(id, 0, AttemptOutcome.FINISHED);
         }
         assertTrue(turnedAway <= 1, "bounced: " + turnedAway);
         assertEquals(1, host.count("bounce " + host.task(SIDE_EFFECTING, 0, 20) + " "),
@@ -1119,7 +1129,7 @@
         }
         for (int i = 0; i < 40; i++) {
             long id = host.task(SIDE_EFFECTING);
-            host.begun(id, 0).after(50).ended(id, 0, Outcome.FINISHED);
+            host.begun(id, 0).after(50).ended(id, 0, AttemptOutcome.FINISHED);
         }
         int bounced = host.count("bounce");
         host.train(SIDE_EFFECTING, 20, 50);
@@ -1143,7 +1153,7 @@
         for (int i = 0; i < 12; i++) {
             long id = host.task(SIDE_EFFECTING);
             there.add(host.worker(id, 0));
-            host.begun(id, 0).after(10).ended(id, 0, Outcome.FINISHED);
+            host.begun(id, 0).after(10).ended(id, 0, AttemptOutcome.FINISHED);
         }
         assertEquals(Set.of(3 - lost), there, "none of its type goes there for now");
         there.clear();
@@ -1174,25 +1184,26 @@
         int type = host.bound(SAFE, TrafficType.Group.ALL, Set.of(1), Set.of(0));
         host.places(HERE, HERE, OTHER_KIND, THERE, new int[]{1, 2, 1}).train(IDEMPOTENT, 20, 50);
         if (what.equals("is cold")) {
-            host.place(4, 1, 2, 0, Choice.Listed.READY, host.now());
+            host.place(4, 1, 2, 0, DispatchPolicy.Listed.READY, host.now());
         }
         for (int i = 0; i < 12; i++) {
             long id = host.task(type);
             if (i == 3) {
                 switch (what) {
-                    case "drains" -> host.place(4, 1, 2, 0, Choice.Listed.DRAINING, 0);
-                    case "gone" -> host.place(4, 1, 2, 0, Choice.Listed.GONE, 0);
-                    case "is listed elsewhere" -> host.place(4, 0, 2, 0, Choice.Listed.READY, 0);
-                    case "is listed as another kind" -> host.place(4, 1, 2, 1, Choice.Listed.READY, 0);
+                    case "drains" -> host.place(4, 1, 2, 0, DispatchPolicy.Listed.DRAINING, 0);
+                    case "gone" -> host.place(4, 1, 2, 0, DispatchPolicy.Listed.GONE, 0);
+                    case "is listed elsewhere" -> host.place(4, 0, 2, 0, DispatchPolicy.Listed.READY, 0);
+                    case "is listed as another kind" ->
+                        host.place(4, 1, 2, 1, DispatchPolicy.Listed.READY, 0);
                     default -> {
                     }
                 }
             }
             switch (what) {
-                case "is full" -> host.ended(id, 0, Outcome.FULL);
-                case "errs" -> host.ended(id, 0, Outcome.ERRED);
+                case "is full" -> host.ended(id, 0, AttemptOutcome.FULL);
+                case "errs" -> host.ended(id, 0, AttemptOutcome.ERRED);
                 case "is silent" -> host.after(400);
-                default -> host.begun(id, 0).after(40).ended(id, 0, Outcome.FINISHED);
+                default -> host.begun(id, 0).after(40).ended(id, 0, AttemptOutcome.FINISHED);
             }
         }
         host.after(5000);
@@ -1222,7 +1233,7 @@
             for (int n = 0; host.worker(id, n) > 0; n++) {
                 used.add(host.worker(id, n));
             }
-            host.after(50).ended(id, 0, Outcome.FINISHED).ended(id, 1, Outcome.CALLED_OFF);
+            host.after(50).ended(id, 0, AttemptOutcome.FINISHED).ended(id, 1, AttemptOutcome.CALLED_OFF);
         }
         assertEquals(Set.of(4L, 6L), used);
         assertEquals(2, most, "copies are sent");
@@ -1235,7 +1246,8 @@
         host.places(HERE, HERE, HERE, THERE);
         long id = host.task(type);
         assertEquals(4, host.worker(id, 0));
-        host.place(4, 1, 2, 0, Choice.Listed.DRAINING, 0).ended(id, 0, Outcome.BROKEN).after(5000);
+        host.place(4, 1, 2, 0, DispatchPolicy.Listed.DRAINING, 0).ended(id, 0, AttemptOutcome.BROKEN)
+                .after(5000);
         assertEquals(1, host.count("assign " + id + " "));
         assertEquals(0, host.count("bounce " + id + " "));
         assertEquals(1, host.count("abandon " + id + " "));
@@ -1252,7 +1264,7 @@
         host.places(HERE, OTHER_KIND, new int[]{0, 2, 1}, new int[]{0, 3, 1}).train(SIDE_EFFECTING, 20, 50);
         for (int i = 0; i < 10; i++) {
             long id = host.task(type);
-            host.ended(id, 0, Outcome.BROKEN).after(200);
+            host.ended(id, 0, AttemptOutcome.BROKEN).after(200);
             for (int n = 0; host.worker(id, n) > 0; n++) {
                 assertEquals(host.worker(id, 0), host.worker(id, n));
             }
@@ -1269,7 +1281,7 @@
         host.places(HERE, OTHER_KIND);
         long id = host.task(type);
         assertEquals(1, host.count("probe 2"));
-        host.place(2, 0, 1, 0, Choice.Listed.READY, 0);
+        host.place(2, 0, 1, 0, DispatchPolicy.Listed.READY, 0);
         host.choice().echoed(2, true);
         host.pull().after(100);
         assertEquals(0, host.count("assign " + id + " "));
@@ -1283,7 +1295,7 @@
     void ofTwoTasksOfATypeTheOneThatHintsAtMoreThanTheTimeItHasIsBounced() {
         Host host = new Host().fleet(2).train(IDEMPOTENT, 20, 50);
         long light = host.hinted(IDEMPOTENT, 20, 5000);
-        host.begun(light, 0).after(20).ended(light, 0, Outcome.FINISHED);
+        host.begun(light, 0).after(20).ended(light, 0, AttemptOutcome.FINISHED);
         long heavy = host.hinted(IDEMPOTENT, 15_000, 5000);
         assertTrue(host.count("assign " + light + " ") > 0);
         assertEquals(0, host.count("assign " + heavy + " "));
@@ -1303,7 +1315,7 @@
         host.places(THERE, THERE);
         for (int i = 0; i < 20; i++) {
             long id = host.hinted(IDEMPOTENT, 100, 5000);
-            host.begun(id, 0).after(100).ended(id, 0, Outcome.FINISHED);
+            host.begun(id, 0).after(100).ended(id, 0, AttemptOutcome.FINISHED);
         }
         assertEquals(1, host.count("assign " + host.hinted(SIDE_EFFECTING, 100, 5000) + " "));
         host.after(300);
@@ -1366,7 +1378,7 @@
             host.fleet(2).free(1, 4).free(2, 4);
             for (int i = 0; i < 20; i++) {
                 long id = host.task(SIDE_EFFECTING);
-                host.after(50).ended(id, 0, Outcome.FINISHED);
+                host.after(50).ended(id, 0, AttemptOutcome.FINISHED);
             }
             long slow = host.task(SIDE_EFFECTING);
             host.after(progress ? 60 : 150);
@@ -1405,8 +1417,8 @@
         Host host = new Host().fleet(2);
         for (int i = 0; i < 16; i++) {
             long id = host.task(IDEMPOTENT);
-            host.begun(id, 0).after(i % 4 == 0 ? 400 : 20).ended(id, 0, Outcome.FINISHED);
-            host.ended(id, 1, Outcome.CALLED_OFF).ended(id, 2, Outcome.CALLED_OFF);
+            host.begun(id, 0).after(i % 4 == 0 ? 400 : 20).ended(id, 0, AttemptOutcome.FINISHED);
+            host.ended(id, 1, AttemptOutcome.CALLED_OFF).ended(id, 2, AttemptOutcome.CALLED_OFF);
         }
         host.task(IDEMPOTENT, 0, 60);
         host.after(100);
@@ -1429,7 +1441,7 @@
                 host.choice().reported(1, 4, Double.NaN, 0, Double.NaN);
                 host.choice().reported(2, 4, Double.NaN, 0, Double.NaN);
                 long id = host.hinted(SIDE_EFFECTING, 50, 5000);
-                host.after(i < 10 ? 150 : 50).ended(id, 0, Outcome.FINISHED);
+                host.after(i < 10 ? 150 : 50).ended(id, 0, AttemptOutcome.FINISHED);
             }
             host.choice().reported(1, 4, Double.NaN, 0, Double.NaN);
             host.choice().reported(2, 0, Double.NaN, 30, Double.NaN);
--- a/src/test/java/rampshift/decide/ColdFleetTest.java
+++ b/src/test/java/rampshift/policy/SlowStartFleetTest.java
@@ -1,4 +1,4 @@
-package rampshift.decide;
+package rampshift.policy;
 
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
@@ -19,7 +19,7 @@
  * is allowed, N
  * runs, and what is put down to chance, twice the root of N and 2.
  */
-class ColdFleetTest {
+class SlowStartFleetTest {
     private static final int SLOTS = 4;
     private static final double FROM = 0.12;
     private static final double COLD_MS = 24_000;
@@ -42,7 +42,7 @@
     private double runMs = 50;
     private long order;
 
-    ColdFleetTest() {
+    SlowStartFleetTest() {
         random = new Random(1);
     }
 
@@ -91,7 +91,7 @@
     }
 
     private final class Dispatcher implements Decisions {
-        final Choice choice;
+        final DispatchPolicy choice;
         final List<int[]> sends = new ArrayList<>();
         long tasks;
         double wake = Double.MAX_VALUE;
@@ -113,15 +113,16 @@
                 s.types.add(new TrafficType(1, 0, Span.ofMillis(150), 3, Span.ofMillis(3000), e,
                         TrafficType.Group.ALL, Span.ofMillis(1000), null, null));
             }
-            choice = new Choice(s, Moment.ofMillis(now));
-            list(Choice.List.REMEMBERED, machines);
+            choice = new DispatchPolicy(s, Moment.ofMillis(now));
+            list(DispatchPolicy.List.REMEMBERED, machines);
         }
 
-        void list(Choice.List as, List<Machine> told) {
+        void list(DispatchPolicy.List as, List<Machine> told) {
             choice.clock(Moment.ofMillis(now));
             choice.listBegins(as);
             for (Machine m : told) {
-                choice.listed(m.id, 0, (int) m.id, 0, Choice.Listed.READY, Moment.ofMillis(m.born), SLOTS);
+                choice.listed(m.id, 0, (int) m.id, 0, DispatchPolicy.Listed.READY, Moment.ofMillis(m.born),
+                        SLOTS);
             }
             choice.listEnds();
             pull();
@@ -167,7 +168,7 @@
                         off[0] = true;
                         hear(() -> {
                             choice.reported(m.id, SLOTS - m.busy, m.waiting.size(), m.busy, Double.NaN);
-                            choice.ended(task, number, Outcome.FINISHED, true);
+                            choice.ended(task, number, AttemptOutcome.FINISHED, true);
                         });
                     }
                 });
@@ -177,7 +178,7 @@
         @Override
         public void cancel(long task, int assignment) {
             out.get(task).get(assignment)[0] = true;
-            after(0, () -> hear(() -> choice.ended(task, assignment, Outcome.CALLED_OFF, false)));
+            after(0, () -> hear(() -> choice.ended(task, assignment, AttemptOutcome.CALLED_OFF, false)));
         }
 
         @Override
@@ -246,7 +247,7 @@
                     told.add(machines.get(i));
                 }
                 for (Dispatcher d : fleet) {
-                    d.list(Choice.List.CHANGES, told);
+                    d.list(DispatchPolicy.List.CHANGES, told);
                 }
             }));
             while (!events.isEmpty() && events.peek().at < end) {
--- a/src/test/java/rampshift/serve/RareMomentsTest.java
+++ b/src/test/java/rampshift/serve/ConnectionRaceTest.java
@@ -2,9 +2,9 @@
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
-import static rampshift.StandIns.list;
-import static rampshift.StandIns.node;
-import static rampshift.StandIns.until;
+import static rampshift.TestPeers.list;
+import static rampshift.TestPeers.node;
+import static rampshift.TestPeers.until;
 
 import java.io.IOException;
 import java.net.InetAddress;
@@ -25,20 +25,20 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
-import rampshift.StandIns;
-import rampshift.StandIns.Line;
-import rampshift.StandIns.Message;
-import rampshift.StandIns.Peer;
-import rampshift.StandIns.Script;
-import rampshift.StartAndStop;
+import rampshift.MainAccess;
+import rampshift.TestPeers;
+import rampshift.TestPeers.Line;
+import rampshift.TestPeers.Message;
+import rampshift.TestPeers.Peer;
+import rampshift.TestPeers.Script;
 import rampshift.settings.Configuration;
-import rampshift.time.NextTurn;
+import rampshift.time.NextTick;
 
 /**
  * What comes between two lines, its order forced by a stand-in or by a step on the I/O thread
  * (docs/rare-moments.md).
  */
-class RareMomentsTest extends Stories {
+class ConnectionRaceTest extends ServerTestBase {
     private static final String LIMITS = "{\"memory_mb\":192,\"sockets\":1024}";
 
     /** One that takes a task and never answers. */
@@ -47,7 +47,7 @@
     }
 
     private static Configuration configuration(Peer discovery, String known, String more) throws IOException {
-        return Configuration.read(StandIns.configuration(discovery, known, LIMITS)
+        return Configuration.read(TestPeers.configuration(discovery, known, LIMITS)
                 .replace("\"WeightSource\"", more + "\"WeightSource\"")
                 .getBytes(StandardCharsets.UTF_8));
     }
@@ -170,7 +170,7 @@
             String body = list(true, worker.entry("s-1", "in_service")).replace("REV", "1");
             line.write("HTTP/1.1 200 OK\r\nContent-Length: " + body.length() + "\r\n\r\n" + body);
         });
-        node = new Serve(configuration(agent, list(true, worker.entry("s-1", "in_service")), ""));
+        node = new DispatcherServer(configuration(agent, list(true, worker.entry("s-1", "in_service")), ""));
         client().task("t", "look", "x").leave("fin");
         until("it is noticed", () -> count("client_gone") == 1);
         assertEquals(0, worker.received.size());
@@ -193,8 +193,8 @@
             String entry = "{\"uid\":\"s-1\",\"endpoint\":\"127.0.0.1:" + busy.getLocalPort()
                     + "\",\"az\":\"a\",\"model\":\"m\",\"pod_group\":1,"
                     + "\"state\":\"in_service\",\"capacity_hint\":4.0,\"boot_ms\":0}";
-            node = new Serve(Configuration.read(
-                    StandIns.configuration(null, list(true, entry), LIMITS).replace("\"DialTimeoutMs\":500",
+            node = new DispatcherServer(Configuration.read(
+                    TestPeers.configuration(null, list(true, entry), LIMITS).replace("\"DialTimeoutMs\":500",
                             "\"DialTimeoutMs\":20000").getBytes(StandardCharsets.UTF_8)));
             node.awaitReady();
             Line client = client().task("t", "sell", "x");
@@ -222,12 +222,12 @@
                 .equals("stopping\n"));
         int[] looks = {0};
         FutureTask<Integer> noticed = new FutureTask<>(() -> looks[0]);
-        NextTurn turn = onThread(() -> {
+        NextTick turn = onThread(() -> {
             for (int i = 0; i < 300; i++) {
                 clients.get(i).leave(i % 2 == 0 ? "fin" : "rst");
             }
             until("all ends are in the kernel", () -> established(ports) == 0);
-            NextTurn t = new NextTurn(node.thread);
+            NextTick t = new NextTick(node.thread);
             look(t, looks, noticed);
             return t;
         });
@@ -245,7 +245,7 @@
     }
 
     /** Counts looks at the sockets until no task is in hand. */
-    private void look(NextTurn turn, int[] looks, FutureTask<Integer> noticed) {
+    private void look(NextTick turn, int[] looks, FutureTask<Integer> noticed) {
         turn.run(() -> {
             looks[0]++;
             if (node.parts.book.tasks() == 0) {
@@ -356,7 +356,7 @@
     @Test
     void aCallThatCrossedTheEndOfItsConnectionIsTakenOnTheNextOne() throws Exception {
         Peer worker = worker((task, line) -> line.done(task, "ok"));
-        node = new Serve(Configuration.read(StandIns
+        node = new DispatcherServer(Configuration.read(TestPeers
                 .configuration(null, list(true, worker.entry("s-1", "in_service")), LIMITS)
                 .replaceAll("\"ExpiryMs\":\\d+", "\"ExpiryMs\":1500").getBytes(StandardCharsets.UTF_8)));
         node.awaitReady();
@@ -377,9 +377,9 @@
     @Test
     void aStopThatComesBeforeTheStartIsOverEndsItInGoodOrder() throws Exception {
         Peer worker = worker((task, line) -> line.done(task, "ok"));
-        FutureTask<Serve> start =
+        FutureTask<DispatcherServer> start =
                 new FutureTask<>(() -> node(null, list(true, worker.entry("s-1", "in_service")), LIMITS));
-        Thread stop = StartAndStop.stopper(start);
+        Thread stop = MainAccess.stopper(start);
         stop.start();
         start.run();
         node = start.get();
@@ -395,7 +395,7 @@
     @Test
     void whatMayRunAgainIsBouncedAtTheEndAndWhatMayHaveRunIsNot() throws Exception {
         Peer worker = holder();
-        node = new Serve(Configuration.read(StandIns
+        node = new DispatcherServer(Configuration.read(TestPeers
                 .configuration(null, list(true, worker.entry("s-1", "in_service")), LIMITS)
                 .replaceAll("\"ExpiryMs\":\\d+", "\"ExpiryMs\":1500").getBytes(StandardCharsets.UTF_8)));
         node.awaitReady();
@@ -454,7 +454,7 @@
                 line.write("HTTP/1.1 200 OK\r\nContent-Length: " + body.length() + "\r\n\r\n" + body);
             }
         });
-        node = new Serve(configuration(agent, list(true), ""));
+        node = new DispatcherServer(configuration(agent, list(true), ""));
         assertEquals(200, client().task("t", "sell", "x").read().status());
         assertEquals(1, count("lists_whole"));
     }
@@ -476,7 +476,7 @@
                 line.write("HTTP/1.1 200 OK\r\nContent-Length: " + body.length() + "\r\n\r\n" + body);
             }
         });
-        node = new Serve(configuration(agent, list(true, worker.entry("s-1", "in_service")),
+        node = new DispatcherServer(configuration(agent, list(true, worker.entry("s-1", "in_service")),
                 "\"Rules\":{\"StopSendingWithinMs\":10},"));
         Line client = client().task("t", "sell", "x");
         until("it is taken", () -> count("taken") == 1);
@@ -511,11 +511,12 @@
         Peer one = worker(errs);
         Peer two = worker(errs);
         String known = list(true, one.entry("s-1", "in_service"), two.entry("s-2", "in_service"));
-        String here = StandIns.configuration(null, known, LIMITS);
+        String here = TestPeers.configuration(null, known, LIMITS);
         String there = here.replace("\"look\"", "\"?\"").replace("\"sell\"", "\"look\"")
                 .replace("\"?\"", "\"sell\"").replace("\"ExpiryMs\":5000", "\"ExpiryMs\":3000");
-        node = new Serve(Configuration.read(here.getBytes(StandardCharsets.UTF_8)));
-        Serve other = new Serve(Configuration.read(there.getBytes(StandardCharsets.UTF_8)));
+        node = new DispatcherServer(Configuration.read(here.getBytes(StandardCharsets.UTF_8)));
+        DispatcherServer other =
+                new DispatcherServer(Configuration.read(there.getBytes(StandardCharsets.UTF_8)));
         try {
             node.awaitReady();
             other.awaitReady();
--- a/src/test/java/rampshift/serve/ServeTest.java
+++ b/src/test/java/rampshift/serve/DispatcherServerTest.java
@@ -3,9 +3,9 @@
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertNull;
 import static org.junit.jupiter.api.Assertions.assertTrue;
-import static rampshift.StandIns.list;
-import static rampshift.StandIns.node;
-import static rampshift.StandIns.until;
+import static rampshift.TestPeers.list;
+import static rampshift.TestPeers.node;
+import static rampshift.TestPeers.until;
 
 import java.io.IOException;
 import java.nio.charset.StandardCharsets;
@@ -22,15 +22,15 @@
 import org.junit.jupiter.params.provider.CsvSource;
 import org.junit.jupiter.params.provider.ValueSource;
 import org.xnio.XnioIoThread;
-import rampshift.StandIns;
-import rampshift.StandIns.Line;
-import rampshift.StandIns.Message;
-import rampshift.StandIns.Peer;
-import rampshift.StandIns.Script;
+import rampshift.TestPeers;
+import rampshift.TestPeers.Line;
+import rampshift.TestPeers.Message;
+import rampshift.TestPeers.Peer;
+import rampshift.TestPeers.Script;
 import rampshift.settings.Configuration;
 
 /** A whole dispatcher between clients, workers and discovery, all on loopback. */
-class ServeTest extends Stories {
+class DispatcherServerTest extends ServerTestBase {
     private static final String LIMITS = "{\"memory_mb\":192,\"sockets\":256}";
 
     private void serve(String... entries) throws Exception {
@@ -53,9 +53,10 @@
                     .replace("REV", "9");
             line.write("HTTP/1.1 200 OK\r\nContent-Length: " + body.length() + "\r\n\r\n" + body);
         });
-        node = new Serve(
-                Configuration.read(StandIns.configuration(slow, list(true, drained.entry("s-1", "in_service"),
-                        stays.entry("s-2", "in_service")), LIMITS).getBytes(StandardCharsets.UTF_8)));
+        node = new DispatcherServer(
+                Configuration
+                        .read(TestPeers.configuration(slow, list(true, drained.entry("s-1", "in_service"),
+                                stays.entry("s-2", "in_service")), LIMITS).getBytes(StandardCharsets.UTF_8)));
         for (int i = 0; i < 8; i++) {
             client().task("t" + i, "look", "x");
         }
@@ -67,8 +68,8 @@
     void whereNoListServiceAnswersTheListHadBeforeGoesOn() throws Exception {
         Peer worker = worker(good());
         Peer silent = worker((message, line) -> {});
-        node = new Serve(Configuration
-                .read(StandIns.configuration(silent, list(true, worker.entry("s-1", "in_service")),
+        node = new DispatcherServer(Configuration
+                .read(TestPeers.configuration(silent, list(true, worker.entry("s-1", "in_service")),
                         LIMITS).getBytes(StandardCharsets.UTF_8)));
         Line client = client();
         assertEquals(200, client.task("t", "look", "x").read().status());
@@ -107,7 +108,7 @@
         Peer agent = worker(script);
         Peer other = worker((message, line) -> {});
         String known = list(true, drained.entry("s-1", "in_service"), stays.entry("s-2", "in_service"));
-        node = new Serve(graceful(when.equals("reload") ? other : agent, known, grace));
+        node = new DispatcherServer(graceful(when.equals("reload") ? other : agent, known, grace));
         assertEquals(200, client().task("a", "look", "x").read().status(), "the old list goes on");
         if (when.equals("reload")) {
             node.reload(graceful(agent, known, grace));
@@ -132,8 +133,9 @@
     }
 
     private static Configuration graceful(Peer discovery, String known, int grace) throws IOException {
-        return Configuration.read(StandIns.configuration(discovery, known, LIMITS).replace("\"WeightSource\"",
-                "\"Rules\":{\"StopSendingWithinMs\":" + grace + "},\"WeightSource\"")
+        return Configuration.read(TestPeers.configuration(discovery, known, LIMITS)
+                .replace("\"WeightSource\"",
+                        "\"Rules\":{\"StopSendingWithinMs\":" + grace + "},\"WeightSource\"")
                 .getBytes(StandardCharsets.UTF_8));
     }
 
@@ -222,8 +224,8 @@
     @Test
     void eachTenantIsHeldToItsOwnShare() throws Exception {
         Peer worker = worker((task, line) -> line.status(503, "X-Turned-Away: 1\r\n"));
-        node = new Serve(Configuration
-                .read(StandIns.configuration(null, list(true, worker.entry("s-1", "in_service")), LIMITS)
+        node = new DispatcherServer(Configuration
+                .read(TestPeers.configuration(null, list(true, worker.entry("s-1", "in_service")), LIMITS)
                         .replace("\"WeightSource\"",
                                 "\"ExcessEarnings\":0,\"Tenants\":[{\"Name\":\"much\",\"QuotaPerS\":1},"
                                         + "{\"Name\":\"little\",\"QuotaPerS\":1}],\"WeightSource\"")
@@ -324,8 +326,8 @@
     @Test
     void aTaskIsAbandonedBeforeItsExpiryAndItsConnectionClosed() throws Exception {
         Peer worker = worker((task, line) -> {});
-        node = new Serve(Configuration
-                .read(StandIns.configuration(null, list(true, worker.entry("s-1", "in_service")), LIMITS)
+        node = new DispatcherServer(Configuration
+                .read(TestPeers.configuration(null, list(true, worker.entry("s-1", "in_service")), LIMITS)
                         .replace("\"ExpiryMs\":600", "\"ExpiryMs\":3000").getBytes(StandardCharsets.UTF_8)));
         node.awaitReady();
         long begun = System.nanoTime();
@@ -588,7 +590,8 @@
         until("it is out", () -> first.received.size() == 1);
         for (int i = 0; i < 3; i++) {
             node.reload(Configuration.read(
-                    StandIns.configuration(newService, list(true), LIMITS).getBytes(StandardCharsets.UTF_8)));
+                    TestPeers.configuration(newService, list(true), LIMITS)
+                            .getBytes(StandardCharsets.UTF_8)));
         }
         until("the old watch has ended, the new one begun",
                 () -> oldService.ended.size() == 1 && newService.received.size() >= 2);
@@ -692,8 +695,8 @@
         List<String> versions = Collections.synchronizedList(new ArrayList<>(List.of(first)));
         Peer agent = Peer.discovery(versions);
         open.add(agent);
-        node = new Serve(Configuration
-                .read(StandIns.configuration(agent, first, "{\"memory_mb\":192,\"sockets\":1024}")
+        node = new DispatcherServer(Configuration
+                .read(TestPeers.configuration(agent, first, "{\"memory_mb\":192,\"sockets\":1024}")
                         .replace("\"Zones\":[\"a\"]", "\"Zones\":[\"a\",\"b\"]")
                         .replace("{\"Name\":\"look\"", "{\"RunsIn\":[1],\"Name\":\"look\"")
                         .getBytes(StandardCharsets.UTF_8)));
--- a/src/test/java/rampshift/serve/FloodTest.java
+++ b/src/test/java/rampshift/serve/FloodTest.java
@@ -2,8 +2,8 @@
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
-import static rampshift.StandIns.list;
-import static rampshift.StandIns.node;
+import static rampshift.TestPeers.list;
+import static rampshift.TestPeers.node;
 
 import java.io.IOException;
 import java.lang.management.ManagementFactory;
@@ -20,13 +20,13 @@
 import org.junit.jupiter.params.provider.ValueSource;
 import org.xnio.conduits.AbstractStreamSourceConduit;
 import org.xnio.conduits.StreamSourceConduit;
-import rampshift.StandIns.Line;
-import rampshift.StandIns.Peer;
-import rampshift.clients.Door;
-import rampshift.time.NextTurn;
+import rampshift.TestPeers.Line;
+import rampshift.TestPeers.Peer;
+import rampshift.clients.ClientListener;
+import rampshift.time.NextTick;
 
 /** Clients that send much at once: how long one keeps the I/O thread, and what it costs the others. */
-class FloodTest extends Stories {
+class FloodTest extends ServerTestBase {
     private static final String LIMITS = "{\"memory_mb\":192,\"sockets\":1024}";
     private static final ThreadMXBean THREADS = ManagementFactory.getThreadMXBean();
     private static final int READS = 2000;
@@ -79,9 +79,9 @@
         node = node(null, list(true), LIMITS);
         int[] counts = new int[3];      // answered, answered at the last look, most between two looks
         Line client = client();
-        NextTurn turn = onThread(() -> {
-            node.parts.door.page("/count", () -> new Door.Page(200, ++counts[0] + "\n"));
-            NextTurn t = new NextTurn(node.thread);
+        NextTick turn = onThread(() -> {
+            node.parts.door.page("/count", () -> new ClientListener.Page(200, ++counts[0] + "\n"));
+            NextTick t = new NextTick(node.thread);
             look(t, counts);
             client.write("GET /count HTTP/1.1\r\nHost: a\r\n\r\n".repeat(GETS));
             return t;
@@ -96,7 +96,7 @@
         assertTrue(counts[2] <= 4, counts[2] + " calls were answered between two looks at the sockets");
     }
 
-    private static void look(NextTurn turn, int[] counts) {
+    private static void look(NextTick turn, int[] counts) {
         turn.run(() -> {
             counts[2] = Math.max(counts[2], counts[0] - counts[1]);
             counts[1] = counts[0];
--- a/src/test/java/rampshift/serve/WholeAnswersTest.java
+++ b/src/test/java/rampshift/serve/ResponseDeliveryTest.java
@@ -2,9 +2,9 @@
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
-import static rampshift.StandIns.list;
-import static rampshift.StandIns.node;
-import static rampshift.StandIns.until;
+import static rampshift.TestPeers.list;
+import static rampshift.TestPeers.node;
+import static rampshift.TestPeers.until;
 
 import java.io.IOException;
 import java.lang.reflect.Field;
@@ -24,16 +24,16 @@
 import org.xnio.conduits.AbstractStreamSourceConduit;
 import org.xnio.conduits.StreamSinkConduit;
 import org.xnio.conduits.StreamSourceConduit;
-import rampshift.StandIns;
-import rampshift.StandIns.Line;
-import rampshift.StandIns.Message;
-import rampshift.StandIns.Peer;
-import rampshift.clients.Door;
+import rampshift.TestPeers;
+import rampshift.TestPeers.Line;
+import rampshift.TestPeers.Message;
+import rampshift.TestPeers.Peer;
+import rampshift.clients.ClientListener;
 import rampshift.settings.Configuration;
-import rampshift.time.NextTurn;
+import rampshift.time.NextTick;
 
 /** Whoever hands in a task gets its whole answer, or is told plainly that it was not taken, and in time. */
-class WholeAnswersTest extends Stories {
+class ResponseDeliveryTest extends ServerTestBase {
     private static final String LIMITS = "{\"memory_mb\":192,\"sockets\":1024}";
     /** 22 clients stay, and 2 more are taken. */
     private static final String FEW = "{\"memory_mb\":192,\"sockets\":104}";
@@ -158,7 +158,7 @@
         Slow client = slow();
         AfterEmptyRead source = new AfterEmptyRead(client.connection().getSourceChannel().getConduit());
         onThread(() -> {
-            node.parts.door.page("/long", () -> new Door.Page(200, text));
+            node.parts.door.page("/long", () -> new ClientListener.Page(200, text));
             client.connection().getSourceChannel().setConduit(source);
             node.parts.door.accepted(client.connection());
             return null;
@@ -420,9 +420,9 @@
     void aRushOfClientsLeavesTheSocketsTheirTurn() throws Exception {
         node = node(null, list(true), LIMITS);
         int[] takenIn = {-1};
-        NextTurn[] turn = {null};
+        NextTick[] turn = {null};
         onThread(() -> {
-            turn[0] = new NextTurn(node.thread);
+            turn[0] = new NextTick(node.thread);
             turn[0].run(() -> takenIn[0] = node.parts.door.connections());
             for (int i = 0; i < 150; i++) {
                 client();
@@ -458,8 +458,8 @@
                 line.write("HTTP/1.1 200 OK\r\nContent-Length: " + body.length() + "\r\n\r\n" + body);
             }
         });
-        node = new Serve(Configuration
-                .read(StandIns.configuration(agent, list(true, worker.entry("s-1", "in_service")), FEW)
+        node = new DispatcherServer(Configuration
+                .read(TestPeers.configuration(agent, list(true, worker.entry("s-1", "in_service")), FEW)
                         .getBytes(StandardCharsets.UTF_8)));
         until("the old list goes on", () -> count("watch_broken") >= 2);
         for (int i = 0; i < 200; i++) {
--- a/src/test/java/rampshift/serve/Stories.java
+++ b/src/test/java/rampshift/serve/ServerTestBase.java
@@ -15,14 +15,14 @@
 import org.xnio.OptionMap;
 import org.xnio.StreamConnection;
 import org.xnio.channels.AcceptingChannel;
-import rampshift.StandIns.Line;
-import rampshift.StandIns.Peer;
-import rampshift.StandIns.Script;
+import rampshift.TestPeers.Line;
+import rampshift.TestPeers.Peer;
+import rampshift.TestPeers.Script;
 
 /** What stories of a whole dispatcher share: one dispatcher, and stand-ins that end with the story. */
-abstract class Stories {
+abstract class ServerTestBase {
     final List<Closeable> open = new ArrayList<>();
-    Serve node;
+    DispatcherServer node;
     /** Connections of clients that were accepted and wait for the story to hand them to the dispatcher. */
     private final LinkedBlockingQueue<StreamConnection> accepted = new LinkedBlockingQueue<>();
 
--- a/src/test/java/rampshift/serve/SlowDialTest.java
+++ b/src/test/java/rampshift/serve/SlowDialTest.java
@@ -2,8 +2,8 @@
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
-import static rampshift.StandIns.list;
-import static rampshift.StandIns.until;
+import static rampshift.TestPeers.list;
+import static rampshift.TestPeers.until;
 
 import java.net.InetAddress;
 import java.net.ServerSocket;
@@ -14,13 +14,13 @@
 import java.util.List;
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
-import rampshift.StandIns;
-import rampshift.StandIns.Line;
-import rampshift.StandIns.Peer;
+import rampshift.TestPeers;
+import rampshift.TestPeers.Line;
+import rampshift.TestPeers.Peer;
 import rampshift.settings.Configuration;
 
 /** Connections to a worker whose backlog is full come up a second late, once it accepts what waits there. */
-class SlowDialTest extends Stories {
+class SlowDialTest extends ServerTestBase {
     private static final String LIMITS = "{\"memory_mb\":192,\"sockets\":1024}";
     private static final String SECOND = "{\"uid\":\"s-2\",\"endpoint\":\"127.0.0.1:PORT\",\"az\":\"a\","
             + "\"model\":\"m\",\"pod_group\":1,\"state\":\"in_service\",\"capacity_hint\":4.0,\"boot_ms\":0}";
@@ -45,10 +45,12 @@
             versions.add(list(true, first[0].entry("s-1", "in_service")));
             Peer discovery = Peer.discovery(versions);
             open.add(discovery);
-            node = new Serve(Configuration.read(StandIns.configuration(discovery, list(true), LIMITS)
-                    .replace("\"DialTimeoutMs\":500", "\"DialTimeoutMs\":20000")
-                    .replace("\"cell\",\"WindowMs\":4000", "\"" + group + "\",\"WindowMs\":" + windowMs)
-                    .getBytes(StandardCharsets.UTF_8)));
+            node = new DispatcherServer(
+                    Configuration.read(TestPeers.configuration(discovery, list(true), LIMITS)
+                            .replace("\"DialTimeoutMs\":500", "\"DialTimeoutMs\":20000")
+                            .replace("\"cell\",\"WindowMs\":4000",
+                                    "\"" + group + "\",\"WindowMs\":" + windowMs)
+                            .getBytes(StandardCharsets.UTF_8)));
             node.awaitReady();
             Line client = client().write("POST /api HTTP/1.1\r\nHost: a\r\nX-Txn: t\r\nX-Lane: mark\r\n"
                     + "X-Remaining: 5.0\r\nIdempotency-Key: k\r\nContent-Length: 1\r\n\r\nx");
@@ -60,7 +62,7 @@
             Line second = new Line(busy.accept());
             open.add(second);
             if (status == 200) {
-                StandIns.Message task = second.read();
+                TestPeers.Message task = second.read();
                 double left = Double.parseDouble(task.field("X-Remaining"));
                 assertTrue(left > 1 && left < 4.5, "what is left once its connection is up: " + left);
                 second.done(task, "r");
--- a/src/test/java/rampshift/settings/ConfigurationTest.java
+++ b/src/test/java/rampshift/settings/ConfigurationTest.java
@@ -76,7 +76,8 @@
             "\"TrafficTypes\":[{         | \"Kinds\":[\"a\",\"b\"],\"FamilyInfo\":{\"ClassKind\":[1]},\"TrafficTypes\":[{\"AllowedOn\":[0], | AllowedOn lacks the kind 1",
     })
     void aBadOneIsNamedInOneLine(String part, String instead, String named) {
-        Malformed e = assertThrows(Malformed.class, () -> read(GOOD.replace(part, instead)));
+        InvalidInputException e =
+                assertThrows(InvalidInputException.class, () -> read(GOOD.replace(part, instead)));
         assertFalse(e.getMessage().contains("\n"), e.getMessage());
         assertTrue(named.startsWith("no JSON") || e.getMessage().contains(named), e.getMessage());
     }
@@ -121,8 +122,8 @@
     @Test
     void aMissingFileIsNamed() {
         assertEquals("NODE_CONFIG is not set",
-                assertThrows(Malformed.class, () -> Configuration.read(Map.of())).getMessage());
-        assertTrue(assertThrows(Malformed.class,
+                assertThrows(InvalidInputException.class, () -> Configuration.read(Map.of())).getMessage());
+        assertTrue(assertThrows(InvalidInputException.class,
                 () -> Configuration.read(Map.of("NODE_CONFIG", "/no/such/file")))
                 .getMessage().startsWith("/no/such/file: cannot be read"));
     }
@@ -145,7 +146,7 @@
             }
             try {
                 Configuration.read(bytes);
-            } catch (Malformed e) {
+            } catch (InvalidInputException e) {
                 assertFalse(e.getMessage().contains("\n"), e.getMessage());
             } catch (IOException e) {
                 // No JSON: the line is made where the file is named.
--- a/src/test/java/rampshift/settings/SitesTest.java
+++ b/src/test/java/rampshift/settings/SiteSettingsTest.java
@@ -19,14 +19,14 @@
 import java.util.regex.Pattern;
 import java.util.stream.Stream;
 import org.junit.jupiter.api.Test;
-import rampshift.decide.Settings;
-import rampshift.decide.TrafficType;
+import rampshift.policy.Settings;
+import rampshift.policy.TrafficType;
 
 /**
  * The sites under deploy/sites: nothing of the program is made for one of them, and the settings of each are
  * read as told.
  */
-class SitesTest {
+class SiteSettingsTest {
     private static List<JsonNode> sites() throws IOException {
         List<JsonNode> sites = new ArrayList<>();
         try (Stream<Path> files = Files.walk(Path.of("deploy/sites"))) {
--- a/src/test/java/rampshift/drill/DrillTest.java
+++ b/src/test/java/rampshift/simulator/SimulatorHostTest.java
@@ -1,4 +1,4 @@
-package rampshift.drill;
+package rampshift.simulator;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
@@ -17,7 +17,7 @@
 import org.junit.jupiter.params.provider.ValueSource;
 
 /** A few lines of wire through the adapter. */
-class DrillTest {
+class SimulatorHostTest {
     private static final String ATTACH =
             "{\"SimTimeMs\":1000,\"news\":[{\"t\":\"Attach\",\"Who\":\"dispatcher/0\","
                     + "\"Seed\":5,\"Setup\":{\"Odd\":[1,{\"x\":null}],\"Limits\":{\"MostAssignments\":3},\"TrafficTypes\":"
@@ -28,7 +28,7 @@
     private final ByteArrayOutputStream err = new ByteArrayOutputStream();
 
     private int play(String lines) throws IOException {
-        return Drill.run(new ByteArrayInputStream(lines.getBytes(StandardCharsets.UTF_8)), out,
+        return SimulatorHost.run(new ByteArrayInputStream(lines.getBytes(StandardCharsets.UTF_8)), out,
                 new PrintStream(err));
     }
 
@@ -107,7 +107,8 @@
                 return super.read(to, from, Math.min(count, 777));
             }
         };
-        assertEquals(0, Drill.run(dribbles, out, new PrintStream(err)), err.toString(StandardCharsets.UTF_8));
+        assertEquals(0, SimulatorHost.run(dribbles, out, new PrintStream(err)),
+                err.toString(StandardCharsets.UTF_8));
         assertEquals(4, out.toString(StandardCharsets.UTF_8).lines().count());
     }
 
--- a/src/test/java/rampshift/fleet/clients/ArrivalsTest.java
+++ b/src/test/java/rampshift/testbed/clients/ArrivalsTest.java
@@ -1,4 +1,4 @@
-package rampshift.fleet.clients;
+package rampshift.testbed.clients;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertNotEquals;
@@ -8,15 +8,15 @@
 import java.util.ArrayList;
 import java.util.List;
 import org.junit.jupiter.api.Test;
-import rampshift.fleet.ledger.Chances;
-import rampshift.fleet.plan.Plan;
-import rampshift.fleet.plan.PlanReader;
+import rampshift.testbed.plan.FleetPlan;
+import rampshift.testbed.plan.FleetPlanReader;
+import rampshift.testbed.random.RandomStreams;
 import rampshift.time.Moment;
 import rampshift.time.Span;
 
 class ArrivalsTest {
-    private static Plan plan(String more) {
-        return PlanReader.read("f.toml", """
+    private static FleetPlan plan(String more) {
+        return FleetPlanReader.read("f.toml", """
                 length = "100s"
                 [[machine]]
                 name = "m"
@@ -38,7 +38,7 @@
                 """ + more, null);
     }
 
-    private static List<Arrivals.Arrival> all(Plan plan, long seed, int process) {
+    private static List<Arrivals.Arrival> all(FleetPlan plan, long seed, int process) {
         List<Arrivals.Arrival> all = new ArrayList<>();
         Arrivals arrivals = new Arrivals(plan, seed, process);
         for (Arrivals.Arrival a = arrivals.next(); a != null; a = arrivals.next()) {
@@ -80,7 +80,7 @@
 
     @Test
     void theSameSeedBringsTheSameTasksAndEachProcessItsOwnPart() {
-        Plan two = plan("[arrivals]\nrate = 100\n[clients]\nprocesses = 2\n");
+        FleetPlan two = plan("[arrivals]\nrate = 100\n[clients]\nprocesses = 2\n");
         assertEquals(all(two, 7, 0), all(two, 7, 0));
         assertNotEquals(all(two, 7, 0), all(two, 8, 0));
         assertEquals(5000, all(two, 7, 1).size(), 220);
@@ -90,12 +90,12 @@
 
     @Test
     void theFrontGoesOnSendingToADeadDispatcherForAWhileThenUsesTheOthers() {
-        Plan plan = plan("[clients]\ndead_front = \"1s\"\n");
+        FleetPlan plan = plan("[clients]\ndead_front = \"1s\"\n");
         List<InetSocketAddress> addresses = List.of(new InetSocketAddress(1), new InetSocketAddress(2),
                 new InetSocketAddress(3));
-        Front front = new Front(plan, addresses, Chances.of(1, "front"));
+        FrontProxy front = new FrontProxy(plan, addresses, RandomStreams.of(1, "front"));
         Moment now = Moment.ofMillis(0);
-        Front.Member dead = front.members().get(0);
+        FrontProxy.Member dead = front.members().get(0);
         front.failed(dead, now);
         assertEquals(List.of(dead), front.suspects());
         boolean still = false;
--- a/src/test/java/rampshift/fleet/clients/LoadTest.java
+++ b/src/test/java/rampshift/testbed/clients/LoadGeneratorTest.java
@@ -1,4 +1,4 @@
-package rampshift.fleet.clients;
+package rampshift.testbed.clients;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
@@ -17,16 +17,17 @@
 import org.junit.jupiter.api.AfterEach;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.io.TempDir;
-import rampshift.StandIns.Peer;
-import rampshift.StandIns.Script;
-import rampshift.fleet.plan.Plan;
-import rampshift.fleet.plan.PlanReader;
-import rampshift.fleet.wire.Ports;
-import rampshift.ledger.Ledger;
-import rampshift.ledger.Stamp;
+import rampshift.TestPeers;
+import rampshift.TestPeers.Peer;
+import rampshift.TestPeers.Script;
+import rampshift.eventlog.EventClock;
+import rampshift.eventlog.EventLog;
+import rampshift.testbed.plan.FleetPlan;
+import rampshift.testbed.plan.FleetPlanReader;
+import rampshift.testbed.wire.LoopbackNetwork;
 
 /** Clients before a dispatcher that does what the story says. */
-class LoadTest {
+class LoadGeneratorTest {
     @TempDir
     Path folder;
     private Peer dispatcher;
@@ -40,7 +41,7 @@
                 script.play(message, line);
             }
         });
-        Plan plan = PlanReader.read("f.toml", """
+        FleetPlan plan = FleetPlanReader.read("f.toml", """
                 length = "500ms"
                 [[machine]]
                 name = "m"
@@ -57,10 +58,11 @@
                 rate = 10
                 even = true
                 """), null);
-        try (Ledger ledger = new Ledger(folder.resolve("load.ledger"))) {
-            Load load = new Load(plan, 1, 0, List.of(Ports.at(dispatcher.port())), ledger);
+        try (EventLog ledger = new EventLog(folder.resolve("load.ledger"))) {
+            LoadGenerator load =
+                    new LoadGenerator(plan, 1, 0, List.of(LoopbackNetwork.at(dispatcher.port())), ledger);
             load.openIdle(rampshift.time.Span.ofMillis(5000));
-            load.start(Stamp.now());
+            load.start(EventClock.now());
             load.await();
             load.write(folder);
             load.close();
@@ -81,7 +83,7 @@
         return ledger().lines().filter(l -> l.split(" ")[1].equals(word)).count();
     }
 
-    private static void ok(rampshift.StandIns.Line line, String result) throws IOException {
+    private static void ok(TestPeers.Line line, String result) throws IOException {
         line.write("HTTP/1.1 200 OK\r\nContent-Length: " + result.length() + "\r\n\r\n" + result);
     }
 
--- a/src/test/java/rampshift/fleet/trial/ComparisonTest.java
+++ b/src/test/java/rampshift/testbed/experiment/ComparisonTest.java
@@ -1,4 +1,4 @@
-package rampshift.fleet.trial;
+package rampshift.testbed.experiment;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertFalse;
@@ -8,7 +8,7 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
-import rampshift.fleet.ledger.Chances;
+import rampshift.testbed.random.RandomStreams;
 
 class ComparisonTest {
     @Test
@@ -38,7 +38,7 @@
     @ParameterizedTest
     @CsvSource({"6,0.95", "12,0.95", "20,0.90", "25,0.99"})
     void theStatedConfidenceHoldsOnFiguresOfAnyShape(int pairs, double confidence) {
-        UniformRandomProvider chance = Chances.of(1, "pairs " + pairs);
+        UniformRandomProvider chance = RandomStreams.of(1, "pairs " + pairs);
         int called = 0;
         int all = 4000;
         for (int i = 0; i < all; i++) {
--- a/src/test/java/rampshift/fleet/trial/ProfileTest.java
+++ b/src/test/java/rampshift/testbed/experiment/CpuProfileTest.java
@@ -1,4 +1,4 @@
-package rampshift.fleet.trial;
+package rampshift.testbed.experiment;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
@@ -13,7 +13,7 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.io.TempDir;
 
-class ProfileTest {
+class CpuProfileTest {
     @TempDir
     Path folder;
 
@@ -41,7 +41,7 @@
             recording.dump(file);
         }
         ByteArrayOutputStream out = new ByteArrayOutputStream();
-        Profile.read(file).print(new PrintStream(out, true));
+        CpuProfile.read(file).print(new PrintStream(out, true));
         String text = out.toString();
         // A dispatcher of an earlier story may still be stopping, on an I/O thread of its own.
         Matcher fleet = Pattern.compile("([0-9.]+)%  fleet\n").matcher(text);
@@ -53,7 +53,7 @@
 
     @Test
     void whatTheHostTookIsAShareOfWhatWasWanted() {
-        assertEquals(0.4, new Host(160, 40).stolenSince(new Host(100, 0)), 1e-9);
-        assertEquals(0, new Host(0, 0).stolenSince(new Host(0, 0)));
+        assertEquals(0.4, new HostMetrics(160, 40).stolenSince(new HostMetrics(100, 0)), 1e-9);
+        assertEquals(0, new HostMetrics(0, 0).stolenSince(new HostMetrics(0, 0)));
     }
 }
--- a/src/test/java/rampshift/fleet/trial/TogetherTest.java
+++ b/src/test/java/rampshift/testbed/experiment/FaultCampaignTest.java
@@ -1,9 +1,9 @@
-package rampshift.fleet.trial;
+package rampshift.testbed.experiment;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
-import static rampshift.fleet.trial.Five.names;
-import static rampshift.fleet.trial.Five.trouble;
+import static rampshift.testbed.experiment.FiveDispatcherFleet.names;
+import static rampshift.testbed.experiment.FiveDispatcherFleet.trouble;
 
 import java.io.IOException;
 import java.nio.file.Files;
@@ -11,24 +11,24 @@
 import java.util.List;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.io.TempDir;
-import rampshift.fleet.judge.Verdict;
+import rampshift.testbed.verification.Verdict;
 
 /** Five real dispatchers that know each other, faults between them, and the judge. */
-class TogetherTest {
+class FaultCampaignTest {
     @TempDir
     private Path folder;
 
-    private Outcome play(int seconds, String troubles) throws Exception {
-        return new Five(folder).play(seconds, 3, 40, "20ms", troubles);
+    private RunOutcome play(int seconds, String troubles) throws Exception {
+        return new FiveDispatcherFleet(folder).play(seconds, 3, 40, "20ms", troubles);
     }
 
-    private static void kept(Outcome o) {
+    private static void kept(RunOutcome o) {
         for (Verdict.Rule rule : o.verdict.rules()) {
             assertEquals(0, rule.broken(), rule.name() + ": " + rule.examples());
         }
     }
 
-    private static long stake(Outcome o, String rule) {
+    private static long stake(RunOutcome o, String rule) {
         return o.verdict.rules().stream().filter(r -> r.name().equals(rule)).findFirst().orElseThrow()
                 .atStake();
     }
@@ -38,7 +38,7 @@
         long finish = Files.readAllLines(folder.resolve("run/trial.ledger")).stream()
                 .filter(l -> l.endsWith(" finish"))
                 .mapToLong(l -> Long.parseLong(l.split(" ")[0])).findFirst().orElseThrow();
-        return new Five(folder).told("members", what).stream()
+        return new FiveDispatcherFleet(folder).told("members", what).stream()
                 .filter(line -> Long.parseLong(line.split(" ")[0]) < finish
                         && (by.isEmpty() || line.split(" ")[2].equals(by)))
                 .toList();
@@ -50,7 +50,7 @@
      */
     @Test
     void oneWayLostMakesNobodyFailAndADrainIsHeardOfFromTheOthers() throws Exception {
-        Outcome o = play(8, trouble("way-cut", names("d1>d2"), 0.1, 7.8)
+        RunOutcome o = play(8, trouble("way-cut", names("d1>d2"), 0.1, 7.8)
                 + trouble("roster-silent", names("d5"), 1, 6.9)
                 + trouble("roster-old", names("d4") + "\ndelay = \"4s\"", 1, 6.9)
                 + trouble("drain", names("one-m-1"), 2, 10));
@@ -73,7 +73,7 @@
     /** It stands still for longer than it takes to be taken for failed. */
     @Test
     void oneThatIsStoppedRefutesAndSendsNothingLate() throws Exception {
-        Outcome o = play(12, trouble("dispatcher-stopped", names("d4"), 1, 6));
+        RunOutcome o = play(12, trouble("dispatcher-stopped", names("d4"), 1, 6));
         kept(o);
         assertTrue(told("", "failed").stream().filter(l -> l.contains(" failed d4 ")).count() >= 4);
         assertTrue(told("d4", "refuted").size() >= 1);
@@ -85,7 +85,7 @@
     /** A tenth of a core for 5 s: it may be late itself, and talks nobody out of those who are well. */
     @Test
     void oneThatIsStarvedAccusesNobody() throws Exception {
-        Outcome o = play(11, trouble("dispatcher-starved", names("d4") + "\nrate = 0.1", 1, 5));
+        RunOutcome o = play(11, trouble("dispatcher-starved", names("d4") + "\nrate = 0.1", 1, 5));
         kept(o);
         assertEquals(List.of(), told("", "failed").stream().filter(l -> !l.contains(" failed d4 ")).toList());
         assertEquals(20, stake(o, "all agree after the last fault"));
@@ -93,7 +93,7 @@
 
     @Test
     void threeOfFiveAreKilledAtOnceWhileALinkFlapsAndOneForGood() throws Exception {
-        Outcome o = play(14, trouble("dispatcher-killed", names("d1", "d2", "d3"), 1, 0.8)
+        RunOutcome o = play(14, trouble("dispatcher-killed", names("d1", "d2", "d3"), 1, 0.8)
                 + trouble("way-flapping", names("d4=d5") + "\ndelay = \"500ms\"", 0.5, 3)
                 + trouble("dispatcher-killed", names("d2"), 8.5, 30));
         kept(o);
@@ -107,7 +107,7 @@
         for (int d = 1; d <= 5; d++) {
             rolling += trouble("dispatcher-ended", names("d" + d), 9.5 + 0.5 * d, 2.5);
         }
-        Outcome o = play(20,
+        RunOutcome o = play(20,
                 trouble("way-cut", "site = \"two\"", 0.5, 5) + trouble("way-cut", names("*=*"), 5.6, 3.8)
                         + trouble("way-lossy", names("*=*") + "\nrate = 0.3", 9.5, 4) + rolling);
         kept(o);
--- a/src/test/java/rampshift/fleet/trial/Five.java
+++ b/src/test/java/rampshift/testbed/experiment/FiveDispatcherFleet.java
@@ -1,14 +1,14 @@
-package rampshift.fleet.trial;
+package rampshift.testbed.experiment;
 
 import java.io.IOException;
 import java.nio.file.Files;
 import java.nio.file.Path;
 import java.util.ArrayList;
 import java.util.List;
-import rampshift.fleet.plan.PlanReader;
+import rampshift.testbed.plan.FleetPlanReader;
 
 /** Five real dispatchers that know each other, on two sites of three workers, for stories of their faults. */
-final class Five {
+final class FiveDispatcherFleet {
     private static final String LOOK = """
             work = "%s"
             due = "500ms"
@@ -17,14 +17,14 @@
 
     private final Path folder;
 
-    Five(Path folder) {
+    FiveDispatcherFleet(Path folder) {
         this.folder = folder;
     }
 
     /**
      * First: of the dispatchers, those on site one. More: sections of the fleet file, troubles among them.
      */
-    Outcome play(int seconds, int first, int rate, String work, String more) throws Exception {
+    RunOutcome play(int seconds, int first, int rate, String work, String more) throws Exception {
         String text = """
                 length = "%ds"
                 [[machine]]
@@ -58,7 +58,8 @@
                 """.formatted(seconds, first, first, 5 - first, 5 - first, rate) + LOOK.formatted(work)
                 + more;
         Path file = Files.writeString(folder.resolve("plan.toml"), text);
-        return new Trial(new Children(), PlanReader.read(file), file, null, 1, folder.resolve("run"), l -> {})
+        return new FleetRun(new ChildProcesses(), FleetPlanReader.read(file), file, null, 1,
+                folder.resolve("run"), l -> {})
                 .play();
     }
 
--- a/src/test/java/rampshift/fleet/trial/TrialTest.java
+++ b/src/test/java/rampshift/testbed/experiment/FleetRunTest.java
@@ -1,4 +1,4 @@
-package rampshift.fleet.trial;
+package rampshift.testbed.experiment;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertFalse;
@@ -20,11 +20,11 @@
 import org.junit.jupiter.api.io.TempDir;
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.ValueSource;
-import rampshift.StandIns;
-import rampshift.fleet.Commands;
+import rampshift.TestPeers;
+import rampshift.testbed.Commands;
 
 /** Whole runs with real processes, small ones. */
-class TrialTest {
+class FleetRunTest {
     private static final String PLAN = """
             length = "2s"
             [[machine]]
@@ -153,7 +153,7 @@
 
     @Test
     void aLoadThatFellBehindItsPlanReportsNoFiguresAsGood() throws Exception {
-        try (StandIns.Peer dispatcher = new StandIns.Peer((m, line) -> line.status(504, ""))) {
+        try (TestPeers.Peer dispatcher = new TestPeers.Peer((m, line) -> line.status(504, ""))) {
             Path file = file(
                     PLAN.replace("\"2s\"\n[[machine", "\"300ms\"\n[[machine").replace("most_late = \"2s\"",
                             "most_late = \"1us\""));
@@ -175,7 +175,7 @@
         new ProcessBuilder("kill", "-INT", String.valueOf(tried.pid())).start().waitFor();
         assertTrue(tried.waitFor(10, TimeUnit.SECONDS));
         assertFalse(tried.exitValue() == 0);
-        StandIns.until("all are gone", () -> !anyoneLeft());
+        TestPeers.until("all are gone", () -> !anyoneLeft());
         assertEquals(List.of(), Files.readAllLines(folder.resolve("out.txt"), StandardCharsets.UTF_8).stream()
                 .filter(l -> l.contains("Exception") || l.startsWith("\tat ")).toList(), "nor a stack trace");
     }
--- a/src/test/java/rampshift/fleet/trial/DutiesTogetherTest.java
+++ b/src/test/java/rampshift/testbed/experiment/PeriodicJobCampaignTest.java
@@ -1,9 +1,9 @@
-package rampshift.fleet.trial;
+package rampshift.testbed.experiment;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
-import static rampshift.fleet.trial.Five.names;
-import static rampshift.fleet.trial.Five.trouble;
+import static rampshift.testbed.experiment.FiveDispatcherFleet.names;
+import static rampshift.testbed.experiment.FiveDispatcherFleet.trouble;
 
 import java.io.IOException;
 import java.nio.file.Path;
@@ -11,23 +11,23 @@
 import java.util.concurrent.CompletableFuture;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.io.TempDir;
-import rampshift.fleet.judge.Verdict;
-import rampshift.operator.Operator;
+import rampshift.extensions.OperatorCommands;
+import rampshift.testbed.verification.Verdict;
 
 /**
  * Five real dispatchers, three or five of which keep leases; a duty each of two kinds; faults; and the judge.
  */
-class DutiesTogetherTest {
+class PeriodicJobCampaignTest {
     @TempDir
     private Path folder;
 
     /** First: of the five dispatchers, those on site one. */
-    private Outcome play(int seconds, int first, int objects, String leases, String troubles)
+    private RunOutcome play(int seconds, int first, int objects, String leases, String troubles)
             throws Exception {
         String duty = "[[duty]]\nname = \"%s\"\ntype = \"%s\"\nevery = \"2s\"\nobjects = " + objects
                 + "\nrate = 50\n";
-        return new Five(folder).play(seconds, first, 20, "10ms",
-                Five.sale("10ms") + duty.formatted("stock", "look")
+        return new FiveDispatcherFleet(folder).play(seconds, first, 20, "10ms",
+                FiveDispatcherFleet.sale("10ms") + duty.formatted("stock", "look")
                         + duty.formatted("cash", "sale") + "[leases]\nterm = \"1s\"\n" + leases + "\n"
                         + troubles);
     }
@@ -41,7 +41,7 @@
     }
 
     /** What is done under leases; the other rules are asked for in TogetherTest. */
-    private static void kept(Outcome o) {
+    private static void kept(RunOutcome o) {
         for (Verdict.Rule rule : o.verdict.rules()) {
             if (rule.name().contains("token") || rule.name().startsWith("a duty")) {
                 assertEquals(0, rule.broken(), rule.name() + ": " + rule.examples());
@@ -51,7 +51,7 @@
     }
 
     private List<String> told(String what) throws IOException {
-        return new Five(folder).told("leases", what);
+        return new FiveDispatcherFleet(folder).told("leases", what);
     }
 
     /**
@@ -61,7 +61,7 @@
     @Test
     void whoeverHoldsItStandsStillAndAllKeepersAreKilled() throws Exception {
         CompletableFuture<String> page = CompletableFuture.supplyAsync(this::asked);
-        Outcome o = play(18, 3, 60, "",
+        RunOutcome o = play(18, 3, 60, "",
                 inTurn("dispatcher-stopped", 2, 1.8)
                         + trouble("way-lossy", names("*=*") + "\nrate = 0.2", 1, 15)
                         + trouble("dispatcher-killed", names("d1", "d2", "d3"), 13, 1));
@@ -82,9 +82,9 @@
         for (int i = 0; i < 300; i++) {
             try {
                 Thread.sleep(100);
-                String leases = Operator.leases(file, new String[0]);
+                String leases = OperatorCommands.leases(file, new String[0]);
                 if (leases.matches("(?s).*  stock +d\\d .*")) {
-                    return leases + Operator.duties(file);
+                    return leases + OperatorCommands.duties(file);
                 }
             } catch (java.io.IOException | RuntimeException e) {
                 // Not up yet, or stopped.
--- a/src/test/java/rampshift/fleet/trial/ClimbTest.java
+++ b/src/test/java/rampshift/testbed/experiment/RateSearchTest.java
@@ -1,4 +1,4 @@
-package rampshift.fleet.trial;
+package rampshift.testbed.experiment;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
@@ -7,11 +7,11 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.ValueSource;
 
-class ClimbTest {
+class RateSearchTest {
     @ParameterizedTest
     @ValueSource(doubles = {30, 99, 250, 700, 1999, 7999})
     void itFindsWhatIsCarriedToATenth(double limit) {
-        Climb climb = new Climb(250, 8000, 0.1);
+        RateSearch climb = new RateSearch(250, 8000, 0.1);
         int tries = 0;
         while (climb.next() > 0) {
             assertTrue(++tries < 40);
@@ -23,7 +23,7 @@
 
     @Test
     void oneHiccupIsNoLimitAndTheMostIsNotPassed() {
-        Climb climb = new Climb(100, 400, 0.1);
+        RateSearch climb = new RateSearch(100, 400, 0.1);
         climb.told(false);
         assertEquals(100, climb.next(), "once more");
         climb.told(true);
@@ -36,7 +36,7 @@
 
     @Test
     void whereNothingIsCarriedItEnds() {
-        Climb climb = new Climb(100, 400, 0.1);
+        RateSearch climb = new RateSearch(100, 400, 0.1);
         int tries = 0;
         while (climb.next() > 0) {
             assertTrue(++tries < 20);
--- a/src/test/java/rampshift/fleet/plan/PlanReaderTest.java
+++ b/src/test/java/rampshift/testbed/plan/FleetPlanReaderTest.java
@@ -1,4 +1,4 @@
-package rampshift.fleet.plan;
+package rampshift.testbed.plan;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertThrows;
@@ -10,9 +10,9 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
 import rampshift.time.Span;
-import rampshift.toml.Fault;
+import rampshift.toml.ConfigurationException;
 
-class PlanReaderTest {
+class FleetPlanReaderTest {
     private static final String GOOD = """
             length = "3s"
             [[machine]]
@@ -38,29 +38,32 @@
             """;
 
     private static String fault(String text) {
-        return assertThrows(Fault.class, () -> PlanReader.read("f.toml", text, null)).getMessage();
+        return assertThrows(ConfigurationException.class, () -> FleetPlanReader.read("f.toml", text, null))
+                .getMessage();
     }
 
     @Test
     void aSoundFileIsReadAndAnArmSetsWhatItNames() {
-        Plan plan = PlanReader.read("f.toml", GOOD, null);
+        FleetPlan plan = FleetPlanReader.read("f.toml", GOOD, null);
         assertEquals(Span.ofMillis(3000), plan.length());
         assertEquals(3, plan.workerCount());
         assertEquals(50, plan.arrivals().rate());
-        Plan fast = PlanReader.read("f.toml", GOOD, "fast");
+        FleetPlan fast = FleetPlanReader.read("f.toml", GOOD, "fast");
         assertEquals(200, fast.arrivals().rate());
         assertEquals(Span.ofMillis(10), fast.types().get(0).work());
         assertEquals(false, fast.workers().inOrder(), "also in a table that the file lacks");
         assertEquals("f.toml:21: arm[1].set.length.x names nothing in this file",
-                assertThrows(Fault.class, () -> PlanReader.read("f.toml", GOOD, "lost")).getMessage());
+                assertThrows(ConfigurationException.class, () -> FleetPlanReader.read("f.toml", GOOD, "lost"))
+                        .getMessage());
         assertEquals("f.toml:16: there is no arm \"none\"",
-                assertThrows(Fault.class, () -> PlanReader.read("f.toml", GOOD, "none")).getMessage());
+                assertThrows(ConfigurationException.class, () -> FleetPlanReader.read("f.toml", GOOD, "none"))
+                        .getMessage());
     }
 
     /** A hundred were the most; the operators run up to 120, and nothing here is to be under 1,024. */
     @Test
     void aSiteMayHaveAThousandDispatchers() {
-        Plan plan = PlanReader.read("f.toml",
+        FleetPlan plan = FleetPlanReader.read("f.toml",
                 GOOD.replace("name = \"a\"", "name = \"a\"\ndispatchers = 1024"), null);
         assertEquals(1024, plan.sites().get(0).dispatchers());
     }
@@ -96,9 +99,10 @@
 
     @Test
     void thePlanThatComesWithTheProgramIsSound() throws IOException {
-        try (var in = PlanReader.class.getResourceAsStream("/rampshift/fleet/try.toml")) {
-            Plan plan =
-                    PlanReader.read("try.toml", new String(in.readAllBytes(), StandardCharsets.UTF_8), null);
+        try (var in = FleetPlanReader.class.getResourceAsStream("/rampshift/testbed/try.toml")) {
+            FleetPlan plan =
+                    FleetPlanReader.read("try.toml", new String(in.readAllBytes(), StandardCharsets.UTF_8),
+                            null);
             assertEquals(2, plan.dispatcherCount());
             assertEquals(3, plan.machines().size());
             assertEquals(3, plan.troubles().size());
--- a/src/test/java/rampshift/fleet/ledger/ChancesTest.java
+++ b/src/test/java/rampshift/testbed/random/RandomStreamsTest.java
@@ -1,4 +1,4 @@
-package rampshift.fleet.ledger;
+package rampshift.testbed.random;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
@@ -7,7 +7,7 @@
 import java.util.Set;
 import org.junit.jupiter.api.Test;
 
-class ChancesTest {
+class RandomStreamsTest {
     /**
      * Two and three, four and five, and so on were alike, and the first number was the same for all seeds.
      */
@@ -16,9 +16,9 @@
         Set<Long> firsts = new HashSet<>();
         int high = 0;
         for (long seed = 0; seed < 100; seed++) {
-            firsts.add(Chances.of(seed, "one").nextLong());
-            high += Chances.of(seed, "one").nextDouble() > 0.5 ? 1 : 0;
-            assertEquals(Chances.of(seed, "one").nextLong(), Chances.of(seed, "one").nextLong());
+            firsts.add(RandomStreams.of(seed, "one").nextLong());
+            high += RandomStreams.of(seed, "one").nextDouble() > 0.5 ? 1 : 0;
+            assertEquals(RandomStreams.of(seed, "one").nextLong(), RandomStreams.of(seed, "one").nextLong());
         }
         assertEquals(100, firsts.size());
         assertTrue(high > 30 && high < 70, "first numbers above a half: " + high);
--- a/src/test/java/rampshift/fleet/judge/FellowsTest.java
+++ b/src/test/java/rampshift/testbed/verification/MembershipCheckerTest.java
@@ -1,4 +1,4 @@
-package rampshift.fleet.judge;
+package rampshift.testbed.verification;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 
@@ -8,7 +8,7 @@
 /**
  * What dispatchers believed of one another, judged: known within 100 ms, agreed 200 ms after the last fault.
  */
-class FellowsTest {
+class MembershipCheckerTest {
     private static final String UP =
             "0 members d1 began d1 1 a|0 members d2 began d2 1 a|0 members d3 began d3 1 a"
                     + "|1 members d1 joined d2 1 x|1 members d1 joined d3 1 x|1 members d2 joined d1 1 x|1 members d2 joined d3 1 x"
@@ -34,7 +34,7 @@
             "not yet long enough;         UP|300 trouble way_cut begins d1>d2|800 trouble way_cut ends d1>d2|420 members d1 failed d2 1 by-d1|900 finish; ~~",
     })
     void whatDispatchersBelievedIsHeldAgainstWhatBefellThem(String what, String story, String found) {
-        Judge judge = new Judge(250_000, 50_000, 100_000, 200_000);
+        RuleChecker judge = new RuleChecker(250_000, 50_000, 100_000, 200_000);
         for (String line : story.replace("UP", UP).replace(" GONE", GONE).split("\\|")) {
             String[] parts = line.trim().split(" ", 2);
             judge.line(Long.parseLong(parts[0]) * 1000 + " " + (parts.length > 1 ? parts[1] : ""));
--- a/src/test/java/rampshift/fleet/judge/JudgeTest.java
+++ b/src/test/java/rampshift/testbed/verification/RuleCheckerTest.java
@@ -1,4 +1,4 @@
-package rampshift.fleet.judge;
+package rampshift.testbed.verification;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertThrows;
@@ -10,7 +10,7 @@
 import org.junit.jupiter.params.provider.CsvSource;
 
 /** Ledgers that hold each breach, and the same without it. Times in the stories are in milliseconds. */
-class JudgeTest {
+class RuleCheckerTest {
     private static final String SALE =
             "0 sent t 0.1 sale side_effecting 0 1000000 0|10 took w 0 t - sale 10000 warm"
                     + "|11 began w t - sale|60 done w t w/t/50|61 answer t 200 w/t/50";
@@ -22,7 +22,7 @@
                     + "|11 began w t - look";
 
     private static Verdict judge(String story) {
-        Judge judge = new Judge(250_000, 50_000);
+        RuleChecker judge = new RuleChecker(250_000, 50_000);
         for (String line : story.split("\\|")) {
             String[] parts = line.trim().split(" ", 2);
             judge.line(Long.parseLong(parts[0]) * 1000 + " " + parts[1]);
@@ -123,7 +123,7 @@
 
     @Test
     void whatIsNoLineIsNamed() {
-        Judge judge = new Judge(0, 0);
+        RuleChecker judge = new RuleChecker(0, 0);
         assertTrue(assertThrows(IllegalArgumentException.class, () -> judge.line("12x sent")).getMessage()
                 .contains("12x sent"));
     }
--- a/src/test/java/rampshift/fleet/wire/MessageReaderTest.java
+++ b/src/test/java/rampshift/testbed/wire/MessageReaderTest.java
@@ -1,4 +1,4 @@
-package rampshift.fleet.wire;
+package rampshift.testbed.wire;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertFalse;
--- a/src/test/java/rampshift/fleet/workers/FleetTest.java
+++ b/src/test/java/rampshift/testbed/workers/FleetTest.java
@@ -1,10 +1,10 @@
-package rampshift.fleet.workers;
+package rampshift.testbed.workers;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertFalse;
 import static org.junit.jupiter.api.Assertions.assertThrows;
 import static org.junit.jupiter.api.Assertions.assertTrue;
-import static rampshift.StandIns.until;
+import static rampshift.TestPeers.until;
 
 import com.fasterxml.jackson.databind.JsonNode;
 import com.fasterxml.jackson.databind.ObjectMapper;
@@ -22,23 +22,23 @@
 import org.junit.jupiter.api.io.TempDir;
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
-import rampshift.StandIns.Line;
-import rampshift.fleet.plan.Plan;
-import rampshift.fleet.plan.PlanReader;
-import rampshift.fleet.troubles.Timeline;
-import rampshift.ledger.Ledger;
-import rampshift.ledger.Stamp;
+import rampshift.TestPeers.Line;
+import rampshift.eventlog.EventClock;
+import rampshift.eventlog.EventLog;
+import rampshift.testbed.faults.FaultInjector;
+import rampshift.testbed.plan.FleetPlan;
+import rampshift.testbed.plan.FleetPlanReader;
 
 /** Workers and roster as a dispatcher meets them, in good and bad health. */
 class FleetTest {
     @TempDir
     Path folder;
     private final List<Line> lines = new ArrayList<>();
-    private Ledger ledger;
+    private EventLog ledger;
     private Fleet fleet;
 
     private void open(String more) throws IOException {
-        Plan plan = PlanReader.read("f.toml", """
+        FleetPlan plan = FleetPlanReader.read("f.toml", """
                 [[machine]]
                 name = "m"
                 slots = 1
@@ -58,9 +58,9 @@
                 figures = ["free-slots", "waiting"]
                 refresh = "0ms"
                 """ + more, null);
-        ledger = new Ledger(folder.resolve("fleet.ledger"));
+        ledger = new EventLog(folder.resolve("fleet.ledger"));
         fleet = new Fleet(plan, 1, ledger);
-        new Timeline(plan, fleet, null, ledger).start(1, Stamp.now());
+        new FaultInjector(plan, fleet, null, ledger).start(1, EventClock.now());
     }
 
     @AfterEach
@@ -191,7 +191,7 @@
         Line idle = dial(port(1, 0));
         until("it is cut", () -> ledger().contains("cut begins"));
         Thread.sleep(50);
-        long written = Stamp.now().micros();
+        long written = EventClock.now().micros();
         task(idle, "w", "look", 1);
         int port = port(1, 0);
         assertThrows(SocketTimeoutException.class, () -> dial(port), "a new connection never comes up");
--- a/src/test/java/rampshift/fleet/workers/MachineTest.java
+++ b/src/test/java/rampshift/testbed/workers/WorkerModelTest.java
@@ -1,4 +1,4 @@
-package rampshift.fleet.workers;
+package rampshift.testbed.workers;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertFalse;
@@ -10,13 +10,14 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
-import rampshift.fleet.plan.Plan;
+import rampshift.testbed.plan.FleetPlan;
 import rampshift.time.Moment;
 import rampshift.time.Span;
 
-class MachineTest {
-    private static final Plan.Machine KIND = new Plan.Machine("m", 2, 1, 2, 10);
-    private static final Plan.Cold COLD = new Plan.Cold(0.25, Span.ofMillis(1000), 4, Span.ofMillis(100));
+class WorkerModelTest {
+    private static final FleetPlan.Machine KIND = new FleetPlan.Machine("m", 2, 1, 2, 10);
+    private static final FleetPlan.Cold COLD =
+            new FleetPlan.Cold(0.25, Span.ofMillis(1000), 4, Span.ofMillis(100));
     private final List<String> begun = new ArrayList<>();
     private final List<String> done = new ArrayList<>();
 
@@ -28,12 +29,12 @@
         return new Job(txn, "-", 0, Span.ofMillis(ms), slots, 1, null, 0);
     }
 
-    private static Machine warm(boolean inOrder) {
-        return new Machine(KIND, inOrder, COLD, at(0), null);
+    private static WorkerModel warm(boolean inOrder) {
+        return new WorkerModel(KIND, inOrder, COLD, at(0), null);
     }
 
     /** What it says up to that time, told whenever it wants to be looked at. */
-    private void play(Machine machine, double ms) {
+    private void play(WorkerModel machine, double ms) {
         while (true) {
             for (Job j = machine.nextBegun(); j != null; j = machine.nextBegun()) {
                 begun.add(j.txn);
@@ -52,7 +53,7 @@
 
     @Test
     void asManyRunAsFitOthersWaitAndWhatIsTooMuchNeverBegins() {
-        Machine m = warm(true);
+        WorkerModel m = warm(true);
         assertTrue(m.offer(job("a", 100, 1), at(0)));
         assertTrue(m.offer(job("b", 50, 1), at(0)));
         assertTrue(m.offer(job("c", 10, 1), at(0)));
@@ -69,7 +70,7 @@
     @ParameterizedTest
     @CsvSource({"true,'a'", "false,'a,small'"})
     void theFirstWaitsUntilItFitsOrAnyThatFitsBegins(boolean inOrder, String expected) {
-        Machine m = warm(inOrder);
+        WorkerModel m = warm(inOrder);
         m.offer(job("a", 100, 1), at(0));
         m.offer(job("wide", 100, 2), at(0));
         m.offer(job("small", 100, 1), at(0));
@@ -79,7 +80,7 @@
 
     @Test
     void aWorkerThatSlowsDownMidwayEndsItsJobsLaterAndOneThatStandsStillNever() {
-        Machine m = warm(true);
+        WorkerModel m = warm(true);
         m.offer(job("a", 100, 1), at(0));
         m.factor(0.5, at(50));
         play(m, 149);
@@ -94,7 +95,7 @@
 
     @Test
     void aColdOneWorksAtPartOfItsSpeedUntilItIsWarm() {
-        Machine m = warm(true);
+        WorkerModel m = warm(true);
         m.restart(at(0));
         m.offer(job("a", 100, 1), at(0));
         play(m, 200);
@@ -108,7 +109,7 @@
 
     @Test
     void sentMoreThanTheStatedMultipleWhileColdItFallsOverAndStaysDown() {
-        Machine m = warm(true);
+        WorkerModel m = warm(true);
         m.restart(at(0));
         // It can do a quarter of two slots for 100 ms: 50; four times that is 200.
         assertTrue(m.offer(job("a", 100, 1), at(0)));
@@ -127,7 +128,7 @@
 
     @Test
     void theSameToAWarmOneIsNoMatter() {
-        Machine m = warm(true);
+        WorkerModel m = warm(true);
         for (int i = 0; i < 4; i++) {
             assertTrue(m.offer(job("j" + i, 1000, 1), at(i)));
         }
@@ -136,7 +137,7 @@
 
     @Test
     void aJobTakenBackGivesItsPlaceToTheNext() {
-        Machine m = warm(true);
+        WorkerModel m = warm(true);
         Job a = job("a", 100, 2);
         m.offer(a, at(0));
         m.offer(job("b", 10, 1), at(0));
@@ -150,7 +151,7 @@
 
     @Test
     void fingerprintsAreKnownWithinTheirWindowAndForgottenAfterIt() {
-        Fingerprints prints = new Fingerprints();
+        IdempotencyKeys prints = new IdempotencyKeys();
         Span window = Span.ofMillis(100);
         assertFalse(prints.repeat("k", window, at(0)));
         assertTrue(prints.repeat("k", window, at(100)));
@@ -160,11 +161,13 @@
 
     @Test
     void reportsAreAsOldAsTheirRefreshAndAsLateAsATroubleSays() {
-        Plan.Reports plan = new Plan.Reports(Plan.Reports.How.INLINE, List.of(Plan.Reports.Figure.FREE_SLOTS,
-                Plan.Reports.Figure.WAITING, Plan.Reports.Figure.HELD, Plan.Reports.Figure.FREE_MEMORY),
+        FleetPlan.Reports plan = new FleetPlan.Reports(FleetPlan.Reports.How.INLINE,
+                List.of(FleetPlan.Reports.Figure.FREE_SLOTS,
+                        FleetPlan.Reports.Figure.WAITING, FleetPlan.Reports.Figure.HELD,
+                        FleetPlan.Reports.Figure.FREE_MEMORY),
                 Span.ofMillis(100));
-        Reports reports = new Reports(plan);
-        Machine m = warm(true);
+        LoadReports reports = new LoadReports(plan);
+        WorkerModel m = warm(true);
         String empty = "{\"x0\":2.00,\"queue\":0,\"inflight\":0,\"x1\":10.00}";
         String one = "{\"x0\":1.00,\"queue\":0,\"inflight\":1,\"x1\":9.00}";
         assertEquals(empty, reports.now(m, at(0)));
@@ -174,7 +177,8 @@
         m.offer(job("b", 10_000, 1), at(110));
         reports.late(Span.ofMillis(500));
         assertEquals(one, reports.now(m, at(700)), "it is older than the newest by the time that it is late");
-        assertNull(new Reports(new Plan.Reports(Plan.Reports.How.NONE, plan.figures(), plan.refresh())).now(m,
-                at(0)));
+        assertNull(new LoadReports(
+                new FleetPlan.Reports(FleetPlan.Reports.How.NONE, plan.figures(), plan.refresh())).now(m,
+                        at(0)));
     }
 }
--- a/src/test/java/rampshift/time/AlarmTest.java
+++ b/src/test/java/rampshift/time/IoTimerTest.java
@@ -15,7 +15,7 @@
 import org.xnio.XnioIoThread;
 import org.xnio.XnioWorker;
 
-class AlarmTest {
+class IoTimerTest {
     /** The thread was at something else while both became due, so that they are in its queue together. */
     @Test
     void oneOfTwoThatAreDueTogetherTurnsTheOtherOff() throws Exception {
@@ -24,13 +24,13 @@
         try {
             XnioIoThread thread = xnio.getIoThread(0);
             List<String> rang = Collections.synchronizedList(new ArrayList<>());
-            Alarm[] second = new Alarm[1];
+            IoTimer[] second = new IoTimer[1];
             FutureTask<Void> work = new FutureTask<>(() -> {
-                Alarm.in(thread, Span.ofMillis(1), () -> {
+                IoTimer.in(thread, Span.ofMillis(1), () -> {
                     rang.add("first");
                     second[0].off();
                 });
-                second[0] = Alarm.in(thread, Span.ofMillis(2), () -> rang.add("second"));
+                second[0] = IoTimer.in(thread, Span.ofMillis(2), () -> rang.add("second"));
                 Thread.sleep(20);
                 return null;
             });
@@ -52,6 +52,6 @@
     @ParameterizedTest
     @CsvSource({"-500,0", "0,0", "1,1", "300,1", "1000,1", "1001,2", "1700,2"})
     void oneThatIsNotToBeEarlyIsNot(long micros, long millis) {
-        assertEquals(millis, Alarm.wholeMillis(new Span(micros)));
+        assertEquals(millis, IoTimer.wholeMillis(new Span(micros)));
     }
 }
--- a/src/test/java/rampshift/workers/PoolTest.java
+++ b/src/test/java/rampshift/workers/ConnectionPoolTest.java
@@ -2,7 +2,7 @@
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
-import static rampshift.StandIns.until;
+import static rampshift.TestPeers.until;
 
 import java.io.IOException;
 import java.net.InetSocketAddress;
@@ -32,14 +32,14 @@
 import org.xnio.XnioWorker;
 import rampshift.connections.Dialer;
 import rampshift.counters.Counters;
-import rampshift.decide.Outcome;
-import rampshift.settings.Platform;
+import rampshift.policy.AttemptOutcome;
+import rampshift.settings.HostSettings;
 import rampshift.time.Clock;
 import rampshift.time.Moment;
 import rampshift.time.Span;
 
 /** The pool where the story says when a connection comes up. */
-class PoolTest implements Assignment.Told {
+class ConnectionPoolTest implements AttemptExchange.Told {
     private static final InetSocketAddress ADDRESS = InetSocketAddress.createUnresolved("worker", 1);
     private final XnioWorker xnio;
     private final XnioIoThread thread;
@@ -48,12 +48,12 @@
             Collections.synchronizedList(new ArrayList<>());
     private final List<FutureResult<StreamConnection>> dials =
             Collections.synchronizedList(new ArrayList<>());
-    private final List<Outcome> outcomes = Collections.synchronizedList(new ArrayList<>());
+    private final List<AttemptOutcome> outcomes = Collections.synchronizedList(new ArrayList<>());
     private Moment expiry = new Moment(Long.MAX_VALUE);
     private Dialer dialer;
-    private Pool pool;
+    private ConnectionPool pool;
 
-    PoolTest() throws Exception {
+    ConnectionPoolTest() throws Exception {
         xnio = Xnio.getInstance()
                 .createWorker(OptionMap.create(Options.WORKER_IO_THREADS, 1, Options.THREAD_DAEMON, true));
         thread = xnio.getIoThread(0);
@@ -77,8 +77,8 @@
     private void pool(int most, double dialMs, double idleMs) throws Exception {
         dialer = new Dialer(thread, this::dial);
         on(() -> {
-            pool = new Pool(thread, dialer, new Clock(),
-                    new Platform(List.of(), List.of(), List.of(), List.of(),
+            pool = new ConnectionPool(thread, dialer, new Clock(),
+                    new HostSettings(List.of(), List.of(), List.of(), List.of(),
                             Span.ofMillis(dialMs), Span.ofMillis(idleMs), 100, "x0", "x1"),
                     counters, most);
             pool.listed(1, "s-1", ADDRESS, "a/m", 0, true);
@@ -96,12 +96,12 @@
         return dial.getIoFuture();
     }
 
-    private Assignment assign() throws Exception {
+    private AttemptExchange assign() throws Exception {
         return assign(false);
     }
 
-    private Assignment assign(boolean once) throws Exception {
-        Assignment[] a = new Assignment[1];
+    private AttemptExchange assign(boolean once) throws Exception {
+        AttemptExchange[] a = new AttemptExchange[1];
         on(() -> a[0] = pool.assign(1, "t", once, expiry,
                 () -> new ByteBuffer[]{ByteBuffer.wrap(new byte[]{'x'})}, Span.ZERO, this));
         return a[0];
@@ -112,7 +112,7 @@
         pool(10, 20);
         assign();
         until("told", () -> !outcomes.isEmpty());
-        assertEquals(List.of(Outcome.NO_CONNECTION), outcomes);
+        assertEquals(List.of(AttemptOutcome.NO_CONNECTION), outcomes);
         assertEquals(IoFuture.Status.CANCELLED, dials.get(0).getIoFuture().getStatus(),
                 "its socket is given back");
         on(() -> assertEquals(0, dialer.open()));
@@ -128,7 +128,7 @@
             pool.beforeFirstByte(() -> pool.listed(1, "s-1", ADDRESS, "a/m", 0, false));
             coming.get(0).handleEvent(pipe.getLeftSide());
         });
-        assertEquals(List.of(Outcome.NOT_SENT), outcomes);
+        assertEquals(List.of(AttemptOutcome.NOT_SENT), outcomes);
     }
 
     /**
@@ -142,7 +142,7 @@
         ChannelPipe<StreamConnection, StreamConnection> pipe = thread.createFullDuplexPipeConnection();
         Thread.sleep(100);
         on(() -> coming.get(0).handleEvent(pipe.getLeftSide()));
-        assertEquals(List.of(Outcome.NOT_SENT), outcomes);
+        assertEquals(List.of(AttemptOutcome.NOT_SENT), outcomes);
     }
 
     /** It was decided for by the place that it had: a bound task may not run in the new one. */
@@ -155,7 +155,7 @@
         on(() -> pool.listed(1, "s-1", ADDRESS, where, 0, true));
         ChannelPipe<StreamConnection, StreamConnection> pipe = thread.createFullDuplexPipeConnection();
         on(() -> coming.get(0).handleEvent(pipe.getLeftSide()));
-        assertEquals(List.of(Outcome.NOT_SENT), outcomes);
+        assertEquals(List.of(AttemptOutcome.NOT_SENT), outcomes);
     }
 
     @Test
@@ -165,7 +165,7 @@
         on(() -> pool.listed(1, "s-1", ADDRESS, "a/m", 0, false));
         ChannelPipe<StreamConnection, StreamConnection> pipe = thread.createFullDuplexPipeConnection();
         on(() -> coming.get(0).handleEvent(pipe.getLeftSide()));
-        assertEquals(List.of(Outcome.NOT_SENT), outcomes);
+        assertEquals(List.of(AttemptOutcome.NOT_SENT), outcomes);
         assertEquals(1, counters.get(Counters.Name.FIRST_BYTE_HELD_BACK));
         assertEquals(-1, pipe.getRightSide().getSourceChannel().read(ByteBuffer.allocate(10)),
                 "nothing but the end");
@@ -174,13 +174,13 @@
     @Test
     void aTaskCalledOffBeforeItsLastByteNeverRanAndAfterItMayHave() throws Exception {
         pool(10, 20_000);
-        Assignment dialed = assign();
+        AttemptExchange dialed = assign();
         on(dialed::callOff);
-        Assignment sent = assign();
+        AttemptExchange sent = assign();
         ChannelPipe<StreamConnection, StreamConnection> pipe = thread.createFullDuplexPipeConnection();
         on(() -> coming.get(1).handleEvent(pipe.getLeftSide()));
         on(sent::callOff);
-        assertEquals(List.of(Outcome.NOT_SENT, Outcome.CALLED_OFF), outcomes);
+        assertEquals(List.of(AttemptOutcome.NOT_SENT, AttemptOutcome.CALLED_OFF), outcomes);
         on(() -> assertEquals(0, dialer.open()));
     }
 
@@ -227,7 +227,8 @@
         assertEquals(1, got.position(), "nothing of the second task yet");
         on(() -> IoUtils.safeClose(kept.getRightSide()));
         until("told", () -> outcomes.size() == 3);
-        assertEquals(List.of(Outcome.NO_CONNECTION, Outcome.ERRED, Outcome.NOT_SENT), outcomes);
+        assertEquals(List.of(AttemptOutcome.NO_CONNECTION, AttemptOutcome.ERRED, AttemptOutcome.NOT_SENT),
+                outcomes);
         assertEquals(2, dials.size(), "the last went over the kept one");
         assign(false);
         ChannelPipe<StreamConnection, StreamConnection> next = thread.createFullDuplexPipeConnection();
@@ -245,7 +246,7 @@
         assertEquals(4, dials.size(), "what may be repeated goes over a kept one");
         on(() -> IoUtils.safeClose(next.getRightSide()));
         until("told", () -> outcomes.size() == 5);
-        assertEquals(Outcome.STALE, outcomes.get(4), "it may have run, and nobody is to blame");
+        assertEquals(AttemptOutcome.STALE, outcomes.get(4), "it may have run, and nobody is to blame");
     }
 
     /** Has one assignment answered, and its connection kept; the result is the worker's end. */
@@ -318,8 +319,9 @@
 
     /** Before the bytes that tell its outcome the task may have run; after them the outcome stands. */
     @ParameterizedTest
-    @EnumSource(value = Outcome.class, names = {"FINISHED", "ERRED", "FULL", "BROKEN"})
-    void anAnswerThatIsCutAtAnyByteTellsExactlyWhetherTheTaskMayHaveRun(Outcome outcome) throws Exception {
+    @EnumSource(value = AttemptOutcome.class, names = {"FINISHED", "ERRED", "FULL", "BROKEN"})
+    void anAnswerThatIsCutAtAnyByteTellsExactlyWhetherTheTaskMayHaveRun(AttemptOutcome outcome)
+            throws Exception {
         pool(10, 20_000);
         String answer = switch (outcome) {
             case FINISHED -> inChunks("{\"id\":\"t\",\"state\":\"done\",\"result\":\"r\"}\n");
@@ -337,7 +339,7 @@
             IoUtils.safeClose(worker);
             until("told", () -> !outcomes.isEmpty());
             until("its connection went", () -> openNow() == 0);
-            assertEquals(List.of(cut < told ? Outcome.BROKEN : outcome), outcomes, "cut after " + cut);
+            assertEquals(List.of(cut < told ? AttemptOutcome.BROKEN : outcome), outcomes, "cut after " + cut);
         }
     }
 
@@ -364,7 +366,7 @@
         ByteBuffer got = ByteBuffer.allocate(10);
         until("its connection went", () -> pipe.getRightSide().getSourceChannel().read(got) < 0);
         assertEquals(0, got.position(), "no last byte");
-        assertEquals(List.of(Outcome.NO_CONNECTION), outcomes);
+        assertEquals(List.of(AttemptOutcome.NO_CONNECTION), outcomes);
         on(() -> assertEquals(0, dialer.open()));
     }
 
@@ -380,7 +382,7 @@
     @Test
     void anAnswerWithoutEndLeavesTheThreadToOthers() throws Exception {
         pool(10, 20_000);
-        Assignment task = assign();
+        AttemptExchange task = assign();
         StreamConnection worker = up();
         write(worker, "HTTP/1.1 200 OK\r\n\r\n");
         ByteBuffer lines = ByteBuffer.wrap("{\"id\":\"t\",\"state\":\"x\"}\n".repeat(2000).getBytes());
@@ -403,7 +405,7 @@
         FutureTask<Void> turn = new FutureTask<>(task::callOff, null);
         thread.execute(turn);
         turn.get(10, TimeUnit.SECONDS);
-        assertEquals(List.of(Outcome.CALLED_OFF), outcomes, "it may have run");
+        assertEquals(List.of(AttemptOutcome.CALLED_OFF), outcomes, "it may have run");
         flood.join(10_000);
         assertTrue(!flood.isAlive(), "its connection went");
     }
@@ -416,7 +418,7 @@
         assign();
         write(up(), inChunks("{\"state\":\"" + state + "\"}\n"));
         until("told", () -> !outcomes.isEmpty());
-        assertEquals(List.of(Outcome.BROKEN), outcomes);
+        assertEquals(List.of(AttemptOutcome.BROKEN), outcomes);
     }
 
     // ---- slow dials
@@ -442,7 +444,7 @@
         pool(1, 20_000);
         assign();
         assign();
-        assertEquals(List.of(Outcome.NOT_SENT), outcomes);
+        assertEquals(List.of(AttemptOutcome.NOT_SENT), outcomes);
         assertTrue(dials.size() == 1, "no more sockets than allowed");
     }
 
@@ -467,7 +469,7 @@
     }
 
     @Override
-    public void ended(Outcome outcome, byte[] result) {
+    public void ended(AttemptOutcome outcome, byte[] result) {
         outcomes.add(outcome);
     }
 }
