--- a/src/main/java/rampshift/clients/ClientListener.java
+++ b/src/main/java/rampshift/clients/ClientListener.java
@@ -669,7 +669,7 @@
     /** Gives back the socket, the connections, the timer and the pipe. */
     public void close() {
         IoUtils.safeClose(socket);
-        sweep.off();
+        sweep.cancel();
         arrivals.forEach(a -> IoUtils.safeClose(a.connection));
         arrivals.clear();
         for (ClientConnection client : new ArrayList<>(open.values())) {
--- a/src/main/java/rampshift/connections/Dialer.java
+++ b/src/main/java/rampshift/connections/Dialer.java
@@ -89,7 +89,7 @@
         private void over() {
             over = true;
             if (timer != null) {
-                timer.off();
+                timer.cancel();
             }
         }
     }
--- a/src/main/java/rampshift/connections/HttpConnection.java
+++ b/src/main/java/rampshift/connections/HttpConnection.java
@@ -266,7 +266,7 @@
     private void dropTimer() {
         lastByte = null;
         if (timer != null) {
-            timer.off();
+            timer.cancel();
             timer = null;
         }
     }
--- a/src/main/java/rampshift/discovery/EndpointWatch.java
+++ b/src/main/java/rampshift/discovery/EndpointWatch.java
@@ -229,7 +229,7 @@
                 retry(e.getMessage());
                 return;
             }
-            timer.off();
+            timer.cancel();
             calling = false;
             if (broken || version < 0) {
                 Log.info("list", "rev", listing.version(), "workers", listing.targets().size());
@@ -271,7 +271,7 @@
     private void drop() {
         calling = false;
         if (timer != null) {
-            timer.off();
+            timer.cancel();
         }
         if (dial != null) {
             dial.callOff();
--- a/src/main/java/rampshift/pipeline/PolicyHost.java
+++ b/src/main/java/rampshift/pipeline/PolicyHost.java
@@ -54,7 +54,7 @@
     /** Gives back the timer. */
     public void close() {
         if (wake != null) {
-            wake.off();
+            wake.cancel();
         }
     }
 
@@ -228,7 +228,7 @@
     @Override
     public void wakeAt(Moment when) {
         if (wake != null) {
-            wake.off();
+            wake.cancel();
         }
         // Woken too soon, the module asked again at once, and the thread spun for most of a millisecond
         // before each.
--- a/src/main/java/rampshift/pipeline/StallDetector.java
+++ b/src/main/java/rampshift/pipeline/StallDetector.java
@@ -57,6 +57,6 @@
 
     /** Gives back the timer. */
     public void close() {
-        timer.off();
+        timer.cancel();
     }
 }
--- a/src/main/java/rampshift/serve/WarmUp.java
+++ b/src/main/java/rampshift/serve/WarmUp.java
@@ -200,7 +200,7 @@
             return;
         }
         over = true;
-        timer.off();
+        timer.cancel();
         if (client != null) {
             client.close();
         }
--- a/src/main/java/rampshift/time/IoTimer.java
+++ b/src/main/java/rampshift/time/IoTimer.java
@@ -19,7 +19,7 @@
         key = thread.executeAfter(this::ring, time, unit);
     }
 
-    /** To be called, as {@link #off} is, on that thread. */
+    /** To be called, as {@link #cancel} is, on that thread. */
     public static IoTimer in(XnioExecutor thread, Span span, Runnable rings) {
         return new IoTimer(thread, span.micros(), TimeUnit.MICROSECONDS, rings);
     }
@@ -42,7 +42,7 @@
     }
 
     /** May be called again, and after it has rung. */
-    public void off() {
+    public void cancel() {
         rings = null;
         key.remove();
     }
--- a/src/main/java/rampshift/workers/AttemptExchange.java
+++ b/src/main/java/rampshift/workers/AttemptExchange.java
@@ -285,7 +285,7 @@
 
     private void giveTimerBack() {
         if (timeout != null) {
-            timeout.off();
+            timeout.cancel();
         }
     }
 }
--- a/src/main/java/rampshift/workers/ConnectionPool.java
+++ b/src/main/java/rampshift/workers/ConnectionPool.java
@@ -231,7 +231,7 @@
     /** Gives back the idle connections and the timer. */
     public void close() {
         closed = true;
-        sweep.off();
+        sweep.cancel();
         places.values().forEach(this::dropIdle);
     }
 
--- a/src/main/java/rampshift/workers/HealthCheck.java
+++ b/src/main/java/rampshift/workers/HealthCheck.java
@@ -82,7 +82,7 @@
     private void end(boolean answered, LoadReport load) {
         boolean first = tell();
         over();
-        timer.off();
+        timer.cancel();
         if (first) {
             out.echoed(place.number, answered, load);
         }
--- a/src/test/java/rampshift/time/IoTimerTest.java
+++ b/src/test/java/rampshift/time/IoTimerTest.java
@@ -28,7 +28,7 @@
             FutureTask<Void> work = new FutureTask<>(() -> {
                 IoTimer.in(thread, Span.ofMillis(1), () -> {
                     rang.add("first");
-                    second[0].off();
+                    second[0].cancel();
                 });
                 second[0] = IoTimer.in(thread, Span.ofMillis(2), () -> rang.add("second"));
                 Thread.sleep(20);
