--- a/src/main/java/rampshift/discovery/Endpoint.java
+++ b/src/main/java/rampshift/discovery/Endpoint.java
@@ -4,7 +4,7 @@
 
 /** One worker as discovery lists it. */
 public record Endpoint(String uid, InetSocketAddress address, String zone, String kind, int cell, State state,
-        double weight, long bootMs) {
+        double weight, long startedAtMillis) {
     /** Whether it takes new tasks. */
-    public enum State { READY, DRAINING, GONE }
+    public enum State { READY, DRAINING, REMOVED }
 }
--- a/src/main/java/rampshift/discovery/EndpointList.java
+++ b/src/main/java/rampshift/discovery/EndpointList.java
@@ -12,7 +12,7 @@
 import rampshift.settings.InvalidInputException;
 
 /** A list of workers, or what changed in it. Entries that make no sense are left out, with a log line. */
-public record EndpointList(long version, boolean whole, List<Endpoint> targets) {
+public record EndpointList(long version, boolean complete, List<Endpoint> endpoints) {
 
     private static final JsonFactory JSON = new JsonFactory();
 
@@ -118,7 +118,7 @@
             return Endpoint.State.READY;
         }
         if ("terminated".equals(state)) {
-            return Endpoint.State.GONE;
+            return Endpoint.State.REMOVED;
         }
         if (!"terminating".equals(state)) {
             Log.warn("list-entry", "unknown_state", state, "taken_as", "terminating");
--- a/src/main/java/rampshift/discovery/EndpointWatch.java
+++ b/src/main/java/rampshift/discovery/EndpointWatch.java
@@ -126,7 +126,7 @@
      * version
      * says nothing there.
      */
-    public boolean move(InetSocketAddress to) {
+    public boolean switchTo(InetSocketAddress to) {
         if (stopped || to.equals(address)) {
             return false;
         }
@@ -143,7 +143,7 @@
      * after all
      * else that came with it, and 40 tasks were sent meanwhile by a list that was 0.4 s old.
      */
-    public void look() {
+    public void readPending() {
         Moment now = clock.now();
         if (connection != null && now.since(lookedAt).longerThan(lookEvery)) {
             lookedAt = now;
@@ -232,12 +232,12 @@
             timer.cancel();
             calling = false;
             if (broken || version < 0) {
-                Log.info("list", "rev", listing.version(), "workers", listing.targets().size());
+                Log.info("list", "rev", listing.version(), "workers", listing.endpoints().size());
             }
             broken = false;
             failures = 0;
             version = listing.version();
-            counters.add(listing.whole() ? Counters.Name.LISTS_WHOLE : Counters.Name.LISTS_CHANGES);
+            counters.add(listing.complete() ? Counters.Name.LISTS_WHOLE : Counters.Name.LISTS_CHANGES);
             if (connection != null && !connection.usable()) {
                 connection = null;
             }
--- a/src/main/java/rampshift/membership/host/DrainOverrides.java
+++ b/src/main/java/rampshift/membership/host/DrainOverrides.java
@@ -55,7 +55,7 @@
     boolean heard(Moment now, DrainNotice news) {
         Endpoint t = own.get(news.worker());
         if (!on || !haveOwn || t == null || t.state() != Endpoint.State.READY
-                || !news.binds(t.bootMs(), version)) {
+                || !news.binds(t.startedAtMillis(), version)) {
             return false;
         }
         held.put(news.worker(), new Held(news, now));
@@ -68,16 +68,16 @@
     /** The own list: what is to be gone by, and what the others are to be told. */
     EndpointList listed(Moment now, EndpointList list, DrainNotices bulletin, Consumer<DrainNotice> learnt) {
         boolean first = !haveOwn;
-        Map<String, Endpoint> before = new HashMap<>(list.whole() ? own : Map.of());
+        Map<String, Endpoint> before = new HashMap<>(list.complete() ? own : Map.of());
         haveOwn = true;
         version = list.version();
-        if (list.whole()) {
+        if (list.complete()) {
             own.clear();
         }
-        List<Endpoint> out = new ArrayList<>(list.targets().size());
-        for (Endpoint t : list.targets()) {
+        List<Endpoint> out = new ArrayList<>(list.endpoints().size());
+        for (Endpoint t : list.endpoints()) {
             before.remove(t.uid());
-            if (t.state() == Endpoint.State.GONE) {
+            if (t.state() == Endpoint.State.REMOVED) {
                 own.remove(t.uid());
             } else {
                 own.put(t.uid(), t);
@@ -86,10 +86,10 @@
             if (t.state() != Endpoint.State.READY) {
                 held.remove(t.uid());
                 learnt.accept(
-                        new DrainNotice(t.uid(), t.bootMs(), version,
-                                t.state() == Endpoint.State.GONE ? DrainNotice.Kind.GONE
+                        new DrainNotice(t.uid(), t.startedAtMillis(), version,
+                                t.state() == Endpoint.State.REMOVED ? DrainNotice.Kind.GONE
                                         : DrainNotice.Kind.DRAINS));
-            } else if (on && news != null && news.binds(t.bootMs(), version)) {
+            } else if (on && news != null && news.binds(t.startedAtMillis(), version)) {
                 held.putIfAbsent(t.uid(), new Held(news, now));
                 out.add(as(t, news));
                 continue;
@@ -99,13 +99,13 @@
         if (!first) {
             before.values()
                     .forEach(t -> learnt
-                            .accept(new DrainNotice(t.uid(), t.bootMs(), version, DrainNotice.Kind.GONE)));
+                            .accept(new DrainNotice(t.uid(), t.startedAtMillis(), version, DrainNotice.Kind.GONE)));
         }
         for (Map.Entry<String, Held> e : List.copyOf(held.entrySet())) {
             Endpoint t = own.get(e.getKey());
             DrainNotice news = e.getValue().news();
             boolean outlived = now.since(e.getValue().since()).longerThan(lasts);
-            if (t == null || !news.binds(t.bootMs(), version) || outlived) {
+            if (t == null || !news.binds(t.startedAtMillis(), version) || outlived) {
                 held.remove(e.getKey());
                 if (t != null) {
                     out.removeIf(o -> o.uid().equals(t.uid()));
@@ -114,14 +114,14 @@
                 }
             }
         }
-        return new EndpointList(list.version(), list.whole(), out);
+        return new EndpointList(list.version(), list.complete(), out);
     }
 
     private static Endpoint as(Endpoint t, DrainNotice news) {
         return new Endpoint(t.uid(), t.address(), t.zone(), t.kind(), t.cell(),
                 news.kind() == DrainNotice.Kind.GONE
-                        ? Endpoint.State.GONE
+                        ? Endpoint.State.REMOVED
                         : Endpoint.State.DRAINING,
-                t.weight(), t.bootMs());
+                t.weight(), t.startedAtMillis());
     }
 }
--- a/src/main/java/rampshift/pipeline/PolicyHost.java
+++ b/src/main/java/rampshift/pipeline/PolicyHost.java
@@ -90,12 +90,12 @@
      * binds what is sent at once, and the module hears of it after that decision.
      */
     public void listed(EndpointList list, boolean remembered) {
-        boolean whole = list.whole() || remembered;
+        boolean whole = list.complete() || remembered;
         if (whole) {
             pool.beginWhole();
         }
-        for (Endpoint t : list.targets()) {
-            pool.listed(uids.number(t.uid()), t.uid(), t.address(), t.zone() + '/' + t.kind(), t.bootMs(),
+        for (Endpoint t : list.endpoints()) {
+            pool.listed(uids.number(t.uid()), t.uid(), t.address(), t.zone() + '/' + t.kind(), t.startedAtMillis(),
                     t.state() == Endpoint.State.READY);
         }
         if (whole) {
@@ -104,10 +104,10 @@
         hear(() -> {
             choice.listBegins(remembered ? DispatchPolicy.List.REMEMBERED
                     : whole ? DispatchPolicy.List.WHOLE : DispatchPolicy.List.CHANGES);
-            for (Endpoint t : list.targets()) {
+            for (Endpoint t : list.endpoints()) {
                 choice.listed(uids.number(t.uid()), index(platform.zones(), t.zone()), t.cell(),
-                        index(platform.kinds(), t.kind()), DispatchPolicy.Listed.valueOf(t.state().name()),
-                        Moment.ofMillis(t.bootMs()), t.weight());
+                        index(platform.kinds(), t.kind()), listedAs(t.state()),
+                        Moment.ofMillis(t.startedAtMillis()), t.weight());
             }
             choice.listEnds();
         });
@@ -128,6 +128,14 @@
         });
     }
 
+    private static DispatchPolicy.Listed listedAs(Endpoint.State state) {
+        return switch (state) {
+            case READY -> DispatchPolicy.Listed.READY;
+            case DRAINING -> DispatchPolicy.Listed.DRAINING;
+            case REMOVED -> DispatchPolicy.Listed.GONE;
+        };
+    }
+
     /** A name that the settings do not know stands after all that they do. */
     private static int index(List<String> names, String name) {
         int i = names.indexOf(name);
--- a/src/main/java/rampshift/serve/DispatcherServer.java
+++ b/src/main/java/rampshift/serve/DispatcherServer.java
@@ -108,7 +108,7 @@
         if (configuration.known != null) {
             EndpointList known = EndpointList.read(configuration.known, configuration.known.length);
             parts.route.listed(known, true);
-            haveList = !known.targets().isEmpty();
+            haveList = !known.endpoints().isEmpty();
             parts.route.listAwaited(true);
         }
         parts.door.page("/ready", this::ready);
@@ -176,7 +176,7 @@
         thread.execute(() -> {
             counters.add(Counters.Name.RELOADS);
             Log.info("reload", "discovery", next.discovery, "wait_for_restart", atStart);
-            if (watch.move(next.discovery)) {
+            if (watch.switchTo(next.discovery)) {
                 parts.route.listAwaited(false);
                 if (beside != null) {
                     beside.moved();
@@ -214,7 +214,7 @@
 
     /** What is done before each first byte to a worker. */
     Runnable beforeFirstByte() {
-        return watch::look;
+        return watch::readPending;
     }
 
     /** Where clients connect. */
--- a/src/test/java/rampshift/discovery/EndpointWatchTest.java
+++ b/src/test/java/rampshift/discovery/EndpointWatchTest.java
@@ -90,7 +90,7 @@
             versions.add(list(false));
             busy(300);
             assertEquals(List.of(1L), told);
-            watch.look();
+            watch.readPending();
             assertEquals(List.of(1L, 2L), told, "and the thread has not left what it does");
         });
     }
@@ -103,7 +103,7 @@
             if (told.size() == 1) {
                 versions.add(list(false));
                 busy(300);
-                watch.look();
+                watch.readPending();
                 meanwhile.addAll(told);
             }
         });
@@ -134,7 +134,7 @@
         watch(2000, () -> {});
         until("the call for changes is open", () -> agent.received.size() == 2);
         on(() -> {
-            thread.executeAfter(() -> watch.look(), 1, TimeUnit.MILLISECONDS);
+            thread.executeAfter(() -> watch.readPending(), 1, TimeUnit.MILLISECONDS);
             busy(1800);      // its answer, that nothing changed, came after 800; its time is over after 1400
         });
         until("it is watched on", () -> agent.received.size() > 2);
@@ -154,8 +154,8 @@
                         new InetSocketAddress("127.0.0.1", agent.port()),
                         Span.ofMillis(2000), counters, l -> told.add(l.version()), () -> {});
                 watch.start();
-                watch.move(new InetSocketAddress("127.0.0.1", second.port()));
-                watch.move(new InetSocketAddress("127.0.0.1", third.port()));
+                watch.switchTo(new InetSocketAddress("127.0.0.1", second.port()));
+                watch.switchTo(new InetSocketAddress("127.0.0.1", third.port()));
             });
             until("the last one is watched", () -> third.received.size() > 1);
             on(() -> {});
@@ -344,7 +344,7 @@
                 until("it goes wrong", () -> asked.get() >= 3);
                 wrong[0] = System.nanoTime();
                 if (moves) {
-                    on(() -> watch.move(new InetSocketAddress("127.0.0.1", two.port())));
+                    on(() -> watch.switchTo(new InetSocketAddress("127.0.0.1", two.port())));
                 }
                 until("the news is told", () -> told.contains(9L));
                 long ms = (System.nanoTime() - wrong[0]) / 1_000_000;
--- a/src/test/java/rampshift/membership/host/DrainOverridesTest.java
+++ b/src/test/java/rampshift/membership/host/DrainOverridesTest.java
@@ -26,7 +26,7 @@
 
     private DrainOverrides bindings(boolean on) {
         return new DrainOverrides(on, Span.ofMillis(30_000),
-                l -> l.targets().forEach(t -> bound.add(t.uid() + " " + t.state())), "d1");
+                l -> l.endpoints().forEach(t -> bound.add(t.uid() + " " + t.state())), "d1");
     }
 
     private Moment now() {
@@ -41,7 +41,7 @@
         EndpointList out =
                 bindings.listed(now(), new EndpointList(version, whole, Arrays.asList(targets)), bulletin,
                         learnt::add);
-        return String.join(", ", out.targets().stream().map(t -> t.uid() + " " + t.state()).toList());
+        return String.join(", ", out.endpoints().stream().map(t -> t.uid() + " " + t.state()).toList());
     }
 
     /** What the roll does first. */
@@ -97,7 +97,7 @@
     @Test
     void whatTheOwnListTellsIsPassedOnAndSoIsWhatItLeavesOut() {
         list(5, true, target("w", "READY", 10), target("v", "READY", 10), target("u", "DRAINING", 10));
-        list(6, false, target("v", "GONE", 10));
+        list(6, false, target("v", "REMOVED", 10));
         list(7, true, target("u", "DRAINING", 10));
         assertEquals(List.of(drains("u", 10, 5), new DrainNotice("v", 10, 6, DrainNotice.Kind.GONE),
                 drains("u", 10, 7),
