--- a/src/main/java/rampshift/Main.java
+++ b/src/main/java/rampshift/Main.java
@@ -155,7 +155,7 @@
         Runtime.getRuntime().addShutdownHook(stopper(start));
         start.run();
         DispatcherServer serve = started(start);
-        while (!serve.ended()) {
+        while (!serve.isStopped()) {
             hangups.acquireUninterruptibly();
             hangups.drainPermits();     // several in a row: the file as it is now holds what all of them told
             try {
@@ -191,7 +191,7 @@
     }
 
     private static int rehearse() throws IOException {
-        DispatcherServer serve = DispatcherServer.rehearsal();
+        DispatcherServer serve = DispatcherServer.forClassArchive();
         serve.awaitReady();
         serve.stop();
         return 0;
--- a/src/main/java/rampshift/membership/host/DrainOverrides.java
+++ b/src/main/java/rampshift/membership/host/DrainOverrides.java
@@ -25,7 +25,7 @@
 final class DrainOverrides {
     private final boolean on;
     private final Span lasts;
-    private final ServerExtension.Bound bound;
+    private final ServerExtension.EndpointListener bound;
     private final String name;
     // looked up, walked where a list is whole
     private final Map<String, Endpoint> own = new HashMap<>();
@@ -35,7 +35,7 @@
 
     private record Held(DrainNotice news, Moment since) {}
 
-    DrainOverrides(boolean on, Span lasts, ServerExtension.Bound bound, String name) {
+    DrainOverrides(boolean on, Span lasts, ServerExtension.EndpointListener bound, String name) {
         this.on = on;
         this.lasts = lasts;
         this.bound = bound;
@@ -61,7 +61,7 @@
         held.put(news.worker(), new Held(news, now));
         Log.info("news", "worker", news.worker(), "kind", news.kind(), "version", news.version(), "own",
                 version);
-        bound.bound(new EndpointList(version, false, List.of(as(t, news))));
+        bound.onEndpoints(new EndpointList(version, false, List.of(as(t, news))));
         return true;
     }
 
--- a/src/main/java/rampshift/membership/host/MembershipTransport.java
+++ b/src/main/java/rampshift/membership/host/MembershipTransport.java
@@ -83,7 +83,7 @@
 
     /** Two ways, and the sockets listened on. */
     @Override
-    public int descriptors(Configuration configuration) {
+    public int maxDescriptors(Configuration configuration) {
         return 2 * streams(configuration) + 2;
     }
 
@@ -92,8 +92,8 @@
     }
 
     @Override
-    public void begin(XnioWorker worker, XnioIoThread thread, Clock clock, Configuration configuration,
-            Bound bound)
+    public void start(XnioWorker worker, XnioIoThread thread, Clock clock, Configuration configuration,
+            EndpointListener bound)
             throws IOException {
         this.thread = thread;
         this.clock = clock;
@@ -113,7 +113,7 @@
                     .set(Options.CONNECTION_HIGH_WATER, streams(configuration))
                     .set(Options.CONNECTION_LOW_WATER, streams(configuration) - 1).getMap());
         } catch (IOException e) {
-            end();
+            close();
             throw new IOException("members: " + at + " can't be listened on (" + e.getMessage() + ")");
         }
         bindings = new DrainOverrides(setting.news(), setting.newsFor(), bound, name);
@@ -144,23 +144,23 @@
     // ---- what the dispatcher tells
 
     @Override
-    public EndpointList listed(EndpointList own) {
+    public EndpointList adjust(EndpointList own) {
         Moment now = clock.now();
         return bindings.listed(now, own, roll.bulletin(), news -> roll.learnt(now, news));
     }
 
     @Override
-    public void moved() {
+    public void onDiscoveryChanged() {
         bindings.moved();
     }
 
     @Override
-    public void serving() {
+    public void onReady() {
         roll.doing(clock.now(), MemberIdentity.Doing.SERVING);
     }
 
     @Override
-    public void stopping() {
+    public void onStopping() {
         if (guest != null) {
             guest.stopping();
         }
@@ -168,7 +168,7 @@
     }
 
     @Override
-    public void end() {
+    public void close() {
         if (ended) {
             return;
         }
--- a/src/main/java/rampshift/serve/Dispatcher.java
+++ b/src/main/java/rampshift/serve/Dispatcher.java
@@ -31,14 +31,14 @@
     private static final double RECEIVING = 0.08;      // of the memory: bodies that are coming in
     private static final double CLIENT_IDLE = 4;       // longest expiries until a silent client is dropped
 
-    final ClientListener door;
-    final TaskRegistry book;
-    final PolicyHost route;
-    final Span longest;
-    final Span grace;
-    final AdmissionControl admit;
+    final ClientListener clientListener;
+    final TaskRegistry tasks;
+    final PolicyHost policyHost;
+    final Span longestDeadline;
+    final Span drainGrace;
+    final AdmissionControl admission;
     private final ConnectionPool pool;
-    private final StallDetector pulse;
+    private final StallDetector stalls;
 
     Dispatcher(XnioIoThread thread, ByteBufferPool buffers, Dialer dialer, Clock clock, Counters counters,
             Configuration configuration, int beside) throws IOException {
@@ -48,19 +48,19 @@
         int toWorkers = (int) (sockets * TO_WORKERS);
         int clients = sockets - toWorkers;
         int spare = (int) (clients * SPARE);
-        longest = settings.types.stream().map(TrafficType::expiry).reduce(Span.ZERO, Span::orLonger);
-        grace = settings.drainGrace;
+        longestDeadline = settings.types.stream().map(TrafficType::expiry).reduce(Span.ZERO, Span::orLonger);
+        drainGrace = settings.drainGrace;
         pool = new ConnectionPool(thread, dialer, clock, platform, counters, toWorkers);
-        book = new TaskRegistry(counters);
-        Responder relay = new Responder(book);
-        route = new PolicyHost(thread, clock, settings, platform, pool, book,
-                new AttemptSender(pool, clock, book), relay);
-        admit = new AdmissionControl(Math.min(platform.mostOpen(), clients - spare),
-                (long) (configuration.memoryMb * BODIES * (1 << 20)), clock, book, relay, route);
-        pulse = new StallDetector(thread, clock);
-        door = new ClientListener(thread, buffers, clock, counters, clients - spare, spare,
-                (long) (configuration.memoryMb * RECEIVING * (1 << 20)), longest.times(CLIENT_IDLE),
-                new RequestDecoder(settings, platform, counters, book, admit), pulse::unread);
+        tasks = new TaskRegistry(counters);
+        Responder responder = new Responder(tasks);
+        policyHost = new PolicyHost(thread, clock, settings, platform, pool, tasks,
+                new AttemptSender(pool, clock, tasks), responder);
+        admission = new AdmissionControl(Math.min(platform.mostOpen(), clients - spare),
+                (long) (configuration.memoryMb * BODIES * (1 << 20)), clock, tasks, responder, policyHost);
+        stalls = new StallDetector(thread, clock);
+        clientListener = new ClientListener(thread, buffers, clock, counters, clients - spare, spare,
+                (long) (configuration.memoryMb * RECEIVING * (1 << 20)), longestDeadline.times(CLIENT_IDLE),
+                new RequestDecoder(settings, platform, counters, tasks, admission), stalls::unread);
     }
 
     /** Called before each first byte to a worker. */
@@ -69,15 +69,15 @@
     }
 
     /** The stop is near: what still comes is bounced, connections end. */
-    void lastCall() {
-        admit.close();
-        door.lastCall();
+    void closeToRequests() {
+        admission.close();
+        clientListener.lastCall();
     }
 
     void close() {
-        pulse.close();
-        door.close();
+        stalls.close();
+        clientListener.close();
         pool.close();
-        route.close();
+        policyHost.close();
     }
 }
--- a/src/main/java/rampshift/serve/DispatcherServer.java
+++ b/src/main/java/rampshift/serve/DispatcherServer.java
@@ -53,7 +53,7 @@
     private final CountDownLatch ended = new CountDownLatch(1);
     private final XnioWorker worker;
     final XnioIoThread thread;
-    Dispatcher parts;
+    Dispatcher dispatcher;
     private EndpointWatch watch;
     private boolean haveList;
     private boolean rehearsed;
@@ -96,39 +96,39 @@
     }
 
     /** One that serves nobody: for the archive of the classes that a start loads. */
-    public static DispatcherServer rehearsal() throws IOException {
+    public static DispatcherServer forClassArchive() throws IOException {
         return new DispatcherServer(WarmUp.configuration());
     }
 
     private void begin() throws IOException {
         ByteBufferPool buffers = new DefaultByteBufferPool(true, BUFFER, BUFFERS_KEPT, 0);
         Dialer dialer = new Dialer(thread);
-        parts = new Dispatcher(thread, buffers, dialer, clock, counters, configuration,
-                beside == null ? 0 : beside.descriptors(configuration));
+        dispatcher = new Dispatcher(thread, buffers, dialer, clock, counters, configuration,
+                beside == null ? 0 : beside.maxDescriptors(configuration));
         if (configuration.known != null) {
             EndpointList known = EndpointList.read(configuration.known, configuration.known.length);
-            parts.route.listed(known, true);
+            dispatcher.policyHost.listed(known, true);
             haveList = !known.endpoints().isEmpty();
-            parts.route.listAwaited(true);
+            dispatcher.policyHost.listAwaited(true);
         }
-        parts.door.page("/ready", this::ready);
-        parts.door.page("/counters", () -> new ClientListener.Page(200, counters.text()));
-        parts.door.open(worker, configuration.listen);
-        watch = new EndpointWatch(thread, dialer, clock, configuration.discovery, parts.grace, counters,
+        dispatcher.clientListener.page("/ready", this::ready);
+        dispatcher.clientListener.page("/counters", () -> new ClientListener.Page(200, counters.text()));
+        dispatcher.clientListener.open(worker, configuration.listen);
+        watch = new EndpointWatch(thread, dialer, clock, configuration.discovery, dispatcher.drainGrace, counters,
                 list -> {
                     haveList = true;
-                    parts.route.listed(beside == null ? list : beside.listed(list), false);
-                }, () -> parts.route.listFailed());
-        parts.beforeFirstByte(beforeFirstByte());
+                    dispatcher.policyHost.listed(beside == null ? list : beside.adjust(list), false);
+                }, () -> dispatcher.policyHost.listFailed());
+        dispatcher.beforeFirstByte(beforeFirstByte());
         if (beside != null) {
-            beside.begin(worker, thread, clock, configuration, changes -> parts.route.listed(changes, false));
+            beside.start(worker, thread, clock, configuration, changes -> dispatcher.policyHost.listed(changes, false));
         }
         watch.start();
         Log.info("started", "name", configuration.name, "listen", configuration.listen);
         new WarmUp(thread, buffers, clock, () -> counters.get(Counters.Name.TAKEN) == 0, () -> {
             rehearsed = true;
             if (beside != null) {
-                beside.serving();
+                beside.onReady();
             }
             Log.info("ready", "list", haveList);
             ready.countDown();
@@ -151,17 +151,17 @@
      */
     public void stop() {
         thread.execute(() -> {
-            Log.info("stopping", "tasks", parts.book.tasks(), "connections", parts.door.connections());
+            Log.info("stopping", "tasks", dispatcher.tasks.tasks(), "connections", dispatcher.clientListener.connections());
             stopping = true;
             if (beside != null) {
-                beside.stopping();
+                beside.onStopping();
             }
-            Moment kill = clock.now().plus(parts.longest.orShorter(LONGEST_STOP)).plus(KILL_AFTER);
-            parts.admit.endAt(kill.minus(SHORT), kill.minus(GIVE_UP));
-            parts.door.beginStop();
+            Moment kill = clock.now().plus(dispatcher.longestDeadline.orShorter(LONGEST_STOP)).plus(KILL_AFTER);
+            dispatcher.admission.endAt(kill.minus(SHORT), kill.minus(GIVE_UP));
+            dispatcher.clientListener.beginStop();
             lookForEnd(clock.now().plus(STOP_LEAST), kill.minus(LAST_CALL), kill.minus(GIVE_UP));
         });
-        awaitEnd();
+        awaitStopped();
         Log.info("ended", counters.pairs());
         Log.flush();
         worker.shutdownNow();   // its threads ran on in a process that did more than serve
@@ -177,9 +177,9 @@
             counters.add(Counters.Name.RELOADS);
             Log.info("reload", "discovery", next.discovery, "wait_for_restart", atStart);
             if (watch.switchTo(next.discovery)) {
-                parts.route.listAwaited(false);
+                dispatcher.policyHost.listAwaited(false);
                 if (beside != null) {
-                    beside.moved();
+                    beside.onDiscoveryChanged();
                 }
             }
         });
@@ -187,23 +187,23 @@
 
     private void lookForEnd(Moment least, Moment lastCall, Moment giveUp) {
         if (clock.now().before(lastCall)) {
-            if (!clock.now().before(least) && parts.door.connections() == 0
-                    && parts.door.quietFor(NOBODY_NEW)) {
+            if (!clock.now().before(least) && dispatcher.clientListener.connections() == 0
+                    && dispatcher.clientListener.quietFor(NOBODY_NEW)) {
                 lookForEnd(least, clock.now(), giveUp);
                 return;
             }
         } else {
-            parts.lastCall();
+            dispatcher.closeToRequests();
             if (!clock.now().before(giveUp)) {
-                parts.route.giveUp();
+                dispatcher.policyHost.giveUp();
             }
-            boolean quiet = parts.door.empty() && parts.door.quietFor(CROSSED);
-            if (parts.book.tasks() == 0
+            boolean quiet = dispatcher.clientListener.empty() && dispatcher.clientListener.quietFor(CROSSED);
+            if (dispatcher.tasks.tasks() == 0
                     && (quiet || !clock.now().before(giveUp.plus(GIVE_UP).minus(HANG_ON)))) {
                 watch.stop();
-                parts.close();
+                dispatcher.close();
                 if (beside != null) {
-                    beside.end();
+                    beside.close();
                 }
                 ended.countDown();
                 return;
@@ -219,7 +219,7 @@
 
     /** Where clients connect. */
     public InetSocketAddress address() {
-        return parts.door.address();
+        return dispatcher.clientListener.address();
     }
 
     /** Waits until it is warmed up. */
@@ -227,12 +227,12 @@
         await(ready);
     }
 
-    public boolean ended() {
+    public boolean isStopped() {
         return ended.getCount() == 0;
     }
 
     /** Waits until it has stopped. */
-    public void awaitEnd() {
+    public void awaitStopped() {
         await(ended);
     }
 
--- a/src/main/java/rampshift/serve/WarmUp.java
+++ b/src/main/java/rampshift/serve/WarmUp.java
@@ -44,7 +44,7 @@
 
     private final XnioIoThread thread;
     private final Clock clock;
-    private final Dispatcher parts;
+    private final Dispatcher dispatcher;
     private final List<String> types;
     private final BooleanSupplier alone;
     private final Runnable done;
@@ -62,10 +62,10 @@
         this.thread = thread;
         this.clock = clock;
         this.done = done;
-        parts = new Dispatcher(thread, buffers, new Dialer(thread, this::toWorker), clock, new Counters(),
+        dispatcher = new Dispatcher(thread, buffers, new Dialer(thread, this::toWorker), clock, new Counters(),
                 configuration, 0);
         types = configuration.settings.platform().types();
-        parts.route.listed(EndpointList.read(configuration.known, configuration.known.length), false);
+        dispatcher.policyHost.listed(EndpointList.read(configuration.known, configuration.known.length), false);
     }
 
     /** What a worker says to the task that is being played. */
@@ -114,7 +114,7 @@
 
     private IoFuture<StreamConnection> toDoor(InetSocketAddress to,
             ChannelListener<StreamConnection> opened) {
-        return pipe(opened, parts.door::accepted);
+        return pipe(opened, dispatcher.clientListener::accepted);
     }
 
     private IoFuture<StreamConnection> toWorker(InetSocketAddress to,
@@ -204,7 +204,7 @@
         if (client != null) {
             client.close();
         }
-        parts.close();
+        dispatcher.close();
         ready();
         long ms = Math.round(clock.now().since(began).millis());
         Log.info("rehearsed", "tasks", played, "ms", ms, "end", why);
--- a/src/test/java/rampshift/serve/ConnectionRaceTest.java
+++ b/src/test/java/rampshift/serve/ConnectionRaceTest.java
@@ -248,7 +248,7 @@
     private void look(NextTick turn, int[] looks, FutureTask<Integer> noticed) {
         turn.run(() -> {
             looks[0]++;
-            if (node.parts.book.tasks() == 0) {
+            if (node.dispatcher.tasks.tasks() == 0) {
                 noticed.run();
             } else {
                 look(turn, looks, noticed);
@@ -291,7 +291,7 @@
             until("it is out", () -> worker.received.size() > out);
             client.leave(i % 2 == 0 ? "fin" : "rst");
             long left = System.nanoTime();
-            while (onThread(() -> node.parts.book.tasks()) > 0) {
+            while (onThread(() -> node.dispatcher.tasks.tasks()) > 0) {
                 Thread.onSpinWait();
             }
             micros[i] = (System.nanoTime() - left) / 1000;
@@ -326,7 +326,7 @@
         node = node(null, list(true, worker.entry("s-1", "in_service")), LIMITS);
         Line client = client();
         assertEquals(200, client.task("a", "sell", "x").read().status());
-        unread(client, "b", () -> node.parts.lastCall());
+        unread(client, "b", () -> node.dispatcher.closeToRequests());
         assertEquals(503, client.read().status());
         assertEquals(1, worker.received.size());
     }
@@ -367,7 +367,7 @@
         assertTrue(client.ended(), "between calls");
         assertEquals(503, client().task("b", "sell", "x").read().status());
         stop.join(20_000);
-        assertTrue(node.ended());
+        assertTrue(node.isStopped());
     }
 
     /**
@@ -389,7 +389,7 @@
         assertEquals(200, client.task("a", "sell", "x").read().status());
         client.close();
         stop.join(20_000);
-        assertTrue(node.ended());
+        assertTrue(node.isStopped());
     }
 
     @Test
@@ -403,7 +403,7 @@
         Line sell = client().task("b", "sell", "x");
         until("they are out", () -> worker.received.size() == 2);
         onThread(() -> {
-            node.parts.route.giveUp();
+            node.dispatcher.policyHost.giveUp();
             return null;
         });
         assertEquals(503, look.read().status());
@@ -430,8 +430,8 @@
         onThread(() -> {
             half.countDown();
             stand(20);      // nothing is read meanwhile
-            node.parts.lastCall();
-            node.parts.route.giveUp();
+            node.dispatcher.closeToRequests();
+            node.dispatcher.policyHost.giveUp();
             rest.countDown();
             return null;
         });
@@ -482,7 +482,7 @@
         until("it is taken", () -> count("taken") == 1);
         onThread(() -> {
             Runnable look = node.beforeFirstByte();
-            node.parts.beforeFirstByte(() -> {
+            node.dispatcher.beforeFirstByte(() -> {
                 // The newer list has been written by now, and nobody has read it.
                 for (long end = System.nanoTime() + 50_000_000L; System.nanoTime() < end;) {
                     Thread.onSpinWait();
