--- a/src/main/java/rampshift/clients/ClientListener.java
+++ b/src/main/java/rampshift/clients/ClientListener.java
@@ -407,7 +407,7 @@
         if (client.begun()) {
             unsound(client, 408, "half a call, and no more of it");
         } else {
-            counters.add(Counters.Name.CLIENTS_SILENT);
+            counters.add(Counters.Name.CLIENTS_TIMED_OUT);
             close(client);
         }
     }
@@ -445,7 +445,7 @@
     /** It has sent more behind its call than is kept. */
     void sentAhead(ClientConnection client) {
         release(client);
-        counters.add(Counters.Name.SENT_AHEAD);
+        counters.add(Counters.Name.PIPELINED_INPUT_DROPPED);
         Log.warn("sent-ahead", "why", "more calls than are kept behind the one in hand", "dropped",
                 "what follows it");
     }
@@ -488,7 +488,7 @@
 
     /** What it sent can't be taken as a call. It gets an answer, and is read off until it has read that. */
     void unsound(ClientConnection client, int status, String why) {
-        counters.add(Counters.Name.TURNED_DOWN);
+        counters.add(Counters.Name.REQUESTS_REFUSED);
         Log.warn("turned-down", "status", status, "why", why);
         ClientRequest call = client.call;
         client.end(clock.now());
--- a/src/main/java/rampshift/discovery/EndpointWatch.java
+++ b/src/main/java/rampshift/discovery/EndpointWatch.java
@@ -237,7 +237,7 @@
             broken = false;
             failures = 0;
             version = listing.version();
-            counters.add(listing.complete() ? Counters.Name.LISTS_WHOLE : Counters.Name.LISTS_CHANGES);
+            counters.add(listing.complete() ? Counters.Name.COMPLETE_LISTS : Counters.Name.LIST_CHANGES);
             if (connection != null && !connection.usable()) {
                 connection = null;
             }
@@ -256,7 +256,7 @@
         if (stopped) {
             return;
         }
-        counters.add(Counters.Name.WATCH_BROKEN);
+        counters.add(Counters.Name.WATCH_FAILURES);
         if (!broken) {
             Log.warn("list-watch", "broken", why, "kept", "the list as it was");
         }
--- a/src/main/java/rampshift/pipeline/AdmissionControl.java
+++ b/src/main/java/rampshift/pipeline/AdmissionControl.java
@@ -41,18 +41,18 @@
 
     void task(InFlightTask task) {
         if (closed) {
-            book.count(Counters.Name.BOUNCED_STOPPING);
+            book.count(Counters.Name.TASKS_REJECTED_STOPPING);
             relay.bounced(task, Span.ZERO);
             return;
         }
         if (!clock.now().before(task.expiry)) {
-            book.count(Counters.Name.BOUNCED_STALE);    // it lay unread while this process stood still
+            book.count(Counters.Name.TASKS_REJECTED_LATE);    // it lay unread while this process stood still
             relay.bounced(task, Span.ZERO);
             return;
         }
         if (book.tasks() >= mostTasks || book.bytes() + task.bytes() > mostBytes) {
             Log.warn("full", "tasks", book.tasks(), "bytes", book.bytes());
-            book.count(Counters.Name.BOUNCED_FULL);
+            book.count(Counters.Name.TASKS_REJECTED_OVERLOAD);
             relay.bounced(task, Span.ZERO);
             return;
         }
--- a/src/main/java/rampshift/pipeline/AttemptSender.java
+++ b/src/main/java/rampshift/pipeline/AttemptSender.java
@@ -27,7 +27,7 @@
         task.assignments.add(null);
         task.sentAt.add(clock.now());
         task.out++;
-        book.count(Counters.Name.ASSIGNED);
+        book.count(Counters.Name.ATTEMPTS);
         boolean[] ended = {false};
         AttemptExchange a = pool.assign(worker, task.txn, task.once, sendBy, () -> task.message(clock.now()),
                 timeout, new AttemptExchange.Told() {
@@ -77,7 +77,7 @@
     }
 
     void probe(PolicyHost route, long worker) {
-        book.count(Counters.Name.PROBES);
+        book.count(Counters.Name.HEALTH_CHECKS);
         pool.probe(worker, route::echoed);
     }
 }
--- a/src/main/java/rampshift/pipeline/PolicyHost.java
+++ b/src/main/java/rampshift/pipeline/PolicyHost.java
@@ -186,7 +186,7 @@
 
     void echoed(long worker, boolean answered, LoadReport load) {
         if (answered) {
-            book.count(Counters.Name.PROBES_ANSWERED);
+            book.count(Counters.Name.HEALTH_CHECKS_ANSWERED);
         }
         if (load != null) {
             reported(worker, load);
--- a/src/main/java/rampshift/pipeline/RequestDecoder.java
+++ b/src/main/java/rampshift/pipeline/RequestDecoder.java
@@ -118,7 +118,7 @@
     }
 
     private void turnDown(ClientRequest call, int status, String why) {
-        counters.add(Counters.Name.TURNED_DOWN);
+        counters.add(Counters.Name.REQUESTS_REFUSED);
         Log.warn("turned-down", "status", status, "why", why);
         call.answer(status, why);
     }
--- a/src/main/java/rampshift/pipeline/Responder.java
+++ b/src/main/java/rampshift/pipeline/Responder.java
@@ -13,22 +13,22 @@
     }
 
     void finished(InFlightTask task, byte[] result) {
-        close(task, Counters.Name.FINISHED, 200, null, result);
+        close(task, Counters.Name.TASKS_FINISHED, 200, null, result);
     }
 
     void bounced(InFlightTask task, Span comeBackAfter) {
         String advice = comeBackAfter.micros() < 1000 ? null : comeBackAfter.seconds();
-        close(task, Counters.Name.BOUNCED, 503, advice, NOTHING);
+        close(task, Counters.Name.TASKS_REJECTED, 503, advice, NOTHING);
     }
 
     void abandoned(InFlightTask task) {
-        close(task, Counters.Name.ABANDONED, 504, null, NOTHING);
+        close(task, Counters.Name.TASKS_FAILED, 504, null, NOTHING);
     }
 
     void clientLeft(InFlightTask task) {
         if (!task.closed) {
             task.closed = true;
-            book.count(Counters.Name.CLIENT_GONE);
+            book.count(Counters.Name.CLIENTS_LEFT);
         }
     }
 
@@ -37,6 +37,6 @@
             return;
         }
         task.closed = true;
-        book.count(task.call.answer(status, comeBackAfter, body) ? as : Counters.Name.CLIENT_GONE);
+        book.count(task.call.answer(status, comeBackAfter, body) ? as : Counters.Name.CLIENTS_LEFT);
     }
 }
--- a/src/main/java/rampshift/pipeline/TaskRegistry.java
+++ b/src/main/java/rampshift/pipeline/TaskRegistry.java
@@ -25,7 +25,7 @@
     }
 
     void taken(InFlightTask task) {
-        counters.add(Counters.Name.TAKEN);
+        counters.add(Counters.Name.TASKS_ADMITTED);
         tasks.put(task.id, task);
         byTxn.put(task.txn, task);
         bytes += task.bytes();
--- a/src/main/java/rampshift/serve/DispatcherServer.java
+++ b/src/main/java/rampshift/serve/DispatcherServer.java
@@ -125,7 +125,7 @@
         }
         watch.start();
         Log.info("started", "name", configuration.name, "listen", configuration.listen);
-        new WarmUp(thread, buffers, clock, () -> counters.get(Counters.Name.TAKEN) == 0, () -> {
+        new WarmUp(thread, buffers, clock, () -> counters.get(Counters.Name.TASKS_ADMITTED) == 0, () -> {
             rehearsed = true;
             if (beside != null) {
                 beside.onReady();
--- a/src/main/java/rampshift/workers/AttemptExchange.java
+++ b/src/main/java/rampshift/workers/AttemptExchange.java
@@ -99,7 +99,7 @@
 
     private void callOff(AttemptOutcome outcome) {
         if (!told()) {
-            pool.counters.add(Counters.Name.CALLED_OFF);
+            pool.counters.add(Counters.Name.ATTEMPTS_CANCELED);
             end(outcome, null);
         }
     }
@@ -112,7 +112,7 @@
         pool.beforeFirstByte.run();
         boolean may = place.ready && current() && inTime() && out.wanted();
         if (!may) {
-            pool.counters.add(Counters.Name.FIRST_BYTE_HELD_BACK);
+            pool.counters.add(Counters.Name.ATTEMPTS_WITHHELD);
             end(AttemptOutcome.NOT_SENT, null);
         }
         return may;
@@ -144,7 +144,7 @@
 
     @Override
     public void unreachable(String why) {
-        pool.counters.add(Counters.Name.DIAL_FAILED);
+        pool.counters.add(Counters.Name.DIALS_FAILED);
         end(AttemptOutcome.NO_CONNECTION, null);
     }
 
@@ -261,7 +261,7 @@
     }
 
     private void odd(String what) {
-        pool.counters.add(Counters.Name.ODD_ANSWERS);
+        pool.counters.add(Counters.Name.MALFORMED_RESPONSES);
         Log.warn("odd-answer", "worker", place.uid, "what", what);
     }
 
--- a/src/main/java/rampshift/workers/ConnectionPool.java
+++ b/src/main/java/rampshift/workers/ConnectionPool.java
@@ -144,10 +144,10 @@
             place.idle.remove(c);
             idle--;
             if (!been.longerThan(mostIdle()) && c.stillOpen()) {
-                counters.add(Counters.Name.REUSED);
+                counters.add(Counters.Name.CONNECTIONS_REUSED);
                 return c;
             }
-            counters.add(Counters.Name.IDLE_DROPPED);
+            counters.add(Counters.Name.IDLE_CONNECTIONS_CLOSED);
             c.close();
         }
         return null;
@@ -173,7 +173,7 @@
     }
 
     Dialer.Dial dial(WorkerEndpoint place, WorkerExchange errand) {
-        counters.add(Counters.Name.DIALED);
+        counters.add(Counters.Name.CONNECTIONS_DIALED);
         return dialer.dial(place.address, platform.dialTimeout(), errand);
     }
 
@@ -224,7 +224,7 @@
 
     private void dropOldest(WorkerEndpoint place) {
         idle--;
-        counters.add(Counters.Name.IDLE_DROPPED);
+        counters.add(Counters.Name.IDLE_CONNECTIONS_CLOSED);
         place.idle.pollLast().close();
     }
 
--- a/src/test/java/rampshift/discovery/EndpointWatchTest.java
+++ b/src/test/java/rampshift/discovery/EndpointWatchTest.java
@@ -109,7 +109,7 @@
         });
         until("both are told", () -> told.size() >= 2);
         assertEquals(List.of(1L, 2L), meanwhile);
-        assertEquals(0, counters.get(Counters.Name.WATCH_BROKEN));
+        assertEquals(0, counters.get(Counters.Name.WATCH_FAILURES));
     }
 
     /**
@@ -121,7 +121,7 @@
         until("the call for changes is open", () -> agent.received.size() == 2);
         on(() -> busy(1800));
         until("it is watched on", () -> agent.received.size() > 2);
-        assertEquals(0, counters.get(Counters.Name.WATCH_BROKEN));
+        assertEquals(0, counters.get(Counters.Name.WATCH_FAILURES));
     }
 
     /**
@@ -138,7 +138,7 @@
             busy(1800);      // its answer, that nothing changed, came after 800; its time is over after 1400
         });
         until("it is watched on", () -> agent.received.size() > 2);
-        assertEquals(0, counters.get(Counters.Name.WATCH_BROKEN));
+        assertEquals(0, counters.get(Counters.Name.WATCH_FAILURES));
     }
 
     /**
@@ -161,7 +161,7 @@
             on(() -> {});
             assertEquals(List.of(30L), told);
             assertEquals(0, agent.received.size() + second.received.size());
-            assertEquals(0, counters.get(Counters.Name.WATCH_BROKEN));
+            assertEquals(0, counters.get(Counters.Name.WATCH_FAILURES));
         }
     }
 
@@ -187,7 +187,7 @@
             });
             until("it is told", () -> !told.isEmpty());
             assertEquals(List.of(7L), told);
-            assertEquals(1, counters.get(Counters.Name.WATCH_BROKEN));
+            assertEquals(1, counters.get(Counters.Name.WATCH_FAILURES));
         }
     }
 
@@ -213,7 +213,7 @@
             listen(slow, 2000);
             until("it is told", () -> !told.isEmpty());
             assertEquals(List.of(7L), told);
-            assertEquals(0, counters.get(Counters.Name.WATCH_BROKEN));
+            assertEquals(0, counters.get(Counters.Name.WATCH_FAILURES));
         }
     }
 
@@ -269,7 +269,7 @@
         })) {
             listen(large, 2000);
             until("it is told", () -> !told.isEmpty());
-            assertEquals(0, counters.get(Counters.Name.WATCH_BROKEN));
+            assertEquals(0, counters.get(Counters.Name.WATCH_FAILURES));
         }
     }
 
@@ -375,7 +375,7 @@
                     }, () -> {});
             watch.start();
         });
-        until("two tries have failed", () -> counters.get(Counters.Name.WATCH_BROKEN) >= 2);
+        until("two tries have failed", () -> counters.get(Counters.Name.WATCH_FAILURES) >= 2);
         long from = System.nanoTime();
         for (Socket s : waiting) {
             s.close();
--- a/src/test/java/rampshift/workers/ConnectionPoolTest.java
+++ b/src/test/java/rampshift/workers/ConnectionPoolTest.java
@@ -166,7 +166,7 @@
         ChannelPipe<StreamConnection, StreamConnection> pipe = thread.createFullDuplexPipeConnection();
         on(() -> coming.get(0).handleEvent(pipe.getLeftSide()));
         assertEquals(List.of(AttemptOutcome.NOT_SENT), outcomes);
-        assertEquals(1, counters.get(Counters.Name.FIRST_BYTE_HELD_BACK));
+        assertEquals(1, counters.get(Counters.Name.ATTEMPTS_WITHHELD));
         assertEquals(-1, pipe.getRightSide().getSourceChannel().read(ByteBuffer.allocate(10)),
                 "nothing but the end");
     }
