--- a/src/main/java/rampshift/discovery/EndpointWatch.java
+++ b/src/main/java/rampshift/discovery/EndpointWatch.java
@@ -126,7 +126,7 @@
      * version
      * says nothing there.
      */
-    public boolean move(InetSocketAddress to) {
+    public boolean switchTo(InetSocketAddress to) {
         if (stopped || to.equals(address)) {
             return false;
         }
@@ -143,7 +143,7 @@
      * after all
      * else that came with it, and 40 tasks were sent meanwhile by a list that was 0.4 s old.
      */
-    public void look() {
+    public void readPending() {
         Moment now = clock.now();
         if (connection != null && now.since(lookedAt).longerThan(lookEvery)) {
             lookedAt = now;
@@ -229,15 +229,15 @@
                 retry(e.getMessage());
                 return;
             }
-            timer.off();
+            timer.cancel();
             calling = false;
             if (broken || version < 0) {
-                Log.info("list", "rev", listing.version(), "workers", listing.targets().size());
+                Log.info("list", "rev", listing.version(), "workers", listing.endpoints().size());
             }
             broken = false;
             failures = 0;
             version = listing.version();
-            counters.add(listing.whole() ? Counters.Name.LISTS_WHOLE : Counters.Name.LISTS_CHANGES);
+            counters.add(listing.complete() ? Counters.Name.COMPLETE_LISTS : Counters.Name.LIST_CHANGES);
             if (connection != null && !connection.usable()) {
                 connection = null;
             }
@@ -256,7 +256,7 @@
         if (stopped) {
             return;
         }
-        counters.add(Counters.Name.WATCH_BROKEN);
+        counters.add(Counters.Name.WATCH_FAILURES);
         if (!broken) {
             Log.warn("list-watch", "broken", why, "kept", "the list as it was");
         }
@@ -271,7 +271,7 @@
     private void drop() {
         calling = false;
         if (timer != null) {
-            timer.off();
+            timer.cancel();
         }
         if (dial != null) {
             dial.callOff();
