--- a/src/main/java/rampshift/clients/ClientListener.java
+++ b/src/main/java/rampshift/clients/ClientListener.java
@@ -132,11 +132,11 @@
         sweepLater();
     }
 
-    public void page(String path, Supplier<Page> page) {
+    public void addPage(String path, Supplier<Page> page) {
         pages.put(path, page);
     }
 
-    public void open(XnioWorker worker, InetSocketAddress address) throws IOException {
+    public void listen(XnioWorker worker, InetSocketAddress address) throws IOException {
         ChannelListener<AcceptingChannel<StreamConnection>> accept = this::accept;
         socket = worker.createStreamConnectionServer(address, accept, OptionMap.builder()
                 .set(Options.TCP_NODELAY, true).set(Options.REUSE_ADDRESSES, true)
@@ -170,7 +170,7 @@
     private void takeArrivals() {
         while (!arrivals.isEmpty() && mayGoOn()) {
             Arrival next = arrivals.poll();
-            accepted(next.connection, next.at);
+            serve(next.connection, next.at);
         }
     }
 
@@ -194,7 +194,7 @@
         readAhead.clear();
         due.forEach(ClientConnection::readOn);
         if (lastCall) {
-            lastCall();
+            drain();
         }
         takeArrivals();
     }
@@ -210,12 +210,12 @@
     }
 
     /** A new client. */
-    public void accepted(StreamConnection connection) {
-        accepted(connection, cameBy());
+    public void serve(StreamConnection connection) {
+        serve(connection, cameBy());
     }
 
     /** One that may have sent something since then. */
-    private void accepted(StreamConnection connection, Moment at) {
+    private void serve(StreamConnection connection, Moment at) {
         counters.add(Counters.Name.CLIENT_CONNECTIONS);
         ClientConnection client = new ClientConnection(this, connection, at);
         connection.getSourceChannel().setConduit(client);
@@ -621,7 +621,7 @@
     }
 
     /** The stop has begun: who comes is looked out for; all goes on being taken. */
-    public void beginStop() {
+    public void beginShutdown() {
         lastChange = clock.now();
     }
 
@@ -631,7 +631,7 @@
      * call crossed such an end, or is in the midst of one, may send it; who is being answered reads its
      * answer first.
      */
-    public void lastCall() {
+    public void drain() {
         lastCall = true;
         Moment now = clock.now();
         for (ClientConnection c : new ArrayList<>(open.values())) {
@@ -648,11 +648,11 @@
     }
 
     /** Whether nobody has come or gone for so long. */
-    public boolean quietFor(Span span) {
+    public boolean isUnchangedFor(Span span) {
         return clock.now().since(lastChange).longerThan(span);
     }
 
-    public boolean empty() {
+    public boolean isEmpty() {
         return open.isEmpty() && arrivals.isEmpty();
     }
 
@@ -662,7 +662,7 @@
     }
 
     /** Of those that were taken in. */
-    public int connections() {
+    public int connectionCount() {
         return open.size();
     }
 
--- a/src/main/java/rampshift/pipeline/AdmissionControl.java
+++ b/src/main/java/rampshift/pipeline/AdmissionControl.java
@@ -29,7 +29,7 @@
     }
 
     /** The dispatcher ends then: from a moment on tasks are taken only if they are likely to end before. */
-    public void endAt(Moment shortFrom, Moment end) {
+    public void limitDeadlines(Moment shortFrom, Moment end) {
         this.shortFrom = shortFrom;
         this.end = end;
     }
@@ -50,8 +50,8 @@
             relay.bounced(task, Span.ZERO);
             return;
         }
-        if (book.tasks() >= mostTasks || book.bytes() + task.bytes() > mostBytes) {
-            Log.warn("full", "tasks", book.tasks(), "bytes", book.bytes());
+        if (book.size() >= mostTasks || book.bytes() + task.bytes() > mostBytes) {
+            Log.warn("full", "tasks", book.size(), "bytes", book.bytes());
             book.count(Counters.Name.BOUNCED_FULL);
             relay.bounced(task, Span.ZERO);
             return;
--- a/src/main/java/rampshift/pipeline/PolicyHost.java
+++ b/src/main/java/rampshift/pipeline/PolicyHost.java
@@ -89,7 +89,7 @@
      * then it
      * binds what is sent at once, and the module hears of it after that decision.
      */
-    public void listed(EndpointList list, boolean remembered) {
+    public void onEndpointList(EndpointList list, boolean remembered) {
         boolean whole = list.whole() || remembered;
         if (whole) {
             pool.beginWhole();
@@ -116,12 +116,12 @@
     /**
      * The list service is asked anew: at the start, where it may long have had news, or at another address.
      */
-    public void listAwaited(boolean atStart) {
+    public void onEndpointListAwaited(boolean atStart) {
         hear(() -> choice.listAwaited(atStart));
     }
 
     /** The list service can't be reached: the list that there is goes on. */
-    public void listFailed() {
+    public void onEndpointListFailed() {
         hear(() -> {
             choice.listBegins(DispatchPolicy.List.FAILED);
             choice.listEnds();
@@ -148,7 +148,7 @@
      * The end has come: the clients that still wait are told so, bounced where that is lawful, instead of
      * being cut off.
      */
-    public void giveUp() {
+    public void endAllTasks() {
         for (InFlightTask task : book.inHand()) {
             hear(() -> choice.cutShort(task.id));
         }
--- a/src/main/java/rampshift/pipeline/StallDetector.java
+++ b/src/main/java/rampshift/pipeline/StallDetector.java
@@ -49,7 +49,7 @@
     /**
      * For how long, at the most, what is read now may have lain unread; ZERO where the thread was in time.
      */
-    public Span unread() {
+    public Span maxUnreadTime() {
         Moment now = clock.now();
         Moment since = stood(now) ? last : stoodSince;
         return since == null ? Span.ZERO : now.since(since);
--- a/src/main/java/rampshift/pipeline/TaskRegistry.java
+++ b/src/main/java/rampshift/pipeline/TaskRegistry.java
@@ -56,7 +56,7 @@
         }
     }
 
-    public int tasks() {
+    public int size() {
         return tasks.size();
     }
 
--- a/src/main/java/rampshift/serve/Dispatcher.java
+++ b/src/main/java/rampshift/serve/Dispatcher.java
@@ -60,7 +60,7 @@
         pulse = new StallDetector(thread, clock);
         door = new ClientListener(thread, buffers, clock, counters, clients - spare, spare,
                 (long) (configuration.memoryMb * RECEIVING * (1 << 20)), longest.times(CLIENT_IDLE),
-                new RequestDecoder(settings, platform, counters, book, admit), pulse::unread);
+                new RequestDecoder(settings, platform, counters, book, admit), pulse::maxUnreadTime);
     }
 
     /** Called before each first byte to a worker. */
@@ -71,7 +71,7 @@
     /** The stop is near: what still comes is bounced, connections end. */
     void lastCall() {
         admit.close();
-        door.lastCall();
+        door.drain();
     }
 
     void close() {
--- a/src/main/java/rampshift/serve/DispatcherServer.java
+++ b/src/main/java/rampshift/serve/DispatcherServer.java
@@ -107,21 +107,22 @@
                 beside == null ? 0 : beside.descriptors(configuration));
         if (configuration.known != null) {
             EndpointList known = EndpointList.read(configuration.known, configuration.known.length);
-            parts.route.listed(known, true);
+            parts.route.onEndpointList(known, true);
             haveList = !known.targets().isEmpty();
-            parts.route.listAwaited(true);
+            parts.route.onEndpointListAwaited(true);
         }
-        parts.door.page("/ready", this::ready);
-        parts.door.page("/counters", () -> new ClientListener.Page(200, counters.text()));
-        parts.door.open(worker, configuration.listen);
+        parts.door.addPage("/ready", this::ready);
+        parts.door.addPage("/counters", () -> new ClientListener.Page(200, counters.text()));
+        parts.door.listen(worker, configuration.listen);
         watch = new EndpointWatch(thread, dialer, clock, configuration.discovery, parts.grace, counters,
                 list -> {
                     haveList = true;
-                    parts.route.listed(beside == null ? list : beside.listed(list), false);
-                }, () -> parts.route.listFailed());
+                    parts.route.onEndpointList(beside == null ? list : beside.listed(list), false);
+                }, () -> parts.route.onEndpointListFailed());
         parts.beforeFirstByte(beforeFirstByte());
         if (beside != null) {
-            beside.begin(worker, thread, clock, configuration, changes -> parts.route.listed(changes, false));
+            beside.begin(worker, thread, clock, configuration,
+                    changes -> parts.route.onEndpointList(changes, false));
         }
         watch.start();
         Log.info("started", "name", configuration.name, "listen", configuration.listen);
@@ -151,14 +152,14 @@
      */
     public void stop() {
         thread.execute(() -> {
-            Log.info("stopping", "tasks", parts.book.tasks(), "connections", parts.door.connections());
+            Log.info("stopping", "tasks", parts.book.size(), "connections", parts.door.connectionCount());
             stopping = true;
             if (beside != null) {
                 beside.stopping();
             }
             Moment kill = clock.now().plus(parts.longest.orShorter(LONGEST_STOP)).plus(KILL_AFTER);
-            parts.admit.endAt(kill.minus(SHORT), kill.minus(GIVE_UP));
-            parts.door.beginStop();
+            parts.admit.limitDeadlines(kill.minus(SHORT), kill.minus(GIVE_UP));
+            parts.door.beginShutdown();
             lookForEnd(clock.now().plus(STOP_LEAST), kill.minus(LAST_CALL), kill.minus(GIVE_UP));
         });
         awaitEnd();
@@ -177,7 +178,7 @@
             counters.add(Counters.Name.RELOADS);
             Log.info("reload", "discovery", next.discovery, "wait_for_restart", atStart);
             if (watch.move(next.discovery)) {
-                parts.route.listAwaited(false);
+                parts.route.onEndpointListAwaited(false);
                 if (beside != null) {
                     beside.moved();
                 }
@@ -187,18 +188,18 @@
 
     private void lookForEnd(Moment least, Moment lastCall, Moment giveUp) {
         if (clock.now().before(lastCall)) {
-            if (!clock.now().before(least) && parts.door.connections() == 0
-                    && parts.door.quietFor(NOBODY_NEW)) {
+            if (!clock.now().before(least) && parts.door.connectionCount() == 0
+                    && parts.door.isUnchangedFor(NOBODY_NEW)) {
                 lookForEnd(least, clock.now(), giveUp);
                 return;
             }
         } else {
             parts.lastCall();
             if (!clock.now().before(giveUp)) {
-                parts.route.giveUp();
+                parts.route.endAllTasks();
             }
-            boolean quiet = parts.door.empty() && parts.door.quietFor(CROSSED);
-            if (parts.book.tasks() == 0
+            boolean quiet = parts.door.isEmpty() && parts.door.isUnchangedFor(CROSSED);
+            if (parts.book.size() == 0
                     && (quiet || !clock.now().before(giveUp.plus(GIVE_UP).minus(HANG_ON)))) {
                 watch.stop();
                 parts.close();
--- a/src/main/java/rampshift/serve/WarmUp.java
+++ b/src/main/java/rampshift/serve/WarmUp.java
@@ -65,7 +65,7 @@
         parts = new Dispatcher(thread, buffers, new Dialer(thread, this::toWorker), clock, new Counters(),
                 configuration, 0);
         types = configuration.settings.platform().types();
-        parts.route.listed(EndpointList.read(configuration.known, configuration.known.length), false);
+        parts.route.onEndpointList(EndpointList.read(configuration.known, configuration.known.length), false);
     }
 
     /** What a worker says to the task that is being played. */
@@ -114,7 +114,7 @@
 
     private IoFuture<StreamConnection> toDoor(InetSocketAddress to,
             ChannelListener<StreamConnection> opened) {
-        return pipe(opened, parts.door::accepted);
+        return pipe(opened, parts.door::serve);
     }
 
     private IoFuture<StreamConnection> toWorker(InetSocketAddress to,
--- a/src/test/java/rampshift/pipeline/StallDetectorTest.java
+++ b/src/test/java/rampshift/pipeline/StallDetectorTest.java
@@ -27,15 +27,15 @@
             made.get();
             FutureTask<Span> after = new FutureTask<>(() -> {
                 Thread.sleep(600);
-                return pulse[0].unread();
+                return pulse[0].maxUnreadTime();
             });
             thread.execute(after);
             assertTrue(after.get().longerThan(Span.ofMillis(500)), "before any beat: " + after.get());
-            FutureTask<Span> next = new FutureTask<>(() -> pulse[0].unread());
+            FutureTask<Span> next = new FutureTask<>(() -> pulse[0].maxUnreadTime());
             thread.executeAfter(next, 20, java.util.concurrent.TimeUnit.MILLISECONDS);
             assertTrue(next.get().longerThan(Span.ofMillis(500)), "after the late beat: " + next.get());
             until("it is in time again", () -> {
-                FutureTask<Span> now = new FutureTask<>(() -> pulse[0].unread());
+                FutureTask<Span> now = new FutureTask<>(() -> pulse[0].maxUnreadTime());
                 thread.execute(now);
                 return now.get().equals(Span.ZERO);
             });
--- a/src/test/java/rampshift/serve/ConnectionRaceTest.java
+++ b/src/test/java/rampshift/serve/ConnectionRaceTest.java
@@ -248,7 +248,7 @@
     private void look(NextTick turn, int[] looks, FutureTask<Integer> noticed) {
         turn.run(() -> {
             looks[0]++;
-            if (node.parts.book.tasks() == 0) {
+            if (node.parts.book.size() == 0) {
                 noticed.run();
             } else {
                 look(turn, looks, noticed);
@@ -291,7 +291,7 @@
             until("it is out", () -> worker.received.size() > out);
             client.leave(i % 2 == 0 ? "fin" : "rst");
             long left = System.nanoTime();
-            while (onThread(() -> node.parts.book.tasks()) > 0) {
+            while (onThread(() -> node.parts.book.size()) > 0) {
                 Thread.onSpinWait();
             }
             micros[i] = (System.nanoTime() - left) / 1000;
@@ -403,7 +403,7 @@
         Line sell = client().task("b", "sell", "x");
         until("they are out", () -> worker.received.size() == 2);
         onThread(() -> {
-            node.parts.route.giveUp();
+            node.parts.route.endAllTasks();
             return null;
         });
         assertEquals(503, look.read().status());
@@ -431,7 +431,7 @@
             half.countDown();
             stand(20);      // nothing is read meanwhile
             node.parts.lastCall();
-            node.parts.route.giveUp();
+            node.parts.route.endAllTasks();
             rest.countDown();
             return null;
         });
--- a/src/test/java/rampshift/serve/FloodTest.java
+++ b/src/test/java/rampshift/serve/FloodTest.java
@@ -67,7 +67,7 @@
         int once = onThread(() -> {
             client.connection().getSourceChannel().setConduit(
                     new Endless(client.connection().getSourceChannel().getConduit(), repeated, reads));
-            node.parts.door.accepted(client.connection());
+            node.parts.door.serve(client.connection());
             return reads.get();
         });
         assertTrue(once <= 20, once + " reads before any other socket was looked at");
@@ -80,7 +80,7 @@
         int[] counts = new int[3];      // answered, answered at the last look, most between two looks
         Line client = client();
         NextTick turn = onThread(() -> {
-            node.parts.door.page("/count", () -> new ClientListener.Page(200, ++counts[0] + "\n"));
+            node.parts.door.addPage("/count", () -> new ClientListener.Page(200, ++counts[0] + "\n"));
             NextTick t = new NextTick(node.thread);
             look(t, counts);
             client.write("GET /count HTTP/1.1\r\nHost: a\r\n\r\n".repeat(GETS));
--- a/src/test/java/rampshift/serve/ResponseDeliveryTest.java
+++ b/src/test/java/rampshift/serve/ResponseDeliveryTest.java
@@ -77,7 +77,7 @@
         onThread(() -> {
             slow.connection().getSinkChannel()
                     .setConduit(new Narrow(slow.connection().getSinkChannel().getConduit(), width));
-            node.parts.door.accepted(slow.connection());
+            node.parts.door.serve(slow.connection());
             return null;
         });
         return slow.line();
@@ -102,7 +102,7 @@
         node = node(null, list(true, worker.entry("s-1", "in_service")), FEW);
         Slow client = slow();
         onThread(() -> {
-            node.parts.door.accepted(client.connection());
+            node.parts.door.serve(client.connection());
             return null;
         });
         client.line().write(
@@ -113,14 +113,14 @@
         for (int i = 0; i < 21; i++) {
             others.add(client());
         }
-        until("all places are taken", () -> onThread(() -> node.parts.door.connections()) == 22);
+        until("all places are taken", () -> onThread(() -> node.parts.door.connectionCount()) == 22);
         go.countDown();
-        until("its answer is written", () -> onThread(() -> node.parts.book.tasks()) == 0);
+        until("its answer is written", () -> onThread(() -> node.parts.book.size()) == 0);
         Slow last = slow();
         onThread(() -> {
             client.line().write(sentOn);      // nobody reads it before the place is needed
             stand(40);
-            node.parts.door.accepted(last.connection());
+            node.parts.door.serve(last.connection());
             return null;
         });
         assertEquals(result, client.line().read().text());
@@ -158,9 +158,9 @@
         Slow client = slow();
         AfterEmptyRead source = new AfterEmptyRead(client.connection().getSourceChannel().getConduit());
         onThread(() -> {
-            node.parts.door.page("/long", () -> new ClientListener.Page(200, text));
+            node.parts.door.addPage("/long", () -> new ClientListener.Page(200, text));
             client.connection().getSourceChannel().setConduit(source);
-            node.parts.door.accepted(client.connection());
+            node.parts.door.serve(client.connection());
             return null;
         });
         client.line().write("GET /long HTTP/1.1\r\nHost: a\r\n\r\n");
@@ -235,7 +235,7 @@
         Peer worker = worker((task, line) -> line.done(task, "ok"));
         node = node(null, list(true, worker.entry("s-1", "in_service")), LIMITS);
         Line client = client().write(begun);
-        until("it is taken in", () -> onThread(() -> node.parts.door.connections()) == 1);
+        until("it is taken in", () -> onThread(() -> node.parts.door.connectionCount()) == 1);
         onThread(() -> {
             stand(120);
             node.parts.lastCall();
@@ -319,7 +319,7 @@
         Peer worker = worker((task, line) -> line.done(task, "ok"));
         node = node(null, list(true, worker.entry("s-1", "in_service")), LIMITS);
         Line client = client();
-        until("it is taken in", () -> onThread(() -> node.parts.door.connections()) == 1);
+        until("it is taken in", () -> onThread(() -> node.parts.door.connectionCount()) == 1);
         Thread.sleep(400);      // the time itself is what the call must not be charged with, not an order
         assertEquals(200, client.task("t", "look", "x").read().status());
         double told = Double.parseDouble(worker.received.get(0).field("X-Remaining"));
@@ -350,7 +350,7 @@
         });
         client.task("t", "look", "x");
         until("it is noticed", () -> count("client_gone") == 1);
-        until("it is given back", () -> onThread(() -> node.parts.book.tasks()) == 0);
+        until("it is given back", () -> onThread(() -> node.parts.book.size()) == 0);
         assertEquals(0, worker.received.size());
         assertEquals(1, count("first_byte_held_back"));
     }
@@ -370,11 +370,11 @@
         client.line().task("t", "look", "x").leave("fin");
         onThread(() -> {
             stand(20);      // all of it is here by then
-            node.parts.door.accepted(client.connection());
+            node.parts.door.serve(client.connection());
             return null;
         });
         until("it is noticed", () -> count("client_gone") == 1);
-        until("it is given back", () -> onThread(() -> node.parts.book.tasks()) == 0);
+        until("it is given back", () -> onThread(() -> node.parts.book.size()) == 0);
         assertEquals(1, worker.received.size());
     }
 
@@ -405,7 +405,7 @@
         });
         client.task("t", "sell", "x");
         until("it is noticed", () -> count("client_gone") == 1);
-        until("it is given back", () -> onThread(() -> node.parts.book.tasks()) == 0);
+        until("it is given back", () -> onThread(() -> node.parts.book.size()) == 0);
         assertEquals(0, worker.received.size());
     }
 
@@ -423,14 +423,14 @@
         NextTick[] turn = {null};
         onThread(() -> {
             turn[0] = new NextTick(node.thread);
-            turn[0].run(() -> takenIn[0] = node.parts.door.connections());
+            turn[0].run(() -> takenIn[0] = node.parts.door.connectionCount());
             for (int i = 0; i < 150; i++) {
                 client();
             }
             Thread.sleep(200);      // another thread accepts them meanwhile
             return null;
         });
-        until("all are taken in", () -> onThread(() -> node.parts.door.connections()) == 150);
+        until("all are taken in", () -> onThread(() -> node.parts.door.connectionCount()) == 150);
         // 16 before that look, and 16 more if the door's own pipe was the first that the look found.
         assertTrue(takenIn[0] >= 0 && takenIn[0] <= 32,
                 takenIn[0] + " were taken in before the sockets were looked at");
@@ -471,7 +471,7 @@
                 assertEquals("ok", client().task("t" + i, "look", "x").read().text());
             }
         }
-        assertTrue(onThread(() -> node.parts.door.connections()) <= 24);
+        assertTrue(onThread(() -> node.parts.door.connectionCount()) <= 24);
         back.countDown();
         until("the new list is there", () -> count("lists_whole") == 1);
         assertEquals("added", client().task("u", "sell", "x").read().text());
