--- a/src/main/java/rampshift/serve/Dispatcher.java
+++ b/src/main/java/rampshift/serve/Dispatcher.java
@@ -60,7 +60,7 @@
         stalls = new StallDetector(thread, clock);
         clientListener = new ClientListener(thread, buffers, clock, counters, clients - spare, spare,
                 (long) (configuration.memoryMb * RECEIVING * (1 << 20)), longestDeadline.times(CLIENT_IDLE),
-                new RequestDecoder(settings, platform, counters, tasks, admission), stalls::unread);
+                new RequestDecoder(settings, platform, counters, tasks, admission), stalls::maxUnreadTime);
     }
 
     /** Called before each first byte to a worker. */
@@ -71,7 +71,7 @@
     /** The stop is near: what still comes is bounced, connections end. */
     void closeToRequests() {
         admission.close();
-        clientListener.lastCall();
+        clientListener.drain();
     }
 
     void close() {
--- a/src/main/java/rampshift/serve/DispatcherServer.java
+++ b/src/main/java/rampshift/serve/DispatcherServer.java
@@ -107,21 +107,22 @@
                 beside == null ? 0 : beside.maxDescriptors(configuration));
         if (configuration.known != null) {
             EndpointList known = EndpointList.read(configuration.known, configuration.known.length);
-            dispatcher.policyHost.listed(known, true);
+            dispatcher.policyHost.onEndpointList(known, true);
             haveList = !known.endpoints().isEmpty();
-            dispatcher.policyHost.listAwaited(true);
+            dispatcher.policyHost.onEndpointListAwaited(true);
         }
-        dispatcher.clientListener.page("/ready", this::ready);
-        dispatcher.clientListener.page("/counters", () -> new ClientListener.Page(200, counters.text()));
-        dispatcher.clientListener.open(worker, configuration.listen);
+        dispatcher.clientListener.addPage("/ready", this::ready);
+        dispatcher.clientListener.addPage("/counters", () -> new ClientListener.Page(200, counters.text()));
+        dispatcher.clientListener.listen(worker, configuration.listen);
         watch = new EndpointWatch(thread, dialer, clock, configuration.discovery, dispatcher.drainGrace, counters,
                 list -> {
                     haveList = true;
-                    dispatcher.policyHost.listed(beside == null ? list : beside.adjust(list), false);
-                }, () -> dispatcher.policyHost.listFailed());
+                    dispatcher.policyHost.onEndpointList(beside == null ? list : beside.adjust(list), false);
+                }, () -> dispatcher.policyHost.onEndpointListFailed());
         dispatcher.beforeFirstByte(beforeFirstByte());
         if (beside != null) {
-            beside.start(worker, thread, clock, configuration, changes -> dispatcher.policyHost.listed(changes, false));
+            beside.start(worker, thread, clock, configuration,
+                    changes -> dispatcher.policyHost.onEndpointList(changes, false));
         }
         watch.start();
         Log.info("started", "name", configuration.name, "listen", configuration.listen);
@@ -151,14 +152,14 @@
      */
     public void stop() {
         thread.execute(() -> {
-            Log.info("stopping", "tasks", dispatcher.tasks.tasks(), "connections", dispatcher.clientListener.connections());
+            Log.info("stopping", "tasks", dispatcher.tasks.size(), "connections", dispatcher.clientListener.connectionCount());
             stopping = true;
             if (beside != null) {
                 beside.onStopping();
             }
             Moment kill = clock.now().plus(dispatcher.longestDeadline.orShorter(LONGEST_STOP)).plus(KILL_AFTER);
-            dispatcher.admission.endAt(kill.minus(SHORT), kill.minus(GIVE_UP));
-            dispatcher.clientListener.beginStop();
+            dispatcher.admission.limitDeadlines(kill.minus(SHORT), kill.minus(GIVE_UP));
+            dispatcher.clientListener.beginShutdown();
             lookForEnd(clock.now().plus(STOP_LEAST), kill.minus(LAST_CALL), kill.minus(GIVE_UP));
         });
         awaitStopped();
@@ -177,7 +178,7 @@
             counters.add(Counters.Name.RELOADS);
             Log.info("reload", "discovery", next.discovery, "wait_for_restart", atStart);
             if (watch.switchTo(next.discovery)) {
-                dispatcher.policyHost.listAwaited(false);
+                dispatcher.policyHost.onEndpointListAwaited(false);
                 if (beside != null) {
                     beside.onDiscoveryChanged();
                 }
@@ -187,18 +188,18 @@
 
     private void lookForEnd(Moment least, Moment lastCall, Moment giveUp) {
         if (clock.now().before(lastCall)) {
-            if (!clock.now().before(least) && dispatcher.clientListener.connections() == 0
-                    && dispatcher.clientListener.quietFor(NOBODY_NEW)) {
+            if (!clock.now().before(least) && dispatcher.clientListener.connectionCount() == 0
+                    && dispatcher.clientListener.isUnchangedFor(NOBODY_NEW)) {
                 lookForEnd(least, clock.now(), giveUp);
                 return;
             }
         } else {
             dispatcher.closeToRequests();
             if (!clock.now().before(giveUp)) {
-                dispatcher.policyHost.giveUp();
+                dispatcher.policyHost.endAllTasks();
             }
-            boolean quiet = dispatcher.clientListener.empty() && dispatcher.clientListener.quietFor(CROSSED);
-            if (dispatcher.tasks.tasks() == 0
+            boolean quiet = dispatcher.clientListener.isEmpty() && dispatcher.clientListener.isUnchangedFor(CROSSED);
+            if (dispatcher.tasks.size() == 0
                     && (quiet || !clock.now().before(giveUp.plus(GIVE_UP).minus(HANG_ON)))) {
                 watch.stop();
                 dispatcher.close();
--- a/src/main/java/rampshift/serve/WarmUp.java
+++ b/src/main/java/rampshift/serve/WarmUp.java
@@ -65,7 +65,7 @@
         dispatcher = new Dispatcher(thread, buffers, new Dialer(thread, this::toWorker), clock, new Counters(),
                 configuration, 0);
         types = configuration.settings.platform().types();
-        dispatcher.policyHost.listed(EndpointList.read(configuration.known, configuration.known.length), false);
+        dispatcher.policyHost.onEndpointList(EndpointList.read(configuration.known, configuration.known.length), false);
     }
 
     /** What a worker says to the task that is being played. */
@@ -114,7 +114,7 @@
 
     private IoFuture<StreamConnection> toDoor(InetSocketAddress to,
             ChannelListener<StreamConnection> opened) {
-        return pipe(opened, dispatcher.clientListener::accepted);
+        return pipe(opened, dispatcher.clientListener::serve);
     }
 
     private IoFuture<StreamConnection> toWorker(InetSocketAddress to,
