--- a/src/main/java/rampshift/Main.java
+++ b/src/main/java/rampshift/Main.java
@@ -128,8 +128,9 @@
             }
             Configuration configuration = Configuration.read(environment);
             switch (command) {
-                case "check" -> out.println("good: " + configuration.name + " on " + configuration.listen);
-                case "counters" -> out.print(StatusClient.page(configuration.listen, "/counters"));
+                case "check" ->
+                    out.println("good: " + configuration.name() + " on " + configuration.listen());
+                case "counters" -> out.print(StatusClient.page(configuration.listen(), "/counters"));
                 default -> serve(configuration, operator, hangups, environment);
             }
             return 0;
@@ -148,7 +149,7 @@
         FutureTask<DispatcherServer> start = new FutureTask<>(() -> operator == null || operator.isEmpty()
                 ? new DispatcherServer(configuration)
                 : new DispatcherServer(configuration,
-                        (ServerExtension) OptionalJars.operator("beside", operator, configuration.name,
+                        (ServerExtension) OptionalJars.operator("beside", operator, configuration.name(),
                                 version())));
         // Before it: clients are taken in while it starts, and a SIGTERM in between ended the process with
         // their tasks.
--- a/src/main/java/rampshift/extensions/LeaseExtension.java
+++ b/src/main/java/rampshift/extensions/LeaseExtension.java
@@ -26,8 +26,8 @@
     @Override
     public void begin(MessageChannel post) {
         Configuration c = post.configuration();
-        List<String> types = c.settings.platform().types();
-        List<TrafficType> rows = c.settings.read(c.seed).types;
+        List<String> types = c.settings().hostSettings().types();
+        List<TrafficType> rows = c.settings().read(c.seed()).types;
         List<PeriodicJobSettings> known = new ArrayList<>();
         for (PeriodicJobSettings p : duties) {
             int type = types.indexOf(p.type());
@@ -44,9 +44,9 @@
         }
         leases.begin(post);
         if (!known.isEmpty()) {
-            InetSocketAddress door = c.listen.getAddress().isAnyLocalAddress()
-                    ? new InetSocketAddress("127.0.0.1", c.listen.getPort())
-                    : c.listen;
+            InetSocketAddress door = c.listen().getAddress().isAnyLocalAddress()
+                    ? new InetSocketAddress("127.0.0.1", c.listen().getPort())
+                    : c.listen();
             host = new PeriodicJobHost(known, leases, post.thread(), post.clock(), door);
         }
     }
--- a/src/main/java/rampshift/extensions/OperatorCommands.java
+++ b/src/main/java/rampshift/extensions/OperatorCommands.java
@@ -6,8 +6,8 @@
 import rampshift.membership.host.MembershipQuery;
 import rampshift.membership.host.MembershipTransport;
 import rampshift.serve.ServerExtension;
+import rampshift.settings.ConfigurationException;
 import rampshift.settings.InvalidInputException;
-import rampshift.toml.ConfigurationException;
 
 /**
  * What the command line asks of an operator's file. Loaded by name, from a jar that a plain start never
--- a/src/main/java/rampshift/membership/host/MembershipTransport.java
+++ b/src/main/java/rampshift/membership/host/MembershipTransport.java
@@ -88,7 +88,7 @@
     }
 
     private static int streams(Configuration configuration) {
-        return Math.max(LEAST_STREAMS, (int) (configuration.sockets * STREAMS));
+        return Math.max(LEAST_STREAMS, (int) (configuration.sockets() * STREAMS));
     }
 
     @Override
--- a/src/main/java/rampshift/serve/Dispatcher.java
+++ b/src/main/java/rampshift/serve/Dispatcher.java
@@ -42,9 +42,9 @@
 
     Dispatcher(XnioIoThread thread, ByteBufferPool buffers, Dialer dialer, Clock clock, Counters counters,
             Configuration configuration, int beside) throws IOException {
-        Settings settings = configuration.settings.read(configuration.seed);
-        HostSettings platform = configuration.settings.platform();
-        int sockets = Math.max(LEAST, configuration.sockets - RESERVED - beside);
+        Settings settings = configuration.settings().read(configuration.seed());
+        HostSettings platform = configuration.settings().hostSettings();
+        int sockets = Math.max(LEAST, configuration.sockets() - RESERVED - beside);
         int toWorkers = (int) (sockets * TO_WORKERS);
         int clients = sockets - toWorkers;
         int spare = (int) (clients * SPARE);
@@ -56,10 +56,10 @@
         route = new PolicyHost(thread, clock, settings, platform, pool, book,
                 new AttemptSender(pool, clock, book), relay);
         admit = new AdmissionControl(Math.min(platform.mostOpen(), clients - spare),
-                (long) (configuration.memoryMb * BODIES * (1 << 20)), clock, book, relay, route);
+                (long) (configuration.memoryMb() * BODIES * (1 << 20)), clock, book, relay, route);
         pulse = new StallDetector(thread, clock);
         door = new ClientListener(thread, buffers, clock, counters, clients - spare, spare,
-                (long) (configuration.memoryMb * RECEIVING * (1 << 20)), longest.times(CLIENT_IDLE),
+                (long) (configuration.memoryMb() * RECEIVING * (1 << 20)), longest.times(CLIENT_IDLE),
                 new RequestDecoder(settings, platform, counters, book, admit), pulse::unread);
     }
 
--- a/src/main/java/rampshift/serve/DispatcherServer.java
+++ b/src/main/java/rampshift/serve/DispatcherServer.java
@@ -105,16 +105,17 @@
         Dialer dialer = new Dialer(thread);
         parts = new Dispatcher(thread, buffers, dialer, clock, counters, configuration,
                 beside == null ? 0 : beside.descriptors(configuration));
-        if (configuration.known != null) {
-            EndpointList known = EndpointList.read(configuration.known, configuration.known.length);
+        if (configuration.knownEndpoints() != null) {
+            EndpointList known =
+                    EndpointList.read(configuration.knownEndpoints(), configuration.knownEndpoints().length);
             parts.route.listed(known, true);
             haveList = !known.targets().isEmpty();
             parts.route.listAwaited(true);
         }
         parts.door.page("/ready", this::ready);
         parts.door.page("/counters", () -> new ClientListener.Page(200, counters.text()));
-        parts.door.open(worker, configuration.listen);
-        watch = new EndpointWatch(thread, dialer, clock, configuration.discovery, parts.grace, counters,
+        parts.door.open(worker, configuration.listen());
+        watch = new EndpointWatch(thread, dialer, clock, configuration.discovery(), parts.grace, counters,
                 list -> {
                     haveList = true;
                     parts.route.listed(beside == null ? list : beside.listed(list), false);
@@ -124,7 +125,7 @@
             beside.begin(worker, thread, clock, configuration, changes -> parts.route.listed(changes, false));
         }
         watch.start();
-        Log.info("started", "name", configuration.name, "listen", configuration.listen);
+        Log.info("started", "name", configuration.name(), "listen", configuration.listen());
         new WarmUp(thread, buffers, clock, () -> counters.get(Counters.Name.TAKEN) == 0, () -> {
             rehearsed = true;
             if (beside != null) {
@@ -175,8 +176,8 @@
         List<String> atStart = configuration.restartFor(next);
         thread.execute(() -> {
             counters.add(Counters.Name.RELOADS);
-            Log.info("reload", "discovery", next.discovery, "wait_for_restart", atStart);
-            if (watch.move(next.discovery)) {
+            Log.info("reload", "discovery", next.discovery(), "wait_for_restart", atStart);
+            if (watch.move(next.discovery())) {
                 parts.route.listAwaited(false);
                 if (beside != null) {
                     beside.moved();
--- a/src/main/java/rampshift/serve/WarmUp.java
+++ b/src/main/java/rampshift/serve/WarmUp.java
@@ -64,8 +64,10 @@
         this.done = done;
         parts = new Dispatcher(thread, buffers, new Dialer(thread, this::toWorker), clock, new Counters(),
                 configuration, 0);
-        types = configuration.settings.platform().types();
-        parts.route.listed(EndpointList.read(configuration.known, configuration.known.length), false);
+        types = configuration.settings().hostSettings().types();
+        parts.route.listed(
+                EndpointList.read(configuration.knownEndpoints(), configuration.knownEndpoints().length),
+                false);
     }
 
     /** What a worker says to the task that is being played. */
--- a/src/main/java/rampshift/settings/InvalidInputException.java
+++ b/src/main/java/rampshift/settings/InvalidInputException.java
@@ -1,10 +1,13 @@
 package rampshift.settings;
 
-/** Input that the wire does not allow. */
-public final class InvalidInputException extends RuntimeException {
+/**
+ * Input that does not have the form which a wire protocol, an endpoint list or a configuration prescribes.
+ */
+public class InvalidInputException extends RuntimeException {
     private static final long serialVersionUID = 1L;
 
-    public InvalidInputException(String what) {
-        super(what);
+    /** The message says in one line what is wrong. */
+    public InvalidInputException(String message) {
+        super(message);
     }
 }
--- a/src/main/java/rampshift/settings/JsonTree.java
+++ b/src/main/java/rampshift/settings/JsonTree.java
@@ -14,71 +14,68 @@
 import java.util.List;
 import java.util.Map;
 
-/** JSON as plain maps and lists that keep their order. */
+/** JSON as maps and lists that keep their order: for what has to be written again with all that it held. */
 public final class JsonTree {
     private static final JsonFactory JSON = JsonFactory.builder()
             .enable(StreamReadFeature.STRICT_DUPLICATE_DETECTION).build();
 
-    /** How a number is kept. */
-    interface Numbers {
-        Object of(JsonParser at) throws IOException;
+    /** Reads the number at which a parser stands, in the form in which the tree is to hold it. */
+    interface NumberReader {
+        Object read(JsonParser in) throws IOException;
     }
 
     private JsonTree() {}
 
     /**
-     * Its numbers are kept as written. Throws a Malformed for what is no object, and an IOException, with
-     * line and
-     * column, for what is no JSON.
+     * Reads one object; its numbers are held as {@link BigDecimal}, as they were written. Throws a {@link
+     * ConfigurationException} for what is no object, and an {@link IOException} with line and column for
+     * what is no JSON.
      */
     public static Map<String, Object> read(byte[] bytes) throws IOException {
         try (JsonParser in = JSON.createParser(bytes)) {
             if (in.nextToken() != JsonToken.START_OBJECT) {
-                throw new InvalidInputException("not an object");
+                throw new ConfigurationException("not an object");
             }
             Map<String, Object> tree = object(in, JsonParser::getDecimalValue);
             if (in.nextToken() != null) {
-                throw new InvalidInputException("more than one object");
+                throw new ConfigurationException("more than one object");
             }
             return tree;
         }
     }
 
+    /** The tree as indented JSON with a line end after it. */
     public static byte[] write(Map<String, Object> tree) throws IOException {
-        ByteArrayOutputStream out = new ByteArrayOutputStream();
-        try (JsonGenerator json = JSON.createGenerator(out)) {
-            json.setPrettyPrinter(new DefaultPrettyPrinter());
-            value(json, tree);
-            json.writeRaw('\n');
+        ByteArrayOutputStream bytes = new ByteArrayOutputStream();
+        try (JsonGenerator out = JSON.createGenerator(bytes)) {
+            out.setPrettyPrinter(new DefaultPrettyPrinter());
+            writeValue(out, tree);
+            out.writeRaw('\n');
         }
-        return out.toByteArray();
+        return bytes.toByteArray();
     }
 
     /** The rest of the object in which the parser stands. */
-    static Map<String, Object> object(JsonParser in, Numbers numbers) throws IOException {
-        Map<String, Object> result = new LinkedHashMap<>();
+    static Map<String, Object> object(JsonParser in, NumberReader numbers) throws IOException {
+        Map<String, Object> entries = new LinkedHashMap<>();
         while (in.nextToken() != JsonToken.END_OBJECT) {
-            String name = in.currentName();
+            String key = in.currentName();
             in.nextToken();
-            result.put(name, value(in, numbers));
+            entries.put(key, value(in, numbers));
         }
-        return result;
+        return entries;
     }
 
-    private static Object value(JsonParser in, Numbers numbers) throws IOException {
+    private static Object value(JsonParser in, NumberReader numbers) throws IOException {
         JsonToken token = in.currentToken();
         if (token == JsonToken.START_OBJECT) {
             return object(in, numbers);
         }
         if (token == JsonToken.START_ARRAY) {
-            List<Object> result = new ArrayList<>();
-            while (in.nextToken() != JsonToken.END_ARRAY) {
-                result.add(value(in, numbers));
-            }
-            return result;
+            return array(in, numbers);
         }
         if (token.isNumeric()) {
-            return numbers.of(in);
+            return numbers.read(in);
         }
         if (token == JsonToken.VALUE_STRING) {
             return in.getText();
@@ -86,28 +83,36 @@
         return token.isBoolean() ? in.getBooleanValue() : null;
     }
 
-    private static void value(JsonGenerator json, Object value) throws IOException {
+    private static List<Object> array(JsonParser in, NumberReader numbers) throws IOException {
+        List<Object> elements = new ArrayList<>();
+        while (in.nextToken() != JsonToken.END_ARRAY) {
+            elements.add(value(in, numbers));
+        }
+        return elements;
+    }
+
+    private static void writeValue(JsonGenerator out, Object value) throws IOException {
         if (value instanceof Map<?, ?> map) {
-            json.writeStartObject();
+            out.writeStartObject();
             for (Map.Entry<?, ?> entry : map.entrySet()) {
-                json.writeFieldName((String) entry.getKey());
-                value(json, entry.getValue());
+                out.writeFieldName((String) entry.getKey());
+                writeValue(out, entry.getValue());
             }
-            json.writeEndObject();
+            out.writeEndObject();
         } else if (value instanceof List<?> list) {
-            json.writeStartArray();
-            for (Object entry : list) {
-                value(json, entry);
+            out.writeStartArray();
+            for (Object element : list) {
+                writeValue(out, element);
             }
-            json.writeEndArray();
+            out.writeEndArray();
         } else if (value instanceof BigDecimal number) {
-            json.writeNumber(number);
+            out.writeNumber(number);
         } else if (value instanceof Boolean flag) {
-            json.writeBoolean(flag);
+            out.writeBoolean(flag);
         } else if (value instanceof String text) {
-            json.writeString(text);
+            out.writeString(text);
         } else {
-            json.writeNull();
+            out.writeNull();
         }
     }
 }
--- a/src/main/java/rampshift/settings/SettingsReader.java
+++ b/src/main/java/rampshift/settings/SettingsReader.java
@@ -4,21 +4,27 @@
 import java.io.IOException;
 import java.util.ArrayList;
 import java.util.List;
-import java.util.Map;
 import java.util.Set;
-import java.util.TreeSet;
 import rampshift.policy.Settings;
-import rampshift.policy.TrafficType;
 import rampshift.time.Span;
 
-/** Reads the settings of an instance; unknown ones are ignored, absent ones keep the wire's meaning. */
+/**
+ * Reads the settings of one dispatcher: for the dispatch policy and for a host on sockets. Unknown settings
+ * are ignored, absent ones have the meaning that the wire gives to their absence.
+ */
 public final class SettingsReader {
-    private final Map<String, Object> root;
+    private static final Set<String> LOAD_REPORTING = Set.of("inline", "on_probe", "off");
+    private static final double DEFAULT_DIAL_TIMEOUT_MS = 100;
+    private static final double DEFAULT_CONNECTION_IDLE_MS = 10_000;
 
+    private final SettingsObject root;
+
+    /** Takes over the rest of the JSON object in which the parser stands. */
     public SettingsReader(JsonParser in) throws IOException {
-        root = JsonTree.object(in, JsonParser::getDoubleValue);
+        root = new SettingsObject("", JsonTree.object(in, JsonParser::getDoubleValue));
     }
 
+    /** Whether both were read from the same settings. */
     @Override
     public boolean equals(Object other) {
         return other instanceof SettingsReader reader && root.equals(reader.root);
@@ -29,238 +35,159 @@
         return root.hashCode();
     }
 
-    public Settings read(long seed) {
-        Settings s = new Settings();
-        s.seed = seed;
-        Map<String, Object> limits = part("Limits");
-        Map<String, Object> rules = part("Rules");
-        Map<String, Object> costs = part("Costs");
-        Map<String, Object> family = part("FamilyInfo");
-        Map<String, Object> load = part("LoadInfo");
-        s.zone = (int) number(root, "Zone", 0);
-        int zones = list(root, "Zones").size();
-        if (s.zone < 0 || zones > 0 && s.zone >= zones) {
-            throw new InvalidInputException("setting Zone is " + s.zone + ", and Zones has " + zones);
-        }
-        s.tick = span(root, "GranularityMs", 1);
-        s.mostAssignments = (int) need(limits, "Limits", "MostAssignments");
-        s.mayProbe = flag(limits, "MayProbe");
-        s.mayCancel = flag(limits, "Cancel");
-        s.secondCopies = flag(limits, "SecondCopies");
-        s.comeBackAdvice = flag(limits, "RetryAfter");
-        s.longestComeBack = span(limits, "MaxRetryAfterMs", 0);
-        s.listOnRequest = "on_request".equals(root.get("Discovery"));
-        s.liveWeights = "live".equals(root.get("WeightSource"));
-        s.tellsStart = flag(family, "TellsStart");
-        s.progressEvery = span(family, "ProgressMs", 0);
-        s.reportsLoad = reports(load.get("How"));
-        s.earningsByWork = "work".equals(root.get("EarningsBy"));
-        s.excessEarnings = number(root, "ExcessEarnings", 1);
-        s.crossingPrice = number(costs, "CrossZone", 0);
-        s.wastePrice = number(costs, "Waste", 0);
-        s.handshakePrice = number(costs, "Handshake", 0);
-        s.connectionIdle = span(limits, "ConnIdleMs", 0);
-        s.askWithin = span(rules, "AskWithinMs", 0);
-        s.drainGrace = span(rules, "StopSendingWithinMs", 0);
-        s.onlyDrainingBinds = strictFlag(rules, "Rules", "OnlyDrainingBinds");
-        if (rules.get("ExtraFloor") != null || rules.get("RepeatRatio") != null) {
-            s.budgetFloor = atLeast(0, rules, "Rules", "ExtraFloor", 0);
-            s.budgetShare = atLeast(0, rules, "Rules", "RepeatRatio", 0);
-            s.budgetSpan = Span.ofMillis(atLeast(1, rules, "Rules", "RatioSpanMs", 0));
-        }
-        tail(s, part("Goal"));
-        s.coldFrom = number(rules, "ColdFrom", 1);
-        s.coldFor = span(rules, "ColdMs", 0);
-        s.tipMultiple = number(rules, "TipMultiple", 1);
-        List<Object> types = list(root, "TrafficTypes");
-        if (types.isEmpty()) {
-            throw new InvalidInputException("the settings lack TrafficTypes");
-        }
-        int kinds = list(root, "Kinds").size();
-        for (int i = 0; i < types.size(); i++) {
-            Map<String, Object> row = map(types.get(i), "TrafficTypes");
-            Set<Integer> on = places(row, "AllowedOn", kinds);
-            int only = (int) at(family, "ClassKind", i, -1);
-            if (only >= 0) {
-                if (on != null && !on.contains(only)) {
-                    throw new InvalidInputException("setting TrafficTypes.AllowedOn lacks the kind " + only
-                            + " that ClassKind names");
-                }
-                on = Set.of(only);
-            }
-            double stretch = number(row, "AimStretch", at(family, "ClassStretch", i, 0));
-            s.types.add(new TrafficType(number(row, "Earnings", 1), number(row, "TardyEarnings", 0),
-                    Span.ofMillis(need(row, "TrafficTypes", "DueTimeMs")), stretch,
-                    Span.ofMillis(need(row, "TrafficTypes", "ExpiryMs")), effect(row), group(row),
-                    span(row, "WindowMs", 0), places(row, "RunsIn", zones), on));
-        }
-        for (Object tenant : list(root, "Tenants")) {
-            s.tenantQuotas.add(number(map(tenant, "Tenants"), "QuotaPerS", 0));
-        }
-        return s;
-    }
-
     /**
-     * Places in one of the settings' lists, which has so many (0: not told); null where nothing is stated.
+     * What the dispatch policy needs. Throws a {@link ConfigurationException} for the first value that
+     * can't be used; the order of reading decides which that is.
      */
-    private static Set<Integer> places(Map<String, Object> row, String name, int most) {
-        if (row.get(name) == null) {
-            return null;
-        }
-        Set<Integer> places = new TreeSet<>();
-        for (Object value : list(row, name)) {
-            if (!(value instanceof Number n) || n.doubleValue() != n.intValue() || n.intValue() < 0
-                    || most > 0 && n.intValue() >= most) {
-                throw new InvalidInputException(
-                        "setting TrafficTypes." + name + " holds " + value + ", expected places from 0"
-                                + (most > 0 ? " to " + (most - 1) : ""));
-            }
-            places.add(n.intValue());
-        }
-        if (places.isEmpty()) {
-            throw new InvalidInputException(
-                    "setting TrafficTypes." + name + " is empty: the type could run nowhere");
-        }
-        return places;
-    }
-
-    private static void tail(Settings s, Map<String, Object> goal) {
-        double kept = atLeast(0, goal, "Goal", "KeptPromises", 0);
-        if (kept > 0) {
-            double all = kept;
-            for (String part : List.of("Whole", "WorstWindow", "WorstClass", "WorstTenant")) {
-                all += number(goal, part, 0);
-            }
-            s.tailWeight = kept / all;
-            s.tailBorne = atLeast(0, goal, "Goal", "BorneMisses", 0);
-        }
-    }
-
-    /** What only a host on sockets needs. */
-    public HostSettings platform() {
-        Map<String, Object> limits = part("Limits");
-        return new HostSettings(names("Zones", false), names("Kinds", false), names("TrafficTypes", true),
-                names("Tenants", true),
-                span(limits, "DialTimeoutMs", 100), span(limits, "ConnIdleMs", 10_000),
-                (int) Math.max(1, Math.min(Integer.MAX_VALUE, number(limits, "OpenCap", Integer.MAX_VALUE))),
-                reportOf("free slots"), reportOf("free memory"));
-    }
-
-    private List<String> names(String list, boolean rows) {
-        List<String> names = new ArrayList<>();
-        for (Object entry : list(root, list)) {
-            names.add(String.valueOf(rows ? map(entry, list).get("Name") : entry));
-        }
-        return names;
-    }
-
-    /** The name of the report value with this meaning, or null where there is none. */
-    public String reportOf(String meaning) {
-        Map<String, Object> family = part("FamilyInfo");
-        if (meaning.equals(family.get("ReportX0"))) {
-            return "x0";
-        }
-        return meaning.equals(family.get("ReportX1")) ? "x1" : null;
-    }
-
-    /** Whether workers report load at all; where nothing is said they do. */
-    private static boolean reports(Object how) {
-        if (how != null && !Set.of("inline", "on_probe", "off").contains(how)) {
-            throw new InvalidInputException(
+    public Settings read(long seed) {
+        SettingsObject limits = root.object("Limits");
+        SettingsObject rules = root.object("Rules");
+        SettingsObject costs = root.object("Costs");
+        SettingsObject family = root.object("FamilyInfo");
+        SettingsObject load = root.object("LoadInfo");
+        Settings settings = new Settings();
+        settings.seed = seed;
+        settings.zone = zone();
+        settings.tick = root.span("GranularityMs", 1);
+        readLimits(settings, limits);
+        readDiscovery(settings);
+        readFamily(settings, family, load);
+        readCosts(settings, costs);
+        settings.connectionIdle = limits.span("ConnIdleMs", 0);
+        readRules(settings, rules);
+        readGoal(settings, root.object("Goal"));
+        readSlowStart(settings, rules);
+        readTrafficTypes(settings, family);
+        for (Object tenant : root.list("Tenants")) {
+            settings.tenantQuotas.add(SettingsObject.of("Tenants", tenant).number("QuotaPerS", 0));
+        }
+        return settings;
+    }
+
+    private int zone() {
+        int zone = (int) root.number("Zone", 0);
+        int count = root.list("Zones").size();
+        if (zone < 0 || count > 0 && zone >= count) {
+            throw ConfigurationException.ofKey("Zone",
+                    "setting Zone is " + zone + ", and Zones has " + count);
+        }
+        return zone;
+    }
+
+    private static void readLimits(Settings settings, SettingsObject limits) {
+        settings.mostAssignments = (int) limits.requiredNumber("MostAssignments");
+        settings.mayProbe = limits.flag("MayProbe");
+        settings.mayCancel = limits.flag("Cancel");
+        settings.secondCopies = limits.flag("SecondCopies");
+        settings.comeBackAdvice = limits.flag("RetryAfter");
+        settings.longestComeBack = limits.span("MaxRetryAfterMs", 0);
+    }
+
+    private void readDiscovery(Settings settings) {
+        settings.listOnRequest = root.is("Discovery", "on_request");
+        settings.liveWeights = root.is("WeightSource", "live");
+    }
+
+    private static void readFamily(Settings settings, SettingsObject family, SettingsObject load) {
+        settings.tellsStart = family.flag("TellsStart");
+        settings.progressEvery = family.span("ProgressMs", 0);
+        settings.reportsLoad = reportsLoad(load);
+    }
+
+    /** Whether workers report their load; where nothing is stated they do. */
+    private static boolean reportsLoad(SettingsObject load) {
+        Object how = load.get("How");
+        if (how != null && !LOAD_REPORTING.contains(how)) {
+            throw ConfigurationException.ofKey("LoadInfo.How",
                     "setting LoadInfo.How is " + how + ", not inline, on_probe or off");
         }
         return !"off".equals(how);
     }
 
-    private static TrafficType.Effect effect(Map<String, Object> row) {
-        Object effect = row.get("Effect");
-        if ("safe".equals(effect)) {
-            return TrafficType.Effect.IDEMPOTENT;
-        }
-        return "keyed".equals(effect) ? TrafficType.Effect.FINGERPRINTED : TrafficType.Effect.SIDE_EFFECTING;
+    private void readCosts(Settings settings, SettingsObject costs) {
+        settings.earningsByWork = root.is("EarningsBy", "work");
+        settings.excessEarnings = root.number("ExcessEarnings", 1);
+        settings.crossingPrice = costs.number("CrossZone", 0);
+        settings.wastePrice = costs.number("Waste", 0);
+        settings.handshakePrice = costs.number("Handshake", 0);
     }
 
-    private static TrafficType.Group group(Map<String, Object> row) {
-        Object group = row.get("DedupScope");
-        if ("all".equals(group)) {
-            return TrafficType.Group.ALL;
+    private static void readRules(Settings settings, SettingsObject rules) {
+        settings.askWithin = rules.span("AskWithinMs", 0);
+        settings.drainGrace = rules.span("StopSendingWithinMs", 0);
+        settings.onlyDrainingBinds = rules.strictFlag("OnlyDrainingBinds");
+        if (rules.has("ExtraFloor") || rules.has("RepeatRatio")) {
+            settings.budgetFloor = rules.numberOfAtLeast(0, "ExtraFloor");
+            settings.budgetShare = rules.numberOfAtLeast(0, "RepeatRatio");
+            settings.budgetSpan = Span.ofMillis(rules.numberOfAtLeast(1, "RatioSpanMs"));
         }
-        return "zone".equals(group) ? TrafficType.Group.ZONE : TrafficType.Group.CELL;
     }
 
-    private Map<String, Object> part(String name) {
-        Object part = root.get(name);
-        return part == null ? Map.of() : map(part, name);
+    private static void readGoal(Settings settings, SettingsObject goal) {
+        double kept = goal.numberOfAtLeast(0, "KeptPromises");
+        if (kept > 0) {
+            double all = kept;
+            for (String part : List.of("Whole", "WorstWindow", "WorstClass", "WorstTenant")) {
+                all += goal.number(part, 0);
+            }
+            settings.tailWeight = kept / all;
+            settings.tailBorne = goal.numberOfAtLeast(0, "BorneMisses");
+        }
     }
 
-    @SuppressWarnings("unchecked")
-    private static Map<String, Object> map(Object value, String name) {
-        if (value instanceof Map) {
-            return (Map<String, Object>) value;
-        }
-        throw new InvalidInputException("setting " + name + " is not an object");
+    private static void readSlowStart(Settings settings, SettingsObject rules) {
+        settings.coldFrom = rules.number("ColdFrom", 1);
+        settings.coldFor = rules.span("ColdMs", 0);
+        settings.tipMultiple = rules.number("TipMultiple", 1);
     }
 
-    @SuppressWarnings("unchecked")
-    private static List<Object> list(Map<String, Object> from, String name) {
-        Object value = from.get(name);
-        if (value == null) {
-            return List.of();
+    private void readTrafficTypes(Settings settings, SettingsObject family) {
+        List<Object> rows = root.list("TrafficTypes");
+        if (rows.isEmpty()) {
+            throw ConfigurationException.ofKey("TrafficTypes", "the settings lack TrafficTypes");
         }
-        if (value instanceof List) {
-            return (List<Object>) value;
+        TrafficTypeReader reader = new TrafficTypeReader(family, root.list("Zones").size(),
+                root.list("Kinds").size());
+        for (int index = 0; index < rows.size(); index++) {
+            settings.types.add(reader.read(index, rows.get(index)));
         }
-        throw new InvalidInputException("setting " + name + " is not an array");
     }
 
-    private static double at(Map<String, Object> from, String name, int place, double ifAbsent) {
-        List<Object> values = list(from, name);
-        return place < values.size() && values.get(place) instanceof Number n ? n.doubleValue() : ifAbsent;
+    /** What only a host on sockets needs. */
+    public HostSettings hostSettings() {
+        SettingsObject limits = root.object("Limits");
+        return new HostSettings(names("Zones"), names("Kinds"), rowNames("TrafficTypes"), rowNames("Tenants"),
+                limits.span("DialTimeoutMs", DEFAULT_DIAL_TIMEOUT_MS),
+                limits.span("ConnIdleMs", DEFAULT_CONNECTION_IDLE_MS),
+                maxConnections(limits), reportField("free slots"), reportField("free memory"));
     }
 
-    private static double need(Map<String, Object> from, String where, String name) {
-        if (from.get(name) == null) {
-            throw new InvalidInputException("the settings lack " + where + "." + name);
-        }
-        return number(from, name, 0);
+    private static int maxConnections(SettingsObject limits) {
+        return (int) Math.max(1, Math.min(Integer.MAX_VALUE, limits.number("OpenCap", Integer.MAX_VALUE)));
     }
 
-    private static double number(Map<String, Object> from, String name, double ifAbsent) {
-        Object value = from.get(name);
-        if (value == null) {
-            return ifAbsent;
-        }
-        if (value instanceof Number n) {
-            return n.doubleValue();
+    private List<String> names(String key) {
+        List<String> names = new ArrayList<>();
+        for (Object name : root.list(key)) {
+            names.add(String.valueOf(name));
         }
-        throw new InvalidInputException("setting " + name + " is not a number");
+        return names;
     }
 
-    private static double atLeast(double least, Map<String, Object> from, String where, String name,
-            double ifAbsent) {
-        double value = number(from, name, ifAbsent);
-        if (!(value >= least)) {
-            throw new InvalidInputException("setting " + where + "." + name
-                    + (from.get(name) == null ? " is missing" : " is " + value) + ", expected " + least
-                    + " or more");
+    private List<String> rowNames(String key) {
+        List<String> names = new ArrayList<>();
+        for (Object row : root.list(key)) {
+            names.add(String.valueOf(SettingsObject.of(key, row).get("Name")));
         }
-        return value;
+        return names;
     }
 
-    private static boolean strictFlag(Map<String, Object> from, String where, String name) {
-        Object value = from.get(name);
-        if (value != null && !(value instanceof Boolean)) {
-            throw new InvalidInputException(
-                    "setting " + where + "." + name + " is " + value + ", expected true or false");
+    /** The field of a load report that has this meaning, such as "free slots"; null where there is none. */
+    public String reportField(String meaning) {
+        SettingsObject family = root.object("FamilyInfo");
+        if (family.is("ReportX0", meaning)) {
+            return "x0";
         }
-        return Boolean.TRUE.equals(value);
-    }
-
-    private static Span span(Map<String, Object> from, String name, double ifAbsent) {
-        return Span.ofMillis(number(from, name, ifAbsent));
-    }
-
-    private static boolean flag(Map<String, Object> from, String name) {
-        return Boolean.TRUE.equals(from.get(name));
+        return family.is("ReportX1", meaning) ? "x1" : null;
     }
 }
--- /dev/null
+++ b/src/main/java/rampshift/settings/TrafficTypeReader.java
@@ -0,0 +1,65 @@
+package rampshift.settings;
+
+import java.util.Set;
+import rampshift.policy.TrafficType;
+import rampshift.time.Span;
+
+/** Reads rows of the settings' {@code TrafficTypes}. */
+final class TrafficTypeReader {
+    private static final int ANY_KIND = -1;
+
+    private final SettingsObject family;
+    private final int zoneCount;
+    private final int kindCount;
+
+    /** The counts are 0 where the settings name no zones or no kinds. */
+    TrafficTypeReader(SettingsObject family, int zoneCount, int kindCount) {
+        this.family = family;
+        this.zoneCount = zoneCount;
+        this.kindCount = kindCount;
+    }
+
+    TrafficType read(int index, Object value) {
+        SettingsObject row = SettingsObject.of("TrafficTypes", value);
+        Set<Integer> kinds = kinds(index, row);
+        double latencySlack = row.number("AimStretch", family.element("ClassStretch", index, 0));
+        double priorityWeight = row.number("Earnings", 1);
+        double lateWeight = row.number("TardyEarnings", 0);
+        Span latencyObjective = Span.ofMillis(row.requiredNumber("DueTimeMs"));
+        Span deadline = Span.ofMillis(row.requiredNumber("ExpiryMs"));
+        Span idempotencyWindow = row.span("WindowMs", 0);
+        Set<Integer> zones = row.indexes("RunsIn", zoneCount);
+        return new TrafficType(priorityWeight, lateWeight, latencyObjective, latencySlack, deadline,
+                effect(row),
+                group(row), idempotencyWindow, zones, kinds);
+    }
+
+    /** The kinds of workers that may run the type; null for any. */
+    private Set<Integer> kinds(int index, SettingsObject row) {
+        Set<Integer> allowed = row.indexes("AllowedOn", kindCount);
+        int only = (int) family.element("ClassKind", index, ANY_KIND);
+        if (only < 0) {
+            return allowed;
+        }
+        if (allowed != null && !allowed.contains(only)) {
+            throw ConfigurationException.ofKey("TrafficTypes.AllowedOn",
+                    "setting TrafficTypes.AllowedOn lacks the kind " + only + " that ClassKind names");
+        }
+        return Set.of(only);
+    }
+
+    private static TrafficType.Effect effect(SettingsObject row) {
+        if (row.is("Effect", "safe")) {
+            return TrafficType.Effect.IDEMPOTENT;
+        }
+        return row.is("Effect", "keyed") ? TrafficType.Effect.FINGERPRINTED
+                : TrafficType.Effect.SIDE_EFFECTING;
+    }
+
+    private static TrafficType.Group group(SettingsObject row) {
+        if (row.is("DedupScope", "all")) {
+            return TrafficType.Group.ALL;
+        }
+        return row.is("DedupScope", "zone") ? TrafficType.Group.ZONE : TrafficType.Group.CELL;
+    }
+}
--- a/src/main/java/rampshift/simulator/PolicyInstance.java
+++ b/src/main/java/rampshift/simulator/PolicyInstance.java
@@ -28,8 +28,8 @@
         var read = settings.read(seed);
         types = read.types.size();
         choice = new DispatchPolicy(read, now);
-        freeSlots = settings.reportOf("free slots");
-        freeMemory = settings.reportOf("free memory");
+        freeSlots = settings.reportField("free slots");
+        freeMemory = settings.reportField("free memory");
     }
 
     void clock(Moment now) {
--- a/src/main/java/rampshift/testbed/Commands.java
+++ b/src/main/java/rampshift/testbed/Commands.java
@@ -2,8 +2,9 @@
 
 import java.io.IOException;
 import java.io.PrintStream;
+import rampshift.settings.ConfigurationException;
 import rampshift.testbed.experiment.FleetCommandLine;
-import rampshift.toml.ConfigurationException;
+import rampshift.testbed.experiment.RunFailedException;
 
 /** The fleet's part of the command line. Loaded by name, from a jar of its own: `serve` never sees it. */
 public final class Commands {
@@ -18,10 +19,12 @@
             return FleetCommandLine.run(arguments, out);
         } catch (ConfigurationException e) {
             out.flush();
-            for (String line : e.getMessage().split("\n")) {
-                err.println(line.startsWith("  ") ? line : "rampshift " + arguments[0] + ": " + line);
-            }
-            return e.status();
+            print(e.getMessage(), arguments[0], err);
+            return 2;
+        } catch (RunFailedException e) {
+            out.flush();
+            print(e.getMessage(), arguments[0], err);
+            return 1;
         } catch (IOException e) {
             err.println("rampshift " + arguments[0] + ": " + (e.getMessage() == null ? e : e.getMessage()));
             return 1;
@@ -30,4 +33,10 @@
             return 1;
         }
     }
+
+    private static void print(String lines, String command, PrintStream err) {
+        for (String line : lines.split("\n", 0)) {
+            err.println(line.startsWith("  ") ? line : "rampshift " + command + ": " + line);
+        }
+    }
 }
--- a/src/main/java/rampshift/testbed/experiment/Configurations.java
+++ b/src/main/java/rampshift/testbed/experiment/Configurations.java
@@ -10,10 +10,10 @@
 import java.nio.file.Path;
 import java.util.ArrayList;
 import java.util.List;
+import rampshift.settings.ConfigurationException;
 import rampshift.testbed.links.LinkProxy;
 import rampshift.testbed.plan.FleetPlan;
 import rampshift.testbed.wire.LoopbackNetwork;
-import rampshift.toml.ConfigurationException;
 
 /** The configurations of a plan's dispatchers, as files that {@code NODE_CONFIG} can name. */
 final class Configurations {
--- a/src/main/java/rampshift/testbed/experiment/FaultCampaign.java
+++ b/src/main/java/rampshift/testbed/experiment/FaultCampaign.java
@@ -8,11 +8,11 @@
 import java.util.List;
 import java.util.Locale;
 import org.apache.commons.rng.UniformRandomProvider;
+import rampshift.settings.ConfigurationException;
 import rampshift.testbed.plan.FleetPlan;
 import rampshift.testbed.plan.FleetPlanReader;
 import rampshift.testbed.random.RandomStreams;
 import rampshift.testbed.verification.Verdict;
-import rampshift.toml.ConfigurationException;
 
 /**
  * Real dispatchers that know each other, under faults drawn by a seed, judged after each round. What breaks a
--- a/src/main/java/rampshift/testbed/experiment/FleetCommandLine.java
+++ b/src/main/java/rampshift/testbed/experiment/FleetCommandLine.java
@@ -18,11 +18,11 @@
 import org.apache.commons.cli.ParseException;
 import rampshift.eventlog.EventClock;
 import rampshift.settings.Configuration;
+import rampshift.settings.ConfigurationException;
 import rampshift.settings.InvalidInputException;
 import rampshift.testbed.plan.FleetPlan;
 import rampshift.testbed.plan.FleetPlanReader;
 import rampshift.testbed.verification.Verdict;
-import rampshift.toml.ConfigurationException;
 
 /** The fleet's commands, and what each is given. */
 public final class FleetCommandLine {
--- a/src/main/java/rampshift/testbed/experiment/FleetRun.java
+++ b/src/main/java/rampshift/testbed/experiment/FleetRun.java
@@ -21,7 +21,6 @@
 import rampshift.testbed.random.RandomStreams;
 import rampshift.time.Moment;
 import rampshift.time.Span;
-import rampshift.toml.ConfigurationException;
 
 /** One run: real processes, started in order, troubled as planned, judged when they have ended. */
 final class FleetRun {
@@ -176,7 +175,7 @@
         }
     }
 
-    private static ConfigurationException died(ChildProcesses.Child child, String when) {
+    private static RunFailedException died(ChildProcesses.Child child, String when) {
         List<String> lines = new ArrayList<>();
         boolean alive = child.process.isAlive();
         lines.add(child.name + (alive ? " was not ready in time"
@@ -184,7 +183,7 @@
                         + child.process.exitValue())
                 + "; its last lines:");
         child.lastLines().forEach(l -> lines.add("  " + l));
-        return ConfigurationException.ofRun(lines);
+        return new RunFailedException(lines);
     }
 
     private void awaitReady(int d, InetSocketAddress listen) throws InterruptedException {
--- a/src/main/java/rampshift/toml/KeyPositions.java
+++ b/src/main/java/rampshift/toml/KeyPositions.java
@@ -6,78 +6,95 @@
 import java.util.regex.Pattern;
 
 /**
- * Where in a TOML text each key stands. The parser checks the grammar but forgets the lines; a fault is of no
- * use without them. Tables in one line and arrays over several lines count as the key that they belong to.
+ * The line of each key in a TOML text. The parser checks the grammar but keeps no lines, and a fault is of
+ * little use without them. Inline tables and arrays over several lines count as the key that they belong
+ * to.
  */
 final class KeyPositions {
     private static final Pattern HEADER = Pattern.compile("\\s*(\\[\\[?)\\s*([^\\]]+?)\\s*\\]\\]?\\s*(#.*)?");
-    private static final Pattern KEY =
-            Pattern.compile("\\s*([A-Za-z0-9_\"'.-]+(?:\\s*\\.\\s*[A-Za-z0-9_\"'-]+)*)\\s*=.*");
+    private static final Pattern KEY = Pattern
+            .compile("\\s*([A-Za-z0-9_\"'.-]+(?:\\s*\\.\\s*[A-Za-z0-9_\"'-]+)*)\\s*=.*");
+    private static final String ARRAY_OF_TABLES = "[[";
 
     private final Map<String, Integer> lines = new HashMap<>();
+    private final Map<String, Integer> tableCounts = new HashMap<>();
 
     KeyPositions(String text) {
-        Map<String, Integer> counts = new HashMap<>();
         String table = "";
-        int depth = 0;
+        int openArrays = 0;
         int number = 0;
         for (String line : text.split("\n", -1)) {
             number++;
-            Matcher header = HEADER.matcher(line);
-            Matcher key = KEY.matcher(line);
-            if (depth == 0 && header.matches()) {
-                table = plain(header.group(2));
-                if (header.group(1).length() == 2) {
-                    int place = counts.merge(table, 1, Integer::sum) - 1;
-                    lines.putIfAbsent(table, number);
-                    table = table + "[" + place + "]";
-                }
-                lines.putIfAbsent(table, number);
-            } else if (depth == 0 && key.matches()) {
-                String path = plain(key.group(1));
-                lines.putIfAbsent(table.isEmpty() ? path : table + "." + path, number);
+            if (openArrays == 0) {
+                table = readLine(line, number, table);
             }
-            depth += open(line);
+            openArrays += arraysOpened(line);
         }
     }
 
+    /** Notes what begins in the line; the result is the table in which the next line stands. */
+    private String readLine(String line, int number, String table) {
+        Matcher header = HEADER.matcher(line);
+        if (header.matches()) {
+            return readHeader(header, number);
+        }
+        Matcher key = KEY.matcher(line);
+        if (key.matches()) {
+            String path = unquoted(key.group(1));
+            lines.putIfAbsent(table.isEmpty() ? path : table + "." + path, number);
+        }
+        return table;
+    }
+
+    private String readHeader(Matcher header, int number) {
+        String table = unquoted(header.group(2));
+        if (header.group(1).equals(ARRAY_OF_TABLES)) {
+            int index = tableCounts.merge(table, 1, Integer::sum) - 1;
+            lines.putIfAbsent(table, number);
+            table = table + "[" + index + "]";
+        }
+        lines.putIfAbsent(table, number);
+        return table;
+    }
+
     /** Arrays opened less arrays closed in a line, outside of strings and comments. */
-    private static int open(String line) {
-        int open = 0;
-        char within = 0;
+    private static int arraysOpened(String line) {
+        int opened = 0;
+        char quote = 0;
         for (int i = 0; i < line.length(); i++) {
-            char c = line.charAt(i);
-            if (within != 0) {
-                within = c == within ? 0 : within;
-            } else if (c == '"' || c == '\'') {
-                within = c;
-            } else if (c == '#') {
+            char character = line.charAt(i);
+            if (quote != 0) {
+                quote = character == quote ? 0 : quote;
+            } else if (character == '"' || character == '\'') {
+                quote = character;
+            } else if (character == '#') {
                 break;
-            } else if (c == '[') {
-                open++;
-            } else if (c == ']') {
-                open--;
+            } else if (character == '[') {
+                opened++;
+            } else if (character == ']') {
+                opened--;
             }
         }
-        return open;
+        return opened;
     }
 
-    private static String plain(String key) {
+    private static String unquoted(String key) {
         return key.replace("\"", "").replace("'", "").replaceAll("\\s*\\.\\s*", ".");
     }
 
     /**
-     * The line of a path such as {@code type[1].due}, or of the nearest thing around it; 1 where there is
+     * The line of a path such as {@code type[1].due}, or of the nearest table around it; 1 where there is
      * none.
      */
-    int of(String path) {
-        for (String p = path; !p.isEmpty();) {
-            Integer line = lines.get(p);
+    int line(String path) {
+        String enclosing = path;
+        while (!enclosing.isEmpty()) {
+            Integer line = lines.get(enclosing);
             if (line != null) {
                 return line;
             }
-            int cut = Math.max(p.lastIndexOf('.'), p.lastIndexOf('['));
-            p = cut < 0 ? "" : p.substring(0, cut);
+            int end = Math.max(enclosing.lastIndexOf('.'), enclosing.lastIndexOf('['));
+            enclosing = end < 0 ? "" : enclosing.substring(0, end);
         }
         return 1;
     }
--- a/src/main/java/rampshift/toml/TomlTable.java
+++ b/src/main/java/rampshift/toml/TomlTable.java
@@ -3,6 +3,7 @@
 import com.fasterxml.jackson.databind.JsonNode;
 import com.fasterxml.jackson.databind.node.JsonNodeFactory;
 import java.util.ArrayList;
+import java.util.Comparator;
 import java.util.Iterator;
 import java.util.LinkedHashSet;
 import java.util.List;
@@ -11,11 +12,23 @@
 import java.util.regex.Matcher;
 import java.util.regex.Pattern;
 import org.apache.commons.text.similarity.LevenshteinDistance;
+import rampshift.settings.ConfigurationFault;
+import rampshift.settings.SourcePosition;
 import rampshift.time.Span;
 
-/** One table of a file, read strictly: each key that is asked for is known, all others are faults. */
+/**
+ * One table of a file, read strictly: each key that is asked for counts as known, all others are faults.
+ * Reading never throws: a value that can't be used is noted as a fault and counts as absent.
+ */
 public final class TomlTable {
     private static final Pattern SPAN = Pattern.compile("(\\d{1,9}(?:\\.\\d{1,6})?)\\s*(us|ms|s|min)");
+    private static final String NAME = "[A-Za-z0-9_.-]{1,40}";
+    private static final String INVALID_NAME = "?";
+    private static final double MICROS_PER_MILLI = 1_000;
+    private static final double MICROS_PER_SECOND = 1_000_000;
+    private static final double MICROS_PER_MINUTE = 60_000_000;
+    /** Up to here whole numbers are written without a fraction or an exponent. */
+    private static final double MAX_PLAIN_INTEGER = 1e15;
     private static final LevenshteinDistance DISTANCE = LevenshteinDistance.getDefaultInstance();
 
     private final Source source;
@@ -23,13 +36,22 @@
     private final String path;
     private final Set<String> known = new LinkedHashSet<>();
 
-    /** What all tables of a file share. */
-    public record Source(String file, KeyPositions lines, List<String> faults) {
-        public void fault(String path, String what) {
-            faults.add(file + ":" + lines.of(path) + ": " + what);
+    /**
+     * What all tables of a file share.
+     *
+     * @param file its name in messages
+     * @param positions the lines of its keys
+     * @param faults what was found wrong so far
+     */
+    public record Source(String file, KeyPositions positions, List<ConfigurationFault> faults) {
+        /** Notes a fault of the key with that path; the description names the key. */
+        public void fault(String path, String description) {
+            SourcePosition position = SourcePosition.ofLine(file, positions.line(path));
+            faults.add(new ConfigurationFault(position, path, description));
         }
     }
 
+    /** The table at that path, empty for the file itself; an absent node counts as an empty table. */
     public TomlTable(Source source, JsonNode node, String path) {
         this.source = source;
         this.path = path;
@@ -39,49 +61,56 @@
         this.node = node != null && node.isObject() ? node : JsonNodeFactory.instance.objectNode();
     }
 
+    /** The path of a key of this table, such as {@code type[1].due}. */
     public String path(String key) {
         return path.isEmpty() ? key : path + "." + key;
     }
 
-    public void fault(String key, String what) {
-        source.fault(path(key), path(key) + " " + what);
+    /** Notes a fault of a key; the description follows its path. */
+    public void fault(String key, String description) {
+        source.fault(path(key), path(key) + " " + description);
     }
 
-    private JsonNode at(String key) {
+    private JsonNode get(String key) {
         known.add(key);
         return node.get(key);
     }
 
+    /** Whether the key is there, with whatever value. */
     public boolean has(String key) {
-        return at(key) != null;
+        return get(key) != null;
     }
 
-    public double number(String key, double least, double most, double ifAbsent) {
-        JsonNode value = at(key);
+    /** A number between the two bounds, both included. */
+    public double number(String key, double minimum, double maximum, double ifAbsent) {
+        JsonNode value = get(key);
         if (value == null) {
             return ifAbsent;
         }
-        if (!value.isNumber() || !(value.doubleValue() >= least && value.doubleValue() <= most)) {
-            fault(key, "is " + value + ", expected a number from " + plain(least) + " to " + plain(most));
+        if (!value.isNumber() || !(value.doubleValue() >= minimum && value.doubleValue() <= maximum)) {
+            fault(key,
+                    "is " + value + ", expected a number from " + plain(minimum) + " to " + plain(maximum));
             return ifAbsent;
         }
         return value.doubleValue();
     }
 
-    public int whole(String key, int least, int most, int ifAbsent) {
-        JsonNode value = at(key);
+    /** A whole number between the two bounds, both included. */
+    public int whole(String key, int minimum, int maximum, int ifAbsent) {
+        JsonNode value = get(key);
         if (value == null) {
             return ifAbsent;
         }
-        if (!value.isIntegralNumber() || value.longValue() < least || value.longValue() > most) {
-            fault(key, "is " + value + ", expected a whole number from " + least + " to " + most);
+        if (!value.isIntegralNumber() || value.longValue() < minimum || value.longValue() > maximum) {
+            fault(key, "is " + value + ", expected a whole number from " + minimum + " to " + maximum);
             return ifAbsent;
         }
         return value.intValue();
     }
 
+    /** True or false. */
     public boolean flag(String key, boolean ifAbsent) {
-        JsonNode value = at(key);
+        JsonNode value = get(key);
         if (value != null && !value.isBoolean()) {
             fault(key, "is " + value + ", expected true or false");
             return ifAbsent;
@@ -89,8 +118,9 @@
         return value == null ? ifAbsent : value.booleanValue();
     }
 
+    /** Any text. */
     public String text(String key, String ifAbsent) {
-        JsonNode value = at(key);
+        JsonNode value = get(key);
         if (value != null && !value.isTextual()) {
             fault(key, "is " + value + ", expected text in quotes");
             return ifAbsent;
@@ -98,23 +128,24 @@
         return value == null ? ifAbsent : value.textValue();
     }
 
-    /** Text that names things on the wire: no blanks, nothing that needs escaping. */
+    /** A text that names things on the wire: required, no blanks, nothing that needs escaping. */
     public String name(String key) {
         String text = text(key, null);
-        if (text == null || !text.matches("[A-Za-z0-9_.-]{1,40}")) {
+        if (text == null || !text.matches(NAME)) {
             fault(key, "is " + (text == null ? "missing" : "\"" + text + "\"")
                     + ", expected a name of letters, digits, '-', '_' and '.'");
-            return "?";
+            return INVALID_NAME;
         }
         return text;
     }
 
+    /** A span such as "250ms"; units are us, ms, s and min. */
     public Span span(String key, Span ifAbsent) {
-        JsonNode value = at(key);
+        JsonNode value = get(key);
         if (value == null) {
             return ifAbsent;
         }
-        Span span = span(value);
+        Span span = spanOrNull(value);
         if (span == null) {
             fault(key, "is " + value + ", expected a span such as \"250ms\" or \"1.5s\"");
             return ifAbsent;
@@ -122,28 +153,32 @@
         return span;
     }
 
-    private static Span span(JsonNode value) {
-        Matcher m = value.isTextual() ? SPAN.matcher(value.textValue()) : null;
-        if (m == null || !m.matches()) {
+    private static Span spanOrNull(JsonNode value) {
+        if (!value.isTextual()) {
             return null;
         }
-        double times = switch (m.group(2)) {
+        Matcher matcher = SPAN.matcher(value.textValue());
+        if (!matcher.matches()) {
+            return null;
+        }
+        double unitMicros = switch (matcher.group(2)) {
             case "us" -> 1;
-            case "ms" -> 1_000;
-            case "s" -> 1_000_000;
-            default -> 60_000_000;
+            case "ms" -> MICROS_PER_MILLI;
+            case "s" -> MICROS_PER_SECOND;
+            default -> MICROS_PER_MINUTE;
         };
-        return new Span(Math.round(Double.parseDouble(m.group(1)) * times));
+        return new Span(Math.round(Double.parseDouble(matcher.group(1)) * unitMicros));
     }
 
-    /** One span, or the two ends of a range. */
+    /** One span, or an array with the two ends of a range. */
     public Range range(String key, Range ifAbsent) {
-        JsonNode value = at(key);
+        JsonNode value = get(key);
         if (value == null) {
             return ifAbsent;
         }
-        Span from = span(value.isArray() && value.size() == 2 ? value.get(0) : value);
-        Span to = span(value.isArray() && value.size() == 2 ? value.get(1) : value);
+        boolean pair = value.isArray() && value.size() == 2;
+        Span from = spanOrNull(pair ? value.get(0) : value);
+        Span to = spanOrNull(pair ? value.get(1) : value);
         if (from == null || to == null || from.longerThan(to)) {
             fault(key, "is " + value + ", expected a span or a range such as [\"100ms\", \"2s\"]");
             return ifAbsent;
@@ -151,31 +186,33 @@
         return new Range(from, to);
     }
 
+    /** One of an enum's constants, written in lower case with hyphens. */
     public <E extends Enum<E>> E oneOf(String key, Class<E> type, E ifAbsent) {
         String text = text(key, null);
         if (text == null) {
             return ifAbsent;
         }
-        List<String> all = new ArrayList<>();
-        for (E value : type.getEnumConstants()) {
-            String name = value.name().toLowerCase(Locale.ROOT).replace('_', '-');
+        List<String> names = new ArrayList<>();
+        for (E constant : type.getEnumConstants()) {
+            String name = constant.name().toLowerCase(Locale.ROOT).replace('_', '-');
             if (name.equals(text)) {
-                return value;
+                return constant;
             }
-            all.add(name);
+            names.add(name);
         }
-        fault(key, "is \"" + text + "\", expected one of " + String.join(", ", all));
+        fault(key, "is \"" + text + "\", expected one of " + String.join(", ", names));
         return ifAbsent;
     }
 
+    /** An array of texts. */
     public List<String> texts(String key, List<String> ifAbsent) {
-        JsonNode value = at(key);
+        JsonNode value = get(key);
         if (value == null) {
             return ifAbsent;
         }
         List<String> texts = new ArrayList<>();
-        for (JsonNode one : value) {
-            texts.add(one.isTextual() ? one.textValue() : one.toString());
+        for (JsonNode element : value) {
+            texts.add(element.isTextual() ? element.textValue() : element.toString());
         }
         if (!value.isArray()) {
             fault(key, "is " + value + ", expected an array of texts");
@@ -183,42 +220,47 @@
         return texts;
     }
 
+    /** A table within this one; an empty one where there is none. */
     public TomlTable section(String key) {
-        return new TomlTable(source, at(key), path(key));
+        return new TomlTable(source, get(key), path(key));
     }
 
+    /** An array of tables; empty where there is none. */
     public List<TomlTable> sections(String key) {
-        JsonNode value = at(key);
-        List<TomlTable> sections = new ArrayList<>();
+        JsonNode value = get(key);
+        List<TomlTable> tables = new ArrayList<>();
         if (value != null && !value.isArray()) {
             fault(key, "is to be an array of tables, [[" + path(key) + "]]");
         } else if (value != null) {
             for (int i = 0; i < value.size(); i++) {
-                sections.add(new TomlTable(source, value.get(i), path(key) + "[" + i + "]"));
+                tables.add(new TomlTable(source, value.get(i), path(key) + "[" + i + "]"));
             }
         }
-        return sections;
+        return tables;
     }
 
-    /** The table as it stands, for what is passed on as it is. */
+    /** The value as parsed, for what is passed on unread; null where there is none. */
     public JsonNode raw(String key) {
-        return at(key);
+        return get(key);
     }
 
-    /** Whatever was not asked for is unknown. */
+    /** To be called once all has been read: each key that was not asked for is a fault. */
     public void end() {
         for (Iterator<String> names = node.fieldNames(); names.hasNext();) {
             String name = names.next();
             if (!known.contains(name)) {
-                String nearest = known.stream().min((a, b) -> Integer.compare(DISTANCE.apply(a, name),
-                        DISTANCE.apply(b, name))).orElse(null);
+                String nearest = nearestKnown(name);
                 fault(name, "is not known" + (nearest == null ? "" : "; the nearest key here is " + nearest));
             }
         }
     }
 
+    private String nearestKnown(String name) {
+        return known.stream().min(Comparator.comparingInt(key -> DISTANCE.apply(key, name))).orElse(null);
+    }
+
     private static String plain(double value) {
-        return value == Math.rint(value) && Math.abs(value) < 1e15 ? String.valueOf((long) value)
-                : String.valueOf(value);
+        boolean integer = value == Math.rint(value) && Math.abs(value) < MAX_PLAIN_INTEGER;
+        return integer ? String.valueOf((long) value) : String.valueOf(value);
     }
 }
--- a/src/test/java/rampshift/extensions/OperatorFileTest.java
+++ b/src/test/java/rampshift/extensions/OperatorFileTest.java
@@ -8,7 +8,9 @@
 import java.nio.file.Path;
 import org.junit.jupiter.api.Test;
 import rampshift.membership.host.MembershipSettings;
-import rampshift.toml.ConfigurationException;
+import rampshift.settings.ConfigurationException;
+import rampshift.settings.ConfigurationFault;
+import rampshift.settings.SourcePosition;
 
 class OperatorFileTest {
     @Test
@@ -79,6 +81,9 @@
                         op.toml:6: members.forgett is not known; the nearest key here is forget
                         op.toml:10: durable is not known; the nearest key here is duty""",
                 fault.getMessage());
-        assertEquals(2, fault.status());
+        assertEquals(7, fault.faults().size());
+        assertEquals(new ConfigurationFault(SourcePosition.ofLine("op.toml", 3), "members.listen",
+                "members.listen is a wildcard, expected the address where the others reach this dispatcher"),
+                fault.faults().get(0));
     }
 }
--- a/src/test/java/rampshift/migrate/MigrateCommandTest.java
+++ b/src/test/java/rampshift/migrate/MigrateCommandTest.java
@@ -81,13 +81,13 @@
         byte[] before = Files.readAllBytes(old);
         Files.setPosixFilePermissions(old, PosixFilePermissions.fromString("rw-r-----"));
         assertEquals(0, migrateTo(made), refused);
-        var settings = read(made).settings.read(1);
+        var settings = read(made).settings().read(1);
         assertFalse(settings.reportsLoad);
         assertFalse(settings.liveWeights);
         assertTrue(settings.listOnRequest);
         assertEquals(2, settings.zone);
         assertEquals(4000, settings.askWithin.millis());
-        assertNull(read(made).known, "workers of the old house");
+        assertNull(read(made).knownEndpoints(), "workers of the old house");
         assertArrayEquals(before, Files.readAllBytes(old), "the old one is the way back");
         assertEquals("rw-r-----", PosixFilePermissions.toString(Files.getPosixFilePermissions(made)));
         assertTrue(Files.readString(made).contains("1.250"),
--- a/src/test/java/rampshift/settings/SiteSettingsTest.java
+++ b/src/test/java/rampshift/settings/SiteSettingsTest.java
@@ -14,6 +14,7 @@
 import java.nio.file.Path;
 import java.util.ArrayList;
 import java.util.List;
+import java.util.Locale;
 import java.util.Set;
 import java.util.TreeSet;
 import java.util.regex.Pattern;
@@ -22,11 +23,10 @@
 import rampshift.policy.Settings;
 import rampshift.policy.TrafficType;
 
-/**
- * The sites under deploy/sites: nothing of the program is made for one of them, and the settings of each are
- * read as told.
- */
+/** The sites under deploy/sites: the program names none of them, and reads the settings of each as stated. */
 class SiteSettingsTest {
+    private static final JsonMapper JSON = new JsonMapper();
+
     private static List<JsonNode> sites() throws IOException {
         List<JsonNode> sites = new ArrayList<>();
         try (Stream<Path> files = Files.walk(Path.of("deploy/sites"))) {
@@ -43,7 +43,7 @@
     }
 
     @Test
-    void noNameOfASiteStandsInTheProgramOrItsDeployment() throws IOException {
+    void noSiteNameOccursInProgramOrDeployment() throws IOException {
         Set<String> names = new TreeSet<>();
         for (JsonNode site : sites()) {
             names.add(site.get("name").asText());
@@ -68,60 +68,80 @@
         }
     }
 
-    /** What swaps its meaning between the two does so here, and each row is its own site's. */
+    /** Sites differ in what a row or a number means; each has to be read by its own. */
     @Test
-    void theSettingsOfEachSiteAreReadAsItTellsThem() throws IOException {
-        JsonMapper json = new JsonMapper();
+    void readsTheSettingsOfEachSite() throws IOException {
         for (JsonNode site : sites()) {
-            ObjectNode told = json.createObjectNode();
-            told.set("Zones", site.path("net").path("zones"));
-            told.putObject("Limits").put("MostAssignments", site.path("allow").path("max_attempts").asInt())
-                    .put("SecondCopies", site.path("allow").path("second_copies").asBoolean());
-            told.putObject("Rules").put("StopSendingWithinMs",
-                    site.path("rules").path("drain_grace_ms").asDouble());
-            ArrayNode types = told.putArray("TrafficTypes");
-            for (JsonNode row : site.path("class")) {
-                ObjectNode type = types.addObject().put("Name", row.get("name").asText())
-                        .put("DueTimeMs", row.get("aim_ms").asDouble())
-                        .put("ExpiryMs", row.get("deadline_ms").asDouble())
-                        .put("Earnings", row.get("worth").asDouble())
-                        .put("Effect", row.get("effect").asText())
-                        .put("WindowMs", row.path("window_ms").asDouble());
-                if (row.has("group")) {
-                    type.put("DedupScope", row.get("group").asText());
-                }
-            }
-            ArrayNode tenants = told.putArray("Tenants");
-            site.path("tenant").forEach(t -> tenants.addObject().put("Name", t.get("name").asText())
-                    .put("QuotaPerS", 10 * t.get("share").asDouble()));
-            SettingsReader reader = Configuration
-                    .read(json.writeValueAsBytes(json.createObjectNode().put("listen", "127.0.0.1:1")
-                            .put("discovery", "127.0.0.1:1").set("settings", told))).settings;
+            ObjectNode root = JSON.createObjectNode().put("listen", "127.0.0.1:1")
+                    .put("discovery", "127.0.0.1:1");
+            root.set("settings", settingsOf(site));
+            SettingsReader reader = Configuration.read(JSON.writeValueAsBytes(root)).settings();
             Settings settings = reader.read(1);
-            assertEquals(site.path("allow").path("max_attempts").asInt(), settings.mostAssignments);
-            assertEquals(site.path("allow").path("second_copies").asBoolean(), settings.secondCopies);
-            assertEquals(site.path("rules").path("drain_grace_ms").asDouble(), settings.drainGrace.millis());
-            assertEquals(site.path("class").size(), settings.types.size());
-            for (int i = 0; i < settings.types.size(); i++) {
-                JsonNode row = site.path("class").get(i);
-                TrafficType type = settings.types.get(i);
-                assertEquals(row.get("name").asText(), reader.platform().types().get(i));
-                assertEquals(row.get("deadline_ms").asDouble(), type.expiry().millis());
-                assertEquals(row.get("worth").asDouble(), type.earnings());
-                assertEquals(switch (row.get("effect").asText()) {
-                    case "safe" -> TrafficType.Effect.IDEMPOTENT;
-                    case "keyed" -> TrafficType.Effect.FINGERPRINTED;
-                    default -> TrafficType.Effect.SIDE_EFFECTING;
-                }, type.effect());
-                if (row.has("group")) {
-                    assertEquals(row.get("group").asText().toUpperCase(), type.group().name());
-                    assertEquals(row.get("window_ms").asDouble(), type.window().millis());
-                }
+            assertRules(site, settings);
+            assertTrafficTypes(site, settings, reader.hostSettings());
+            List<String> tenants = new ArrayList<>();
+            site.path("tenant").forEach(tenant -> tenants.add(tenant.get("name").asText()));
+            assertEquals(tenants, reader.hostSettings().tenants());
+            assertEquals(tenants.size(), settings.tenantQuotas.size());
+        }
+    }
+
+    /** The settings as the site's own file states them. */
+    private static ObjectNode settingsOf(JsonNode site) {
+        ObjectNode settings = JSON.createObjectNode();
+        settings.set("Zones", site.path("net").path("zones"));
+        settings.putObject("Limits").put("MostAssignments", site.path("allow").path("max_attempts").asInt())
+                .put("SecondCopies", site.path("allow").path("second_copies").asBoolean());
+        settings.putObject("Rules").put("StopSendingWithinMs",
+                site.path("rules").path("drain_grace_ms").asDouble());
+        ArrayNode types = settings.putArray("TrafficTypes");
+        site.path("class").forEach(row -> addTrafficType(types, row));
+        ArrayNode tenants = settings.putArray("Tenants");
+        for (JsonNode tenant : site.path("tenant")) {
+            tenants.addObject().put("Name", tenant.get("name").asText()).put("QuotaPerS",
+                    10 * tenant.get("share").asDouble());
+        }
+        return settings;
+    }
+
+    private static void addTrafficType(ArrayNode types, JsonNode row) {
+        ObjectNode type = types.addObject().put("Name", row.get("name").asText())
+                .put("DueTimeMs", row.get("aim_ms").asDouble())
+                .put("ExpiryMs", row.get("deadline_ms").asDouble())
+                .put("Earnings", row.get("worth").asDouble()).put("Effect", row.get("effect").asText())
+                .put("WindowMs", row.path("window_ms").asDouble());
+        if (row.has("group")) {
+            type.put("DedupScope", row.get("group").asText());
+        }
+    }
+
+    private static void assertRules(JsonNode site, Settings settings) {
+        assertEquals(site.path("allow").path("max_attempts").asInt(), settings.mostAssignments);
+        assertEquals(site.path("allow").path("second_copies").asBoolean(), settings.secondCopies);
+        assertEquals(site.path("rules").path("drain_grace_ms").asDouble(), settings.drainGrace.millis());
+    }
+
+    private static void assertTrafficTypes(JsonNode site, Settings settings, HostSettings hostSettings) {
+        assertEquals(site.path("class").size(), settings.types.size());
+        for (int i = 0; i < settings.types.size(); i++) {
+            JsonNode row = site.path("class").get(i);
+            TrafficType type = settings.types.get(i);
+            assertEquals(row.get("name").asText(), hostSettings.types().get(i));
+            assertEquals(row.get("deadline_ms").asDouble(), type.expiry().millis());
+            assertEquals(row.get("worth").asDouble(), type.earnings());
+            assertEquals(effect(row.get("effect").asText()), type.effect());
+            if (row.has("group")) {
+                assertEquals(row.get("group").asText().toUpperCase(Locale.ROOT), type.group().name());
+                assertEquals(row.get("window_ms").asDouble(), type.window().millis());
             }
-            List<String> desks = new ArrayList<>();
-            site.path("tenant").forEach(t -> desks.add(t.get("name").asText()));
-            assertEquals(desks, reader.platform().tenants());
-            assertEquals(desks.size(), settings.tenantQuotas.size());
         }
     }
+
+    private static TrafficType.Effect effect(String word) {
+        return switch (word) {
+            case "safe" -> TrafficType.Effect.IDEMPOTENT;
+            case "keyed" -> TrafficType.Effect.FINGERPRINTED;
+            default -> TrafficType.Effect.SIDE_EFFECTING;
+        };
+    }
 }
--- a/src/test/java/rampshift/testbed/plan/FleetPlanReaderTest.java
+++ b/src/test/java/rampshift/testbed/plan/FleetPlanReaderTest.java
@@ -9,8 +9,8 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
+import rampshift.settings.ConfigurationException;
 import rampshift.time.Span;
-import rampshift.toml.ConfigurationException;
 
 class FleetPlanReaderTest {
     private static final String GOOD = """
