--- a/src/main/java/rampshift/serve/DispatcherServer.java
+++ b/src/main/java/rampshift/serve/DispatcherServer.java
@@ -105,16 +105,17 @@
         Dialer dialer = new Dialer(thread);
         dispatcher = new Dispatcher(thread, buffers, dialer, clock, counters, configuration,
                 beside == null ? 0 : beside.maxDescriptors(configuration));
-        if (configuration.known != null) {
-            EndpointList known = EndpointList.read(configuration.known, configuration.known.length);
+        if (configuration.knownEndpoints() != null) {
+            EndpointList known =
+                    EndpointList.read(configuration.knownEndpoints(), configuration.knownEndpoints().length);
             dispatcher.policyHost.onEndpointList(known, true);
             haveList = !known.endpoints().isEmpty();
             dispatcher.policyHost.onEndpointListAwaited(true);
         }
         dispatcher.clientListener.addPage("/ready", this::ready);
         dispatcher.clientListener.addPage("/counters", () -> new ClientListener.Page(200, counters.text()));
-        dispatcher.clientListener.listen(worker, configuration.listen);
-        watch = new EndpointWatch(thread, dialer, clock, configuration.discovery, dispatcher.drainGrace, counters,
+        dispatcher.clientListener.listen(worker, configuration.listen());
+        watch = new EndpointWatch(thread, dialer, clock, configuration.discovery(), dispatcher.drainGrace, counters,
                 list -> {
                     haveList = true;
                     dispatcher.policyHost.onEndpointList(beside == null ? list : beside.adjust(list), false);
@@ -125,7 +126,7 @@
                     changes -> dispatcher.policyHost.onEndpointList(changes, false));
         }
         watch.start();
-        Log.info("started", "name", configuration.name, "listen", configuration.listen);
+        Log.info("started", "name", configuration.name(), "listen", configuration.listen());
         new WarmUp(thread, buffers, clock, () -> counters.get(Counters.Name.TASKS_ADMITTED) == 0, () -> {
             rehearsed = true;
             if (beside != null) {
@@ -176,8 +177,8 @@
         List<String> atStart = configuration.restartFor(next);
         thread.execute(() -> {
             counters.add(Counters.Name.RELOADS);
-            Log.info("reload", "discovery", next.discovery, "wait_for_restart", atStart);
-            if (watch.switchTo(next.discovery)) {
+            Log.info("reload", "discovery", next.discovery(), "wait_for_restart", atStart);
+            if (watch.switchTo(next.discovery())) {
                 dispatcher.policyHost.onEndpointListAwaited(false);
                 if (beside != null) {
                     beside.onDiscoveryChanged();
