--- a/src/bench/java/rampshift/membership/MembershipMeasurementTest.java
+++ b/src/bench/java/rampshift/membership/MembershipMeasurementTest.java
@@ -1,45 +1,60 @@
 package rampshift.membership;
 
 import java.util.List;
+import java.util.regex.Pattern;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.condition.EnabledIfSystemProperty;
+import rampshift.membership.MembershipMetrics.Counter;
 
-/** The table of docs/measurements.md: mvn -q -Pbench test -Dtest=MeasureTest -Dmembers.measure=5,20,100 */
+/**
+ * The table of docs/measurements.md:
+ * {@code mvn -q -Pbench test -Dtest=MembershipMeasurementTest -Dmembers.measure=5,20,100}.
+ */
 @EnabledIfSystemProperty(named = "members.measure", matches = "[\\d,]+")
 class MembershipMeasurementTest {
+    private static final long SEED = 11;
+    private static final int MEASURED_SECONDS = 60;
+    private static final double NANOS_PER_MICRO = 1000.0;
+
     @Test
-    void detectionFalseAccusationsBytesAndCpuBySize() {
-        for (String size : System.getProperty("members.measure").split(",")) {
-            int count = Integer.parseInt(size);
-            for (double lost : List.of(0.0, 0.05, 0.2)) {
-                SimulatedNetwork net = new SimulatedNetwork(11, count).startAll();
-                net.until(120, net::agree);
-                net.lostEverywhere = lost;
-                long sent = sum(net, 0);
-                long bytes = sum(net, 1);
-                long cpu = System.nanoTime();
-                net.run(60);
-                cpu = System.nanoTime() - cpu;
-                sent = sum(net, 0) - sent;
-                bytes = sum(net, 1) - bytes;
-                long failed = net.nodes.values().stream().mapToLong(n -> n.count(Event.Kind.FAILED)).sum();
-                net.node(count).kill();
-                double known = net.until(300, () -> net.nodes.values().stream()
-                        .allMatch(n -> n.roll == null || n.of("d" + count) == MemberUpdate.Belief.FAILED));
-                System.out.printf(
-                        "members %d, lost %.0f%%: %.1f s until all know, %d false in 60 s, %.0f bytes and %.2f datagrams"
-                                + " a second and member, %.0f us of CPU%n    heartbeats, 5 periods: %s%n    heartbeats, 12 periods: %s%n",
-                        count, 100 * lost, known, failed, bytes / 60.0 / count, sent / 60.0 / count,
-                        cpu / 1000.0 / 60 / count,
-                        Heartbeats.play(11, count, 5, lost, 60), Heartbeats.play(11, count, 12, lost, 60));
+    void detectionTimeFalseDetectionsTrafficAndCpuByFleetSize() {
+        for (String size : Pattern.compile(",").split(System.getProperty("members.measure"))) {
+            for (double loss : List.of(0.0, 0.05, 0.2)) {
+                measure(Integer.parseInt(size), loss);
             }
         }
     }
 
-    private static long sum(SimulatedNetwork net, int which) {
-        return net.nodes.values().stream().filter(n -> n.roll != null)
-                .mapToLong(n -> which == 0 ? n.roll.counts().sent
-                        : n.roll.counts().sentBytes)
-                .sum();
+    private static void measure(int count, double loss) {
+        SimulatedNetwork network = new SimulatedNetwork(SEED, count).startAll();
+        network.until(120, network::agree);
+        network.lossEverywhere = loss;
+        long datagramsBefore = sum(network, Counter.SENT);
+        long bytesBefore = sum(network, Counter.SENT_BYTES);
+        long startNanos = System.nanoTime();
+        network.run(MEASURED_SECONDS);
+        long elapsedNanos = System.nanoTime() - startNanos;
+        double memberSeconds = (double) MEASURED_SECONDS * count;
+        double datagrams = (sum(network, Counter.SENT) - datagramsBefore) / memberSeconds;
+        double bytes = (sum(network, Counter.SENT_BYTES) - bytesBefore) / memberSeconds;
+        double cpuMicros = elapsedNanos / NANOS_PER_MICRO / memberSeconds;
+        long failed = network.nodes.values().stream()
+                .mapToLong(node -> node.eventCount(MembershipEvent.Kind.FAILED)).sum();
+        network.node(count).kill();
+        String killed = network.node(count).name;
+        double detected = network.until(300, () -> network.nodes.values().stream()
+                .allMatch(node -> !node.isRunning() || node.statusOf(killed) == MemberUpdate.Status.FAILED));
+        System.out.printf(
+                "members %d, lost %.0f%%: %.1f s until all know, %d false in 60 s, %.0f bytes and %.2f "
+                        + "datagrams a second and member, %.0f us of CPU%n    heartbeats, 5 periods: %s%n"
+                        + "    heartbeats, 12 periods: %s%n",
+                count, 100 * loss, detected, failed, bytes, datagrams, cpuMicros,
+                HeartbeatBaseline.simulate(SEED, count, 5, loss, MEASURED_SECONDS),
+                HeartbeatBaseline.simulate(SEED, count, 12, loss, MEASURED_SECONDS));
+    }
+
+    private static long sum(SimulatedNetwork network, Counter counter) {
+        return network.nodes.values().stream().filter(SimulatedNetwork.Node::isRunning)
+                .mapToLong(node -> node.membership.metrics().get(counter)).sum();
     }
 }
--- /dev/null
+++ b/src/main/java/rampshift/membership/AntiEntropySync.java
@@ -0,0 +1,143 @@
+package rampshift.membership;
+
+import java.util.ArrayList;
+import java.util.HashSet;
+import java.util.List;
+import java.util.Set;
+import rampshift.membership.MemberUpdate.Status;
+import rampshift.membership.MembershipMetrics.Counter;
+import rampshift.time.Moment;
+
+/**
+ * Exchanges full views over streams: with the seeds until one answers, then with a random member now and
+ * then, and with members that are missing, so that a fleet that was partitioned becomes one again.
+ */
+final class AntiEntropySync {
+    private final MembershipContext context;
+    private final Codec codec;
+    private final DrainNotices drainNotices;
+    private final List<String> seeds;
+    private boolean joined;
+    private Moment syncAt;
+    private Moment reconnectAt;
+    private Moment lastUnknownSenderSyncAt;
+
+    AntiEntropySync(MembershipContext context, Codec codec, DrainNotices drainNotices, List<String> seeds) {
+        this.context = context;
+        this.codec = codec;
+        this.drainNotices = drainNotices;
+        this.seeds = seeds;
+    }
+
+    /** Asks the seeds at the next wake. A member without seeds has joined at once. */
+    void start() {
+        joined = seeds.isEmpty();
+        syncAt = context.now();
+        reconnectAt = context.now().plus(context.timings().reconnectInterval());
+    }
+
+    /** Whether a sync of this process was answered, or it has no seeds to ask. */
+    boolean hasJoined() {
+        return joined;
+    }
+
+    /** A sync of this process was answered. */
+    void onResponse() {
+        context.metrics().increment(Counter.SYNCS);
+        joined = true;
+    }
+
+    /** Answers a sync of another member with the view of this one. */
+    byte[] respond(String to) {
+        context.metrics().increment(Counter.SYNCS);
+        return encodeView(to, new MessageBody.SyncResponse());
+    }
+
+    /**
+     * A member that is not known here sent a probe, as after a restart of this process: it is asked for its
+     * view.
+     */
+    void onUnknownSender(String name, String address) {
+        Moment now = context.now();
+        if (lastUnknownSenderSyncAt == null
+                || now.since(lastUnknownSenderSyncAt).longerThan(context.timings().ackTimeout())) {
+            lastUnknownSenderSyncAt = now;
+            request(address, name);
+        }
+    }
+
+    /** Syncs with the seeds or with a random member if it is time to. */
+    void onSyncDue() {
+        Moment now = context.now();
+        if (now.before(syncAt)) {
+            return;
+        }
+        if (!joined) {
+            // Whichever seed answers first will do, so the members of a fleet may start in any order.
+            seeds.forEach(seed -> request(seed, ""));
+            syncAt = now.plus(context.timings().period());
+            return;
+        }
+        context.members().sample(1).forEach(this::request);
+        int reachable = context.members().reachableCount();
+        syncAt = now.plus(context.timings().syncInterval(reachable).times(context.random().jitterFactor()));
+    }
+
+    boolean isReconnectDue() {
+        return !context.now().before(reconnectAt);
+    }
+
+    /**
+     * Syncs with a failed member, or with a seed that no reachable member has the address of: a partition may
+     * have healed, or two fleets may have to become one.
+     */
+    void reconnect() {
+        double jitter = context.random().jitterFactor();
+        reconnectAt = context.now().plus(context.timings().reconnectInterval().times(jitter));
+        List<Member> failed = context.members().all().stream()
+                .filter(member -> member.status() == Status.FAILED).toList();
+        List<String> unknownSeeds = unknownSeeds();
+        int candidates = failed.size() + unknownSeeds.size();
+        if (candidates == 0) {
+            return;
+        }
+        int draw = context.random().below(candidates);
+        if (draw < failed.size()) {
+            request(failed.get(draw));
+        } else {
+            request(unknownSeeds.get(draw - failed.size()), "");
+        }
+    }
+
+    private List<String> unknownSeeds() {
+        Set<String> known = new HashSet<>();
+        known.add(context.self().identity().address());
+        for (Member member : context.members().all()) {
+            if (member.isReachable()) {
+                known.add(context.members().addressOf(member));
+            }
+        }
+        return seeds.stream().filter(seed -> !known.contains(seed)).toList();
+    }
+
+    private void request(Member member) {
+        request(context.members().addressOf(member), member.name());
+    }
+
+    private void request(String address, String name) {
+        context.output().requestSync(address, encodeView(name, new MessageBody.SyncRequest()));
+    }
+
+    private byte[] encodeView(String to, MessageBody body) {
+        List<MemberUpdate> view = new ArrayList<>();
+        view.add(context.self().currentUpdate());
+        context.members().all().forEach(member -> view.add(member.updateAt(context.now())));
+        List<MemberUpdate> bounded = view.subList(0, Math.min(view.size(), Codec.MAX_MEMBERS));
+        return codec.encode(new Message(context.self().name(), to, body, bounded, drainNotices.all()));
+    }
+
+    /** The time at which this part has to be woken next. */
+    Moment nextWake() {
+        return syncAt.orEarlier(reconnectAt);
+    }
+}
--- a/src/main/java/rampshift/membership/Codec.java
+++ b/src/main/java/rampshift/membership/Codec.java
@@ -5,211 +5,243 @@
 import java.nio.charset.StandardCharsets;
 import java.util.ArrayList;
 import java.util.List;
+import java.util.regex.Pattern;
 import java.util.zip.CRC32;
 import java.util.zip.CRC32C;
 
 /**
- * Messages as bytes. Each begins with a mark, the format's version and the fleet's number, and ends with a
- * CRC32C over
- * all before; every length and count is bounded before anything is made of it.
+ * Encodes and decodes messages. Each begins with a magic number, the version of the format, its kind and the
+ * number of the fleet, and ends with a CRC32C over all before. Every length and count is checked before
+ * anything is made of it; a message that can't be decoded is rejected as a whole.
  */
 final class Codec {
-    // bytes at most: fits an Ethernet frame with room for tunnels
-    static final int DATAGRAM = 1400;
-    static final int WHOLE = 1 << 20;                   // bytes at most of a whole exchange, one way
-    static final int MOST_MEMBERS = 2048;               // claims in one message, names kept
-    static final int MOST_NEWS = 4096;
-    private static final int MARK = 0x5253;
-    private static final int VERSION = 1;
-    private static final int TEXT = 64;                 // bytes of any name, address, site or build
-    private static final int TAIL = 4;
-    private static final int NEWS_LEAST = 1 + 8 + 8 + 1;
-    private static final int CLAIM_LEAST = 8 * 4 + 2 + 5;
+    /** The bytes of a datagram at most: fits an Ethernet frame with room for tunnels. */
+    static final int MAX_DATAGRAM_BYTES = 1400;
+    /** The bytes of one direction of a sync at most. */
+    static final int MAX_SYNC_BYTES = 1 << 20;
+    /** The members in one message, and in the view of a member, at most. */
+    static final int MAX_MEMBERS = 2048;
+    /** The drain notices in one message, and those kept, at most. */
+    static final int MAX_DRAIN_NOTICES = 4096;
+    /** The bytes of a name, address, site or build at most. */
+    static final int MAX_TEXT_BYTES = 64;
+
+    private static final short MAGIC = 0x5253;
+    private static final byte VERSION = 1;
+    private static final int MAX_PORT = 65535;
+    private static final Pattern PORT = Pattern.compile("\\d{1,5}");
+    private static final Pattern HOST = Pattern.compile(
+            "((25[0-5]|2[0-4]\\d|1?\\d?\\d)\\.){3}(25[0-5]|2[0-4]\\d|1?\\d?\\d)|\\[[0-9a-fA-F:.]+\\]");
+
+    /** Magic number, version and kind. */
+    private static final int PREFIX_BYTES = Short.BYTES + Byte.BYTES + Byte.BYTES;
+    private static final int CHECKSUM_BYTES = Integer.BYTES;
+    /**
+     * Magic number, version, kind, fleet, sequence number, three empty texts, two counts and the checksum.
+     */
+    private static final int EMPTY_MESSAGE_BYTES = PREFIX_BYTES + Integer.BYTES + Long.BYTES + 3 * Byte.BYTES
+            + 2 * Short.BYTES + CHECKSUM_BYTES;
+    /** Shorter input is rejected before anything else is looked at. */
+    private static final int MIN_MESSAGE_BYTES = 12 + CHECKSUM_BYTES;
+    /** An empty worker name, start time, list version and kind. */
+    private static final int MIN_DRAIN_NOTICE_BYTES = Byte.BYTES + 2 * Long.BYTES + Byte.BYTES;
+    /** Four numbers, phase and status, and five empty texts. */
+    private static final int MIN_UPDATE_BYTES = 4 * Long.BYTES + 2 * Byte.BYTES + 5 * Byte.BYTES;
 
     private final int fleet;
 
-    Codec(String fleet) {
-        this.fleet = number(fleet);
+    Codec(String fleetName) {
+        fleet = fleetNumber(fleetName);
     }
 
-    /** What stands for a fleet's name. */
-    static int number(String fleet) {
+    /** The number that stands for a fleet's name on the wire. */
+    static int fleetNumber(String fleetName) {
         CRC32 crc = new CRC32();
-        crc.update(fleet.getBytes(StandardCharsets.UTF_8));
+        crc.update(fleetName.getBytes(StandardCharsets.UTF_8));
         return (int) crc.getValue();
     }
 
-    /** Room that a claim takes, in bytes. */
-    static int size(MemberUpdate c) {
-        MemberIdentity k = c.card();
-        return CLAIM_LEAST + length(k.name()) + length(k.at()) + length(k.site()) + length(k.build())
-                + length(c.by());
+    /** The encoded size of an update in bytes. */
+    static int sizeOf(MemberUpdate update) {
+        MemberIdentity member = update.member();
+        return MIN_UPDATE_BYTES + textBytes(member.name()) + textBytes(member.address())
+                + textBytes(member.site())
+                + textBytes(member.build()) + textBytes(update.reportedBy());
     }
 
-    static int size(DrainNotice n) {
-        return NEWS_LEAST + length(n.worker());
+    /** The encoded size of a drain notice in bytes. */
+    static int sizeOf(DrainNotice notice) {
+        return MIN_DRAIN_NOTICE_BYTES + textBytes(notice.worker());
     }
 
-    /** Room left in a datagram beside its frame. */
-    static int room(Message bare) {
-        return DATAGRAM - (2 + 1 + 1 + 4 + 8 + 3 + 4 + TAIL) - length(bare.from()) - length(bare.to())
-                - length(bare.about());
+    /** The bytes that a datagram with this sender, receiver and body has left for updates and notices. */
+    static int piggybackCapacity(String from, String to, MessageBody body) {
+        return MAX_DATAGRAM_BYTES - headerBytes(from, to, body);
     }
 
-    private static int length(String text) {
+    private static int headerBytes(String from, String to, MessageBody body) {
+        return EMPTY_MESSAGE_BYTES + textBytes(from) + textBytes(to) + textBytes(body.target());
+    }
+
+    private static int textBytes(String text) {
         return text.getBytes(StandardCharsets.UTF_8).length;
     }
 
-    byte[] write(Message m) {
-        int size = DATAGRAM - room(m);
-        for (MemberUpdate c : m.claims()) {
-            size += size(c);
-        }
-        for (DrainNotice n : m.news()) {
-            size += size(n);
-        }
-        ByteBuffer b = ByteBuffer.allocate(size);
-        b.putShort((short) MARK).put((byte) VERSION).put((byte) m.kind().ordinal()).putInt(fleet)
-                .putLong(m.number());
-        text(b, m.from());
-        text(b, m.to());
-        text(b, m.about());
-        b.putShort((short) m.claims().size());
-        for (MemberUpdate c : m.claims()) {
-            MemberIdentity k = c.card();
-            text(b, k.name());
-            b.putLong(k.incarnation()).putLong(k.life()).putLong(k.startedMs()).putLong(c.ageMs());
-            b.put((byte) k.doing().ordinal()).put((byte) c.belief().ordinal());
-            text(b, k.at());
-            text(b, k.site());
-            text(b, k.build());
-            text(b, c.by());
+    /** CRC32C over the first bytes of an array. */
+    static int checksum(byte[] bytes, int count) {
+        CRC32C crc = new CRC32C();
+        crc.update(bytes, 0, count);
+        return (int) crc.getValue();
+    }
+
+    byte[] encode(Message message) {
+        int size = headerBytes(message.from(), message.to(), message.body());
+        for (MemberUpdate update : message.updates()) {
+            size += sizeOf(update);
         }
-        b.putShort((short) m.news().size());
-        for (DrainNotice n : m.news()) {
-            text(b, n.worker());
-            b.putLong(n.bootMs()).putLong(n.version()).put((byte) n.kind().ordinal());
+        for (DrainNotice notice : message.drainNotices()) {
+            size += sizeOf(notice);
         }
-        b.putInt(sum(b.array(), b.position()));
-        return b.array();
+        ByteBuffer buffer = ByteBuffer.allocate(size);
+        putHeader(buffer, message);
+        buffer.putShort((short) message.updates().size());
+        message.updates().forEach(update -> putUpdate(buffer, update));
+        buffer.putShort((short) message.drainNotices().size());
+        message.drainNotices().forEach(notice -> putDrainNotice(buffer, notice));
+        buffer.putInt(checksum(buffer.array(), buffer.position()));
+        return buffer.array();
+    }
+
+    private void putHeader(ByteBuffer buffer, Message message) {
+        MessageBody body = message.body();
+        buffer.putShort(MAGIC);
+        buffer.put(VERSION);
+        buffer.put(body.kind().wireCode());
+        buffer.putInt(fleet);
+        buffer.putLong(body.sequence());
+        putText(buffer, message.from());
+        putText(buffer, message.to());
+        putText(buffer, body.target());
+    }
+
+    private static void putUpdate(ByteBuffer buffer, MemberUpdate update) {
+        MemberIdentity member = update.member();
+        putText(buffer, member.name());
+        buffer.putLong(member.incarnation());
+        buffer.putLong(member.processId());
+        buffer.putLong(member.startedAtMs());
+        buffer.putLong(update.ageMs());
+        buffer.put(member.phase().wireCode());
+        buffer.put(update.status().wireCode());
+        putText(buffer, member.address());
+        putText(buffer, member.site());
+        putText(buffer, member.build());
+        putText(buffer, update.reportedBy());
+    }
+
+    private static void putDrainNotice(ByteBuffer buffer, DrainNotice notice) {
+        putText(buffer, notice.worker());
+        buffer.putLong(notice.startedAtMs());
+        buffer.putLong(notice.listVersion());
+        buffer.put(notice.kind().wireCode());
+    }
+
+    private static void putText(ByteBuffer buffer, String text) {
+        byte[] bytes = text.getBytes(StandardCharsets.UTF_8);
+        buffer.put((byte) bytes.length);
+        buffer.put(bytes);
     }
 
-    /** Whoever can't be read is refused whole: no part of it is believed. */
-    Message read(byte[] bytes, int count) throws MalformedMessageException {
-        if (count < 12 + TAIL || count > WHOLE) {
-            throw new MalformedMessageException("too short or too long", false);
+    /** Decodes the first bytes of an array, or throws where they are not a message of this fleet. */
+    Message decode(byte[] bytes, int count) throws MalformedMessageException {
+        if (count < MIN_MESSAGE_BYTES || count > MAX_SYNC_BYTES) {
+            throw MalformedMessageException.malformed("too short or too long");
         }
-        ByteBuffer b = ByteBuffer.wrap(bytes, 0, count - TAIL).slice();
-        if (b.getShort() != MARK
-                || sum(bytes, count - TAIL) != ByteBuffer.wrap(bytes, count - TAIL, TAIL).getInt()) {
-            throw new MalformedMessageException("not a message", false);
+        int contentBytes = count - CHECKSUM_BYTES;
+        WireReader reader = new WireReader(ByteBuffer.wrap(bytes, 0, contentBytes).slice());
+        int expectedChecksum = ByteBuffer.wrap(bytes, contentBytes, CHECKSUM_BYTES).getInt();
+        if (reader.readShort() != MAGIC || checksum(bytes, contentBytes) != expectedChecksum) {
+            throw MalformedMessageException.malformed("no message");
         }
-        if (b.get() != VERSION) {
-            throw new MalformedMessageException("another version", true);
+        if (reader.readByte() != VERSION) {
+            throw MalformedMessageException.foreign("another version");
         }
         try {
-            Message.Kind kind = one(Message.Kind.values(), b.get());
-            if (b.getInt() != fleet) {
-                throw new MalformedMessageException("another fleet", true);
-            }
-            long number = b.getLong();
-            String from = text(b);
-            String to = text(b);
-            String about = text(b);
-            int claims = count(b, MOST_MEMBERS, CLAIM_LEAST);
-            List<MemberUpdate> said = new ArrayList<>(claims);
-            for (int i = 0; i < claims; i++) {
-                said.add(claim(b));
-            }
-            int news = count(b, MOST_NEWS, NEWS_LEAST);
-            List<DrainNotice> told = new ArrayList<>(news);
-            for (int i = 0; i < news; i++) {
-                told.add(new DrainNotice(text(b), positive(b), positive(b),
-                        one(DrainNotice.Kind.values(), b.get())));
-            }
-            if (b.hasRemaining() || from.isEmpty()) {
-                throw new MalformedMessageException("more or less than it says", false);
-            }
-            return new Message(kind, number, from, to, about, said, told);
+            return readMessage(reader);
         } catch (BufferUnderflowException e) {
-            throw new MalformedMessageException("cut off", false);
+            throw MalformedMessageException.malformed("truncated");
         }
     }
 
-    private static MemberUpdate claim(ByteBuffer b) throws MalformedMessageException {
-        String name = text(b);
-        long incarnation = positive(b);
-        long life = b.getLong();
-        long started = positive(b);
-        long age = positive(b);
-        MemberIdentity.Doing doing = one(MemberIdentity.Doing.values(), b.get());
-        MemberUpdate.Belief belief = one(MemberUpdate.Belief.values(), b.get());
-        MemberIdentity card =
-                new MemberIdentity(name, incarnation, life, text(b), text(b), text(b), started, doing);
-        if (name.isEmpty() || incarnation > MemberIdentity.MOST || !address(card.at())) {
-            throw new MalformedMessageException("a member out of bounds", false);
+    private Message readMessage(WireReader reader) throws MalformedMessageException {
+        MessageKind kind = reader.readCoded(MessageKind.values());
+        if (reader.readInt() != fleet) {
+            throw MalformedMessageException.foreign("another fleet");
         }
-        return new MemberUpdate(card, belief, text(b), age);
-    }
-
-    /** An IPv4 or bracketed IPv6 address with a port; nothing is looked up. */
-    static boolean address(String text) {
-        int cut = text.lastIndexOf(':');
-        if (cut < 1 || !text.substring(cut + 1).matches("\\d{1,5}")
-                || Integer.parseInt(text.substring(cut + 1)) > 65535) {
-            return false;
+        long sequence = reader.readLong();
+        String from = reader.readText();
+        String to = reader.readText();
+        String target = reader.readText();
+        List<MemberUpdate> updates = readUpdates(reader);
+        List<DrainNotice> notices = readDrainNotices(reader);
+        if (reader.hasRemaining() || from.isEmpty()) {
+            throw MalformedMessageException.malformed("bytes after the end, or no sender");
         }
-        String host = text.substring(0, cut);
-        return host.matches(
-                "((25[0-5]|2[0-4]\\d|1?\\d?\\d)\\.){3}(25[0-5]|2[0-4]\\d|1?\\d?\\d)|\\[[0-9a-fA-F:.]+\\]");
+        return new Message(from, to, kind.body(sequence, target), updates, notices);
     }
 
-    private static int count(ByteBuffer b, int most, int least) throws MalformedMessageException {
-        int count = b.getShort() & 0xffff;
-        if (count > most || (long) count * least > b.remaining()) {
-            throw new MalformedMessageException("a count out of bounds", false);
+    private static List<MemberUpdate> readUpdates(WireReader reader) throws MalformedMessageException {
+        int count = reader.readCount(MAX_MEMBERS, MIN_UPDATE_BYTES);
+        List<MemberUpdate> updates = new ArrayList<>(count);
+        for (int i = 0; i < count; i++) {
+            updates.add(readUpdate(reader));
         }
-        return count;
-    }
-
-    private static long positive(ByteBuffer b) throws MalformedMessageException {
-        long value = b.getLong();
-        if (value < 0) {
-            throw new MalformedMessageException("a number below 0", false);
+        return updates;
+    }
+
+    private static MemberUpdate readUpdate(WireReader reader) throws MalformedMessageException {
+        String name = reader.readText();
+        long incarnation = reader.readNonNegativeLong();
+        long processId = reader.readLong();
+        long startedAtMs = reader.readNonNegativeLong();
+        long ageMs = reader.readNonNegativeLong();
+        MemberIdentity.Phase phase = reader.readCoded(MemberIdentity.Phase.values());
+        MemberUpdate.Status status = reader.readCoded(MemberUpdate.Status.values());
+        String address = reader.readText();
+        String site = reader.readText();
+        String build = reader.readText();
+        if (name.isEmpty() || incarnation > MemberIdentity.MAX_INCARNATION || !isAddress(address)) {
+            throw MalformedMessageException.malformed("a member out of bounds");
         }
-        return value;
-    }
-
-    private static <E> E one(E[] all, byte place) throws MalformedMessageException {
-        if (place < 0 || place >= all.length) {
-            throw new MalformedMessageException("an unknown kind", false);
+        MemberIdentity member =
+                new MemberIdentity(name, incarnation, processId, address, site, build, startedAtMs,
+                        phase);
+        return new MemberUpdate(member, status, reader.readText(), ageMs);
+    }
+
+    private static List<DrainNotice> readDrainNotices(WireReader reader) throws MalformedMessageException {
+        int count = reader.readCount(MAX_DRAIN_NOTICES, MIN_DRAIN_NOTICE_BYTES);
+        List<DrainNotice> notices = new ArrayList<>(count);
+        for (int i = 0; i < count; i++) {
+            String worker = reader.readText();
+            long startedAtMs = reader.readNonNegativeLong();
+            long listVersion = reader.readNonNegativeLong();
+            DrainNotice.Kind kind = reader.readCoded(DrainNotice.Kind.values());
+            notices.add(new DrainNotice(worker, startedAtMs, listVersion, kind));
         }
-        return all[place];
+        return notices;
     }
 
-    private static void text(ByteBuffer b, String text) {
-        byte[] bytes = text.getBytes(StandardCharsets.UTF_8);
-        b.put((byte) bytes.length).put(bytes);
-    }
-
-    private static String text(ByteBuffer b) throws MalformedMessageException {
-        int length = b.get() & 0xff;
-        if (length > TEXT || length > b.remaining()) {
-            throw new MalformedMessageException("text out of bounds", false);
-        }
-        byte[] bytes = new byte[length];
-        b.get(bytes);
-        for (byte c : bytes) {
-            if (c <= ' ' || c == 127) {
-                throw new MalformedMessageException("text that is no name", false);
-            }
+    /**
+     * Whether the text is an IPv4 address or a bracketed IPv6 address with a port. Names are not looked up.
+     */
+    private static boolean isAddress(String text) {
+        int colon = text.lastIndexOf(':');
+        if (colon < 1) {
+            return false;
         }
-        return new String(bytes, StandardCharsets.US_ASCII);
-    }
-
-    static int sum(byte[] bytes, int count) {
-        CRC32C crc = new CRC32C();
-        crc.update(bytes, 0, count);
-        return (int) crc.getValue();
+        String port = text.substring(colon + 1);
+        return PORT.matcher(port).matches() && Integer.parseInt(port) <= MAX_PORT
+                && HOST.matcher(text.substring(0, colon)).matches();
     }
 }
--- a/src/main/java/rampshift/membership/DrainNotices.java
+++ b/src/main/java/rampshift/membership/DrainNotices.java
@@ -5,30 +5,33 @@
 import java.util.List;
 import java.util.Map;
 
-/** The news that is in force, at most one of each worker; the oldest goes where there is no room. */
+/**
+ * The newest drain notice of each worker. Where there is no room, the one that was added first is dropped.
+ */
 public final class DrainNotices {
-    private final Map<String, DrainNotice> all = new LinkedHashMap<>();
+    private final Map<String, DrainNotice> byWorker = new LinkedHashMap<>();
 
-    /** False if it is old. */
-    boolean put(DrainNotice news) {
-        DrainNotice had = all.get(news.worker());
-        if (had != null && !news.over(had)) {
+    /** Adds a notice unless one as new is there already; returns whether it was added. */
+    boolean add(DrainNotice notice) {
+        DrainNotice known = byWorker.get(notice.worker());
+        if (known != null && !notice.supersedes(known)) {
             return false;
         }
-        all.remove(news.worker());
-        all.put(news.worker(), news);
-        if (all.size() > Codec.MOST_NEWS) {
-            all.remove(all.keySet().iterator().next());
+        byWorker.remove(notice.worker());
+        byWorker.put(notice.worker(), notice);
+        if (byWorker.size() > Codec.MAX_DRAIN_NOTICES) {
+            byWorker.remove(byWorker.keySet().iterator().next());
         }
         return true;
     }
 
-    /** What is in force of a worker; null where nothing is. */
-    public DrainNotice of(String worker) {
-        return all.get(worker);
+    /** The newest notice of a worker, or null if there is none. */
+    public DrainNotice get(String worker) {
+        return byWorker.get(worker);
     }
 
+    /** All notices, in the order in which they were added. */
     List<DrainNotice> all() {
-        return new ArrayList<>(all.values());
+        return new ArrayList<>(byWorker.values());
     }
 }
--- a/src/main/java/rampshift/membership/Envelope.java
+++ b/src/main/java/rampshift/membership/Envelope.java
@@ -3,49 +3,64 @@
 import java.nio.BufferUnderflowException;
 import java.nio.ByteBuffer;
 import java.nio.charset.StandardCharsets;
+import java.util.Optional;
 
 /**
- * What goes beside the members' own messages over their address: a parcel, its sender and fleet, and a
- * checksum.
+ * A datagram that other modules send over the address of the members: a payload with its sender, the number
+ * of the fleet and a CRC32C.
+ *
+ * @param from    the name of the sender
+ * @param payload what is sent; its format is that of the module that sends it
  */
-public record Envelope(String from, byte[] parcel) {
-    /** Bytes of a parcel at most. */
-    public static final int MOST = 1300;
-    private static final int MARK = 0x5254;
-    private static final int NAME = 64;
-    private static final int TAIL = 4;
+public record Envelope(String from, byte[] payload) {
+    private static final short MAGIC = 0x5254;
+    private static final int CHECKSUM_BYTES = Integer.BYTES;
+    private static final int UNSIGNED_BYTE = 0xff;
+    /** Magic number, number of the fleet, length of the sender's name, and the checksum. */
+    private static final int FRAME_BYTES = Short.BYTES + Integer.BYTES + Byte.BYTES + CHECKSUM_BYTES;
 
-    public byte[] write(String fleet) {
-        byte[] name = from.getBytes(StandardCharsets.US_ASCII);
-        ByteBuffer b = ByteBuffer.allocate(2 + 4 + 1 + name.length + parcel.length + TAIL);
-        b.putShort((short) MARK).putInt(Codec.number(fleet)).put((byte) name.length).put(name).put(parcel);
-        return b.putInt(Codec.sum(b.array(), b.position())).array();
+    /** The datagram for a fleet. */
+    public byte[] encode(String fleetName) {
+        byte[] sender = from.getBytes(StandardCharsets.US_ASCII);
+        ByteBuffer buffer = ByteBuffer.allocate(FRAME_BYTES + sender.length + payload.length);
+        buffer.putShort(MAGIC);
+        buffer.putInt(Codec.fleetNumber(fleetName));
+        buffer.put((byte) sender.length);
+        buffer.put(sender);
+        buffer.put(payload);
+        buffer.putInt(Codec.checksum(buffer.array(), buffer.position()));
+        return buffer.array();
     }
 
-    /** Whether it is meant for one: the members' own begin otherwise. */
-    public static boolean is(byte[] bytes, int count) {
-        return count > 2 && ByteBuffer.wrap(bytes).getShort() == MARK;
+    /** Whether a datagram is an envelope: those of the membership protocol have another magic number. */
+    public static boolean isEnvelope(byte[] bytes, int count) {
+        return count > Short.BYTES && ByteBuffer.wrap(bytes).getShort() == MAGIC;
     }
 
-    /** Null where it is malformed, or of another fleet. */
-    public static Envelope read(String fleet, byte[] bytes, int count) {
+    /** Decodes the first bytes of an array; empty if they are malformed or of another fleet. */
+    public static Optional<Envelope> decode(String fleetName, byte[] bytes, int count) {
+        if (count < FRAME_BYTES) {
+            return Optional.empty();
+        }
+        int contentBytes = count - CHECKSUM_BYTES;
+        ByteBuffer buffer = ByteBuffer.wrap(bytes, 0, contentBytes);
+        int expectedChecksum = ByteBuffer.wrap(bytes, contentBytes, CHECKSUM_BYTES).getInt();
+        if (buffer.getShort() != MAGIC || buffer.getInt() != Codec.fleetNumber(fleetName)
+                || Codec.checksum(bytes, contentBytes) != expectedChecksum) {
+            return Optional.empty();
+        }
+        int senderBytes = buffer.get() & UNSIGNED_BYTE;
+        if (senderBytes == 0 || senderBytes > Codec.MAX_TEXT_BYTES) {
+            return Optional.empty();
+        }
         try {
-            ByteBuffer b = ByteBuffer.wrap(bytes, 0, count - TAIL);
-            if (b.getShort() != MARK || b.getInt() != Codec.number(fleet)
-                    || Codec.sum(bytes, count - TAIL) != ByteBuffer.wrap(bytes, count - TAIL, TAIL)
-                            .getInt()) {
-                return null;
-            }
-            byte[] name = new byte[b.get() & 0xff];
-            if (name.length == 0 || name.length > NAME) {
-                return null;
-            }
-            b.get(name);
-            byte[] parcel = new byte[b.remaining()];
-            b.get(parcel);
-            return new Envelope(new String(name, StandardCharsets.US_ASCII), parcel);
-        } catch (BufferUnderflowException | IndexOutOfBoundsException | IllegalArgumentException e) {
-            return null;
+            byte[] sender = new byte[senderBytes];
+            buffer.get(sender);
+            byte[] payload = new byte[buffer.remaining()];
+            buffer.get(payload);
+            return Optional.of(new Envelope(new String(sender, StandardCharsets.US_ASCII), payload));
+        } catch (BufferUnderflowException e) {
+            return Optional.empty();
         }
     }
 }
--- /dev/null
+++ b/src/main/java/rampshift/membership/Gossip.java
@@ -0,0 +1,70 @@
+package rampshift.membership;
+
+import java.util.ArrayList;
+import java.util.List;
+import rampshift.membership.MemberUpdate.Status;
+import rampshift.membership.MembershipMetrics.Counter;
+
+/** Sends datagrams and piggybacks updates and drain notices on them until each has been told often enough. */
+final class Gossip {
+    private final MembershipContext context;
+    private final Codec codec;
+    private final GossipQueue<MemberUpdate> updates = new GossipQueue<>();
+    private final GossipQueue<DrainNotice> drainNotices = new GossipQueue<>();
+
+    Gossip(MembershipContext context, Codec codec) {
+        this.context = context;
+        this.codec = codec;
+    }
+
+    void enqueue(MemberUpdate update) {
+        updates.put(update.member().name(), update);
+    }
+
+    void enqueue(DrainNotice notice) {
+        drainNotices.put(notice.worker(), notice);
+    }
+
+    /** What the member of that name should hear first of all: what is believed of it, unless it is alive. */
+    List<MemberUpdate> doubtsAbout(String name) {
+        Member member = context.members().get(name);
+        if (member == null || member.status() == Status.ALIVE) {
+            return List.of();
+        }
+        return List.of(member.updateAt(context.now()));
+    }
+
+    /** Sends a message to a member, if it is known. */
+    void send(String to, MessageBody body) {
+        send(to, body, List.of());
+    }
+
+    /** Sends a message to a member, if it is known. The first updates go with it in any case. */
+    void send(String to, MessageBody body, List<MemberUpdate> first) {
+        Member member = context.members().get(to);
+        if (member == null) {
+            return;
+        }
+        String self = context.self().name();
+        List<MemberUpdate> toldUpdates = new ArrayList<>(first);
+        int capacity = Codec.piggybackCapacity(self, to, body);
+        for (MemberUpdate update : first) {
+            capacity -= Codec.sizeOf(update);
+        }
+        int transmissions = context.timings().transmissions(context.members().reachableCount());
+        List<DrainNotice> toldNotices = drainNotices.take(capacity, transmissions, Codec::sizeOf);
+        for (DrainNotice notice : toldNotices) {
+            capacity -= Codec.sizeOf(notice);
+        }
+        toldUpdates.addAll(updates.take(capacity, transmissions, Codec::sizeOf));
+        sendTo(context.members().addressOf(member), new Message(self, to, body, toldUpdates, toldNotices));
+    }
+
+    /** Sends a message to an address as it is. */
+    void sendTo(String address, Message message) {
+        byte[] datagram = codec.encode(message);
+        context.metrics().increment(Counter.SENT);
+        context.metrics().add(Counter.SENT_BYTES, datagram.length);
+        context.output().sendDatagram(address, datagram);
+    }
+}
--- a/src/main/java/rampshift/membership/GossipQueue.java
+++ b/src/main/java/rampshift/membership/GossipQueue.java
@@ -8,47 +8,52 @@
 import java.util.function.ToIntFunction;
 
 /**
- * What still rides on datagrams: the least told first, each so many times; a newer word takes an older one's
- * place.
+ * Items to be piggybacked on outgoing datagrams, each a limited number of times and the least transmitted
+ * first. A new item replaces the one with the same key.
  */
 final class GossipQueue<T> {
     private static final class Entry<T> {
-        final T word;
-        int told;
+        final T item;
+        int transmissions;
 
-        Entry(T word) {
-            this.word = word;
+        Entry(T item) {
+            this.item = item;
         }
     }
 
     private final Map<String, Entry<T>> entries = new LinkedHashMap<>();
 
-    void put(String key, T word) {
+    void put(String key, T item) {
         entries.remove(key);
-        entries.put(key, new Entry<>(word));
+        entries.put(key, new Entry<>(item));
     }
 
-    boolean isEmpty() {
-        return entries.isEmpty();
-    }
-
-    /** As many as fit in so many bytes. */
-    List<T> take(int room, int tellings, ToIntFunction<T> size) {
+    /**
+     * Takes the items for one datagram and counts a transmission of each.
+     *
+     * @param capacityBytes    the room in the datagram
+     * @param maxTransmissions the transmissions after which an item is dropped
+     * @param sizeOf           the encoded size of an item in bytes
+     */
+    List<T> take(int capacityBytes, int maxTransmissions, ToIntFunction<T> sizeOf) {
         List<T> taken = new ArrayList<>();
-        for (int round = 0; round < tellings && room > 0; round++) {
-            for (Iterator<Entry<T>> i = entries.values().iterator(); i.hasNext();) {
-                Entry<T> e = i.next();
-                if (e.told != round || taken.contains(e.word)) {
+        int remainingBytes = capacityBytes;
+        for (int transmissions = 0; transmissions < maxTransmissions && remainingBytes > 0; transmissions++) {
+            Iterator<Entry<T>> iterator = entries.values().iterator();
+            while (iterator.hasNext()) {
+                Entry<T> entry = iterator.next();
+                if (entry.transmissions != transmissions || taken.contains(entry.item)) {
                     continue;
                 }
-                int bytes = size.applyAsInt(e.word);
-                if (bytes > room) {
+                int sizeBytes = sizeOf.applyAsInt(entry.item);
+                if (sizeBytes > remainingBytes) {
                     continue;
                 }
-                room -= bytes;
-                taken.add(e.word);
-                if (++e.told >= tellings) {
-                    i.remove();
+                remainingBytes -= sizeBytes;
+                taken.add(entry.item);
+                entry.transmissions++;
+                if (entry.transmissions >= maxTransmissions) {
+                    iterator.remove();
                 }
             }
         }
--- a/src/main/java/rampshift/membership/Member.java
+++ b/src/main/java/rampshift/membership/Member.java
@@ -1,29 +1,73 @@
 package rampshift.membership;
 
-import java.util.HashSet;
-import java.util.Set;
+import rampshift.membership.MemberUpdate.Status;
 import rampshift.time.Moment;
+import rampshift.time.Span;
 
-/** What is believed of one other member, and since when. */
+/** What this process knows of one other member. */
 final class Member {
-    MemberUpdate claim;
-    Moment since;
-    /** Where a suspicion ends, if nobody speaks for it; null where it is not suspected. */
-    Moment failsAt;
-    Moment suspectedAt;
-    /** Others that suspect it too. */
-    final Set<String> accusers = new HashSet<>();
-
-    Member(MemberUpdate claim, Moment now) {
-        this.claim = claim;
-        since = now;
+    private MemberUpdate update;
+    private Moment since;
+    private Suspicion suspicion;
+
+    Member(MemberUpdate update, Moment since) {
+        this.update = update;
+        this.since = since;
+    }
+
+    MemberIdentity identity() {
+        return update.member();
+    }
+
+    String name() {
+        return update.member().name();
     }
 
-    MemberIdentity card() {
-        return claim.card();
+    Status status() {
+        return update.status();
+    }
+
+    /** The newest statement about the member, with the age that it had when it was made or received. */
+    MemberUpdate update() {
+        return update;
+    }
+
+    /** The newest statement about the member, with its age as of now if it has failed or ended. */
+    MemberUpdate updateAt(Moment now) {
+        if (isReachable()) {
+            return update;
+        }
+        long ageMs = Math.max(0, Math.round(now.since(since).millis()));
+        return new MemberUpdate(update.member(), update.status(), update.reportedBy(), ageMs);
+    }
+
+    /** Replaces the statement about the member, which holds since the given time. */
+    void setUpdate(MemberUpdate newUpdate, Moment newSince) {
+        update = newUpdate;
+        since = newSince;
+    }
+
+    /** For how long the current statement has held. */
+    Span age(Moment now) {
+        return now.since(since);
+    }
+
+    /** Whether the member is alive or suspect. */
+    boolean isReachable() {
+        return update.status().isReachable();
+    }
+
+    /** The suspicion under way, or null if there is none. */
+    Suspicion suspicion() {
+        return suspicion;
+    }
+
+    void startSuspicion(Suspicion newSuspicion, Moment now) {
+        suspicion = newSuspicion;
+        since = now;
     }
 
-    boolean there() {
-        return !claim.over();
+    void clearSuspicion() {
+        suspicion = null;
     }
 }
--- a/src/main/java/rampshift/membership/MemberIdentity.java
+++ b/src/main/java/rampshift/membership/MemberIdentity.java
@@ -1,27 +1,53 @@
 package rampshift.membership;
 
 /**
- * Who a dispatcher says that it is. Life: a number drawn at each start of a process, which tells two
- * processes of one
- * name apart. Incarnation: rises whenever the name has something new to say of itself, over restarts too.
- * At: address and port where its fellows reach it. Started: Unix time in milliseconds by its own clock, for
- * people to
- * read only; nothing is decided by it.
+ * What a dispatcher says of itself.
+ *
+ * @param name        the name of the member, unique in its fleet
+ * @param incarnation rises whenever the member has something new to say of itself, across restarts too
+ * @param processId   a random number drawn at each start of a process; tells two processes of one name apart
+ * @param address     address and port where the other members reach it
+ * @param site        where the member runs
+ * @param build       the version of its software
+ * @param startedAtMs start time by its own clock, Unix time in milliseconds; shown to people, never used in
+ *                    decisions
+ * @param phase       how far the process is in its life cycle
  */
-public record MemberIdentity(String name, long incarnation, long life, String at, String site, String build,
-        long startedMs,
-        Doing doing) {
-    /** What the process is about. */
-    public enum Doing { JOINING, SERVING, STOPPING }
+public record MemberIdentity(String name, long incarnation, long processId, String address, String site,
+        String build, long startedAtMs, Phase phase) {
 
-    /** No incarnation lies above: one that did could not be answered by its owner. */
-    public static final long MOST = 1L << 62;
+    /** The highest incarnation that is accepted: the owner of a higher one could not overrule it. */
+    public static final long MAX_INCARNATION = 1L << 62;
 
-    MemberIdentity again(long higher) {
-        return new MemberIdentity(name, higher, life, at, site, build, startedMs, doing);
+    /** How far the process of a member is in its life cycle. */
+    public enum Phase implements WireCoded {
+        /** Started, not warmed up yet. */
+        JOINING(0),
+        /** Serves tasks. */
+        SERVING(1),
+        /** Shuts down gracefully. */
+        STOPPING(2);
+
+        private final byte wireCode;
+
+        Phase(int wireCode) {
+            this.wireCode = (byte) wireCode;
+        }
+
+        @Override
+        public byte wireCode() {
+            return wireCode;
+        }
+    }
+
+    /** The same member with another incarnation. */
+    MemberIdentity withIncarnation(long newIncarnation) {
+        return new MemberIdentity(name, newIncarnation, processId, address, site, build, startedAtMs, phase);
     }
 
-    MemberIdentity doing(Doing now, long higher) {
-        return new MemberIdentity(name, higher, life, at, site, build, startedMs, now);
+    /** The same member in another phase and with another incarnation. */
+    MemberIdentity withPhase(Phase newPhase, long newIncarnation) {
+        return new MemberIdentity(name, newIncarnation, processId, address, site, build, startedAtMs,
+                newPhase);
     }
 }
--- a/src/main/java/rampshift/membership/Message.java
+++ b/src/main/java/rampshift/membership/Message.java
@@ -3,13 +3,15 @@
 import java.util.List;
 
 /**
- * One datagram, or one side of a whole exchange. Number: which question it belongs to. From: who sends it.
- * To: for
- * whom it is meant; one that has another's address by now does not answer for it. About: of whom a question
- * by way of
- * another asks.
+ * One datagram, or one direction of an anti-entropy sync.
+ *
+ * @param from         the name of the sender
+ * @param to           the name of the member that it is meant for; a member that took over the address of
+ *                     another one does not answer for it. Empty if the sender knows an address only
+ * @param body         what it asks or answers
+ * @param updates      statements about members
+ * @param drainNotices notices about workers
  */
-record Message(Kind kind, long number, String from, String to, String about, List<MemberUpdate> claims,
-        List<DrainNotice> news) {
-    enum Kind { PING, ACK, ASK_FOR, NO_ACK, TELL, WHOLE, WHOLE_BACK }
+record Message(String from, String to, MessageBody body, List<MemberUpdate> updates,
+        List<DrainNotice> drainNotices) {
 }
--- a/src/main/java/rampshift/membership/host/DrainOverrides.java
+++ b/src/main/java/rampshift/membership/host/DrainOverrides.java
@@ -16,112 +16,153 @@
 import rampshift.time.Span;
 
 /**
- * Which workers news from others binds, beside what the own list says. Only what binds more is taken from
- * others; what
- * puts a worker back is the own list's word alone: a list as new as the news, or a later start, or the same
- * list still
- * being told a stated time after. No sockets, no clock.
+ * Overrides the own endpoint list with drain notices of other members. Notices can only take workers out of
+ * service; what puts a worker back is the own list alone: a list as new as the notice, a later start of the
+ * worker, or a list that is still updated a stated time after without the drain. No sockets, no clock.
  */
 final class DrainOverrides {
-    private final boolean on;
-    private final Span lasts;
-    private final ServerExtension.Bound bound;
-    private final String name;
-    // looked up, walked where a list is whole
-    private final Map<String, Endpoint> own = new HashMap<>();
-    private final Map<String, Held> held = new LinkedHashMap<>();
-    private long version = -1;
-    private boolean haveOwn;
+    private record ActiveOverride(DrainNotice notice, Moment since) {
+    }
 
-    private record Held(DrainNotice news, Moment since) {}
+    private final boolean enabled;
+    private final Span lifetime;
+    private final ServerExtension.Bound changes;
+    private final String dispatcher;
+    /** The endpoints of the own list, by their ids. */
+    private final Map<String, Endpoint> ownEndpoints = new HashMap<>();
+    private final Map<String, ActiveOverride> overrides = new LinkedHashMap<>();
+    private long ownVersion = -1;
+    private boolean hasOwnList;
 
-    DrainOverrides(boolean on, Span lasts, ServerExtension.Bound bound, String name) {
-        this.on = on;
-        this.lasts = lasts;
-        this.bound = bound;
-        this.name = name;
+    /**
+     * No overrides yet.
+     *
+     * @param enabled    whether notices of others are taken at all
+     * @param lifetime   for how long a notice overrides an own list that is updated but stays behind it
+     * @param changes    is told of workers that a notice takes out of service
+     * @param dispatcher the name of this dispatcher, for the log
+     */
+    DrainOverrides(boolean enabled, Span lifetime, ServerExtension.Bound changes, String dispatcher) {
+        this.enabled = enabled;
+        this.lifetime = lifetime;
+        this.changes = changes;
+        this.dispatcher = dispatcher;
     }
 
-    int held() {
-        return held.size();
+    /** The number of workers that are overridden. */
+    int count() {
+        return overrides.size();
     }
 
-    void moved() {
-        haveOwn = false;
-        version = -1;
+    /**
+     * The endpoint list comes from another service from now on, whose versions say nothing of the former's.
+     */
+    void onDiscoveryChanged() {
+        hasOwnList = false;
+        ownVersion = -1;
     }
 
-    /** News from another: true if it binds a worker that the own list still calls ready. */
-    boolean heard(Moment now, DrainNotice news) {
-        Endpoint t = own.get(news.worker());
-        if (!on || !haveOwn || t == null || t.state() != Endpoint.State.READY
-                || !news.binds(t.bootMs(), version)) {
+    /**
+     * Takes a notice from another member; returns whether it overrides a worker that the own list calls
+     * ready.
+     */
+    boolean onNotice(Moment now, DrainNotice notice) {
+        Endpoint endpoint = ownEndpoints.get(notice.worker());
+        if (!enabled || !hasOwnList || endpoint == null || endpoint.state() != Endpoint.State.READY
+                || !notice.overrides(endpoint.bootMs(), ownVersion)) {
             return false;
         }
-        held.put(news.worker(), new Held(news, now));
-        Log.info("news", "worker", news.worker(), "kind", news.kind(), "version", news.version(), "own",
-                version);
-        bound.bound(new EndpointList(version, false, List.of(as(t, news))));
+        overrides.put(notice.worker(), new ActiveOverride(notice, now));
+        Log.info("drain-notice", "worker", notice.worker(), "kind", notice.kind().label(), "version",
+                notice.listVersion(), "own", ownVersion);
+        changes.bound(new EndpointList(ownVersion, false, List.of(overridden(endpoint, notice))));
         return true;
     }
 
-    /** The own list: what is to be gone by, and what the others are to be told. */
-    EndpointList listed(Moment now, EndpointList list, DrainNotices bulletin, Consumer<DrainNotice> learnt) {
-        boolean first = !haveOwn;
-        Map<String, Endpoint> before = new HashMap<>(list.whole() ? own : Map.of());
-        haveOwn = true;
-        version = list.version();
+    /**
+     * Takes an update of the own endpoint list.
+     *
+     * @param notices  the notices that are known
+     * @param announce takes the notices that the other members are to be told
+     * @return the list with the overrides applied
+     */
+    EndpointList onOwnList(Moment now, EndpointList list, DrainNotices notices,
+            Consumer<DrainNotice> announce) {
+        boolean isFirst = !hasOwnList;
+        Map<String, Endpoint> unlisted = new HashMap<>(list.whole() ? ownEndpoints : Map.of());
+        hasOwnList = true;
+        ownVersion = list.version();
         if (list.whole()) {
-            own.clear();
+            ownEndpoints.clear();
         }
-        List<Endpoint> out = new ArrayList<>(list.targets().size());
-        for (Endpoint t : list.targets()) {
-            before.remove(t.uid());
-            if (t.state() == Endpoint.State.GONE) {
-                own.remove(t.uid());
-            } else {
-                own.put(t.uid(), t);
-            }
-            DrainNotice news = bulletin.of(t.uid());
-            if (t.state() != Endpoint.State.READY) {
-                held.remove(t.uid());
-                learnt.accept(
-                        new DrainNotice(t.uid(), t.bootMs(), version,
-                                t.state() == Endpoint.State.GONE ? DrainNotice.Kind.GONE
-                                        : DrainNotice.Kind.DRAINS));
-            } else if (on && news != null && news.binds(t.bootMs(), version)) {
-                held.putIfAbsent(t.uid(), new Held(news, now));
-                out.add(as(t, news));
-                continue;
+        List<Endpoint> effective = new ArrayList<>(list.targets().size());
+        for (Endpoint endpoint : list.targets()) {
+            unlisted.remove(endpoint.uid());
+            keep(endpoint);
+            if (endpoint.state() != Endpoint.State.READY) {
+                overrides.remove(endpoint.uid());
+                announce.accept(noticeOf(endpoint));
             }
-            out.add(t);
+            effective.add(applyNotice(now, endpoint, notices.get(endpoint.uid())));
         }
-        if (!first) {
-            before.values()
-                    .forEach(t -> learnt
-                            .accept(new DrainNotice(t.uid(), t.bootMs(), version, DrainNotice.Kind.GONE)));
+        if (!isFirst) {
+            unlisted.values()
+                    .forEach(endpoint -> announce.accept(notice(endpoint, DrainNotice.Kind.REMOVED)));
+        }
+        endOverrides(now, effective);
+        return new EndpointList(list.version(), list.whole(), effective);
+    }
+
+    private void keep(Endpoint endpoint) {
+        if (endpoint.state() == Endpoint.State.GONE) {
+            ownEndpoints.remove(endpoint.uid());
+        } else {
+            ownEndpoints.put(endpoint.uid(), endpoint);
+        }
+    }
+
+    private Endpoint applyNotice(Moment now, Endpoint endpoint, DrainNotice notice) {
+        if (!enabled || notice == null || endpoint.state() != Endpoint.State.READY
+                || !notice.overrides(endpoint.bootMs(), ownVersion)) {
+            return endpoint;
         }
-        for (Map.Entry<String, Held> e : List.copyOf(held.entrySet())) {
-            Endpoint t = own.get(e.getKey());
-            DrainNotice news = e.getValue().news();
-            boolean outlived = now.since(e.getValue().since()).longerThan(lasts);
-            if (t == null || !news.binds(t.bootMs(), version) || outlived) {
-                held.remove(e.getKey());
-                if (t != null) {
-                    out.removeIf(o -> o.uid().equals(t.uid()));
-                    out.add(t);
-                    Log.info("news-over", "worker", t.uid(), "own", version, "of", name);
-                }
+        overrides.putIfAbsent(endpoint.uid(), new ActiveOverride(notice, now));
+        return overridden(endpoint, notice);
+    }
+
+    /** Ends the overrides that the own list has caught up with or outlived, and puts their workers back. */
+    private void endOverrides(Moment now, List<Endpoint> effective) {
+        for (Map.Entry<String, ActiveOverride> entry : List.copyOf(overrides.entrySet())) {
+            Endpoint endpoint = ownEndpoints.get(entry.getKey());
+            ActiveOverride override = entry.getValue();
+            if (endpoint != null && override.notice().overrides(endpoint.bootMs(), ownVersion)
+                    && !now.since(override.since()).longerThan(lifetime)) {
+                continue;
+            }
+            overrides.remove(entry.getKey());
+            if (endpoint != null) {
+                effective.removeIf(other -> other.uid().equals(endpoint.uid()));
+                effective.add(endpoint);
+                Log.info("drain-notice-expired", "worker", endpoint.uid(), "own", ownVersion, "of",
+                        dispatcher);
             }
         }
-        return new EndpointList(list.version(), list.whole(), out);
     }
 
-    private static Endpoint as(Endpoint t, DrainNotice news) {
-        return new Endpoint(t.uid(), t.address(), t.zone(), t.kind(), t.cell(),
-                news.kind() == DrainNotice.Kind.GONE
-                        ? Endpoint.State.GONE
-                        : Endpoint.State.DRAINING,
-                t.weight(), t.bootMs());
+    private DrainNotice noticeOf(Endpoint endpoint) {
+        boolean removed = endpoint.state() == Endpoint.State.GONE;
+        return notice(endpoint, removed ? DrainNotice.Kind.REMOVED : DrainNotice.Kind.DRAINING);
+    }
+
+    private DrainNotice notice(Endpoint endpoint, DrainNotice.Kind kind) {
+        return new DrainNotice(endpoint.uid(), endpoint.bootMs(), ownVersion, kind);
+    }
+
+    private static Endpoint overridden(Endpoint endpoint, DrainNotice notice) {
+        boolean removed = notice.kind() == DrainNotice.Kind.REMOVED;
+        Endpoint.State state = removed ? Endpoint.State.GONE : Endpoint.State.DRAINING;
+        return new Endpoint(endpoint.uid(), endpoint.address(), endpoint.zone(), endpoint.kind(),
+                endpoint.cell(), state,
+                endpoint.weight(), endpoint.bootMs());
     }
 }
--- a/src/main/java/rampshift/membership/host/MembershipQuery.java
+++ b/src/main/java/rampshift/membership/host/MembershipQuery.java
@@ -29,7 +29,7 @@
             out.write(question);
             DataInputStream in = new DataInputStream(socket.getInputStream());
             int length = in.readInt();
-            if (length < 0 || length > StreamExchange.MOST) {
+            if (length < 0 || length > StreamExchange.MAX_MESSAGE_BYTES) {
                 throw new IOException("an answer that is none");
             }
             return new String(in.readNBytes(length), StandardCharsets.UTF_8);
--- a/src/main/java/rampshift/membership/host/MembershipTransport.java
+++ b/src/main/java/rampshift/membership/host/MembershipTransport.java
@@ -1,37 +1,26 @@
 package rampshift.membership.host;
 
 import java.io.IOException;
-import java.net.InetSocketAddress;
-import java.net.SocketAddress;
-import java.nio.ByteBuffer;
 import java.nio.charset.StandardCharsets;
 import java.security.SecureRandom;
 import java.util.ArrayList;
-import java.util.LinkedHashSet;
 import java.util.List;
-import java.util.Set;
+import java.util.Locale;
 import java.util.concurrent.TimeUnit;
-import org.xnio.ChannelListener;
 import org.xnio.IoUtils;
-import org.xnio.OptionMap;
-import org.xnio.Options;
-import org.xnio.StreamConnection;
 import org.xnio.XnioExecutor;
 import org.xnio.XnioIoThread;
 import org.xnio.XnioWorker;
-import org.xnio.channels.AcceptingChannel;
-import org.xnio.channels.MulticastMessageChannel;
-import org.xnio.channels.SocketAddressBuffer;
 import rampshift.discovery.EndpointList;
-import rampshift.eventlog.EventClock;
-import rampshift.eventlog.EventLog;
 import rampshift.log.Log;
 import rampshift.membership.DrainNotice;
 import rampshift.membership.Envelope;
-import rampshift.membership.Event;
 import rampshift.membership.MemberIdentity;
-import rampshift.membership.MemberUpdate;
+import rampshift.membership.MembershipEvent;
 import rampshift.membership.MembershipMetrics;
+import rampshift.membership.MembershipMetrics.Counter;
+import rampshift.membership.MembershipOptions;
+import rampshift.membership.MembershipOutput;
 import rampshift.membership.SwimMembership;
 import rampshift.serve.ServerExtension;
 import rampshift.settings.Configuration;
@@ -40,55 +29,59 @@
 import rampshift.time.Moment;
 
 /**
- * The sockets and the timer of a member, on the dispatcher's one I/O thread: datagrams and streams on one
- * address. It
- * owns both, every stream under way, and the ledger.
+ * Runs the membership of a dispatcher on its one I/O thread: the sockets for datagrams and streams on one
+ * address, the timer and the event log, all of which it owns.
  */
-public final class MembershipTransport implements ServerExtension, SwimMembership.Out, MessageChannel {
-    private static final int DATAGRAM = 2048;
-    private static final int AT_ONCE = 64;              // datagrams, then tasks have their turn
-    private static final int BACKLOG = 1024;
-    // of the descriptors: streams under way; more wait in the backlog
-    private static final double STREAMS = 1.0 / 16;
-    private static final int LEAST_STREAMS = 4;
-
-    private final MembershipSettings setting;
+public final class MembershipTransport implements ServerExtension, MembershipOutput, MessageChannel {
+    /** The share of the descriptors that accepted streams may take. */
+    private static final double STREAM_SHARE = 1.0 / 16;
+    private static final int MIN_STREAMS = 4;
+    /** The sockets that are listened on, UDP and TCP. */
+    private static final int LISTENING_SOCKETS = 2;
+    private static final String NAME_PATTERN = "[!-~]{1,40}";
+    private static final String NOT_PRINTABLE = "[^!-~]";
+    private static final long MICROS_PER_MILLI = 1000;
+
+    private final MembershipSettings settings;
     private final String name;
     private final String build;
-    private final ByteBuffer buffer = ByteBuffer.allocateDirect(DATAGRAM);
-    private final byte[] bytes = new byte[DATAGRAM];
-    private final SocketAddressBuffer sender = new SocketAddressBuffer();
-    private final Set<StreamExchange> streams = new LinkedHashSet<>();
+    private final MessageChannel.Guest handler; // null for none
+    private final MembershipEventLog eventLog;
     private XnioIoThread thread;
     private Clock clock;
     private Configuration configuration;
-    private EventLog ledger;
-    private MulticastMessageChannel datagrams;
-    private AcceptingChannel<StreamConnection> accepting;
-    private XnioExecutor.Key wake;
-    private SwimMembership roll;
-    private DrainOverrides bindings;
+    private DatagramPort datagrams;
+    private StreamPort streams;
+    private XnioExecutor.Key wakeTimer;
+    private SwimMembership membership;
+    private DrainOverrides drainOverrides;
     private boolean ended;
-    private final MessageChannel.Guest guest;     // null for none
 
-    /** Guest: what else goes by the members' address; null for nothing. */
-    public MembershipTransport(MembershipSettings setting, String name, String build,
-            MessageChannel.Guest guest) throws IOException {
-        this.setting = setting;
-        this.guest = guest;
+    /**
+     * A membership that is not started yet.
+     *
+     * @param name    the name of this dispatcher
+     * @param build   the version of its software
+     * @param handler the module that uses the address of the members for its own messages, or null for none
+     * @throws IOException if the event log can't be opened
+     */
+    public MembershipTransport(MembershipSettings settings, String name, String build,
+            MessageChannel.Guest handler)
+            throws IOException {
+        this.settings = settings;
         this.name = name;
-        this.build = build.replaceAll("[^!-~]", "");
-        ledger = setting.ledger() == null ? null : new EventLog(setting.ledger(), true);
+        this.build = build.replaceAll(NOT_PRINTABLE, "");
+        this.handler = handler;
+        eventLog = new MembershipEventLog(settings.ledger(), name);
     }
 
-    /** Two ways, and the sockets listened on. */
     @Override
     public int descriptors(Configuration configuration) {
-        return 2 * streams(configuration) + 2;
+        return 2 * maxAcceptedStreams(configuration) + LISTENING_SOCKETS;
     }
 
-    private static int streams(Configuration configuration) {
-        return Math.max(LEAST_STREAMS, (int) (configuration.sockets * STREAMS));
+    private static int maxAcceptedStreams(Configuration configuration) {
+        return Math.max(MIN_STREAMS, (int) (configuration.sockets * STREAM_SHARE));
     }
 
     @Override
@@ -98,73 +91,81 @@
         this.thread = thread;
         this.clock = clock;
         this.configuration = configuration;
-        InetSocketAddress listen = setting.listen();
-        String at = text(listen);
-        if (!name.matches("[!-~]{1,40}")) {
+        if (!name.matches(NAME_PATTERN)) {
             throw new InvalidInputException(
                     "name \"" + name + "\" is no name that members can go by: 1 to 40 letters, no blanks");
         }
+        String address = MemberAddresses.format(settings.listen());
+        openSockets(worker, address);
+        drainOverrides = new DrainOverrides(settings.news(), settings.newsFor(), bound, name);
+        membership = new SwimMembership(options(address), this);
+        datagrams.resumeReceives();
+        streams.resumeAccepts();
+        writeEvent("began", name, membership.self().incarnation(), address);
+        membership.start(clock.now());
+        if (handler != null) {
+            handler.begin(this);
+            notifyHandler();
+        }
+    }
+
+    private void openSockets(XnioWorker worker, String address) throws IOException {
         try {
-            datagrams = worker.createUdpServer(listen, c -> {}, OptionMap.EMPTY);
-            ChannelListener<AcceptingChannel<StreamConnection>> accept = this::accept;
-            accepting = worker.createStreamConnectionServer(listen, accept, OptionMap.builder()
-                    .set(Options.TCP_NODELAY, true).set(Options.REUSE_ADDRESSES, true)
-                    .set(Options.BACKLOG, BACKLOG)
-                    .set(Options.CONNECTION_HIGH_WATER, streams(configuration))
-                    .set(Options.CONNECTION_LOW_WATER, streams(configuration) - 1).getMap());
+            datagrams = new DatagramPort(worker, settings.listen(), this::onDatagram);
+            streams = new StreamPort(worker, thread, settings.listen(), maxAcceptedStreams(configuration),
+                    this::onRequest);
         } catch (IOException e) {
             end();
-            throw new IOException("members: " + at + " can't be listened on (" + e.getMessage() + ")");
-        }
-        bindings = new DrainOverrides(setting.news(), setting.newsFor(), bound, name);
-        long life = new SecureRandom().nextLong();
-        roll = new SwimMembership(new SwimMembership.Start(setting.fleet(),
-                new MemberIdentity(name, Math.max(1, System.currentTimeMillis()), life, at,
-                        setting.site(), build, System.currentTimeMillis(), MemberIdentity.Doing.JOINING),
-                setting.seeds(), setting.reach(),
-                setting.rules(), life), this);
-        datagrams.getReadSetter().set(c -> readable());
-        datagrams.resumeReads();
-        accepting.resumeAccepts();
-        write("began", name, roll.self().incarnation(), at);
-        roll.start(clock.now());
-        if (guest != null) {
-            guest.begin(this);
-            tellGuest();
+            throw new IOException("members: " + address + " can't be listened on (" + e.getMessage() + ")");
         }
     }
 
-    private void tellGuest() {
-        List<String> there = new ArrayList<>(List.of(name));
-        roll.others().stream().filter(c -> c.belief().compareTo(MemberUpdate.Belief.FAILED) < 0)
-                .forEach(c -> there.add(c.card().name()));
-        guest.there(there);
+    /**
+     * The first incarnation is the clock's time, so that it is above those of earlier processes of this name.
+     */
+    private MembershipOptions options(String address) {
+        long processId = new SecureRandom().nextLong();
+        long incarnation = Math.max(1, System.currentTimeMillis());
+        MemberIdentity self =
+                new MemberIdentity(name, incarnation, processId, address, settings.site(), build,
+                        System.currentTimeMillis(), MemberIdentity.Phase.JOINING);
+        return new MembershipOptions(settings.fleet(), self, settings.seeds(), settings.reach(),
+                settings.rules(), processId);
     }
 
-    // ---- what the dispatcher tells
+    private void notifyHandler() {
+        List<String> reachable = new ArrayList<>();
+        reachable.add(name);
+        membership.others().stream().filter(other -> other.status().isReachable())
+                .forEach(other -> reachable.add(other.member().name()));
+        handler.there(reachable);
+    }
+
+    // ---- What the dispatcher tells
 
     @Override
     public EndpointList listed(EndpointList own) {
         Moment now = clock.now();
-        return bindings.listed(now, own, roll.bulletin(), news -> roll.learnt(now, news));
+        return drainOverrides.onOwnList(now, own, membership.drainNotices(),
+                notice -> membership.announce(now, notice));
     }
 
     @Override
     public void moved() {
-        bindings.moved();
+        drainOverrides.onDiscoveryChanged();
     }
 
     @Override
     public void serving() {
-        roll.doing(clock.now(), MemberIdentity.Doing.SERVING);
+        membership.setPhase(clock.now(), MemberIdentity.Phase.SERVING);
     }
 
     @Override
     public void stopping() {
-        if (guest != null) {
-            guest.stopping();
+        if (handler != null) {
+            handler.stopping();
         }
-        roll.doing(clock.now(), MemberIdentity.Doing.STOPPING);
+        membership.setPhase(clock.now(), MemberIdentity.Phase.STOPPING);
     }
 
     @Override
@@ -173,211 +174,134 @@
             return;
         }
         ended = true;
-        if (guest != null) {
-            guest.end();
+        if (handler != null) {
+            handler.end();
         }
-        if (roll != null) {
-            roll.end(clock.now());
-            MembershipMetrics c = roll.counts();
-            Log.info("members", "sent", c.sent, "bytes", c.sentBytes, "taken", c.taken, "malformed",
-                    c.malformed, "foreign",
-                    c.foreign, "misdirected", c.misdirected, "no_room", c.noRoom, "refuted", c.refuted,
-                    "stalls", c.stalls);
+        if (membership != null) {
+            membership.leave(clock.now());
+            logCounters(membership.metrics());
         }
-        if (wake != null) {
-            wake.remove();
+        if (wakeTimer != null) {
+            wakeTimer.remove();
         }
         IoUtils.safeClose(datagrams);
-        IoUtils.safeClose(accepting);
-        new ArrayList<>(streams).forEach(StreamExchange::close);
-        if (ledger != null) {
-            IoUtils.safeClose(ledger);
-        }
+        IoUtils.safeClose(streams);
+        IoUtils.safeClose(eventLog);
+    }
+
+    private static void logCounters(MembershipMetrics metrics) {
+        Log.info("membership", "sent", metrics.get(Counter.SENT), "bytes", metrics.get(Counter.SENT_BYTES),
+                "taken",
+                metrics.get(Counter.RECEIVED), "malformed", metrics.get(Counter.MALFORMED), "foreign",
+                metrics.get(Counter.FOREIGN), "misdirected", metrics.get(Counter.MISDIRECTED), "no_room",
+                metrics.get(Counter.OVER_CAPACITY), "refuted", metrics.get(Counter.REFUTED), "stalls",
+                metrics.get(Counter.STALLS));
     }
 
-    // ---- what is decided
+    // ---- What the membership decides
 
     @Override
-    public void send(String to, byte[] datagram) {
-        try {
-            datagrams.sendTo(address(to), ByteBuffer.wrap(datagram));
-        } catch (IOException e) {
-            // As good as lost on the way; the protocol asks again.
-        }
+    public void sendDatagram(String address, byte[] datagram) {
+        datagrams.send(address, datagram);
     }
 
     @Override
-    public void exchange(String to, byte[] whole) {
-        if (streams.size() >= 2 * streams(configuration)) {
-            return;     // asked again at the next exchange
-        }
-        thread.openStreamConnection(address(to), c -> stream(c, whole, answer -> {
-            roll.exchanged(clock.now(), answer, answer.length);
-            return null;
-        }), OptionMap.create(Options.TCP_NODELAY, true));
+    public void requestSync(String address, byte[] request) {
+        streams.request(address, request,
+                response -> membership.onSyncResponse(clock.now(), response, response.length));
     }
 
     @Override
     public void wakeAt(Moment when) {
-        if (wake != null) {
-            wake.remove();
+        if (wakeTimer != null) {
+            wakeTimer.remove();
         }
-        wake = thread.executeAfter(() -> roll.woken(clock.now()),
-                Math.max(0, when.since(clock.now()).micros() + 999) / 1000, TimeUnit.MILLISECONDS);
+        long delayMicros = when.since(clock.now()).micros();
+        long delayMs = Math.max(0, delayMicros + MICROS_PER_MILLI - 1) / MICROS_PER_MILLI;
+        wakeTimer = thread.executeAfter(() -> membership.onWake(clock.now()), delayMs, TimeUnit.MILLISECONDS);
     }
 
     @Override
-    public void tell(Event event) {
-        write(event.kind().name().toLowerCase(java.util.Locale.ROOT), event.name(), event.incarnation(),
+    public void onEvent(MembershipEvent event) {
+        writeEvent(event.kind().label().toLowerCase(Locale.ROOT), event.member(), event.incarnation(),
                 event.detail());
-        if (guest != null && roll != null && event.kind() != Event.Kind.STANDING) {
-            thread.execute(this::tellGuest);    // once all that goes with it is known
+        if (handler != null && event.kind() != MembershipEvent.Kind.HEALTH_CHANGED) {
+            thread.execute(this::notifyHandler); // once all that goes with the event is known
         }
-        Log.info("members", "event", event.kind(), "name", event.name(), "incarnation", event.incarnation(),
-                "detail",
-                event.detail());
+        Log.info("membership", "event", event.kind().label(), "name", event.member(), "incarnation",
+                event.incarnation(), "detail", event.detail());
     }
 
     @Override
-    public void heard(DrainNotice news) {
-        if (bindings.heard(clock.now(), news)) {
-            write("bound", news.worker(), news.version(), news.kind().name());
+    public void onDrainNotice(DrainNotice notice) {
+        if (drainOverrides.onNotice(clock.now(), notice)) {
+            writeEvent("bound", notice.worker(), notice.listVersion(), notice.kind().label());
         }
     }
 
-    // ---- parcels
-
-    @Override
-    public XnioIoThread thread() {
-        return thread;
-    }
-
-    @Override
-    public Clock clock() {
-        return clock;
-    }
-
-    @Override
-    public Configuration configuration() {
-        return configuration;
-    }
-
-    @Override
-    public void post(String to, byte[] parcel) {
-        if (to.equals(name)) {
-            thread.execute(() -> {
-                if (!ended) {
-                    guest.parcel(name, parcel);
-                }
-            });
-            return;
-        }
-        String at = roll.address(to);
-        if (at != null && !ended) {
-            send(at, new Envelope(name, parcel).write(setting.fleet()));
+    private void writeEvent(String event, String subject, long number, String detail) {
+        if (!ended) {
+            eventLog.write(event, subject, number, detail);
         }
     }
 
-    // ---- sockets
-
-    private void readable() {
-        try {
-            for (int i = 0; i < AT_ONCE && !ended; i++) {
-                buffer.clear();
-                sender.clear();
-                int count = datagrams.receiveFrom(sender, buffer);
-                if (count <= 0) {
-                    return;
-                }
-                buffer.flip().get(bytes, 0, count);
-                if (guest != null && Envelope.is(bytes, count)) {
-                    Envelope e = Envelope.read(setting.fleet(), bytes, count);
-                    if (e != null) {
-                        guest.parcel(e.from(), e.parcel());
-                    }
-                    continue;
-                }
-                roll.datagram(clock.now(), text(sender.getSourceAddress()), bytes, count);
-            }
-        } catch (IOException e) {
-            // One that could not be read, as where an earlier one of ours was refused.
-        }
-    }
+    // ---- What other members and the command line send
 
-    private void accept(AcceptingChannel<StreamConnection> from) {
-        try {
-            for (StreamConnection c = from.accept(); c != null; c = from.accept()) {
-                stream(c, null, this::asked);
-            }
-        } catch (IOException e) {
-            // Closed meanwhile, or no descriptors: they wait.
+    private void onDatagram(String fromAddress, byte[] bytes, int count) {
+        if (handler != null && Envelope.isEnvelope(bytes, count)) {
+            Envelope.decode(settings.fleet(), bytes, count)
+                    .ifPresent(envelope -> handler.parcel(envelope.from(), envelope.payload()));
+        } else {
+            membership.onDatagram(clock.now(), fromAddress, bytes, count);
         }
     }
 
-    private byte[] asked(byte[] message) {
-        if (new String(message, StandardCharsets.US_ASCII).equals(MembershipQuery.MEMBERS)) {
-            return page().getBytes(StandardCharsets.UTF_8);
-        }
-        String answer = guest == null || message.length == 0 || message[0] != '?' ? null
-                : guest.asked(new String(message, StandardCharsets.UTF_8));
+    private byte[] onRequest(byte[] request) {
+        boolean isQuestion = request.length > 0 && request[0] == '?';
+        String answer = isQuestion ? answer(new String(request, StandardCharsets.UTF_8)) : null;
         if (answer != null) {
             return answer.getBytes(StandardCharsets.UTF_8);
         }
-        return roll.asked(clock.now(), message, message.length);
+        return membership.onSyncRequest(clock.now(), request, request.length);
     }
 
-    private void stream(StreamConnection connection, byte[] first,
-            java.util.function.Function<byte[], byte[]> got) {
-        if (ended) {
-            IoUtils.safeClose(connection);
-            return;
+    private String answer(String question) {
+        if (question.equals(MembershipQuery.MEMBERS)) {
+            return new MembershipReport(settings.fleet(), membership, drainOverrides.count()).text();
         }
-        StreamExchange[] frame = new StreamExchange[1];
-        frame[0] = new StreamExchange(connection, thread, first, got, () -> streams.remove(frame[0]));
-        streams.add(frame[0]);
+        return handler == null ? null : handler.asked(question);
     }
 
-    private static InetSocketAddress address(String text) {
-        return Configuration.address("member", text);   // checked where it came in; nothing is looked up
-    }
+    // ---- Messages of other modules
 
-    private static String text(SocketAddress address) {
-        InetSocketAddress a = (InetSocketAddress) address;
-        String host = a.getAddress().getHostAddress();
-        return (host.indexOf(':') < 0 ? host : "[" + host + "]") + ":" + a.getPort();
+    @Override
+    public void post(String to, byte[] payload) {
+        if (to.equals(name)) {
+            thread.execute(() -> {
+                if (!ended) {
+                    handler.parcel(name, payload);
+                }
+            });
+            return;
+        }
+        String address = membership.address(to);
+        if (address != null && !ended) {
+            sendDatagram(address, new Envelope(name, payload).encode(settings.fleet()));
+        }
     }
 
-    // ---- what people and judges read
-
-    private void write(String word, String of, long number, String detail) {
-        if (ledger != null && !ended) {
-            ledger.line(EventClock.now(), "members", name, word, of, number, detail.replace(' ', '-'));
-        }
+    @Override
+    public XnioIoThread thread() {
+        return thread;
     }
 
-    private String page() {
-        StringBuilder text = new StringBuilder();
-        MembershipMetrics c = roll.counts();
-        text.append(String.format("fleet %s, this is %s: %s, %d there of %d known, own lateness %d%n",
-                setting.fleet(), name,
-                roll.standing().name().toLowerCase(java.util.Locale.ROOT), roll.there(),
-                roll.others().size() + 1, roll.late()));
-        line(text, new MemberUpdate(roll.self(), MemberUpdate.Belief.ALIVE, name, 0));
-        roll.others().forEach(o -> line(text, o));
-        text.append(String.format(
-                "datagrams sent %d (%d bytes), taken %d, malformed %d, foreign %d, misdirected %d, no room %d%n",
-                c.sent, c.sentBytes, c.taken, c.malformed, c.foreign, c.misdirected, c.noRoom));
-        text.append(String.format(
-                "exchanges %d, refuted %d, accused %d, stalls %d, workers bound by news %d%n", c.exchanges,
-                c.refuted, c.accused, c.stalls, bindings.held()));
-        return text.toString();
+    @Override
+    public Clock clock() {
+        return clock;
     }
 
-    private static void line(StringBuilder text, MemberUpdate claim) {
-        MemberIdentity k = claim.card();
-        text.append(String.format("  %-16s %-8s %-8s %-22s site %-10s incarnation %d, build %s%n", k.name(),
-                claim.belief().name().toLowerCase(java.util.Locale.ROOT),
-                k.doing().name().toLowerCase(java.util.Locale.ROOT),
-                k.at(), k.site(), k.incarnation(), k.build()));
+    @Override
+    public Configuration configuration() {
+        return configuration;
     }
 }
--- a/src/main/java/rampshift/membership/host/StreamExchange.java
+++ b/src/main/java/rampshift/membership/host/StreamExchange.java
@@ -3,124 +3,145 @@
 import java.io.IOException;
 import java.nio.ByteBuffer;
 import java.util.concurrent.TimeUnit;
-import java.util.function.Function;
+import java.util.function.Consumer;
+import java.util.function.UnaryOperator;
 import org.xnio.IoUtils;
 import org.xnio.StreamConnection;
 import org.xnio.XnioExecutor;
 import org.xnio.XnioIoThread;
 
 /**
- * One stream between two members: a message each way, four bytes of length before it, then the end. It has a
- * bound in
- * bytes and in time, and ends itself.
+ * One stream between two members: one message in each direction, preceded by its length in four bytes. It is
+ * bounded in bytes and in time and closes itself.
  */
 final class StreamExchange {
-    static final int MOST = 1 << 20;
-    private static final long LONGEST_MS = 2000;
-    private static final int FIRST = 4096;
+    /** The bytes of a message at most. */
+    static final int MAX_MESSAGE_BYTES = 1 << 20;
+
+    private static final long TIMEOUT_MS = 2000;
+    private static final int INITIAL_BUFFER_BYTES = 4096;
+    private static final int LENGTH_BYTES = Integer.BYTES;
 
     private final StreamConnection connection;
-    private final Function<byte[], byte[]> got;
-    private final Runnable over;
-    private final XnioExecutor.Key timer;
-    private ByteBuffer in = ByteBuffer.allocate(FIRST);
-    private ByteBuffer out;
-    private boolean last;
+    private final UnaryOperator<byte[]> onMessage;
+    private final Consumer<StreamExchange> onClose;
+    private final XnioExecutor.Key timeout;
+    private ByteBuffer input = ByteBuffer.allocate(INITIAL_BUFFER_BYTES);
+    private ByteBuffer output;
+    private boolean closeAfterWrite;
     private boolean closed;
 
     /**
-     * What is got may be answered, or null. First: what is said before; null to listen. Over: once, at its
-     * end.
+     * An exchange that is not started yet; its timeout runs already.
+     *
+     * @param onMessage takes the message that is received and returns the answer, or null for none
+     * @param onClose   called once, when the stream is closed
      */
-    StreamExchange(StreamConnection connection, XnioIoThread thread, byte[] first,
-            Function<byte[], byte[]> got,
-            Runnable over) {
+    StreamExchange(StreamConnection connection, XnioIoThread thread, UnaryOperator<byte[]> onMessage,
+            Consumer<StreamExchange> onClose) {
         this.connection = connection;
-        this.got = got;
-        this.over = over;
-        timer = thread.executeAfter(this::close, LONGEST_MS, TimeUnit.MILLISECONDS);
-        connection.getSourceChannel().setReadListener(c -> readable());
-        connection.getSinkChannel().setWriteListener(c -> writable());
-        if (first != null) {
-            write(first);
+        this.onMessage = onMessage;
+        this.onClose = onClose;
+        timeout = thread.executeAfter(this::close, TIMEOUT_MS, TimeUnit.MILLISECONDS);
+    }
+
+    /** Sends a request, or none if it is null, and waits for a message. */
+    void start(byte[] request) {
+        connection.getSourceChannel().setReadListener(ignored -> onReadable());
+        connection.getSinkChannel().setWriteListener(ignored -> onWritable());
+        if (request != null) {
+            write(request);
         }
         connection.getSourceChannel().resumeReads();
     }
 
     private void write(byte[] message) {
-        out = ByteBuffer.allocate(4 + message.length).putInt(message.length).put(message).flip();
-        writable();
+        output = ByteBuffer.allocate(LENGTH_BYTES + message.length).putInt(message.length).put(message)
+                .flip();
+        onWritable();
     }
 
-    private void writable() {
+    private void onWritable() {
         try {
-            while (!closed && out != null && out.hasRemaining()) {
-                if (connection.getSinkChannel().write(out) == 0) {
+            while (!closed && output != null && output.hasRemaining()) {
+                if (connection.getSinkChannel().write(output) == 0) {
                     connection.getSinkChannel().resumeWrites();
                     return;
                 }
             }
-            if (!closed) {
-                connection.getSinkChannel().suspendWrites();
-                if (last) {
-                    close();
-                }
+            if (closed) {
+                return;
+            }
+            connection.getSinkChannel().suspendWrites();
+            if (closeAfterWrite) {
+                close();
             }
         } catch (IOException e) {
             close();
         }
     }
 
-    private void readable() {
+    private void onReadable() {
         try {
             while (!closed) {
-                int count = connection.getSourceChannel().read(in);
+                int count = connection.getSourceChannel().read(input);
                 if (count < 0) {
                     close();
                     return;
                 }
-                if (count == 0 && in.hasRemaining()) {
-                    return;
-                }
-                int length = in.position() < 4 ? 0 : in.getInt(0);
-                if (length < 0 || length > MOST) {
-                    close();
+                if (count == 0 && input.hasRemaining()) {
                     return;
                 }
-                if (in.position() >= 4 && in.position() >= 4 + length) {
-                    whole(length);
+                if (takeMessage()) {
                     return;
                 }
-                if (!in.hasRemaining()) {
-                    // No further than what has come has earned: a length alone takes no memory.
-                    in = ByteBuffer.allocate(Math.min(4 + length, in.capacity() * 2)).put(in.flip());
-                }
             }
         } catch (IOException e) {
             close();
         }
     }
 
-    private void whole(int length) {
+    /** Takes the message if all of it has come; returns whether the input is done with. */
+    private boolean takeMessage() {
+        boolean lengthKnown = input.position() >= LENGTH_BYTES;
+        int length = lengthKnown ? input.getInt(0) : 0;
+        if (length < 0 || length > MAX_MESSAGE_BYTES) {
+            close();
+            return true;
+        }
+        if (lengthKnown && input.position() >= LENGTH_BYTES + length) {
+            deliver(length);
+            return true;
+        }
+        if (!input.hasRemaining()) {
+            // The buffer grows only with what has come: a length alone takes no memory.
+            int capacity = Math.min(LENGTH_BYTES + length, input.capacity() * 2);
+            input = ByteBuffer.allocate(capacity).put(input.flip());
+        }
+        return false;
+    }
+
+    private void deliver(int length) {
         byte[] message = new byte[length];
-        in.position(4);
-        in.get(message);
+        input.position(LENGTH_BYTES);
+        input.get(message);
         connection.getSourceChannel().suspendReads();
-        byte[] answer = got.apply(message);
+        byte[] answer = onMessage.apply(message);
         if (answer == null) {
             close();
         } else {
-            last = true;
+            closeAfterWrite = true;
             write(answer);
         }
     }
 
+    /** Closes the stream, whether or not the exchange is complete. */
     void close() {
         if (!closed) {
             closed = true;
-            timer.remove();
+            timeout.remove();
             IoUtils.safeClose(connection);
-            over.run();
+            onClose.accept(this);
         }
     }
 }
--- a/src/test/java/rampshift/membership/DrainNoticesAccess.java
+++ b/src/test/java/rampshift/membership/DrainNoticesAccess.java
@@ -1,10 +1,11 @@
 package rampshift.membership;
 
-/** Lets stories of other packages put news where only a roll does. */
+/** Lets tests of other packages add notices, which only a membership does otherwise. */
 public final class DrainNoticesAccess {
     private DrainNoticesAccess() {}
 
-    public static void put(DrainNotices bulletin, DrainNotice news) {
-        bulletin.put(news);
+    /** Adds a notice unless one as new is there already; returns whether it was added. */
+    public static boolean add(DrainNotices notices, DrainNotice notice) {
+        return notices.add(notice);
     }
 }
--- a/src/test/java/rampshift/membership/SimulatedNetwork.java
+++ b/src/test/java/rampshift/membership/SimulatedNetwork.java
@@ -6,61 +6,71 @@
 import java.util.Map;
 import java.util.SplittableRandom;
 import java.util.TreeMap;
+import java.util.function.BooleanSupplier;
 import rampshift.EventSimulation;
 import rampshift.time.Moment;
 import rampshift.time.Span;
 
-/** A network in simulated time, drawn by a seed, between as many members as a story wants. */
+/** A network in simulated time between as many members as a test wants; its faults are drawn by a seed. */
 final class SimulatedNetwork extends EventSimulation {
-    static final MembershipTimings RULES =
+    static final MembershipTimings TIMINGS =
             new MembershipTimings(Span.ofMillis(1000), Span.ofMillis(3_600_000));
-    private static final double STREAM_AFTER = 2;       // times a datagram's way
+    static final String FLEET = "fleet";
+
+    /** The delay of one direction of a stream, as a multiple of that of a datagram. */
+    private static final double STREAM_DELAY_FACTOR = 2;
+    private static final double CHECK_INTERVAL_SECONDS = 0.1;
+    private static final int MICROS_PER_MILLI = 1000;
+    private static final int MICROS_PER_SECOND = 1_000_000;
+    private static final int HOSTS_PER_SUBNET = 250;
 
     final Map<String, Node> nodes = new TreeMap<>();
-    final SplittableRandom chance;
-    private final Map<String, Double> lost = new HashMap<>();     // by way, "a>b"
+    final SplittableRandom random;
+    double lossEverywhere;
+    double duplicationRate;
+    private final Map<String, Double> lossByLink = new HashMap<>(); // keys as in "d1>d2"
     private final List<String> seeds = new ArrayList<>();
-    double lostEverywhere;
-    double repeated;
-    int leastMs = 1;
-    int mostMs = 20;
+    private final int minDelayMs = 1;
+    private final int maxDelayMs = 20;
 
     /** One process after another under one name. */
-    final class Node implements SwimMembership.Out {
+    final class Node implements MembershipOutput {
         final String name;
-        final int place;
-        final List<Event> told = new ArrayList<>();
-        final List<DrainNotice> heard = new ArrayList<>();
+        final int index;
+        final List<MembershipEvent> events = new ArrayList<>();
+        final List<DrainNotice> drainNotices = new ArrayList<>();
         final Map<String, Long> incarnations = new HashMap<>();
-        SwimMembership roll;
-        private long lives;
+        SwimMembership membership;
+        private long starts;
         private long wakes;
         private long clockMs = 1_000_000;
-        private boolean stopped;
+        private boolean paused;
         private final List<Runnable> waiting = new ArrayList<>();
 
-        Node(String name, int place) {
+        Node(String name, int index) {
             this.name = name;
-            this.place = place;
+            this.index = index;
         }
 
         String address() {
-            return "10.0." + place / 250 + "." + (place % 250 + 1) + ":7";
-        }
-
-        /** A new process; its clock says what it will. */
-        void start(long clockMs) {
-            this.clockMs = clockMs;
-            long life = ++lives * 1000 + place;
-            roll = new SwimMembership(new SwimMembership.Start("fleet",
-                    new MemberIdentity(name, clockMs, life, address(), "site" + place % 2, "b", clockMs,
-                            MemberIdentity.Doing.SERVING),
-                    seeds, Map.of(), RULES, place), this);
-            stopped = false;
+            return "10.0." + index / HOSTS_PER_SUBNET + "." + (index % HOSTS_PER_SUBNET + 1) + ":7";
+        }
+
+        /** Starts a new process whose clock shows the given time. */
+        void start(long newClockMs) {
+            clockMs = newClockMs;
+            starts++;
+            long processId = starts * 1000 + index;
+            MemberIdentity self =
+                    new MemberIdentity(name, clockMs, processId, address(), "site" + index % 2, "b",
+                            clockMs, MemberIdentity.Phase.SERVING);
+            membership = new SwimMembership(
+                    new MembershipOptions(FLEET, self, seeds, Map.of(), TIMINGS, index), this);
+            paused = false;
             waiting.clear();
-            incarnations.clear();       // a new process remembers nothing
+            incarnations.clear(); // a new process remembers nothing
             wakes++;
-            roll.start(moment());
+            membership.start(moment());
         }
 
         void start() {
@@ -68,103 +78,117 @@
         }
 
         void kill() {
-            roll = null;
-            stopped = false;
+            membership = null;
+            paused = false;
             waiting.clear();
             wakes++;
         }
 
-        void stop(boolean on) {
-            stopped = on;
-            if (!on) {
-                List<Runnable> all = List.copyOf(waiting);
-                waiting.clear();
-                all.forEach(this::run);
-            }
+        boolean isRunning() {
+            return membership != null;
+        }
+
+        void pause() {
+            paused = true;
+        }
+
+        /** Handles all that has come while the process was paused. */
+        void resume() {
+            paused = false;
+            List<Runnable> inputs = List.copyOf(waiting);
+            waiting.clear();
+            inputs.forEach(this::handle);
         }
 
-        private void run(Runnable what) {
-            if (stopped) {
-                waiting.add(what);
-            } else if (roll != null) {
-                what.run();
-                watch();
+        private void handle(Runnable input) {
+            if (paused) {
+                waiting.add(input);
+            } else if (membership != null) {
+                input.run();
+                checkIncarnations();
             }
         }
 
-        private void watch() {
-            for (MemberUpdate c : roll == null ? List.<MemberUpdate>of() : roll.others()) {
-                long before = incarnations.getOrDefault(c.card().name(), 0L);
-                if (c.card().incarnation() < before) {
-                    throw new AssertionError(name + " took an older word of " + c);
+        private void checkIncarnations() {
+            List<MemberUpdate> others = membership == null ? List.of() : membership.others();
+            for (MemberUpdate update : others) {
+                MemberIdentity member = update.member();
+                long before = incarnations.getOrDefault(member.name(), 0L);
+                if (member.incarnation() < before) {
+                    throw new AssertionError(name + " took an older update: " + update);
                 }
-                incarnations.put(c.card().name(), c.card().incarnation());
+                incarnations.put(member.name(), member.incarnation());
             }
         }
 
         @Override
-        public void send(String to, byte[] bytes) {
-            Node other = byAddress(to);
-            int copies = chance.nextDouble() < repeated ? 2 : 1;
-            for (int i = 0; other != null && i < copies; i++) {
-                if (chance.nextDouble() >= lostEverywhere && chance.nextDouble() >= loss(this, other)) {
-                    after(way(), () -> other
-                            .run(() -> other.roll.datagram(moment(), address(), bytes, bytes.length)));
+        public void sendDatagram(String to, byte[] datagram) {
+            Node receiver = byAddress(to);
+            int copies = random.nextDouble() < duplicationRate ? 2 : 1;
+            for (int i = 0; receiver != null && i < copies; i++) {
+                if (random.nextDouble() >= lossEverywhere && random.nextDouble() >= loss(this, receiver)) {
+                    after(delayMicros(),
+                            () -> receiver.handle(() -> receiver.membership.onDatagram(moment(), address(),
+                                    datagram, datagram.length)));
                 }
             }
         }
 
         @Override
-        public void exchange(String to, byte[] whole) {
-            Node other = byAddress(to);
-            SwimMembership asker = roll;
-            if (other == null || loss(this, other) >= 1 || loss(other, this) >= 1) {
+        public void requestSync(String to, byte[] request) {
+            Node receiver = byAddress(to);
+            SwimMembership requester = membership;
+            if (receiver == null || loss(this, receiver) >= 1 || loss(receiver, this) >= 1) {
                 return;
             }
-            after(way() * STREAM_AFTER, () -> other.run(() -> {
-                byte[] answer = other.roll.asked(moment(), whole, whole.length);
-                if (answer != null) {
-                    after(way(), () -> run(() -> {
-                        if (roll == asker) {
-                            roll.exchanged(moment(), answer, answer.length);
-                        }
-                    }));
+            after(delayMicros() * STREAM_DELAY_FACTOR, () -> receiver.handle(() -> {
+                byte[] response = receiver.membership.onSyncRequest(moment(), request, request.length);
+                if (response != null) {
+                    after(delayMicros(), () -> handle(() -> deliverResponse(requester, response)));
                 }
             }));
         }
 
+        private void deliverResponse(SwimMembership requester, byte[] response) {
+            if (membership == requester) {
+                membership.onSyncResponse(moment(), response, response.length);
+            }
+        }
+
         @Override
         public void wakeAt(Moment when) {
-            long wake = ++wakes;
+            wakes++;
+            long wake = wakes;
             due(Math.max(now, when.micros()), () -> {
                 if (wake == wakes) {
-                    run(() -> roll.woken(moment()));
+                    handle(() -> membership.onWake(moment()));
                 }
             });
         }
 
         @Override
-        public void tell(Event event) {
-            told.add(event);
+        public void onEvent(MembershipEvent event) {
+            events.add(event);
         }
 
         @Override
-        public void heard(DrainNotice news) {
-            heard.add(news);
+        public void onDrainNotice(DrainNotice notice) {
+            drainNotices.add(notice);
         }
 
-        MemberUpdate.Belief of(String other) {
-            return roll.others().stream().filter(c -> c.card().name().equals(other)).map(MemberUpdate::belief)
-                    .findFirst().orElse(null);
+        /** The status of another member in the view of this one, or null if it is not known. */
+        MemberUpdate.Status statusOf(String other) {
+            return membership.others().stream().filter(update -> update.member().name().equals(other))
+                    .map(MemberUpdate::status).findFirst().orElse(null);
         }
 
-        long count(Event.Kind kind) {
-            return told.stream().filter(e -> e.kind() == kind).count();
+        long eventCount(MembershipEvent.Kind kind) {
+            return events.stream().filter(event -> event.kind() == kind).count();
         }
     }
 
     SimulatedNetwork(long seed, int count) {
-        chance = new SplittableRandom(seed);
+        random = new SplittableRandom(seed);
         for (int i = 0; i < count; i++) {
             Node node = new Node("d" + (i + 1), i);
             nodes.put(node.name, node);
@@ -188,44 +212,45 @@
         return new Moment(now);
     }
 
-    private Node byAddress(String at) {
-        return nodes.values().stream().filter(n -> n.address().equals(at)).findFirst().orElse(null);
+    private Node byAddress(String address) {
+        return nodes.values().stream().filter(node -> node.address().equals(address)).findFirst()
+                .orElse(null);
     }
 
     private double loss(Node from, Node to) {
-        return lost.getOrDefault(from.name + ">" + to.name, 0.0);
+        return lossByLink.getOrDefault(from.name + ">" + to.name, 0.0);
     }
 
-    /** One way between two loses so much; 1: it is cut. */
-    void way(String from, String to, double loss) {
-        lost.put(from + ">" + to, loss);
+    /** Sets the share of datagrams that one direction between two members loses; 1 cuts it. */
+    void setLoss(String from, String to, double loss) {
+        lossByLink.put(from + ">" + to, loss);
     }
 
     /** Members of different groups don't reach one another. */
-    void cut(List<List<String>> groups) {
-        groups.forEach(a -> groups.forEach(b -> {
-            if (a != b) {
-                a.forEach(x -> b.forEach(y -> way(x, y, 1)));
+    void partition(List<List<String>> groups) {
+        groups.forEach(group -> groups.forEach(other -> {
+            if (group != other) {
+                group.forEach(from -> other.forEach(to -> setLoss(from, to, 1)));
             }
         }));
     }
 
     void heal() {
-        lost.clear();
-        lostEverywhere = 0;
-        repeated = 0;
+        lossByLink.clear();
+        lossEverywhere = 0;
+        duplicationRate = 0;
     }
 
-    private double way() {
-        return 1000 * (leastMs + chance.nextDouble() * (mostMs - leastMs));
+    private double delayMicros() {
+        return MICROS_PER_MILLI * (minDelayMs + random.nextDouble() * (maxDelayMs - minDelayMs));
     }
 
-    private void after(double micros, Runnable what) {
-        due(now + Math.round(micros), what);
+    private void after(double micros, Runnable action) {
+        due(now + Math.round(micros), action);
     }
 
-    void at(double seconds, Runnable what) {
-        due(now + Math.round(seconds * 1_000_000), what);
+    void at(double seconds, Runnable action) {
+        due(now + Math.round(seconds * MICROS_PER_SECOND), action);
     }
 
     SimulatedNetwork run(double seconds) {
@@ -233,23 +258,28 @@
         return this;
     }
 
-    double until(double most, java.util.function.BooleanSupplier so) {
-        return until(most, 0.1, so);
+    /** Runs until the condition holds; returns the seconds that took, or -1 if it did not hold in time. */
+    double until(double maxSeconds, BooleanSupplier condition) {
+        return until(maxSeconds, CHECK_INTERVAL_SECONDS, condition);
     }
 
-    /** Whoever runs sees whoever runs as there, the others as not, and all see the same. */
+    /** Whether all running members take those that run for alive, and the others not. */
     boolean agree() {
-        for (Node a : nodes.values()) {
-            for (Node b : nodes.values()) {
-                if (a != b && a.roll != null) {
-                    MemberUpdate.Belief belief = a.of(b.name);
-                    if (b.roll != null ? belief != MemberUpdate.Belief.ALIVE
-                            : belief == MemberUpdate.Belief.ALIVE || belief == MemberUpdate.Belief.SUSPECT) {
-                        return false;
-                    }
+        for (Node observer : nodes.values()) {
+            for (Node other : nodes.values()) {
+                if (observer != other && observer.isRunning() && !seesRightly(observer, other)) {
+                    return false;
                 }
             }
         }
         return true;
     }
+
+    private static boolean seesRightly(Node observer, Node other) {
+        MemberUpdate.Status status = observer.statusOf(other.name);
+        if (other.isRunning()) {
+            return status == MemberUpdate.Status.ALIVE;
+        }
+        return status == null || !status.isReachable();
+    }
 }
--- a/src/test/java/rampshift/membership/host/DrainOverridesTest.java
+++ b/src/test/java/rampshift/membership/host/DrainOverridesTest.java
@@ -16,109 +16,112 @@
 import rampshift.time.Moment;
 import rampshift.time.Span;
 
-/** News from fellows beside the own list. */
+/** Drain notices of other members beside the own endpoint list. */
 class DrainOverridesTest {
-    private final List<String> bound = new ArrayList<>();
-    private final List<DrainNotice> learnt = new ArrayList<>();
-    private final DrainNotices bulletin = new DrainNotices();
-    private DrainOverrides bindings = bindings(true);
-    private double clock;
-
-    private DrainOverrides bindings(boolean on) {
-        return new DrainOverrides(on, Span.ofMillis(30_000),
-                l -> l.targets().forEach(t -> bound.add(t.uid() + " " + t.state())), "d1");
+    private final List<String> changes = new ArrayList<>();
+    private final List<DrainNotice> announced = new ArrayList<>();
+    private final DrainNotices notices = new DrainNotices();
+    private DrainOverrides overrides = overrides(true);
+    private double clockMs;
+
+    private DrainOverrides overrides(boolean enabled) {
+        return new DrainOverrides(enabled, Span.ofMillis(30_000),
+                list -> list.targets().forEach(endpoint -> changes.add(describe(endpoint))), "d1");
+    }
+
+    private static String describe(Endpoint endpoint) {
+        return endpoint.uid() + " " + endpoint.state();
     }
 
     private Moment now() {
-        return Moment.ofMillis(clock);
+        return Moment.ofMillis(clockMs);
     }
 
-    private static Endpoint target(String uid, String state, long boot) {
-        return new Endpoint(uid, null, "a", "m", 1, Endpoint.State.valueOf(state), 1, boot);
+    private static Endpoint endpoint(String uid, String state, long startedAtMs) {
+        return new Endpoint(uid, null, "a", "m", 1, Endpoint.State.valueOf(state), 1, startedAtMs);
     }
 
-    private String list(long version, boolean whole, Endpoint... targets) {
-        EndpointList out =
-                bindings.listed(now(), new EndpointList(version, whole, Arrays.asList(targets)), bulletin,
-                        learnt::add);
-        return String.join(", ", out.targets().stream().map(t -> t.uid() + " " + t.state()).toList());
+    /** Applies an update of the own list and describes the list that goes on to the dispatcher. */
+    private String ownList(long version, boolean whole, Endpoint... endpoints) {
+        EndpointList effective = overrides.onOwnList(now(),
+                new EndpointList(version, whole, Arrays.asList(endpoints)), notices, announced::add);
+        return String.join(", ", effective.targets().stream().map(DrainOverridesTest::describe).toList());
     }
 
-    /** What the roll does first. */
-    private boolean news(DrainNotice n) {
-        return bulletinTakes(n) && bindings.heard(now(), n);
+    /** Takes a notice as the membership does: it passes on only those that are new. */
+    private boolean receive(DrainNotice notice) {
+        return DrainNoticesAccess.add(notices, notice) && overrides.onNotice(now(), notice);
     }
 
-    private boolean bulletinTakes(DrainNotice n) {
-        DrainNotice had = bulletin.of(n.worker());
-        DrainNoticesAccess.put(bulletin, n);
-        return bulletin.of(n.worker()) != had;
+    private static DrainNotice draining(String worker, long startedAtMs, long version) {
+        return new DrainNotice(worker, startedAtMs, version, DrainNotice.Kind.DRAINING);
     }
 
-    private static DrainNotice drains(String worker, long boot, long version) {
-        return new DrainNotice(worker, boot, version, DrainNotice.Kind.DRAINS);
+    private static DrainNotice removed(String worker, long startedAtMs, long version) {
+        return new DrainNotice(worker, startedAtMs, version, DrainNotice.Kind.REMOVED);
     }
 
     @Test
-    void newsOfALaterListBindsAndOlderNewsDoesNot() {
-        list(5, true, target("w", "READY", 10), target("v", "READY", 10));
-        assertFalse(news(drains("w", 10, 5)), "the own list is as new");
-        assertFalse(news(drains("w", 9, 7)), "of a former start");
-        assertFalse(news(drains("stranger", 10, 7)));
-        assertTrue(news(drains("w", 10, 8)));
-        assertEquals(List.of("w DRAINING"), bound);
+    void aNoticeOfALaterListOverridesAndAnOlderOneDoesNot() {
+        ownList(5, true, endpoint("w", "READY", 10), endpoint("v", "READY", 10));
+        assertFalse(receive(draining("w", 10, 5)), "the own list is as new");
+        assertFalse(receive(draining("w", 9, 7)), "of an earlier start");
+        assertFalse(receive(draining("stranger", 10, 7)));
+        assertTrue(receive(draining("w", 10, 8)));
+        assertEquals(List.of("w DRAINING"), changes);
         assertEquals("v READY, w DRAINING",
-                list(6, false, target("v", "READY", 10), target("w", "READY", 10)));
-        assertEquals(1, bindings.held());
+                ownList(6, false, endpoint("v", "READY", 10), endpoint("w", "READY", 10)));
+        assertEquals(1, overrides.count());
     }
 
     @Test
     void onlyTheOwnListPutsAWorkerBack() {
-        list(5, true, target("w", "READY", 10));
-        news(drains("w", 10, 8));
-        assertEquals("", list(7, false), "it has not come so far yet");
-        assertEquals("w READY", list(8, false), "it has, and does not say so");
-        news(drains("w", 10, 12));
-        assertEquals("w READY", list(9, false, target("w", "READY", 20)), "a later start");
-        assertEquals(0, bindings.held());
+        ownList(5, true, endpoint("w", "READY", 10));
+        receive(draining("w", 10, 8));
+        assertEquals("", ownList(7, false), "the own list is still older");
+        assertEquals("w READY", ownList(8, false), "it is as new, and does not call the worker draining");
+        receive(draining("w", 10, 12));
+        assertEquals("w READY", ownList(9, false, endpoint("w", "READY", 20)), "a later start");
+        assertEquals(0, overrides.count());
     }
 
     @Test
-    void aListThatStaysBehindForLongIsBelievedAgainButASilentOneIsNot() {
-        list(5, true, target("w", "READY", 10));
-        news(drains("w", 10, 8));
-        clock += 29_000;
-        assertEquals("", list(6, false));
-        clock += 2_000;
-        assertEquals(1, bindings.held(), "while nothing is told nothing changes");
-        assertEquals("w READY", list(6, false));
+    void aListThatStaysBehindIsTrustedAgainAfterTheLifetimeButASilentOneIsNot() {
+        ownList(5, true, endpoint("w", "READY", 10));
+        receive(draining("w", 10, 8));
+        clockMs += 29_000;
+        assertEquals("", ownList(6, false));
+        clockMs += 2_000;
+        assertEquals(1, overrides.count(), "nothing changes while the list is not updated");
+        assertEquals("w READY", ownList(6, false));
     }
 
     @Test
-    void whatTheOwnListTellsIsPassedOnAndSoIsWhatItLeavesOut() {
-        list(5, true, target("w", "READY", 10), target("v", "READY", 10), target("u", "DRAINING", 10));
-        list(6, false, target("v", "GONE", 10));
-        list(7, true, target("u", "DRAINING", 10));
-        assertEquals(List.of(drains("u", 10, 5), new DrainNotice("v", 10, 6, DrainNotice.Kind.GONE),
-                drains("u", 10, 7),
-                new DrainNotice("w", 10, 7, DrainNotice.Kind.GONE)), learnt);
+    void drainsAndRemovalsOfTheOwnListAreAnnounced() {
+        ownList(5, true, endpoint("w", "READY", 10), endpoint("v", "READY", 10),
+                endpoint("u", "DRAINING", 10));
+        ownList(6, false, endpoint("v", "GONE", 10));
+        ownList(7, true, endpoint("u", "DRAINING", 10));
+        assertEquals(
+                List.of(draining("u", 10, 5), removed("v", 10, 6), draining("u", 10, 7), removed("w", 10, 7)),
+                announced);
     }
 
     @Test
-    void newsFromBeforeTheFirstListWaitsForItAndAnotherServiceStartsAnew() {
-        assertFalse(news(drains("w", 10, 8)));
-        assertEquals("w DRAINING", list(5, true, target("w", "READY", 10)));
-        bindings.moved();
-        assertFalse(news(drains("w", 10, 9)), "its versions say nothing yet");
-        assertEquals("w READY", list(90, true, target("w", "READY", 10)));
-        assertEquals(List.of(), learnt, "what another service does not name has not ended");
+    void aNoticeBeforeTheFirstListIsAppliedToItAndAnotherDiscoveryServiceStartsAnew() {
+        assertFalse(receive(draining("w", 10, 8)));
+        assertEquals("w DRAINING", ownList(5, true, endpoint("w", "READY", 10)));
+        overrides.onDiscoveryChanged();
+        assertFalse(receive(draining("w", 10, 9)), "the versions of the new service are not known yet");
+        assertEquals("w READY", ownList(90, true, endpoint("w", "READY", 10)));
+        assertEquals(List.of(), announced, "what the new service does not list was not removed");
     }
 
     @Test
-    void switchedOffNothingBinds() {
-        bindings = bindings(false);
-        list(5, true, target("w", "READY", 10));
-        assertFalse(news(drains("w", 10, 8)));
-        assertEquals("w READY", list(6, false, target("w", "READY", 10)));
+    void nothingIsOverriddenWhenSwitchedOff() {
+        overrides = overrides(false);
+        ownList(5, true, endpoint("w", "READY", 10));
+        assertFalse(receive(draining("w", 10, 8)));
+        assertEquals("w READY", ownList(6, false, endpoint("w", "READY", 10)));
     }
 }
