--- a/src/bench/java/rampshift/policy/DecisionBench.java
+++ b/src/bench/java/rampshift/policy/DecisionBench.java
@@ -39,7 +39,7 @@
     private record Out(long task, long worker) {}
 
     private final ArrayDeque<Out> out = new ArrayDeque<>();
-    private DispatchPolicy choice;
+    private DispatchPolicy policy;
     private Moment now = Moment.ofMillis(1_000_000);
     private Moment wake;
     private long tasks;
@@ -57,13 +57,14 @@
         s.types.add(new TrafficType(1, 0, Span.ofMillis(200), 3, Span.ofMillis(5000),
                 TrafficType.Effect.IDEMPOTENT,
                 TrafficType.Group.ALL, Span.ofMillis(5000), null, null));
-        choice = new DispatchPolicy(s, now);
-        choice.clock(now);
-        choice.listBegins(DispatchPolicy.List.REMEMBERED);
+        policy = new DispatchPolicy(s, now);
+        policy.setNow(now);
+        policy.onEndpointListBegin(EndpointListKind.CACHED);
         for (int w = 1; w <= workers; w++) {
-            choice.listed(w, 0, (w + 1) / 2, 0, DispatchPolicy.Listed.READY, new Moment(0), SLOTS);
+            policy.onEndpoint(
+                    new ListedWorker(w, 0, (w + 1) / 2, 0, EndpointState.READY, new Moment(0), SLOTS));
         }
-        choice.listEnds();
+        policy.onEndpointListEnd();
         pull();
         for (int i = 0; i < 2000; i++) {
             task();
@@ -71,17 +72,17 @@
     }
 
     private void pull() {
-        while (choice.next(this)) {
+        while (policy.decideNext(this)) {
             continue;
         }
     }
 
     private void tick() {
         now = now.plus(Span.ofMillis(1));
-        choice.clock(now);
+        policy.setNow(now);
         if (wake != null && !now.before(wake)) {
             wake = null;
-            choice.woken();
+            policy.onTimer();
             pull();
         }
     }
@@ -90,14 +91,14 @@
     @Benchmark
     public void task() {
         tick();
-        choice.arrived(++tasks, 0, 0, Span.ZERO, 1, 0, Span.ofMillis(5000));
+        policy.onTaskArrived(++tasks, new TaskRequest(0, 0, Span.ZERO, 1, 0, Span.ofMillis(5000)));
         pull();
         while (out.size() > IN_HAND) {
             Out o = out.poll();
-            choice.begun(o.task(), 0);
+            policy.onAttemptStarted(o.task(), 0);
             pull();
-            choice.reported(o.worker(), SLOTS - 1, 0, Double.NaN, Double.NaN);
-            choice.ended(o.task(), 0, AttemptOutcome.FINISHED, true);
+            policy.onLoadReport(o.worker(), SLOTS - 1, 0, Double.NaN, Double.NaN);
+            policy.onAttemptFinished(o.task(), 0, AttemptOutcome.FINISHED, true);
             pull();
         }
     }
@@ -105,8 +106,8 @@
     /** A load report by itself. */
     @Benchmark
     public void report() {
-        choice.clock(now);
-        choice.reported(1 + turn++ % workers, SLOTS - turn % 3, 0, Double.NaN, Double.NaN);
+        policy.setNow(now);
+        policy.onLoadReport(1 + turn++ % workers, SLOTS - turn % 3, 0, Double.NaN, Double.NaN);
         pull();
     }
 
@@ -114,46 +115,47 @@
     @Benchmark
     public void change() {
         long worker = 1 + turn / 2 % workers;
-        choice.clock(now);
-        choice.listBegins(DispatchPolicy.List.CHANGES);
-        choice.listed(worker, 0, (int) (worker + 1) / 2, 0,
-                turn++ % 2 == 1 ? DispatchPolicy.Listed.READY : DispatchPolicy.Listed.DRAINING, new Moment(0),
-                SLOTS);
-        choice.listEnds();
+        policy.setNow(now);
+        policy.onEndpointListBegin(EndpointListKind.CHANGES);
+        policy.onEndpoint(new ListedWorker(worker, 0, (int) (worker + 1) / 2, 0,
+                turn++ % 2 == 1 ? EndpointState.READY : EndpointState.DRAINING, new Moment(0),
+                SLOTS));
+        policy.onEndpointListEnd();
         pull();
     }
 
     /** The whole list anew, nothing changed. */
     @Benchmark
     public void whole() {
-        choice.clock(now);
-        choice.listBegins(DispatchPolicy.List.WHOLE);
+        policy.setNow(now);
+        policy.onEndpointListBegin(EndpointListKind.WHOLE);
         for (int w = 1; w <= workers; w++) {
-            choice.listed(w, 0, (w + 1) / 2, 0, DispatchPolicy.Listed.READY, new Moment(0), SLOTS);
+            policy.onEndpoint(
+                    new ListedWorker(w, 0, (w + 1) / 2, 0, EndpointState.READY, new Moment(0), SLOTS));
         }
-        choice.listEnds();
+        policy.onEndpointListEnd();
         pull();
     }
 
     // ---- what is decided
 
     @Override
-    public void assign(long task, long worker, Span timeout) {
+    public void forward(long task, long worker, Span timeout) {
         out.add(new Out(task, worker));
     }
 
     @Override
     public void cancel(long task, int assignment) {
-        choice.ended(task, assignment, AttemptOutcome.CALLED_OFF, true);
+        policy.onAttemptFinished(task, assignment, AttemptOutcome.CALLED_OFF, true);
     }
 
     @Override
-    public void bounce(long task, Span comeBackAfter) {
+    public void reject(long task, Span comeBackAfter) {
         throw new IllegalStateException("nothing is to be bounced here");
     }
 
     @Override
-    public void abandon(long task) {
+    public void fail(long task) {
         throw new IllegalStateException("nothing is to be abandoned here");
     }
 
--- a/src/main/java/rampshift/pipeline/PolicyHost.java
+++ b/src/main/java/rampshift/pipeline/PolicyHost.java
@@ -10,7 +10,11 @@
 import rampshift.policy.AttemptOutcome;
 import rampshift.policy.Decisions;
 import rampshift.policy.DispatchPolicy;
+import rampshift.policy.EndpointListKind;
+import rampshift.policy.EndpointState;
+import rampshift.policy.ListedWorker;
 import rampshift.policy.Settings;
+import rampshift.policy.TaskRequest;
 import rampshift.settings.HostSettings;
 import rampshift.time.Clock;
 import rampshift.time.IoTimer;
@@ -26,7 +30,7 @@
 public final class PolicyHost implements Decisions {
     private final XnioIoThread thread;
     private final Clock clock;
-    private final DispatchPolicy choice;
+    private final DispatchPolicy policy;
     private final HostSettings platform;
     private final ConnectionPool pool;
     private final TaskRegistry book;
@@ -48,7 +52,7 @@
         this.book = book;
         this.send = send;
         this.relay = relay;
-        choice = new DispatchPolicy(settings, clock.now());
+        policy = new DispatchPolicy(settings, clock.now());
     }
 
     /** Gives back the timer. */
@@ -69,9 +73,9 @@
         try {
             while (!heard.isEmpty()) {
                 try {
-                    choice.clock(clock.now());
+                    policy.setNow(clock.now());
                     heard.poll().run();
-                    while (choice.next(this)) {
+                    while (policy.decideNext(this)) {
                         continue;
                     }
                 } catch (RuntimeException e) {
@@ -102,14 +106,15 @@
             pool.endWhole();
         }
         hear(() -> {
-            choice.listBegins(remembered ? DispatchPolicy.List.REMEMBERED
-                    : whole ? DispatchPolicy.List.WHOLE : DispatchPolicy.List.CHANGES);
+            policy.onEndpointListBegin(remembered ? EndpointListKind.CACHED
+                    : whole ? EndpointListKind.WHOLE : EndpointListKind.CHANGES);
             for (Endpoint t : list.targets()) {
-                choice.listed(uids.number(t.uid()), index(platform.zones(), t.zone()), t.cell(),
-                        index(platform.kinds(), t.kind()), DispatchPolicy.Listed.valueOf(t.state().name()),
-                        Moment.ofMillis(t.bootMs()), t.weight());
+                policy.onEndpoint(
+                        new ListedWorker(uids.number(t.uid()), index(platform.zones(), t.zone()), t.cell(),
+                                index(platform.kinds(), t.kind()), EndpointState.valueOf(t.state().name()),
+                                Moment.ofMillis(t.bootMs()), t.weight()));
             }
-            choice.listEnds();
+            policy.onEndpointListEnd();
         });
     }
 
@@ -117,14 +122,14 @@
      * The list service is asked anew: at the start, where it may long have had news, or at another address.
      */
     public void listAwaited(boolean atStart) {
-        hear(() -> choice.listAwaited(atStart));
+        hear(() -> policy.onEndpointListAwaited(atStart));
     }
 
     /** The list service can't be reached: the list that there is goes on. */
     public void listFailed() {
         hear(() -> {
-            choice.listBegins(DispatchPolicy.List.FAILED);
-            choice.listEnds();
+            policy.onEndpointListBegin(EndpointListKind.FAILED);
+            policy.onEndpointListEnd();
         });
     }
 
@@ -137,11 +142,12 @@
     void task(InFlightTask task) {
         task.call.onGone(() -> hear(() -> {
             relay.clientLeft(task);
-            choice.clientLeft(task.id);
+            policy.onClientGone(task.id);
             book.settle(task);
         }));
-        hear(() -> choice.arrived(task.id, task.type, task.tenant, Span.ZERO, task.width, task.memory,
-                task.expiry.since(clock.now())));
+        hear(() -> policy.onTaskArrived(task.id,
+                new TaskRequest(task.type, task.tenant, Span.ZERO, task.width, task.memory,
+                        task.expiry.since(clock.now()))));
     }
 
     /**
@@ -150,20 +156,20 @@
      */
     public void giveUp() {
         for (InFlightTask task : book.inHand()) {
-            hear(() -> choice.cutShort(task.id));
+            hear(() -> policy.onShutdown(task.id));
         }
     }
 
     void begun(InFlightTask task, int number) {
-        hear(() -> choice.begun(task.id, number));
+        hear(() -> policy.onAttemptStarted(task.id, number));
     }
 
     void progressed(InFlightTask task, int number, double share) {
-        hear(() -> choice.progressed(task.id, number, share));
+        hear(() -> policy.onAttemptProgress(task.id, number, share));
     }
 
     void reported(long worker, LoadReport load) {
-        hear(() -> choice.reported(worker, load.free(), load.queued(), load.held(), load.memoryFree()));
+        hear(() -> policy.onLoadReport(worker, load.free(), load.queued(), load.held(), load.memoryFree()));
     }
 
     void ended(InFlightTask task, int number, AttemptOutcome outcome, byte[] result) {
@@ -171,7 +177,7 @@
             relay.finished(task, result);
         }
         hear(() -> {
-            choice.ended(task.id, number, outcome, task.closed);
+            policy.onAttemptFinished(task.id, number, outcome, task.closed);
             book.settle(task);
         });
     }
@@ -183,13 +189,13 @@
         if (load != null) {
             reported(worker, load);
         }
-        hear(() -> choice.echoed(worker, answered));
+        hear(() -> policy.onProbeResult(worker, answered));
     }
 
     // ---- what is decided
 
     @Override
-    public void assign(long task, long worker, Span timeout) {
+    public void forward(long task, long worker, Span timeout) {
         send.assign(this, book.get(task), worker, timeout);
     }
 
@@ -202,14 +208,14 @@
     }
 
     @Override
-    public void bounce(long task, Span comeBackAfter) {
+    public void reject(long task, Span comeBackAfter) {
         InFlightTask held = book.get(task);
         relay.bounced(held, comeBackAfter);
         book.settle(held);
     }
 
     @Override
-    public void abandon(long task) {
+    public void fail(long task) {
         InFlightTask held = book.get(task);
         relay.abandoned(held);
         book.settle(held);
@@ -232,6 +238,6 @@
         }
         // Woken too soon, the module asked again at once, and the thread spun for most of a millisecond
         // before each.
-        wake = IoTimer.notBefore(thread, when.since(clock.now()), () -> hear(choice::woken));
+        wake = IoTimer.notBefore(thread, when.since(clock.now()), () -> hear(policy::onTimer));
     }
 }
--- a/src/main/java/rampshift/policy/Decisions.java
+++ b/src/main/java/rampshift/policy/Decisions.java
@@ -3,25 +3,26 @@
 import rampshift.time.Moment;
 import rampshift.time.Span;
 
-/** The answers of the decision module; one call a pull. */
+/** What the policy decides; {@link DispatchPolicy#decideNext} makes one call on it. */
 public interface Decisions {
-    /** Send an assignment of the task to the worker; it is numbered in the order of these calls, from 0. */
-    void assign(long task, long worker, Span timeout);
+    /** Send an attempt of the task to the worker; it is numbered in the order of these calls, from 0. */
+    void forward(long task, long worker, Span timeout);
 
-    /** Call one assignment off. */
-    void cancel(long task, int assignment);
+    /** Cancel one attempt. */
+    void cancel(long task, int attempt);
 
-    /** Final answer: bounced, a further try is harmless; a zero span gives no advice. */
-    void bounce(long task, Span comeBackAfter);
+    /** Final answer: rejected, a retry is harmless; a zero span gives no advice on when. */
+    void reject(long task, Span retryAfter);
 
-    /** Final answer: abandoned, with no promise about its effect. */
-    void abandon(long task);
+    /** Final answer: failed, with no promise about its effect. */
+    void fail(long task);
 
+    /** Ask for the worker's health and load. */
     void probe(long worker);
 
-    /** Subscribe to changes of the list of workers. */
+    /** Subscribe to changes of the endpoint list. */
     void subscribe();
 
-    /** Call {@code woken} at this moment or soon after. */
+    /** Call {@link DispatchPolicy#onTimer} at this moment or soon after. */
     void wakeAt(Moment when);
 }
--- a/src/main/java/rampshift/policy/DispatchPolicy.java
+++ b/src/main/java/rampshift/policy/DispatchPolicy.java
@@ -55,12 +55,6 @@
     private static final double COLD_RUSH = 2.5;        // times the stated multiple, if all took it
     private static final double COLD_SHARE = 0.5;       // of the stated multiple that is ever used
 
-    /** How a list of workers came. */
-    public enum List { FAILED, CHANGES, WHOLE, REMEMBERED }
-
-    /** What a list says of a worker. */
-    public enum Listed { READY, DRAINING, GONE }
-
     private static final EnumSet<AttemptOutcome> BAD =
             EnumSet.of(AttemptOutcome.ERRED, AttemptOutcome.NO_CONNECTION, AttemptOutcome.BROKEN,
                     AttemptOutcome.TIMED_OUT);
@@ -122,7 +116,7 @@
 
     // ---------------------------------------------------------------- inputs: what is known
 
-    public void clock(Moment now) {
+    public void setNow(Moment now) {
         this.now = now;
     }
 
@@ -131,24 +125,26 @@
      * goes by the old list until the next, or word that none comes (FAILED). Met when a whole fleet restarts;
      * covers any change of the list's source. Harm: a silent source delays all tasks.
      */
-    public void listAwaited(boolean longSince) {
+    public void onEndpointListAwaited(boolean longSince) {
         holdFrom = longSince ? now : now.plus(settings.drainGrace);
     }
 
-    public void listBegins(List kind) {
+    public void onEndpointListBegin(EndpointListKind kind) {
         holdFrom = null;
-        if (kind == List.WHOLE || kind == List.REMEMBERED) {
+        if (kind == EndpointListKind.WHOLE || kind == EndpointListKind.CACHED) {
             roster.beginWhole();
         }
-        if (kind == List.FAILED) {
+        if (kind == EndpointListKind.FAILED) {
             // Spaced out and scattered, so that a restart of all dispatchers does not drown the list service.
             subscribeAt = now.plus(settings.askWithin.times(RESUBSCRIBE * (0.5 + chance.next())));
             timers.set(subscribeAt, null);
         }
     }
 
-    public void listed(long id, int zone, int cell, int kind, Listed as, Moment bornAt, double weight) {
-        Worker w = roster.put(id, zone, cell, kind, as, bornAt);
+    public void onEndpoint(ListedWorker entry) {
+        Worker w = roster.put(entry.id(), entry.zone(), entry.cell(), entry.kind(), entry.state(),
+                entry.startedAt());
+        double weight = entry.weight();
         w.needed = settings.types.stream().anyMatch(y -> y.bound() && allows(y, w));
         w.kin.size = Math.max(w.kin.size, weight);
         if (settings.liveWeights && weight > 0 && w.kin.room.count() > 0) {
@@ -157,24 +153,25 @@
         }
     }
 
-    public void listEnds() {
+    public void onEndpointListEnd() {
         roster.end();
         held.forEach(this::queue);
         held.clear();
     }
 
-    public void arrived(long id, int type, int tenant, Span hint, double width, double memory,
-            Span patience) {
+    public void onTaskArrived(long id, TaskRequest request) {
+        int type = request.type();
+        Span hint = request.runHint();
         TrafficType row = settings.types.get(type);
-        Moment expiry = now.plus(patience);
+        Moment expiry = now.plus(request.patience());
         Moment first = expiry.minus(row.expiry()).orEarlier(now);
-        Task t = new Task(id, row, type, hint, Math.max(width, 1), memory, first, expiry);
+        Task t = new Task(id, row, type, hint, Math.max(request.slots(), 1), request.memory(), first, expiry);
         tasks.put(id, t);
         if (hint.micros() > 0) {
             anyWork.put(hint.millis());     // every arrival tells, not only the few that finished here
         }
         budget.taken(now);
-        t.excess = tenants.arrived(tenant, now);
+        t.excess = tenants.arrived(request.tenant(), now);
         // Late by the time left: a retry, or a client of little patience. Where far more come so than were
         // turned away they are no retries; bounced as hopeless, two thirds of the tasks were lost.
         t.late = allowed(t).micros() < 0;
@@ -186,7 +183,7 @@
         timers.set(expiry.minus(settings.tick.times(2)), t);
     }
 
-    public void begun(long id, int number) {
+    public void onAttemptStarted(long id, int number) {
         Attempt a = assignment(id, number);
         if (a != null && a.begunAt == null) {
             a.begunAt = now;
@@ -236,7 +233,7 @@
         return w.reportsHeld.mean(now, fade, zone, KIN_SAY);
     }
 
-    public void progressed(long id, int number, double share) {
+    public void onAttemptProgress(long id, int number, double share) {
         Attempt a = assignment(id, number);
         if (a != null) {
             if (a.begunAt == null) {    // its start was not told: the first note comes so long after it
@@ -249,7 +246,7 @@
         }
     }
 
-    public void reported(long id, double free, double queued, double held, double memoryFree) {
+    public void onLoadReport(long id, double free, double queued, double held, double memoryFree) {
         Worker w = roster.get(id);
         if (w == null) {
             return;
@@ -270,7 +267,7 @@
         }
     }
 
-    public void echoed(long id, boolean answered) {
+    public void onProbeResult(long id, boolean answered) {
         Worker w = roster.get(id);
         if (w == null) {
             return;
@@ -287,7 +284,7 @@
         w.asking.clear();
     }
 
-    public void ended(long id, int number, AttemptOutcome outcome, boolean terminal) {
+    public void onAttemptFinished(long id, int number, AttemptOutcome outcome, boolean terminal) {
         Attempt a = assignment(id, number);
         if (a == null || a.ended) {
             return;
@@ -340,7 +337,7 @@
         }
     }
 
-    public void clientLeft(long id) {
+    public void onClientGone(long id) {
         Task t = tasks.get(id);
         if (t != null) {
             close(t);
@@ -348,7 +345,7 @@
     }
 
     /** Its dispatcher ends: it is given up now, as at its expiry. */
-    public void cutShort(long id) {
+    public void onShutdown(long id) {
         Task t = tasks.get(id);
         if (t != null && !t.closed) {
             t.expiry = now;
@@ -356,7 +353,7 @@
         }
     }
 
-    public void woken() {
+    public void onTimer() {
         armed = null;
     }
 
@@ -661,7 +658,7 @@
 
     // ---------------------------------------------------------------- deciding
 
-    public boolean next(Decisions out) {
+    public boolean decideNext(Decisions out) {
         while (!toCancel.isEmpty()) {
             Attempt a = toCancel.poll();
             if (!a.ended) {
@@ -1134,7 +1131,7 @@
             t.waiting = true;
             todo.addFirst(t);
         }
-        out.assign(t.id, w.id, Span.ZERO);
+        out.forward(t.id, w.id, Span.ZERO);
         return true;
     }
 
@@ -1144,11 +1141,11 @@
         turnedAway.put(t.late ? 0 : 1);
         close(t);
         if (bounce) {
-            out.bounce(t.id, settings.comeBackAdvice
+            out.reject(t.id, settings.comeBackAdvice
                     ? meanWork().times(1 + chance.next()).orShorter(settings.longestComeBack)
                     : Span.ZERO);
         } else {
-            out.abandon(t.id);
+            out.fail(t.id);
         }
         return true;
     }
--- /dev/null
+++ b/src/main/java/rampshift/policy/EndpointListKind.java
@@ -0,0 +1,13 @@
+package rampshift.policy;
+
+/** How an endpoint list came. */
+public enum EndpointListKind {
+    /** There is none: the list service could not be reached, or the subscription was lost. */
+    FAILED,
+    /** Only the workers that changed are named. */
+    CHANGES,
+    /** All workers are named; the others are removed. */
+    WHOLE,
+    /** All workers as they were known before a restart. */
+    CACHED
+}
--- /dev/null
+++ b/src/main/java/rampshift/policy/EndpointState.java
@@ -0,0 +1,6 @@
+package rampshift.policy;
+
+/** What an endpoint list says of a worker. */
+public enum EndpointState {
+    READY, DRAINING, GONE
+}
--- a/src/main/java/rampshift/policy/WorkerTable.java
+++ b/src/main/java/rampshift/policy/WorkerTable.java
@@ -51,7 +51,7 @@
         }
     }
 
-    Worker put(long id, int zone, int cell, int kind, DispatchPolicy.Listed as, Moment bornAt) {
+    Worker put(long id, int zone, int cell, int kind, EndpointState as, Moment bornAt) {
         Worker w = byId.get(id);
         if (w == null) {
             w = new Worker(id);
@@ -68,9 +68,9 @@
         w.cell = cell;
         w.kind = kind;
         w.kin = kins.computeIfAbsent(kind, k -> new KindStatistics());
-        w.ready = as == DispatchPolicy.Listed.READY;
-        w.drains = as == DispatchPolicy.Listed.DRAINING || as == DispatchPolicy.Listed.GONE && w.drains;
-        w.gone = as == DispatchPolicy.Listed.GONE && !w.drains;
+        w.ready = as == EndpointState.READY;
+        w.drains = as == EndpointState.DRAINING || as == EndpointState.GONE && w.drains;
+        w.gone = as == EndpointState.GONE && !w.drains;
         w.bornAt = bornAt;
         return w;
     }
--- a/src/main/java/rampshift/simulator/PolicyInstance.java
+++ b/src/main/java/rampshift/simulator/PolicyInstance.java
@@ -2,6 +2,10 @@
 
 import rampshift.policy.AttemptOutcome;
 import rampshift.policy.DispatchPolicy;
+import rampshift.policy.EndpointListKind;
+import rampshift.policy.EndpointState;
+import rampshift.policy.ListedWorker;
+import rampshift.policy.TaskRequest;
 import rampshift.settings.InvalidInputException;
 import rampshift.settings.SettingsReader;
 import rampshift.time.Moment;
@@ -12,7 +16,7 @@
     private static final int JOB_BEGUN = 1;
     private static final int HINTED = 1;        // of StateBits
     private final String who;
-    private final DispatchPolicy choice;
+    private final DispatchPolicy policy;
     private final int types;
     private final String freeSlots;
     private final String freeMemory;
@@ -27,13 +31,13 @@
         this.who = who;
         var read = settings.read(seed);
         types = read.types.size();
-        choice = new DispatchPolicy(read, now);
+        policy = new DispatchPolicy(read, now);
         freeSlots = settings.reportOf("free slots");
         freeMemory = settings.reportOf("free memory");
     }
 
     void clock(Moment now) {
-        choice.clock(now);
+        policy.setNow(now);
     }
 
     void event(String what, MessageFields f) {
@@ -68,22 +72,22 @@
             case "Note" -> {
                 int number = (int) f.whole("Try");
                 if (f.whole("What") == JOB_BEGUN) {
-                    choice.begun(f.whole("Ref"), number);
+                    policy.onAttemptStarted(f.whole("Ref"), number);
                 } else {
-                    choice.progressed(f.whole("Ref"), number, f.number("Value", 0));
+                    policy.onAttemptProgress(f.whole("Ref"), number, f.number("Value", 0));
                 }
             }
             case "Ended" -> {
                 load(f);
-                choice.ended(f.whole("Ref"), (int) f.whole("Try"), outcome(f.text("Disposition")),
+                policy.onAttemptFinished(f.whole("Ref"), (int) f.whole("Try"), outcome(f.text("Disposition")),
                         f.flag("Terminal"));
             }
-            case "Hangup" -> choice.clientLeft(f.whole("Ref"));
+            case "Hangup" -> policy.onClientGone(f.whole("Ref"));
             case "Echo" -> {
                 load(f);
-                choice.echoed(f.whole("Worker"), f.text("Disposition").equals("S"));
+                policy.onProbeResult(f.whole("Worker"), f.text("Disposition").equals("S"));
             }
-            case "Wakeup" -> choice.woken();
+            case "Wakeup" -> policy.onTimer();
             default -> {
             }   // Attach is done; a stream's start and peers' messages tell this module nothing
         }
@@ -91,22 +95,22 @@
 
     private void fleet(MessageFields f) {
         String how = f.text("How");
-        choice.listBegins(switch (how) {
-            case "failed" -> DispatchPolicy.List.FAILED;
-            case "delta" -> DispatchPolicy.List.CHANGES;
-            case "full" -> DispatchPolicy.List.WHOLE;
-            case "cached" -> DispatchPolicy.List.REMEMBERED;
+        policy.onEndpointListBegin(switch (how) {
+            case "failed" -> EndpointListKind.FAILED;
+            case "delta" -> EndpointListKind.CHANGES;
+            case "full" -> EndpointListKind.WHOLE;
+            case "cached" -> EndpointListKind.CACHED;
             default -> throw new InvalidInputException("Fleet: unknown How " + how);
         });
         for (int i = 0; i < f.count; i++) {
             EndpointEntry e = f.entries.get(i);
-            choice.listed(
-                    e.worker, e.site, e.pod, e.machine, e.state.equals("IN") ? DispatchPolicy.Listed.READY
-                            : e.state.equals("LAME") ? DispatchPolicy.Listed.DRAINING
-                                    : DispatchPolicy.Listed.GONE,
-                    Moment.ofMillis(e.bornMs), e.weight);
+            policy.onEndpoint(new ListedWorker(
+                    e.worker, e.site, e.pod, e.machine, e.state.equals("IN") ? EndpointState.READY
+                            : e.state.equals("LAME") ? EndpointState.DRAINING
+                                    : EndpointState.GONE,
+                    Moment.ofMillis(e.bornMs), e.weight));
         }
-        choice.listEnds();
+        policy.onEndpointListEnd();
     }
 
     private void arrival(MessageFields f) {
@@ -114,9 +118,10 @@
         if (type < 0 || type >= types) {
             throw new InvalidInputException("Arrival: no traffic type " + type);
         }
-        choice.arrived(f.whole("Ref"), type, f.index("Owner"), hint(f), f.number("Width", 1),
-                f.number("RamUnits", 0),
-                Span.ofMillis(f.number("PatienceLeftMs", 0)));
+        policy.onTaskArrived(f.whole("Ref"),
+                new TaskRequest(type, f.index("Owner"), hint(f), f.number("Width", 1),
+                        f.number("RamUnits", 0),
+                        Span.ofMillis(f.number("PatienceLeftMs", 0))));
     }
 
     private static Span hint(MessageFields f) {
@@ -126,7 +131,7 @@
 
     private void load(MessageFields f) {
         if (f.load != null) {
-            choice.reported(f.whole("Worker"),
+            policy.onLoadReport(f.whole("Worker"),
                     freeSlots == null ? Double.NaN : f.load.number(freeSlots, Double.NaN),
                     f.load.number("depth", Double.NaN), f.load.number("concurrent", Double.NaN),
                     freeMemory == null ? Double.NaN : f.load.number(freeMemory, Double.NaN));
@@ -152,7 +157,7 @@
         out.who = who;
         if (fault == null) {
             try {
-                while (choice.next(out)) {
+                while (policy.decideNext(out)) {
                     continue;
                 }
             } catch (java.io.UncheckedIOException e) {
--- a/src/main/java/rampshift/simulator/ReplyWriter.java
+++ b/src/main/java/rampshift/simulator/ReplyWriter.java
@@ -44,7 +44,7 @@
     }
 
     @Override
-    public void assign(long task, long worker, Span timeout) {
+    public void forward(long task, long worker, Span timeout) {
         message("Place", () -> {
             out.writeNumberField("Ref", task);
             out.writeNumberField("Worker", worker);
@@ -61,7 +61,7 @@
     }
 
     @Override
-    public void bounce(long task, Span comeBackAfter) {
+    public void reject(long task, Span comeBackAfter) {
         message("OverloadReply", () -> {
             out.writeNumberField("Ref", task);
             out.writeNumberField("RetryAfterMs", comeBackAfter.millis());
@@ -69,7 +69,7 @@
     }
 
     @Override
-    public void abandon(long task) {
+    public void fail(long task) {
         message("Error", () -> out.writeNumberField("Ref", task));
     }
 
--- a/src/test/java/rampshift/policy/DispatchPolicyTest.java
+++ b/src/test/java/rampshift/policy/DispatchPolicyTest.java
@@ -4,6 +4,9 @@
 import static org.junit.jupiter.api.Assertions.assertFalse;
 import static org.junit.jupiter.api.Assertions.assertNotEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
+import static rampshift.policy.FakeHost.IDEMPOTENT;
+import static rampshift.policy.FakeHost.KEYED;
+import static rampshift.policy.FakeHost.NON_IDEMPOTENT;
 
 import java.util.ArrayList;
 import java.util.HashMap;
@@ -18,154 +21,150 @@
 import org.junit.jupiter.params.provider.CsvSource;
 import org.junit.jupiter.params.provider.EnumSource;
 import org.junit.jupiter.params.provider.ValueSource;
-import rampshift.TestPeers.Host;
 import rampshift.time.Span;
 
 class DispatchPolicyTest {
-    private static final int IDEMPOTENT = 0;
-    private static final int FINGERPRINTED = 1;
-    private static final int SIDE_EFFECTING = 2;
 
     // ---- the mechanism
 
     @Test
-    void copiesGoToIdleCandidatesAndTheFirstFinishCancelsTheRest() {
-        Host host = new Host().fleet(4).train(SIDE_EFFECTING, 40, 50);
+    void hedgesGoToIdleCandidatesAndTheFirstFinishCancelsTheRest() {
+        FakeHost host = new FakeHost().fleet(4).train(NON_IDEMPOTENT, 40, 50);
         long id = host.task(IDEMPOTENT);
-        assertTrue(host.count("assign " + id + " ") >= 2, "budget saved up: more than one copy");
-        host.begun(id, 0).after(50).ended(id, 0, AttemptOutcome.FINISHED);
-        assertEquals(host.count("assign " + id + " ") - 1, host.count("cancel " + id + " "));
+        assertTrue(host.count("forward " + id + " ") >= 2, "tokens are saved up: more than one hedge");
+        host.started(id, 0).after(50).finished(id, 0, AttemptOutcome.FINISHED);
+        assertEquals(host.count("forward " + id + " ") - 1, host.count("cancel " + id + " "));
     }
 
     @Test
-    void extraSendsStayUnderTheBudget() {
-        Host host = new Host().fleet(6).train(IDEMPOTENT, 200, 50);
-        assertTrue(host.count("assign") > 200, "copies are sent");
-        assertTrue(host.count("assign") <= 200 + 200 / 5 + 1, "no more than a fifth of first sends");
+    void hedgesStayUnderTheTokens() {
+        FakeHost host = new FakeHost().fleet(6).train(IDEMPOTENT, 200, 50);
+        assertTrue(host.count("forward") > 200, "hedges are sent");
+        assertTrue(host.count("forward") <= 200 + 200 / 5 + 1, "no more than a fifth of first attempts");
     }
 
     @Test
-    void dearWasteShrinksTheBudgetOfCopiesButNotOfPlacesInQueues() {
-        Host host = new Host();
+    void costlyWasteLimitsHedgesButNotPlacesInQueues() {
+        FakeHost host = new FakeHost();
         host.settings.wastePrice = 0.5;
         host.fleet(6).train(IDEMPOTENT, 200, 50);
-        assertTrue(host.count("assign") <= 200 + 200 / 5 / 5, "a tenth of the fifth");
+        assertTrue(host.count("forward") <= 200 + 200 / 5 / 5, "a tenth of the fifth");
         long id = host.task(IDEMPOTENT);
         host.after(40);
-        assertEquals(2, host.count("assign " + id + " "), "a second place in a queue wastes nothing");
+        assertEquals(2, host.count("forward " + id + " "), "a second place in a queue wastes nothing");
     }
 
     @ParameterizedTest
     @CsvSource({"false,true", "true,false"})
-    void noCopiesWhereCancelsOrSecondCopiesAreNotAllowed(boolean cancel, boolean copies) {
-        Host host = new Host();
+    void noHedgesWhereCancelsOrHedgesAreNotAllowed(boolean cancel, boolean copies) {
+        FakeHost host = new FakeHost();
         host.settings.mayCancel = cancel;
         host.settings.secondCopies = copies;
         host.fleet(6).train(IDEMPOTENT, 50, 50);
-        assertEquals(50, host.count("assign"));
+        assertEquals(50, host.count("forward"));
     }
 
     @Test
-    void anIdleCandidateTakesTheTaskBeforeABusyOne() {
-        Host host = new Host().fleet(3).free(1, 4).free(2, 4).free(3, 4);
+    void anIdleCandidateIsPreferredToABusyOne() {
+        FakeHost host = new FakeHost().fleet(3).free(1, 4).free(2, 4).free(3, 4);
         Set<Long> used = new HashSet<>();
         for (int i = 0; i < 9; i++) {
-            used.add(host.worker(host.task(SIDE_EFFECTING), 0));
+            used.add(host.worker(host.task(NON_IDEMPOTENT), 0));
         }
         assertEquals(Set.of(1L, 2L, 3L), used);
     }
 
     @Test
-    void whereThereIsNoReportIdleMeansNothingOfOursThere() {
-        Host host = new Host().fleet(2);
-        assertNotEquals(host.worker(host.task(SIDE_EFFECTING), 0), host.worker(host.task(SIDE_EFFECTING), 0));
+    void withoutAReportAWorkerWithoutOwnAttemptsIsIdle() {
+        FakeHost host = new FakeHost().fleet(2);
+        assertNotEquals(host.worker(host.task(NON_IDEMPOTENT), 0), host.worker(host.task(NON_IDEMPOTENT), 0));
     }
 
     @Test
-    void aProbeIsAskedAndSilenceMeansBusy() {
-        Host host = new Host();
+    void aWorkerThatDoesNotAnswerItsProbeIsBusy() {
+        FakeHost host = new FakeHost();
         host.settings.mayProbe = true;
         host.fleet(2);
-        long id = host.task(SIDE_EFFECTING);
+        long id = host.task(NON_IDEMPOTENT);
         assertEquals(2, host.count("probe"));
-        assertEquals(0, host.count("assign"));
-        host.choice().reported(2, 3, Double.NaN, Double.NaN, Double.NaN);
-        host.choice().echoed(2, true);
-        host.pull().after(15);
+        assertEquals(0, host.count("forward"));
+        host.policy().onLoadReport(2, 3, Double.NaN, Double.NaN, Double.NaN);
+        host.policy().onProbeResult(2, true);
+        host.decide().after(15);
         assertEquals(2, host.worker(id, 0), "worker 1 kept silent");
     }
 
     @Test
     void liveWeightsOfTheListTellWhichWorkerIsBusy() {
-        Host host = new Host();
+        FakeHost host = new FakeHost();
         host.settings.liveWeights = true;
         host.fleet(4).free(1, 4).free(2, 4);
         for (int round = 0; round < 4; round++) {
-            host.choice().listBegins(DispatchPolicy.List.CHANGES);
+            host.policy().onEndpointListBegin(EndpointListKind.CHANGES);
             for (int id = 1; id <= 4; id++) {
-                host.choice().listed(id, 0, 1, 0, DispatchPolicy.Listed.READY, host.choiceBorn(),
-                        id == 3 ? 8 : 2);
+                host.policy().onEndpoint(new ListedWorker(id, 0, 1, 0, EndpointState.READY, host.longAgo(),
+                        id == 3 ? 8 : 2));
             }
-            host.choice().listEnds();
+            host.policy().onEndpointListEnd();
             host.after(200);
         }
         for (int i = 0; i < 10; i++) {
-            long id = host.task(SIDE_EFFECTING);
+            long id = host.task(NON_IDEMPOTENT);
             assertEquals(3, host.worker(id, 0), "the others hold three times their room");
-            host.begun(id, 0).after(40).ended(id, 0, AttemptOutcome.FINISHED);
+            host.started(id, 0).after(40).finished(id, 0, AttemptOutcome.FINISHED);
         }
     }
 
     @Test
     void theSameInputGivesTheSameOutput() {
-        assertEquals(new Host().fleet(5).train(IDEMPOTENT, 50, 30).said,
-                new Host().fleet(5).train(IDEMPOTENT, 50, 30).said);
+        assertEquals(new FakeHost().fleet(5).train(IDEMPOTENT, 50, 30).decisions,
+                new FakeHost().fleet(5).train(IDEMPOTENT, 50, 30).decisions);
     }
 
     // ---- rule 1: one final answer, in time
 
     @Test
-    void aTaskThatNobodyAnswersIsAbandonedBeforeItsExpiry() {
-        Host host = new Host().fleet(1);
-        long id = host.task(SIDE_EFFECTING);
+    void aTaskThatNobodyAnswersFailsBeforeItsDeadline() {
+        FakeHost host = new FakeHost().fleet(1);
+        long id = host.task(NON_IDEMPOTENT);
         host.after(4990);
-        assertEquals(0, host.count("abandon"));
+        assertEquals(0, host.count("fail"));
         host.after(9);
-        assertEquals(1, host.count("abandon " + id + " "));
-        host.ended(id, 0, AttemptOutcome.TIMED_OUT).after(50);
-        assertEquals(1, host.count("abandon"));
-        assertEquals(1, host.count("assign"));
+        assertEquals(1, host.count("fail " + id + " "));
+        host.finished(id, 0, AttemptOutcome.TIMED_OUT).after(50);
+        assertEquals(1, host.count("fail"));
+        assertEquals(1, host.count("forward"));
     }
 
     @Test
     void nothingIsSentAfterTheClientLeft() {
-        Host host = new Host().fleet(2);
+        FakeHost host = new FakeHost().fleet(2);
         long id = host.task(IDEMPOTENT);
-        int sent = host.count("assign");
-        host.choice().clientLeft(id);
-        host.pull().ended(id, 0, AttemptOutcome.ERRED).after(6000);
-        assertEquals(sent, host.count("assign"));
-        assertEquals(0, host.count("bounce") + host.count("abandon"));
+        int sent = host.count("forward");
+        host.policy().onClientGone(id);
+        host.decide().finished(id, 0, AttemptOutcome.ERRED).after(6000);
+        assertEquals(sent, host.count("forward"));
+        assertEquals(0, host.count("reject") + host.count("fail"));
     }
 
     @Test
-    void anEmptyListBouncesAtOnceWithATimeToComeBack() {
-        Host host = new Host().fleet(0);
-        long id = host.task(SIDE_EFFECTING);
-        assertEquals(1, host.count("bounce " + id + " later"));
+    void withoutWorkersATaskIsRejectedAtOnceWithATimeToRetry() {
+        FakeHost host = new FakeHost().fleet(0);
+        long id = host.task(NON_IDEMPOTENT);
+        assertEquals(1, host.count("reject " + id + " later"));
     }
 
     @Test
-    void oddEventsChangeNothing() {
-        Host host = new Host().fleet(2);
-        long id = host.task(SIDE_EFFECTING);
-        host.begun(99, 0).begun(id, 7).ended(99, 0, AttemptOutcome.FINISHED).ended(id, -1,
+    void eventsOfUnknownTasksAndAttemptsChangeNothing() {
+        FakeHost host = new FakeHost().fleet(2);
+        long id = host.task(NON_IDEMPOTENT);
+        host.started(99, 0).started(id, 7).finished(99, 0, AttemptOutcome.FINISHED).finished(id, -1,
                 AttemptOutcome.ERRED);
-        host.choice().echoed(77, true);
-        host.choice().reported(77, 1, 1, 1, 1);
-        host.choice().progressed(id, 9, 0.5);
-        host.ended(id, 0, AttemptOutcome.FINISHED).ended(id, 0, AttemptOutcome.ERRED).after(10);
-        assertEquals(1, host.count("assign"));
+        host.policy().onProbeResult(77, true);
+        host.policy().onLoadReport(77, 1, 1, 1, 1);
+        host.policy().onAttemptProgress(id, 9, 0.5);
+        host.finished(id, 0, AttemptOutcome.FINISHED).finished(id, 0, AttemptOutcome.ERRED).after(10);
+        assertEquals(1, host.count("forward"));
     }
 
     // ---- rule 2: no effect twice
@@ -173,75 +172,75 @@
     @ParameterizedTest
     @EnumSource(value = AttemptOutcome.class, mode = EnumSource.Mode.EXCLUDE, names = {"FINISHED",
             "NOT_SENT"})
-    void aSideEffectingTaskGoesAgainOnlyWhenItNeverRan(AttemptOutcome outcome) {
-        Host host = new Host().fleet(4);
-        long id = host.task(SIDE_EFFECTING);
-        host.ended(id, 0, outcome);
-        assertEquals(outcome.neverRan ? 2 : 1, host.count("assign " + id + " "));
-        assertEquals(outcome.neverRan ? 0 : 1, host.count("abandon " + id + " "));
-        assertEquals(0, host.count("bounce"));
+    void aNonIdempotentTaskIsRetriedOnlyWhenItNeverRan(AttemptOutcome outcome) {
+        FakeHost host = new FakeHost().fleet(4);
+        long id = host.task(NON_IDEMPOTENT);
+        host.finished(id, 0, outcome);
+        assertEquals(outcome.neverRan ? 2 : 1, host.count("forward " + id + " "));
+        assertEquals(outcome.neverRan ? 0 : 1, host.count("fail " + id + " "));
+        assertEquals(0, host.count("reject"));
     }
 
     @Test
-    void aFingerprintedTaskStaysInItsGroup() {
-        Host host = new Host().fleet(8);
-        long id = host.task(FINGERPRINTED);
-        host.ended(id, 0, AttemptOutcome.ERRED);
+    void aKeyedTaskStaysInItsGroup() {
+        FakeHost host = new FakeHost().fleet(8);
+        long id = host.task(KEYED);
+        host.finished(id, 0, AttemptOutcome.ERRED);
         assertEquals((host.worker(id, 0) + 1) / 2, (host.worker(id, 1) + 1) / 2);
     }
 
     @Test
-    void aFingerprintedTaskIsNotSentAgainAfterItsWindow() {
-        Host host = new Host().fleet(8);
-        long id = host.task(FINGERPRINTED);
-        host.begun(id, 0);
+    void aKeyedTaskIsNotRetriedAfterItsWindow() {
+        FakeHost host = new FakeHost().fleet(8);
+        long id = host.task(KEYED);
+        host.started(id, 0);
         host.after(1100);
-        int sent = host.count("assign " + id + " ");
+        int sent = host.count("forward " + id + " ");
         for (int n = 0; n < sent; n++) {
-            host.ended(id, n, AttemptOutcome.BROKEN);
+            host.finished(id, n, AttemptOutcome.BROKEN);
         }
-        assertEquals(sent, host.count("assign " + id + " "));
-        assertEquals(1, host.count("abandon " + id + " "),
-                "it may have run, and a bounce is no longer lawful");
+        assertEquals(sent, host.count("forward " + id + " "));
+        assertEquals(1, host.count("fail " + id + " "),
+                "it may have run, and a rejection is no longer lawful");
     }
 
     @Test
-    void anIdempotentTaskGoesAgainAfterAnErrorAndAssignmentsAreLimited() {
-        Host host = new Host().fleet(8);
+    void anIdempotentTaskIsRetriedAfterAnErrorUpToTheLimit() {
+        FakeHost host = new FakeHost().fleet(8);
         long id = host.task(IDEMPOTENT);
         for (int n = 0; n < 6; n++) {
-            host.ended(id, n, AttemptOutcome.ERRED);
+            host.finished(id, n, AttemptOutcome.ERRED);
         }
-        assertTrue(host.count("assign " + id + " ") > 1);
-        assertTrue(host.count("assign " + id + " ") <= host.settings.mostAssignments);
-        assertEquals(1, host.count("bounce " + id + " "));
+        assertTrue(host.count("forward " + id + " ") > 1);
+        assertTrue(host.count("forward " + id + " ") <= host.settings.mostAssignments);
+        assertEquals(1, host.count("reject " + id + " "));
     }
 
     // ---- rule 3: drains
 
     @Test
     void nothingNewGoesToAWorkerThatDrainsOrLeftTheList() {
-        Host host = new Host().fleet(3).change(2, false, 0);
+        FakeHost host = new FakeHost().fleet(3).change(2, false, 0);
         for (int i = 0; i < 20; i++) {
-            assertNotEquals(2, host.worker(host.task(SIDE_EFFECTING), 0));
+            assertNotEquals(2, host.worker(host.task(NON_IDEMPOTENT), 0));
         }
-        host.choice().listBegins(DispatchPolicy.List.WHOLE);
-        host.choice().listed(3, 0, 2, 0, DispatchPolicy.Listed.READY, host.choiceBorn(), 1);
-        host.choice().listEnds();
-        long id = host.task(SIDE_EFFECTING);
+        host.policy().onEndpointListBegin(EndpointListKind.WHOLE);
+        host.policy().onEndpoint(new ListedWorker(3, 0, 2, 0, EndpointState.READY, host.longAgo(), 1));
+        host.policy().onEndpointListEnd();
+        long id = host.task(NON_IDEMPOTENT);
         assertTrue(host.worker(id, 0) == 3 || host.worker(id, 0) == -1);
     }
 
     @Test
-    void aLostSubscriptionIsAskedForAgainSpacedOutAndInTime() {
-        Host host = new Host();
+    void aLostSubscriptionIsRenewedSpacedOutAndInTime() {
+        FakeHost host = new FakeHost();
         host.settings.listOnRequest = true;
         host.settings.askWithin = Span.ofMillis(10_000);
         host.fleet(2);
         assertEquals(1, host.count("subscribe"));
-        host.choice().listBegins(DispatchPolicy.List.FAILED);
-        host.choice().listEnds();
-        host.pull().after(100);
+        host.policy().onEndpointListBegin(EndpointListKind.FAILED);
+        host.policy().onEndpointListEnd();
+        host.decide().after(100);
         assertEquals(1, host.count("subscribe"), "not at once");
         host.after(9000);
         assertEquals(2, host.count("subscribe"));
@@ -251,7 +250,7 @@
 
     @Test
     void aFleetThatIsColdAsAWholeGetsWhatItCanDoNow() {
-        Host host = new Host();
+        FakeHost host = new FakeHost();
         host.settings.coldFrom = 0.5;
         host.settings.coldFor = Span.ofMillis(1_000_000);
         host.settings.tipMultiple = 2;
@@ -259,152 +258,154 @@
         host.fleet(0).change(1, true, host.now() - 1).change(2, true, host.now() - 1);
         host.train(IDEMPOTENT, 100, 50);
         // Half of 2 x 0.5 of the tasks, each counted as it is sent.
-        assertTrue(host.count("assign") >= 40 && host.count("assign") <= 51, "sent " + host.count("assign"));
+        assertTrue(host.count("forward") >= 40 && host.count("forward") <= 51,
+                "sent " + host.count("forward"));
     }
 
     // ---- failures met
 
     @Test
-    void aFastErringWorkerIsSetAsideAndComesBackThroughATrickle() {
-        Host host = new Host().fleet(3).train(IDEMPOTENT, 40, 50);
+    void aFastFailingWorkerIsEjectedAndComesBackThroughARecoveryRamp() {
+        FakeHost host = new FakeHost().fleet(3).train(IDEMPOTENT, 40, 50);
         for (int i = 0; i < 60; i++) {
             long id = host.task(IDEMPOTENT);
             for (int n = 0; host.worker(id, n) >= 0; n++) {
-                host.ended(id, n, host.worker(id, n) == 1 ? AttemptOutcome.ERRED : AttemptOutcome.CALLED_OFF);
+                host.finished(id, n,
+                        host.worker(id, n) == 1 ? AttemptOutcome.ERRED : AttemptOutcome.CALLED_OFF);
             }
             host.after(5);
         }
-        int before = host.said.size();
+        int before = host.decisions.size();
         for (int i = 0; i < 20; i++) {
-            assertNotEquals(1, host.worker(host.task(SIDE_EFFECTING), 0), "set aside");
+            assertNotEquals(1, host.worker(host.task(NON_IDEMPOTENT), 0), "ejected");
         }
         for (int i = 0; i < 20; i++) {
-            host.ended(host.taskCount() - i, 0, AttemptOutcome.FINISHED);
+            host.finished(host.taskCount() - i, 0, AttemptOutcome.FINISHED);
         }
         host.after(2000).train(IDEMPOTENT, 200, 50);
-        assertTrue(host.said.subList(before, host.said.size()).stream()
-                .anyMatch(s -> s.startsWith("assign") && s.endsWith(" 1")), "tried again");
+        assertTrue(host.decisions.subList(before, host.decisions.size()).stream()
+                .anyMatch(s -> s.startsWith("forward") && s.endsWith(" 1")), "tried again");
     }
 
     @Test
-    void aSilentWorkerIsNotUsedAndItsIdempotentTaskIsRescued() {
-        Host host = new Host().fleet(4).train(SIDE_EFFECTING, 40, 50);
+    void aSilentWorkerIsNotUsed() {
+        FakeHost host = new FakeHost().fleet(4).train(NON_IDEMPOTENT, 40, 50);
         for (int i = 0; i < 4; i++) {
             host.free(i + 1, 2);
         }
-        long side = host.task(SIDE_EFFECTING);
+        long side = host.task(NON_IDEMPOTENT);
         long hung = host.worker(side, 0);
         host.after(900);
         for (int i = 0; i < 20; i++) {
-            long id = host.task(SIDE_EFFECTING);
+            long id = host.task(NON_IDEMPOTENT);
             assertNotEquals(hung, host.worker(id, 0));
-            host.begun(id, 0).after(50).ended(id, 0, AttemptOutcome.FINISHED);
+            host.started(id, 0).after(50).finished(id, 0, AttemptOutcome.FINISHED);
         }
-        assertEquals(1, host.count("assign " + side + " "), "may have run: never sent again");
+        assertEquals(1, host.count("forward " + side + " "), "may have run: never sent again");
     }
 
     @Test
-    void anUnbegunIdempotentTaskQueuesElsewhereTooAndTheFirstToBeginCallsOffTheRest() {
-        Host host = new Host().fleet(12).train(IDEMPOTENT, 100, 50);
+    void anUnstartedIdempotentTaskQueuesElsewhereTooAndTheFirstStartCancelsTheRest() {
+        FakeHost host = new FakeHost().fleet(12).train(IDEMPOTENT, 100, 50);
         long id = host.task(IDEMPOTENT);
-        int first = host.count("assign " + id + " ");
+        int first = host.count("forward " + id + " ");
         host.after(40).after(40);
-        assertTrue(host.count("assign " + id + " ") > first, "another assignment");
+        assertTrue(host.count("forward " + id + " ") > first, "another assignment");
         assertEquals(0, host.count("cancel " + id + " "), "it keeps its place in the first queue");
-        host.begun(id, first);
+        host.started(id, first);
         assertTrue(host.count("cancel " + id + " ") >= 1, "the place in the queue is freed");
     }
 
     @Test
-    void aQueueThatWouldMakeATaskLateBouncesIt() {
-        Host host = new Host().fleet(1).train(SIDE_EFFECTING, 30, 100);
+    void aTaskThatWouldBeLateInTheQueueIsRejected() {
+        FakeHost host = new FakeHost().fleet(1).train(NON_IDEMPOTENT, 30, 100);
         host.free(1, 1);
         for (int i = 0; i < 30; i++) {
             host.task(IDEMPOTENT);
         }
-        assertTrue(host.count("bounce") >= 20, "one slot cannot take them");
-        assertTrue(host.count("assign") > 30, "some are taken");
+        assertTrue(host.count("reject") >= 20, "one slot cannot take them");
+        assertTrue(host.count("forward") > 30, "some are taken");
     }
 
     @Test
-    void whereWorkersSaidIdleDoNotBeginTasksAreSpreadWithoutTheReports() {
-        Host host = new Host();
-        host.fleet(6).train(SIDE_EFFECTING, 40, 50);
+    void whereWorkersReportedIdleDoNotStartTasksAreSpreadWithoutTheReports() {
+        FakeHost host = new FakeHost();
+        host.fleet(6).train(NON_IDEMPOTENT, 40, 50);
         Set<Long> used = new HashSet<>();
         for (int i = 0; i < 40; i++) {
             for (int w = 1; w <= 6; w++) {
-                host.choice().reported(w, w == 1 ? 3 : 0, Double.NaN, w == 1 ? 0 : 9, Double.NaN);
+                host.policy().onLoadReport(w, w == 1 ? 3 : 0, Double.NaN, w == 1 ? 0 : 9, Double.NaN);
             }
             long id = host.task(IDEMPOTENT);
             if (i >= 20) {
                 used.add(host.worker(id, 0));
             }
-            host.after(60).begun(id, 0).after(50).ended(id, 0, AttemptOutcome.FINISHED);
+            host.after(60).started(id, 0).after(50).finished(id, 0, AttemptOutcome.FINISHED);
         }
         assertTrue(used.size() > 1, "reports are late and worker 1 is overrun: " + used);
     }
 
     @Test
-    void aTenantBeyondItsShareQueuesLess() {
-        int[] bounced = new int[2];
+    void aTenantBeyondItsQuotaQueuesLess() {
+        int[] rejected = new int[2];
         for (int tenant = 0; tenant < 2; tenant++) {
-            Host host = new Host();
+            FakeHost host = new FakeHost();
             host.settings.excessEarnings = 0.1;
             host.settings.tenantQuotas.add(1000.0);
             host.settings.tenantQuotas.add(1.0);
-            host.fleet(1).train(SIDE_EFFECTING, 30, 100).free(1, 2);
+            host.fleet(1).train(NON_IDEMPOTENT, 30, 100).free(1, 2);
             for (int i = 0; i < 10; i++) {
-                long id = host.task(SIDE_EFFECTING, tenant);
-                host.begun(id, 0).after(100).ended(id, 0, AttemptOutcome.FINISHED);
+                long id = host.task(NON_IDEMPOTENT, tenant);
+                host.started(id, 0).after(100).finished(id, 0, AttemptOutcome.FINISHED);
             }
             for (int i = 0; i < 30; i++) {
                 host.after(1);
                 host.task(IDEMPOTENT, tenant);
             }
-            bounced[tenant] = host.count("bounce");
+            rejected[tenant] = host.count("reject");
         }
-        assertTrue(bounced[1] > bounced[0], bounced[0] + " and " + bounced[1]);
+        assertTrue(rejected[1] > rejected[0], rejected[0] + " and " + rejected[1]);
     }
 
     @Test
-    void aDearCrossingIsMadeOnlyWhenTheOwnZoneWouldBeLate() {
-        Host host = new Host();
+    void aCostlyCrossingIsMadeOnlyWhenTheOwnZoneWouldBeLate() {
+        FakeHost host = new FakeHost();
         host.settings.crossingPrice = 0.2;
-        host.choice().listBegins(DispatchPolicy.List.REMEMBERED);
-        host.choice().listed(1, 0, 1, 0, DispatchPolicy.Listed.READY, host.choiceBorn(), 1);
-        host.choice().listed(2, 1, 2, 0, DispatchPolicy.Listed.READY, host.choiceBorn(), 1);
-        host.choice().listEnds();
-        host.pull().free(1, 2).free(2, 2);
-        assertEquals(1, host.worker(host.task(SIDE_EFFECTING), 0));
+        host.policy().onEndpointListBegin(EndpointListKind.CACHED);
+        host.policy().onEndpoint(new ListedWorker(1, 0, 1, 0, EndpointState.READY, host.longAgo(), 1));
+        host.policy().onEndpoint(new ListedWorker(2, 1, 2, 0, EndpointState.READY, host.longAgo(), 1));
+        host.policy().onEndpointListEnd();
+        host.decide().free(1, 2).free(2, 2);
+        assertEquals(1, host.worker(host.task(NON_IDEMPOTENT), 0));
         long last = 0;
         for (int i = 0; i < 8; i++) {
-            last = host.task(SIDE_EFFECTING);
+            last = host.task(NON_IDEMPOTENT);
         }
-        assertFalse(host.said.stream().noneMatch(s -> s.startsWith("assign") && s.endsWith(" 2")),
+        assertFalse(host.decisions.stream().noneMatch(s -> s.startsWith("forward") && s.endsWith(" 2")),
                 "task " + last);
     }
 
     @Test
     void aZoneThatIsCutOffIsLeftAloneAndTriedAgainLater() {
-        Host host = new Host();
-        host.choice().listBegins(DispatchPolicy.List.REMEMBERED);
+        FakeHost host = new FakeHost();
+        host.policy().onEndpointListBegin(EndpointListKind.CACHED);
         for (int id = 1; id <= 12; id++) {
-            host.choice().listed(id, 1, id, 0, DispatchPolicy.Listed.READY, host.choiceBorn(), 1);
-        }
-        host.choice().listEnds();
-        host.pull().train(SIDE_EFFECTING, 20, 50);
-        long lost = host.task(SIDE_EFFECTING);
-        host.ended(lost, 0, AttemptOutcome.NO_CONNECTION).ended(lost, 1, AttemptOutcome.NO_CONNECTION);
-        host.choice().listBegins(DispatchPolicy.List.CHANGES);
-        host.choice().listed(13, 0, 13, 0, DispatchPolicy.Listed.READY, host.choiceBorn(), 1);
-        host.choice().listEnds();
+            host.policy().onEndpoint(new ListedWorker(id, 1, id, 0, EndpointState.READY, host.longAgo(), 1));
+        }
+        host.policy().onEndpointListEnd();
+        host.decide().train(NON_IDEMPOTENT, 20, 50);
+        long lost = host.task(NON_IDEMPOTENT);
+        host.finished(lost, 0, AttemptOutcome.NO_CONNECTION).finished(lost, 1, AttemptOutcome.NO_CONNECTION);
+        host.policy().onEndpointListBegin(EndpointListKind.CHANGES);
+        host.policy().onEndpoint(new ListedWorker(13, 0, 13, 0, EndpointState.READY, host.longAgo(), 1));
+        host.policy().onEndpointListEnd();
         for (int i = 0; i < 3; i++) {
-            assertEquals(13, host.worker(host.task(SIDE_EFFECTING), 0), "only the own zone is reached");
+            assertEquals(13, host.worker(host.task(NON_IDEMPOTENT), 0), "only the own zone is reached");
         }
         host.after(5000);
         Set<Long> used = new HashSet<>();
         for (int i = 0; i < 20; i++) {
-            used.add(host.worker(host.task(SIDE_EFFECTING), 0));
+            used.add(host.worker(host.task(NON_IDEMPOTENT), 0));
         }
         assertTrue(used.size() > 1, "tried again");
     }
@@ -412,14 +413,14 @@
     @ParameterizedTest
     @ValueSource(ints = {20, 300})
     void aColdWorkerGetsItsPartOfWhatThisDispatcherSendsHoweverManyOthersThereAre(int tasks) {
-        Host host = new Host();
+        FakeHost host = new FakeHost();
         host.settings.coldFrom = 0.5;
         host.settings.coldFor = Span.ofMillis(1_000_000);
         host.settings.tipMultiple = 4;
         host.settings.reportsLoad = false;
         host.fleet(9).change(10, true, host.now() - 1);
         host.train(IDEMPOTENT, tasks, 50);
-        long cold = host.said.stream().filter(s -> s.startsWith("assign") && s.endsWith(" 10")).count();
+        long cold = host.decisions.stream().filter(s -> s.startsWith("forward") && s.endsWith(" 10")).count();
         // Half of a tenth of the fleet, and half of four times that: a tenth of the sends at most.
         assertTrue(cold <= tasks * 0.106 + 1 && cold >= tasks / 100, cold + " of " + tasks);
     }
@@ -429,19 +430,19 @@
     void aNewWorkerThatAllDispatchersHearOfAtOnceGetsNoRush() {
         int cold = 0;
         for (int seed = 0; seed < 300; seed++) {
-            Host host = new Host();
+            FakeHost host = new FakeHost();
             host.settings.seed = seed;
             host.settings.coldFrom = 0.5;
             host.settings.coldFor = Span.ofMillis(1_000_000);
             host.settings.tipMultiple = 4;
             host.settings.reportsLoad = false;
-            host.fleet(9).train(SIDE_EFFECTING, 40, 50);
+            host.fleet(9).train(NON_IDEMPOTENT, 40, 50);
             for (int i = 0; i < 12; i++) {
-                host.task(SIDE_EFFECTING);
+                host.task(NON_IDEMPOTENT);
             }
             host.after(60).change(10, true, host.now() - 1);
             for (int i = 0; i < 8; i++) {
-                cold += host.worker(host.task(SIDE_EFFECTING), 0) == 10 ? 1 : 0;
+                cold += host.worker(host.task(NON_IDEMPOTENT), 0) == 10 ? 1 : 0;
             }
         }
         assertTrue(cold > 10 && cold <= 270, "less than a mean run is earned by eight sends: " + cold);
@@ -452,8 +453,8 @@
      * do.
      */
     @Test
-    void whatIsTurnedAwayEarnsColdWorkersNothing() {
-        Host host = new Host();
+    void rejectedAttemptsEarnColdWorkersNothing() {
+        FakeHost host = new FakeHost();
         host.settings.coldFrom = 0.5;
         host.settings.coldFor = Span.ofMillis(1_000_000);
         host.settings.tipMultiple = 4;
@@ -463,24 +464,24 @@
             for (int w = 1; w <= 10; w++) {
                 host.free(w, w == 10 ? 8 : 0);
             }
-            long id = host.task(SIDE_EFFECTING);
+            long id = host.task(NON_IDEMPOTENT);
             int last = 0;
             while (last < 3 && host.worker(id, last) != 10) {
-                host.ended(id, last++, AttemptOutcome.FULL);
+                host.finished(id, last++, AttemptOutcome.FULL);
             }
             if (host.worker(id, last) > 0) {
-                host.begun(id, last).after(50).ended(id, last, AttemptOutcome.FINISHED);
+                host.started(id, last).after(50).finished(id, last, AttemptOutcome.FINISHED);
                 ran++;
             }
         }
-        long cold = host.said.stream().filter(s -> s.startsWith("assign") && s.endsWith(" 10")).count();
+        long cold = host.decisions.stream().filter(s -> s.startsWith("forward") && s.endsWith(" 10")).count();
         assertTrue(cold > 0 && cold <= ran * 0.106 + 1, cold + " for " + ran + " that ran");
     }
 
     // ---- kept connections
 
-    private static int toTheSame(double price, double idleMs) {
-        Host host = new Host();
+    private static int workersUsed(double price, double idleMs) {
+        FakeHost host = new FakeHost();
         host.settings.handshakePrice = price;
         host.settings.connectionIdle = Span.ofMillis(idleMs);
         host.fleet(40);
@@ -489,9 +490,9 @@
         }
         Set<Long> used = new HashSet<>();
         for (int i = 0; i < 60; i++) {
-            long id = host.after(30).task(SIDE_EFFECTING);
+            long id = host.after(30).task(NON_IDEMPOTENT);
             used.add(host.worker(id, 0));
-            host.begun(id, 0).after(20).ended(id, 0, AttemptOutcome.FINISHED);
+            host.started(id, 0).after(20).finished(id, 0, AttemptOutcome.FINISHED);
         }
         return used.size();
     }
@@ -501,73 +502,73 @@
      * them.
      */
     @Test
-    void amongIdleWorkersOneIsTakenToWhichAConnectionIsFree() {
-        assertTrue(toTheSame(0.03, 5000) <= 5);
-        assertTrue(toTheSame(0, 5000) > 15, "where new ones cost nothing all are drawn");
-        assertTrue(toTheSame(0.03, 25) > 15, "a connection idle for longer is closed");
+    void amongIdleWorkersOneWithAnIdleConnectionIsTaken() {
+        assertTrue(workersUsed(0.03, 5000) <= 5);
+        assertTrue(workersUsed(0, 5000) > 15, "where new ones cost nothing all are drawn");
+        assertTrue(workersUsed(0.03, 25) > 15, "a connection idle for longer is closed");
     }
 
     // ---- reports that are not so
 
     /**
-     * Met where 28 of 112 workers told of idle slots and had none: 28% of the sends, two thirds turned away
+     * Met where 28 of 112 workers told of idle slots and had none: 28% of the sends, two thirds rejected
      * as full.
      */
     @Test
-    void aWorkerWhoseReportsDoNotHoldIsNotLookedForAgain() {
-        Host host = new Host();
+    void aWorkerWhoseReportsDoNotHoldIsAvoided() {
+        FakeHost host = new FakeHost();
         host.fleet(12);
         int there = 0;
         for (int i = 0; i < 60; i++) {
             for (int w = 1; w <= 12; w++) {
                 host.free(w, w <= 3 ? 4 : w == 4 ? 1 : 0);
             }
-            long id = host.after(60).task(SIDE_EFFECTING);
+            long id = host.after(60).task(NON_IDEMPOTENT);
             boolean false3 = host.worker(id, 0) <= 3;
             there += false3 && i >= 20 ? 1 : 0;
             int last = 0;
             while (host.worker(id, last) > 0 && host.worker(id, last) <= 3) {
-                host.ended(id, last++, AttemptOutcome.FULL);
+                host.finished(id, last++, AttemptOutcome.FULL);
             }
-            host.begun(id, last).after(50).ended(id, last, AttemptOutcome.FINISHED);
+            host.started(id, last).after(50).finished(id, last, AttemptOutcome.FINISHED);
         }
         assertTrue(there <= 25, "most go there by their reports: " + there + " of 40");
     }
 
     @ParameterizedTest
     @CsvSource({"0,0", "0.2,1"})
-    void whereTheTailCountsWhatIsLikelyLateIsBounced(double tail, int bounces) {
-        Host host = new Host();
+    void whereTheTailCountsWhatIsLikelyLateIsRejected(double tail, int bounces) {
+        FakeHost host = new FakeHost();
         host.settings.tailWeight = tail;
-        host.fleet(1).train(SIDE_EFFECTING, 40, 100);
-        host.task(SIDE_EFFECTING, 0, 5000 - 312);     // 88 ms are left for a run of 100
-        assertEquals(bounces, host.count("bounce"), "about a third in time");
+        host.fleet(1).train(NON_IDEMPOTENT, 40, 100);
+        host.task(NON_IDEMPOTENT, 0, 5000 - 312);     // 88 ms are left for a run of 100
+        assertEquals(bounces, host.count("reject"), "about a third in time");
     }
 
     // ---- where room is short
 
     /**
-     * Met in a fleet that had shrunk: 64% of the sends turned away, all types served alike, the dearest at
+     * Met in a fleet that had shrunk: 64% of the sends rejected, all types served alike, the dearest at
      * 76%.
      */
     @ParameterizedTest
     @CsvSource({"0,0", "10,0", "10,1"})
-    void whatEarnsLessThanTheRoomThatItTakesIsBouncedWhereRoomIsShort(int full, int dear) {
-        Host host = new Host();
+    void aTaskWorthLessThanItsCapacityIsRejectedWhereCapacityIsShort(int full, int dear) {
+        FakeHost host = new FakeHost();
         host.settings.types.add(new TrafficType(8, 0, Span.ofMillis(100), 3, Span.ofMillis(5000),
                 TrafficType.Effect.SIDE_EFFECTING, TrafficType.Group.ALL, Span.ofMillis(1000), null, null));
-        host.fleet(6).train(4, 30, 50).train(SIDE_EFFECTING, 30, 50);
+        host.fleet(6).train(4, 30, 50).train(NON_IDEMPOTENT, 30, 50);
         for (int i = 0; i < full; i++) {
             long id = host.task(4);
             for (int n = 0; host.worker(id, n) > 0; n++) {
-                host.ended(id, n, AttemptOutcome.FULL);
+                host.finished(id, n, AttemptOutcome.FULL);
             }
         }
-        host.said.clear();
-        long id = host.task(dear == 1 ? 4 : SIDE_EFFECTING);
-        assertEquals(full > 0 && dear == 0 ? 1 : 0, host.count("bounce " + id + " "));
+        host.decisions.clear();
+        long id = host.task(dear == 1 ? 4 : NON_IDEMPOTENT);
+        assertEquals(full > 0 && dear == 0 ? 1 : 0, host.count("reject " + id + " "));
         host.after(3000);
-        long later = host.task(SIDE_EFFECTING);
+        long later = host.task(NON_IDEMPOTENT);
         assertTrue(host.worker(later, 0) > 0, "it fades");
     }
 
@@ -575,35 +576,35 @@
 
     @ParameterizedTest
     @CsvSource({"GONE,true,true", "GONE,false,false", "DRAINING,true,false"})
-    void aWorkerCalledGoneThatSpeaksIsSentToWhereOnlyDrainingBinds(DispatchPolicy.Listed as, boolean only,
+    void aRemovedWorkerThatIsHeardFromIsSentToWhereOnlyDrainingBinds(EndpointState as, boolean only,
             boolean sent) {
-        Host host = new Host();
+        FakeHost host = new FakeHost();
         host.settings.onlyDrainingBinds = only;
-        long id = host.fleet(1).task(SIDE_EFFECTING);
-        host.change(1, as, 0).task(SIDE_EFFECTING);
-        assertEquals(1, host.count("assign"), "nothing was heard of it since");
-        host.begun(id, 0).task(SIDE_EFFECTING);
-        assertEquals(sent ? 2 : 1, host.count("assign"));
+        long id = host.fleet(1).task(NON_IDEMPOTENT);
+        host.change(1, as, 0).task(NON_IDEMPOTENT);
+        assertEquals(1, host.count("forward"), "nothing was heard of it since");
+        host.started(id, 0).task(NON_IDEMPOTENT);
+        assertEquals(sent ? 2 : 1, host.count("forward"));
     }
 
     @Test
-    void oneThatDrainedBeforeItWasGoneStaysBound() {
-        Host host = new Host();
+    void aWorkerThatDrainedBeforeItWasRemovedIsNotSentTo() {
+        FakeHost host = new FakeHost();
         host.settings.onlyDrainingBinds = true;
-        long id = host.fleet(1).task(SIDE_EFFECTING);
-        host.change(1, DispatchPolicy.Listed.DRAINING, 0).change(1, DispatchPolicy.Listed.GONE, 0)
-                .begun(id, 0)
-                .task(SIDE_EFFECTING);
-        assertEquals(1, host.count("assign"));
+        long id = host.fleet(1).task(NON_IDEMPOTENT);
+        host.change(1, EndpointState.DRAINING, 0).change(1, EndpointState.GONE, 0)
+                .started(id, 0)
+                .task(NON_IDEMPOTENT);
+        assertEquals(1, host.count("forward"));
     }
 
     // ---- useless tasks
 
-    private static Host erring(Host host, int tasks) {
+    private static FakeHost failing(FakeHost host, int tasks) {
         for (int i = 0; i < tasks; i++) {
             long id = host.after(1).task(IDEMPOTENT);
             for (int n = 0; host.worker(id, n) > 0; n++) {
-                host.ended(id, n, AttemptOutcome.ERRED);
+                host.finished(id, n, AttemptOutcome.ERRED);
             }
         }
         return host;
@@ -614,48 +615,49 @@
      * error.
      */
     @Test
-    void tasksThatErrWhereverTheyGoCostOneAssignmentOnceThatIsKnown() {
-        Host host = new Host();
+    void tasksThatFailAnywhereCostOneAttemptOnceThatIsKnown() {
+        FakeHost host = new FakeHost();
         host.settings.secondCopies = false;
-        erring(host.fleet(12), 3);
-        int known = host.count("assign");
-        erring(host, 10);
-        assertEquals(known + 10, host.count("assign"));
-        assertEquals(13, host.count("bounce"), "each is answered at once");
+        failing(host.fleet(12), 3);
+        int known = host.count("forward");
+        failing(host, 10);
+        assertEquals(known + 10, host.count("forward"));
+        assertEquals(13, host.count("reject"), "each is answered at once");
     }
 
     @Test
-    void theirWorkersKeepTheirGoodName() {
-        Host host = erring(new Host().fleet(3), 40);
+    void workersOfTasksThatFailAnywhereAreNotEjected() {
+        FakeHost host = failing(new FakeHost().fleet(3), 40);
         Set<Long> used = new HashSet<>();
         for (int w = 1; w <= 3; w++) {
             host.free(w, 1);
         }
         for (int i = 0; i < 3; i++) {
-            used.add(host.worker(host.task(SIDE_EFFECTING), 0));
+            used.add(host.worker(host.task(NON_IDEMPOTENT), 0));
         }
-        assertEquals(3, used.size(), "one that is set aside gets none of these");
+        assertEquals(3, used.size(), "one that is ejected gets none of these");
     }
 
     @Test
-    void aSoundTaskThatErredGoesOnAgainSoonAfterwards() {
-        Host host = erring(new Host().fleet(6).train(SIDE_EFFECTING, 20, 50), 10);
+    void aSoundTaskThatFailedIsRetriedAgainSoonAfterwards() {
+        FakeHost host = failing(new FakeHost().fleet(6).train(NON_IDEMPOTENT, 20, 50), 10);
         host.after(2000);
         long id = host.task(IDEMPOTENT);
-        host.ended(id, 0, AttemptOutcome.ERRED);
+        host.finished(id, 0, AttemptOutcome.ERRED);
         assertTrue(host.worker(id, 1) > 0);
-        host.ended(id, 1, AttemptOutcome.FINISHED);
+        host.finished(id, 1, AttemptOutcome.FINISHED);
     }
 
     @Test
-    void aWorkerThatErrsAloneIsStillSetAside() {
-        Host host = new Host().fleet(6);
+    void aWorkerThatFailsAloneIsStillEjected() {
+        FakeHost host = new FakeHost().fleet(6);
         int there = 0;
         for (int i = 0; i < 120; i++) {
             long id = host.after(5).task(IDEMPOTENT);
             for (int n = 0; host.worker(id, n) > 0; n++) {
                 there += host.worker(id, n) == 1 && i >= 60 ? 1 : 0;
-                host.ended(id, n, host.worker(id, n) == 1 ? AttemptOutcome.ERRED : AttemptOutcome.FINISHED);
+                host.finished(id, n,
+                        host.worker(id, n) == 1 ? AttemptOutcome.ERRED : AttemptOutcome.FINISHED);
             }
         }
         assertTrue(there < 8, "one in six tasks went there before: " + there);
@@ -663,8 +665,8 @@
 
     // ---- rule 5: the budget of further assignments
 
-    private static Host budgeted() {
-        Host host = new Host();
+    private static FakeHost budgeted() {
+        FakeHost host = new FakeHost();
         host.settings.budgetFloor = 2;
         host.settings.budgetShare = 0.1;
         host.settings.budgetSpan = Span.ofMillis(5000);
@@ -674,9 +676,9 @@
     /** Met on every day of the first deployment with a budget: 3 further ones where 6 tasks allowed 2.6. */
     @ParameterizedTest
     @ValueSource(ints = {1, 2, 3, 4, 5, 6})
-    void furtherAssignmentsStayWithinTheBudgetOfAnyWindow(int seed) {
+    void furtherAttemptsStayWithinTheBudgetOfAnyWindow(int seed) {
         Random random = new Random(seed);
-        Host host = budgeted().fleet(12);
+        FakeHost host = budgeted().fleet(12);
         List<Double> taken = new ArrayList<>();
         Map<String, Double> further = new LinkedHashMap<>();    // "task number" to when it was sent
         Map<Long, Integer> sent = new HashMap<>();
@@ -695,11 +697,11 @@
                 if (outcome == AttemptOutcome.NOT_SENT) {
                     further.remove(a[0] + " " + a[1]);
                 }
-                host.ended(a[0], (int) a[1], outcome);
+                host.finished(a[0], (int) a[1], outcome);
             }
-            for (; seen < host.said.size(); seen++) {
-                String[] words = host.said.get(seen).split(" ");
-                if (words[0].equals("assign")) {
+            for (; seen < host.decisions.size(); seen++) {
+                String[] words = host.decisions.get(seen).split(" ");
+                if (words[0].equals("forward")) {
                     long id = Long.parseLong(words[1]);
                     int number = sent.merge(id, 1, Integer::sum) - 1;
                     out.add(new long[]{id, number});
@@ -719,26 +721,26 @@
     }
 
     @Test
-    void aFloodOfOneTypesRetriesLeavesRoomForWhatAnotherNeeds() {
-        Host host = budgeted().fleet(12);
+    void aFloodOfOneTypesRetriesLeavesBudgetForAnotherType() {
+        FakeHost host = budgeted().fleet(12);
         for (int i = 0; i < 30; i++) {
             long id = host.after(50).task(IDEMPOTENT);
-            host.ended(id, 0, AttemptOutcome.FULL).ended(id, 1, AttemptOutcome.FINISHED);
+            host.finished(id, 0, AttemptOutcome.FULL).finished(id, 1, AttemptOutcome.FINISHED);
         }
-        long mark = host.after(50).task(FINGERPRINTED);
-        host.ended(mark, 0, AttemptOutcome.FULL);
+        long mark = host.after(50).task(KEYED);
+        host.finished(mark, 0, AttemptOutcome.FULL);
         assertTrue(host.worker(mark, 1) > 0, "it goes again");
     }
 
     @Test
-    void aTaskThatTheBudgetLeavesNoRoomForIsAnsweredAtOnce() {
-        Host host = budgeted().fleet(12);
+    void aTaskBeyondTheBudgetIsAnsweredAtOnce() {
+        FakeHost host = budgeted().fleet(12);
         for (int i = 0; i < 6; i++) {
             long id = host.task(IDEMPOTENT);
-            host.ended(id, 0, AttemptOutcome.FULL).ended(id, 1, AttemptOutcome.FULL).ended(id, 2,
+            host.finished(id, 0, AttemptOutcome.FULL).finished(id, 1, AttemptOutcome.FULL).finished(id, 2,
                     AttemptOutcome.FULL);
         }
-        assertTrue(host.count("bounce") >= 4, host.said.toString());
+        assertTrue(host.count("reject") >= 4, host.decisions.toString());
     }
 
     // ---- after a restart, and where the list's source changes
@@ -746,85 +748,85 @@
     /** Met when 65 of 93 dispatchers were killed at once: 8 sends to workers that had drained meanwhile. */
     @Test
     void afterARestartTasksWaitForTheFirstList() {
-        Host host = new Host().fleet(2);
-        host.choice().listAwaited(true);
+        FakeHost host = new FakeHost().fleet(2);
+        host.policy().onEndpointListAwaited(true);
         long id = host.task(IDEMPOTENT);
-        assertEquals(0, host.count("assign"));
+        assertEquals(0, host.count("forward"));
         host.change(1, false, 0);
         assertEquals(2, host.worker(id, 0));
     }
 
     @Test
-    void wordThatNoListComesEndsTheWait() {
-        Host host = new Host().fleet(1);
-        host.choice().listAwaited(true);
-        long id = host.task(SIDE_EFFECTING);
-        host.choice().listBegins(DispatchPolicy.List.FAILED);
-        host.choice().listEnds();
-        host.pull();
+    void aFailedListEndsTheWait() {
+        FakeHost host = new FakeHost().fleet(1);
+        host.policy().onEndpointListAwaited(true);
+        long id = host.task(NON_IDEMPOTENT);
+        host.policy().onEndpointListBegin(EndpointListKind.FAILED);
+        host.policy().onEndpointListEnd();
+        host.decide();
         assertEquals(1, host.worker(id, 0));
     }
 
     @Test
-    void aTaskThatWouldBeLateAfterSuchAWaitIsBouncedAtOnce() {
-        Host host = new Host().fleet(1);
-        host.choice().listAwaited(true);
-        long id = host.task(SIDE_EFFECTING);
+    void aTaskThatWouldBeLateAfterTheWaitIsRejectedAtOnce() {
+        FakeHost host = new FakeHost().fleet(1);
+        host.policy().onEndpointListAwaited(true);
+        long id = host.task(NON_IDEMPOTENT);
         host.after(250);
-        assertEquals(0, host.count("bounce"), "due after 100 ms and 3 times its run");
+        assertEquals(0, host.count("reject"), "due after 100 ms and 3 times its run");
         host.after(60);
-        assertEquals(1, host.count("bounce " + id + " "));
+        assertEquals(1, host.count("reject " + id + " "));
         host.change(1, true, 0);
-        assertEquals(0, host.count("assign"));
+        assertEquals(0, host.count("forward"));
     }
 
     @Test
     void whereTheListsSourceChangesTheOldListHoldsForTheGrace() {
-        Host host = new Host();
+        FakeHost host = new FakeHost();
         host.settings.drainGrace = Span.ofMillis(250);
-        host.fleet(2).choice().listAwaited(false);
-        host.after(240).task(SIDE_EFFECTING);
-        assertEquals(1, host.count("assign"));
-        host.after(20).task(SIDE_EFFECTING);
-        assertEquals(1, host.count("assign"), "what the new source has may bind by now");
+        host.fleet(2).policy().onEndpointListAwaited(false);
+        host.after(240).task(NON_IDEMPOTENT);
+        assertEquals(1, host.count("forward"));
+        host.after(20).task(NON_IDEMPOTENT);
+        assertEquals(1, host.count("forward"), "what the new source has may bind by now");
         host.change(1, true, 0);
-        assertEquals(2, host.count("assign"));
+        assertEquals(2, host.count("forward"));
     }
 
     @Test
-    void aTaskWhoseClientLeftBetweenTwoAssignmentsIsNotSentOn() {
-        Host host = new Host().fleet(2);
-        long id = host.task(SIDE_EFFECTING);
-        host.choice().listAwaited(true);
-        host.ended(id, 0, AttemptOutcome.FULL);
-        assertEquals(1, host.count("assign"), "the next one waits for the list");
-        host.choice().clientLeft(id);
-        host.pull().change(1, true, 0);
-        assertEquals(1, host.count("assign"));
+    void aTaskWhoseClientLeftBetweenTwoAttemptsIsNotRetried() {
+        FakeHost host = new FakeHost().fleet(2);
+        long id = host.task(NON_IDEMPOTENT);
+        host.policy().onEndpointListAwaited(true);
+        host.finished(id, 0, AttemptOutcome.FULL);
+        assertEquals(1, host.count("forward"), "the next one waits for the list");
+        host.policy().onClientGone(id);
+        host.decide().change(1, true, 0);
+        assertEquals(1, host.count("forward"));
     }
 
     /** Met by reading the stop: all that was in hand was abandoned, also what had never been sent. */
     @Test
-    void atTheEndOfItsDispatcherATaskIsBouncedWhereThatIsLawful() {
-        Host host = new Host().fleet(2);
-        long runs = host.task(SIDE_EFFECTING);
+    void atShutdownATaskIsRejectedWhereThatIsLawful() {
+        FakeHost host = new FakeHost().fleet(2);
+        long runs = host.task(NON_IDEMPOTENT);
         long repeatable = host.task(IDEMPOTENT);
-        host.choice().listAwaited(true);
-        long waits = host.task(SIDE_EFFECTING);
+        host.policy().onEndpointListAwaited(true);
+        long waits = host.task(NON_IDEMPOTENT);
         for (long id : new long[]{runs, repeatable, waits}) {
-            host.choice().cutShort(id);
+            host.policy().onShutdown(id);
         }
-        host.pull();
-        assertEquals(1, host.count("abandon " + runs));
-        assertEquals(1, host.count("bounce " + repeatable + " "));
-        assertEquals(1, host.count("bounce " + waits + " "));
+        host.decide();
+        assertEquals(1, host.count("fail " + runs));
+        assertEquals(1, host.count("reject " + repeatable + " "));
+        assertEquals(1, host.count("reject " + waits + " "));
         assertEquals(1, host.count("cancel " + runs + " 0"));
     }
 
     // ---- where workers report nothing
 
-    private static Host unreported(int workers) {
-        Host host = new Host();
+    private static FakeHost unreported(int workers) {
+        FakeHost host = new FakeHost();
         host.settings.reportsLoad = false;
         return host.fleet(workers);
     }
@@ -833,58 +835,59 @@
      * Tasks that are placed once, one after the other; they begin late but at one worker. How many went
      * there.
      */
-    private static int wentTo(Host host, long quick, int tasks, double late, double run) {
+    private static int sentTo(FakeHost host, long quick, int tasks, double late, double run) {
         int there = 0;
         for (int i = 0; i < tasks; i++) {
-            long id = host.task(SIDE_EFFECTING);
+            long id = host.task(NON_IDEMPOTENT);
             boolean soon = host.worker(id, 0) == quick;
             there += soon ? 1 : 0;
-            host.after(soon ? 1 : late).begun(id, 0).after(run).ended(id, 0, AttemptOutcome.FINISHED);
+            host.after(soon ? 1 : late).started(id, 0).after(run).finished(id, 0, AttemptOutcome.FINISHED);
         }
         return there;
     }
 
     @Test
-    void startNotesTellWhichWorkerIsBusyWhereNothingIsReported() {
-        Host host = unreported(2);
-        wentTo(host, 2, 40, 150, 50);
-        int good = wentTo(host, 2, 10, 150, 50);
+    void startsTellWhichWorkerIsBusy() {
+        FakeHost host = unreported(2);
+        sentTo(host, 2, 40, 150, 50);
+        int good = sentTo(host, 2, 10, 150, 50);
         assertTrue(good >= 8, "tasks wait at worker 1: " + good);
     }
 
     @Test
-    void anAnswerFullTellsOfALongWait() {
-        Host host = unreported(2).train(SIDE_EFFECTING, 20, 50);
+    void aRejectionAsFullTellsOfALongWait() {
+        FakeHost host = unreported(2).train(NON_IDEMPOTENT, 20, 50);
         for (int i = 0; i < 10; i++) {
-            long id = host.task(SIDE_EFFECTING);
+            long id = host.task(NON_IDEMPOTENT);
             long full = host.worker(id, 0);
-            host.ended(id, 0, AttemptOutcome.FULL).begun(id, 1).after(50).ended(id, 1,
+            host.finished(id, 0, AttemptOutcome.FULL).started(id, 1).after(50).finished(id, 1,
                     AttemptOutcome.FINISHED);
-            long next = host.task(SIDE_EFFECTING);
+            long next = host.task(NON_IDEMPOTENT);
             assertNotEquals(full, host.worker(next, 0));
-            host.begun(next, 0).after(50).ended(next, 0, AttemptOutcome.FINISHED).train(SIDE_EFFECTING, 4,
+            host.started(next, 0).after(50).finished(next, 0, AttemptOutcome.FINISHED).train(NON_IDEMPOTENT,
+                    4,
                     50);
         }
     }
 
     @Test
-    void whatIsCalledOffUnbegunTellsOfItsWaitToo() {
-        Host host = unreported(2).train(SIDE_EFFECTING, 4, 50);
+    void anAttemptCancelledUnstartedTellsOfItsWaitToo() {
+        FakeHost host = unreported(2).train(NON_IDEMPOTENT, 4, 50);
         long id = host.task(IDEMPOTENT);
         long busy = host.worker(id, 0);
-        host.after(40).begun(id, 1).ended(id, 0, AttemptOutcome.CALLED_OFF).ended(id, 1,
+        host.after(40).started(id, 1).finished(id, 0, AttemptOutcome.CALLED_OFF).finished(id, 1,
                 AttemptOutcome.FINISHED);
         for (int i = 0; i < 5; i++) {
-            long next = host.task(SIDE_EFFECTING);
+            long next = host.task(NON_IDEMPOTENT);
             assertNotEquals(busy, host.worker(next, 0));
-            host.begun(next, 0).ended(next, 0, AttemptOutcome.FINISHED);
+            host.started(next, 0).finished(next, 0, AttemptOutcome.FINISHED);
         }
     }
 
     @ParameterizedTest
     @CsvSource({"0,0", "2,2"})
     void workersAreProbedOnlyForTasksThatArePlacedOnce(int type, int probes) {
-        Host host = new Host();
+        FakeHost host = new FakeHost();
         host.settings.reportsLoad = false;
         host.settings.mayProbe = true;
         host.fleet(6).task(type);
@@ -892,80 +895,80 @@
     }
 
     @Test
-    void whatAWorkerHeldThatDrainedAndDiedGoesOnWhereItMay() {
-        Host host = unreported(3).train(SIDE_EFFECTING, 20, 50);
+    void tasksOfAWorkerThatDrainedAndDiedAreRetriedWhereLawful() {
+        FakeHost host = unreported(3).train(NON_IDEMPOTENT, 20, 50);
         long look = host.task(IDEMPOTENT);
         long dies = host.worker(look, 0);
-        host.begun(look, 0);
-        host.change(dies, false, 0).ended(look, 0, AttemptOutcome.BROKEN);
+        host.started(look, 0);
+        host.change(dies, false, 0).finished(look, 0, AttemptOutcome.BROKEN);
         assertTrue(host.worker(look, 1) > 0 && host.worker(look, 1) != dies, "another takes it");
-        long sale = host.task(SIDE_EFFECTING);
+        long sale = host.task(NON_IDEMPOTENT);
         assertNotEquals(dies, host.worker(sale, 0));
-        host.begun(sale, 0).ended(sale, 0, AttemptOutcome.BROKEN);
-        assertEquals(1, host.count("abandon " + sale), "it may have run");
+        host.started(sale, 0).finished(sale, 0, AttemptOutcome.BROKEN);
+        assertEquals(1, host.count("fail " + sale), "it may have run");
     }
 
     @Test
     void idleCandidatesAreDrawnInProportionToTheirListedSize() {
-        Host host = unreported(0);
-        host.choice().listBegins(DispatchPolicy.List.WHOLE);
+        FakeHost host = unreported(0);
+        host.policy().onEndpointListBegin(EndpointListKind.WHOLE);
         for (int id = 1; id <= 4; id++) {
-            host.choice().listed(id, 0, id, id, DispatchPolicy.Listed.READY, host.choiceBorn(),
-                    id == 1 ? 6 : 2);
+            host.policy().onEndpoint(new ListedWorker(id, 0, id, id, EndpointState.READY, host.longAgo(),
+                    id == 1 ? 6 : 2));
         }
-        host.choice().listEnds();
-        host.pull().train(IDEMPOTENT, 400, 50);
-        long large = host.said.stream().filter(s -> s.startsWith("assign") && s.contains(" 1")
+        host.policy().onEndpointListEnd();
+        host.decide().train(IDEMPOTENT, 400, 50);
+        long large = host.decisions.stream().filter(s -> s.startsWith("forward") && s.contains(" 1")
                 && s.endsWith(" 1")).count();
-        long all = host.count("assign");
+        long all = host.count("forward");
         assertTrue(large > all * 0.35 && large < all * 0.65,
                 "half of the fleet's size: " + large + " of " + all);
     }
 
     @Test
-    void tasksWithoutAStartNoteQueueElsewherePastTheBudgetOfCopies() {
-        Host host = unreported(12).train(SIDE_EFFECTING, 60, 50);
-        int before = host.count("assign");
+    void unstartedTasksQueueElsewherePastTheHedgeTokens() {
+        FakeHost host = unreported(12).train(NON_IDEMPOTENT, 60, 50);
+        int before = host.count("forward");
         for (int i = 0; i < 20; i++) {
             long id = host.task(IDEMPOTENT);
-            host.after(40).begun(id, 0).after(50).ended(id, 0, AttemptOutcome.FINISHED);
+            host.after(40).started(id, 0).after(50).finished(id, 0, AttemptOutcome.FINISHED);
         }
-        int sent = host.count("assign") - before;
+        int sent = host.count("forward") - before;
         assertTrue(sent >= 36, "nearly each at a second worker, not a fifth of them: " + sent);
     }
 
     @Test
-    void wideTasksAreTakenWhileTasksBeginAtOnce() {
-        Host host = unreported(3).train(SIDE_EFFECTING, 40, 50);
+    void wideTasksAreTakenWhileTasksStartAtOnce() {
+        FakeHost host = unreported(3).train(NON_IDEMPOTENT, 40, 50);
         for (int i = 0; i < 3; i++) {
-            host.begun(host.task(SIDE_EFFECTING), 0);
+            host.started(host.task(NON_IDEMPOTENT), 0);
         }
         long id = host.wide(IDEMPOTENT, 4);
-        assertEquals(0, host.count("bounce " + id + " "), "a slot of ours at each worker is no queue");
+        assertEquals(0, host.count("reject " + id + " "), "a slot of ours at each worker is no queue");
     }
 
     @Test
-    void waitsOfTheLastTasksBounceTheNextUntilTheyAreOld() {
-        Host host = unreported(6).train(IDEMPOTENT, 40, 50);
+    void waitsOfTheLastTasksRejectTheNextUntilTheyAreOld() {
+        FakeHost host = unreported(6).train(IDEMPOTENT, 40, 50);
         long[] ids = new long[30];
         for (int i = 0; i < ids.length; i++) {
             ids[i] = host.task(IDEMPOTENT);
         }
         host.after(300);
         for (long id : ids) {
-            host.begun(id, 0).ended(id, 0, AttemptOutcome.FINISHED);
+            host.started(id, 0).finished(id, 0, AttemptOutcome.FINISHED);
         }
         long late = host.task(IDEMPOTENT);
-        assertEquals(1, host.count("bounce " + late + " "), "the last tasks waited longer than this one may");
+        assertEquals(1, host.count("reject " + late + " "), "the last tasks waited longer than this one may");
         long later = host.after(2000).task(IDEMPOTENT);
-        assertEquals(0, host.count("bounce " + later + " "), "that is long ago");
+        assertEquals(0, host.count("reject " + later + " "), "that is long ago");
     }
 
     @Test
-    void aTaskThatIsPlacedOnceLooksAtMoreWorkers() {
-        Host host = unreported(18);
-        wentTo(host, 18, 500, 60, 5);
-        int good = wentTo(host, 18, 30, 60, 5);
+    void aTaskThatIsPlacedOnceDrawsMoreWorkers() {
+        FakeHost host = unreported(18);
+        sentTo(host, 18, 500, 60, 5);
+        int good = sentTo(host, 18, 30, 60, 5);
         assertTrue(good >= 20, "of six drawn it is one in a third of the draws: " + good);
     }
 
@@ -974,121 +977,121 @@
      */
     @Test
     void withoutAnyQuotaTheIdleCandidateIsStillTheBest() {
-        Host host = new Host();
+        FakeHost host = new FakeHost();
         host.settings.tenantQuotas.add(0.0);
         host.settings.excessEarnings = 0;
-        host.fleet(6).train(SIDE_EFFECTING, 40, 50);
+        host.fleet(6).train(NON_IDEMPOTENT, 40, 50);
         for (int i = 0; i < 10; i++) {
             for (int w = 1; w <= 5; w++) {
-                host.choice().reported(w, 0, 30, Double.NaN, Double.NaN);
+                host.policy().onLoadReport(w, 0, 30, Double.NaN, Double.NaN);
             }
             host.free(6, 4);
-            long id = host.task(SIDE_EFFECTING);
+            long id = host.task(NON_IDEMPOTENT);
             assertEquals(6, host.worker(id, 0));
-            host.begun(id, 0).after(50).ended(id, 0, AttemptOutcome.FINISHED);
+            host.started(id, 0).after(50).finished(id, 0, AttemptOutcome.FINISHED);
         }
     }
 
     @Test
-    void aBusyDispatcherWhoseTenantsKeepTheirPartsTakesNoneForExcess() {
-        Host host = new Host();
+    void tenantsWithinTheirQuotasHaveNoExcessAtABusyDispatcher() {
+        FakeHost host = new FakeHost();
         host.settings.tenantQuotas.add(50.0);
         host.settings.tenantQuotas.add(50.0);
         host.settings.excessEarnings = 0;
         host.fleet(6);
         for (int i = 0; i < 100; i++) {
-            long id = host.after(1).task(SIDE_EFFECTING, i % 2);
-            host.begun(id, 0).ended(id, 0, AttemptOutcome.FINISHED);
+            long id = host.after(1).task(NON_IDEMPOTENT, i % 2);
+            host.started(id, 0).finished(id, 0, AttemptOutcome.FINISHED);
         }
-        assertEquals(0, host.count("bounce"), "1,000 a second here are not 11,000 in all");
+        assertEquals(0, host.count("reject"), "1,000 a second here are not 11,000 in all");
     }
 
     @Test
-    void aLargeFleetIsDrawnFromAgainBeforeABounce() {
-        Host host = new Host().fleet(18);
+    void aLargeFleetIsDrawnFromAgainBeforeARejection() {
+        FakeHost host = new FakeHost().fleet(18);
         for (int id = 1; id <= 16; id++) {
-            host.choice().reported(id, 0, 30, Double.NaN, Double.NaN);
+            host.policy().onLoadReport(id, 0, 30, Double.NaN, Double.NaN);
         }
         host.free(17, 2).free(18, 2);
         for (int i = 0; i < 10; i++) {
-            host.task(SIDE_EFFECTING);
+            host.task(NON_IDEMPOTENT);
         }
         host.after(0);
-        assertTrue(host.count("assign 1 17 ") + host.count("assign 1 18 ") > 0 || host.count("bounce") < 5,
+        assertTrue(host.count("forward 1 17 ") + host.count("forward 1 18 ") > 0 || host.count("reject") < 5,
                 "two idle ones among sixteen full ones are found");
     }
 
     @Test
     void aLongTaskDoesNotQueueWhereAShortOneWould() {
-        Host host = new Host();
+        FakeHost host = new FakeHost();
         host.settings.types.add(new TrafficType(1, 0, Span.ofMillis(4000), 3, Span.ofMillis(20_000),
                 TrafficType.Effect.SIDE_EFFECTING, TrafficType.Group.ALL, Span.ZERO, null, null));
-        host.fleet(1).train(SIDE_EFFECTING, 30, 50).train(4, 3, 1000).free(1, 2);
-        host.task(SIDE_EFFECTING);
-        host.task(SIDE_EFFECTING);
+        host.fleet(1).train(NON_IDEMPOTENT, 30, 50).train(4, 3, 1000).free(1, 2);
+        host.task(NON_IDEMPOTENT);
+        host.task(NON_IDEMPOTENT);
         long lengthy = host.task(4);
-        long brief = host.task(SIDE_EFFECTING);
-        assertEquals(1, host.count("bounce " + lengthy + " "), "all behind it would be late");
-        assertEquals(1, host.count("assign " + brief + " "));
+        long brief = host.task(NON_IDEMPOTENT);
+        assertEquals(1, host.count("reject " + lengthy + " "), "all behind it would be late");
+        assertEquals(1, host.count("forward " + brief + " "));
     }
 
     @Test
     void aTypesFirstFinishDoesNotMakeItsWorkerLookFast() {
-        Host host = new Host().fleet(1).free(1, 1).train(SIDE_EFFECTING, 1, 2);
+        FakeHost host = new FakeHost().fleet(1).free(1, 1).train(NON_IDEMPOTENT, 1, 2);
         for (int i = 0; i < 30; i++) {
             host.task(IDEMPOTENT);
         }
-        assertTrue(host.count("bounce") >= 20, "one slot cannot take them");
+        assertTrue(host.count("reject") >= 20, "one slot cannot take them");
     }
 
-    /** Met on a day on which most clients waited a third as long as usual: all their tasks were bounced. */
+    /** Met on a day on which most clients waited a third as long as usual: all their tasks were rejected. */
     @Test
     void tasksOfImpatientClientsAreTakenAndRetriesThatComeTooLateAreNot() {
-        Host host = new Host().fleet(6).train(SIDE_EFFECTING, 40, 50);
+        FakeHost host = new FakeHost().fleet(6).train(NON_IDEMPOTENT, 40, 50);
         int turnedAway = 0;
         for (int i = 0; i < 20; i++) {
-            long id = host.task(SIDE_EFFECTING, 0, 1500);
-            turnedAway += host.count("bounce " + id + " ");
-            host.begun(id, 0).after(50).ended(id, 0, AttemptOutcome.FINISHED);
+            long id = host.task(NON_IDEMPOTENT, 0, 1500);
+            turnedAway += host.count("reject " + id + " ");
+            host.started(id, 0).after(50).finished(id, 0, AttemptOutcome.FINISHED);
         }
-        assertTrue(turnedAway <= 1, "bounced: " + turnedAway);
-        assertEquals(1, host.count("bounce " + host.task(SIDE_EFFECTING, 0, 20) + " "),
+        assertTrue(turnedAway <= 1, "rejectd: " + turnedAway);
+        assertEquals(1, host.count("reject " + host.task(NON_IDEMPOTENT, 0, 20) + " "),
                 "nobody can be that fast");
-        Host busy = new Host().fleet(1).train(SIDE_EFFECTING, 40, 50).free(1, 0);
+        FakeHost busy = new FakeHost().fleet(1).train(NON_IDEMPOTENT, 40, 50).free(1, 0);
         for (int i = 0; i < 40; i++) {
-            busy.task(SIDE_EFFECTING);
+            busy.task(NON_IDEMPOTENT);
         }
-        assertTrue(busy.count("bounce") > 20, "an overload");
-        assertEquals(1, busy.count("bounce " + busy.task(SIDE_EFFECTING, 0, 1500) + " "), "a retry");
+        assertTrue(busy.count("reject") > 20, "an overload");
+        assertEquals(1, busy.count("reject " + busy.task(NON_IDEMPOTENT, 0, 1500) + " "), "a retry");
     }
 
     /** A lost task was held until its expiry, so that its client could not come back in time. */
     @Test
-    void aTaskWhoseAnswerIsLostIsGivenUpAtOnceWhereNothingMoreIsLawful() {
-        Host host = new Host();
+    void aTaskWhoseAnswerIsLostIsGivenUpAtOnceWhereNoRetryIsLawful() {
+        FakeHost host = new FakeHost();
         host.settings.progressEvery = Span.ofMillis(1000);
         host.settings.mostAssignments = 1;
         host.fleet(3);
-        long sale = host.task(SIDE_EFFECTING);
+        long sale = host.task(NON_IDEMPOTENT);
         long look = host.task(IDEMPOTENT);
-        host.begun(sale, 0).begun(look, 0);
+        host.started(sale, 0).started(look, 0);
         host.after(1000).after(300);
-        assertEquals(0, host.count("abandon") + host.count("bounce"), "a note may still be on its way");
+        assertEquals(0, host.count("fail") + host.count("reject"), "a note may still be on its way");
         for (int i = 0; i < 10; i++) {
             host.after(100);
         }
-        assertEquals(1, host.count("abandon " + sale), "it may have run");
-        assertEquals(1, host.count("bounce " + look + " "), "its client may come again");
+        assertEquals(1, host.count("fail " + sale), "it may have run");
+        assertEquals(1, host.count("reject " + look + " "), "its client may come again");
     }
 
     @ParameterizedTest
-    @CsvSource({"1,abandon", "3,bounce"})
-    void aLostFingerprintedTaskIsGivenUpWhenItsWindowIsOver(int type, String answer) {
-        Host host = new Host();
+    @CsvSource({"1,fail", "3,reject"})
+    void aLostKeyedTaskIsGivenUpWhenItsWindowIsOver(int type, String answer) {
+        FakeHost host = new FakeHost();
         host.settings.progressEvery = Span.ofMillis(500);
         host.fleet(1);
         long id = host.task(type);
-        host.begun(id, 0);
+        host.started(id, 0);
         for (int i = 0; i < 9; i++) {
             host.after(100);
         }
@@ -1100,19 +1103,19 @@
     }
 
     @Test
-    void aTaskThatOnlyQueuesIsNotGivenUpWhileItsWorkerSpeaks() {
-        Host host = new Host();
+    void aQueuedTaskIsNotGivenUpWhileItsWorkerIsHeardFrom() {
+        FakeHost host = new FakeHost();
         host.settings.progressEvery = Span.ofMillis(500);
         host.fleet(1);
-        long runs = host.task(SIDE_EFFECTING);
-        host.begun(runs, 0);
-        long queues = host.task(SIDE_EFFECTING);
+        long runs = host.task(NON_IDEMPOTENT);
+        host.started(runs, 0);
+        long queues = host.task(NON_IDEMPOTENT);
         for (int i = 1; i < 30; i++) {
-            host.choice().progressed(runs, 0, i / 40.0);
+            host.policy().onAttemptProgress(runs, 0, i / 40.0);
             host.after(100);
         }
-        assertEquals(1, host.count("assign " + queues + " "), "it waits there");
-        assertEquals(0, host.count("abandon"));
+        assertEquals(1, host.count("forward " + queues + " "), "it waits there");
+        assertEquals(0, host.count("fail"));
     }
 
     /**
@@ -1120,20 +1123,20 @@
      * slots.
      */
     @Test
-    void assignmentsWhoseAnswersAreLostDoNotMakeTheirWorkersLookSlowAndFull() {
-        Host host = new Host();
+    void attemptsWhoseAnswersAreLostDoNotMakeTheirWorkersLookSlowAndFull() {
+        FakeHost host = new FakeHost();
         host.settings.progressEvery = Span.ofMillis(1000);
-        host.fleet(2).train(SIDE_EFFECTING, 40, 50);
+        host.fleet(2).train(NON_IDEMPOTENT, 40, 50);
         for (int i = 0; i < 6; i++) {
-            host.begun(host.task(SIDE_EFFECTING), 0);
+            host.started(host.task(NON_IDEMPOTENT), 0);
         }
         for (int i = 0; i < 40; i++) {
-            long id = host.task(SIDE_EFFECTING);
-            host.begun(id, 0).after(50).ended(id, 0, AttemptOutcome.FINISHED);
+            long id = host.task(NON_IDEMPOTENT);
+            host.started(id, 0).after(50).finished(id, 0, AttemptOutcome.FINISHED);
         }
-        int bounced = host.count("bounce");
-        host.train(SIDE_EFFECTING, 20, 50);
-        assertEquals(bounced, host.count("bounce"), "bounced once it is known that they are lost");
+        int rejected = host.count("reject");
+        host.train(NON_IDEMPOTENT, 20, 50);
+        assertEquals(rejected, host.count("reject"), "rejectd once it is known that they are lost");
     }
 
     /**
@@ -1142,18 +1145,18 @@
      */
     @Test
     void aTypeThatAWorkerLosesGoesElsewhereAndOnlyThat() {
-        Host host = new Host();
+        FakeHost host = new FakeHost();
         host.settings.progressEvery = Span.ofMillis(1000);
-        host.fleet(2).train(SIDE_EFFECTING, 40, 50).train(IDEMPOTENT, 40, 50);
-        long lost = host.worker(host.task(SIDE_EFFECTING), 0);
+        host.fleet(2).train(NON_IDEMPOTENT, 40, 50).train(IDEMPOTENT, 40, 50);
+        long lost = host.worker(host.task(NON_IDEMPOTENT), 0);
         for (int i = 0; i < 40; i++) {
-            host.train(IDEMPOTENT, 1, 50).choice().echoed(lost, true);
+            host.train(IDEMPOTENT, 1, 50).policy().onProbeResult(lost, true);
         }
         Set<Long> there = new HashSet<>();
         for (int i = 0; i < 12; i++) {
-            long id = host.task(SIDE_EFFECTING);
+            long id = host.task(NON_IDEMPOTENT);
             there.add(host.worker(id, 0));
-            host.begun(id, 0).after(10).ended(id, 0, AttemptOutcome.FINISHED);
+            host.started(id, 0).after(10).finished(id, 0, AttemptOutcome.FINISHED);
         }
         assertEquals(Set.of(3 - lost), there, "none of its type goes there for now");
         there.clear();
@@ -1177,80 +1180,81 @@
     @ParameterizedTest
     @CsvSource({"drains", "gone", "is cold", "is full", "is silent", "errs", "is listed elsewhere",
             "is listed as another kind"})
-    void aBoundTaskGoesNowhereElseWhateverBefallsTheOnlyWorkerThatItMayGoTo(String what) {
-        Host host = new Host();
+    void aBoundTaskGoesNowhereElseWhateverHappensToTheOnlyWorkerThatItMayGoTo(String what) {
+        FakeHost host = new FakeHost();
         host.settings.coldFrom = 0.1;
         host.settings.coldFor = Span.ofMillis(60_000);
         int type = host.bound(SAFE, TrafficType.Group.ALL, Set.of(1), Set.of(0));
         host.places(HERE, HERE, OTHER_KIND, THERE, new int[]{1, 2, 1}).train(IDEMPOTENT, 20, 50);
         if (what.equals("is cold")) {
-            host.place(4, 1, 2, 0, DispatchPolicy.Listed.READY, host.now());
+            host.place(4, 1, 2, 0, EndpointState.READY, host.now());
         }
         for (int i = 0; i < 12; i++) {
             long id = host.task(type);
             if (i == 3) {
                 switch (what) {
-                    case "drains" -> host.place(4, 1, 2, 0, DispatchPolicy.Listed.DRAINING, 0);
-                    case "gone" -> host.place(4, 1, 2, 0, DispatchPolicy.Listed.GONE, 0);
-                    case "is listed elsewhere" -> host.place(4, 0, 2, 0, DispatchPolicy.Listed.READY, 0);
+                    case "drains" -> host.place(4, 1, 2, 0, EndpointState.DRAINING, 0);
+                    case "gone" -> host.place(4, 1, 2, 0, EndpointState.GONE, 0);
+                    case "is listed elsewhere" -> host.place(4, 0, 2, 0, EndpointState.READY, 0);
                     case "is listed as another kind" ->
-                        host.place(4, 1, 2, 1, DispatchPolicy.Listed.READY, 0);
+                        host.place(4, 1, 2, 1, EndpointState.READY, 0);
                     default -> {
                     }
                 }
             }
             switch (what) {
-                case "is full" -> host.ended(id, 0, AttemptOutcome.FULL);
-                case "errs" -> host.ended(id, 0, AttemptOutcome.ERRED);
+                case "is full" -> host.finished(id, 0, AttemptOutcome.FULL);
+                case "errs" -> host.finished(id, 0, AttemptOutcome.ERRED);
                 case "is silent" -> host.after(400);
-                default -> host.begun(id, 0).after(40).ended(id, 0, AttemptOutcome.FINISHED);
+                default -> host.started(id, 0).after(40).finished(id, 0, AttemptOutcome.FINISHED);
             }
         }
         host.after(5000);
-        List<String> bound = host.said.stream()
-                .filter(s -> s.startsWith("assign ") && Long.parseLong(s.split(" ")[1]) > 20).toList();
+        List<String> bound = host.decisions.stream()
+                .filter(s -> s.startsWith("forward ") && Long.parseLong(s.split(" ")[1]) > 20).toList();
         assertEquals(List.of(), bound.stream().filter(s -> !s.endsWith(" 4")).toList());
         assertTrue(what.equals("is cold") || !bound.isEmpty(), "it is sent there at first");
         long after = host.task(type);
         if (what.endsWith("s") && !what.equals("errs") || what.equals("gone")
                 || what.startsWith("is listed")) {
-            assertEquals(1, host.count("bounce " + after + " later"),
+            assertEquals(1, host.count("reject " + after + " later"),
                     "given up at once, with a time to return");
         }
     }
 
     @Test
-    void aCopyGoesToNoneOfTheIdleOnesThatIsNotAllowed() {
-        Host host = new Host();
+    void hedgesKeepToThePlacement() {
+        FakeHost host = new FakeHost();
         int type = host.bound(SAFE, TrafficType.Group.ALL, null, Set.of(1));
-        host.places(HERE, HERE, HERE, OTHER_KIND, HERE, OTHER_KIND).train(SIDE_EFFECTING, 40, 50);
+        host.places(HERE, HERE, HERE, OTHER_KIND, HERE, OTHER_KIND).train(NON_IDEMPOTENT, 40, 50);
         Set<Long> used = new HashSet<>();
         int most = 0;
         for (int i = 0; i < 10; i++) {
             long id = host.task(type);
-            most = Math.max(most, host.count("assign " + id + " "));
-            host.begun(id, 0);
+            most = Math.max(most, host.count("forward " + id + " "));
+            host.started(id, 0);
             for (int n = 0; host.worker(id, n) > 0; n++) {
                 used.add(host.worker(id, n));
             }
-            host.after(50).ended(id, 0, AttemptOutcome.FINISHED).ended(id, 1, AttemptOutcome.CALLED_OFF);
+            host.after(50).finished(id, 0, AttemptOutcome.FINISHED).finished(id, 1,
+                    AttemptOutcome.CALLED_OFF);
         }
         assertEquals(Set.of(4L, 6L), used);
-        assertEquals(2, most, "copies are sent");
+        assertEquals(2, most, "hedges are sent");
     }
 
     @Test
-    void aBoundSaleThatMayHaveRunIsAbandonedWhereNoAllowedWorkerIsLeft() {
-        Host host = new Host();
+    void aBoundTaskThatMayHaveRunFailsWhereNoAllowedWorkerIsLeft() {
+        FakeHost host = new FakeHost();
         int type = host.bound(TrafficType.Effect.SIDE_EFFECTING, TrafficType.Group.ALL, Set.of(1), null);
         host.places(HERE, HERE, HERE, THERE);
         long id = host.task(type);
         assertEquals(4, host.worker(id, 0));
-        host.place(4, 1, 2, 0, DispatchPolicy.Listed.DRAINING, 0).ended(id, 0, AttemptOutcome.BROKEN)
+        host.place(4, 1, 2, 0, EndpointState.DRAINING, 0).finished(id, 0, AttemptOutcome.BROKEN)
                 .after(5000);
-        assertEquals(1, host.count("assign " + id + " "));
-        assertEquals(0, host.count("bounce " + id + " "));
-        assertEquals(1, host.count("abandon " + id + " "));
+        assertEquals(1, host.count("forward " + id + " "));
+        assertEquals(0, host.count("reject " + id + " "));
+        assertEquals(1, host.count("fail " + id + " "));
     }
 
     /**
@@ -1258,13 +1262,13 @@
      * run only the same is left.
      */
     @Test
-    void aFingerprintedTaskGoesOnNeitherOutOfItsGroupNorOutOfItsPlaces() {
-        Host host = new Host();
+    void aKeyedTaskIsRetriedNeitherOutsideItsGroupNorItsPlacement() {
+        FakeHost host = new FakeHost();
         int type = host.bound(TrafficType.Effect.FINGERPRINTED, TrafficType.Group.CELL, null, Set.of(1));
-        host.places(HERE, OTHER_KIND, new int[]{0, 2, 1}, new int[]{0, 3, 1}).train(SIDE_EFFECTING, 20, 50);
+        host.places(HERE, OTHER_KIND, new int[]{0, 2, 1}, new int[]{0, 3, 1}).train(NON_IDEMPOTENT, 20, 50);
         for (int i = 0; i < 10; i++) {
             long id = host.task(type);
-            host.ended(id, 0, AttemptOutcome.BROKEN).after(200);
+            host.finished(id, 0, AttemptOutcome.BROKEN).after(200);
             for (int n = 0; host.worker(id, n) > 0; n++) {
                 assertEquals(host.worker(id, 0), host.worker(id, n));
             }
@@ -1274,32 +1278,32 @@
 
     /** It was drawn and probed, and is of another kind before the answer comes. */
     @Test
-    void whatBecomesAnotherKindBetweenTheDrawAndTheSendGetsNoBoundTask() {
-        Host host = new Host();
+    void aWorkerRelistedAsAnotherKindAfterTheDrawGetsNoBoundTask() {
+        FakeHost host = new FakeHost();
         host.settings.mayProbe = true;
         int type = host.bound(SAFE, TrafficType.Group.ALL, null, Set.of(1));
         host.places(HERE, OTHER_KIND);
         long id = host.task(type);
         assertEquals(1, host.count("probe 2"));
-        host.place(2, 0, 1, 0, DispatchPolicy.Listed.READY, 0);
-        host.choice().echoed(2, true);
-        host.pull().after(100);
-        assertEquals(0, host.count("assign " + id + " "));
+        host.place(2, 0, 1, 0, EndpointState.READY, 0);
+        host.policy().onProbeResult(2, true);
+        host.decide().after(100);
+        assertEquals(0, host.count("forward " + id + " "));
     }
 
     /**
-     * Running times by type alone had 17% of a quiet day bounced and 18% late, where tasks of one type are
+     * Running times by type alone had 17% of a quiet day rejected and 18% late, where tasks of one type are
      * unlike.
      */
     @Test
-    void ofTwoTasksOfATypeTheOneThatHintsAtMoreThanTheTimeItHasIsBounced() {
-        Host host = new Host().fleet(2).train(IDEMPOTENT, 20, 50);
+    void ofTwoTasksOfATypeTheOneThatHintsAtMoreThanTheTimeItHasIsRejected() {
+        FakeHost host = new FakeHost().fleet(2).train(IDEMPOTENT, 20, 50);
         long light = host.hinted(IDEMPOTENT, 20, 5000);
-        host.begun(light, 0).after(20).ended(light, 0, AttemptOutcome.FINISHED);
+        host.started(light, 0).after(20).finished(light, 0, AttemptOutcome.FINISHED);
         long heavy = host.hinted(IDEMPOTENT, 15_000, 5000);
-        assertTrue(host.count("assign " + light + " ") > 0);
-        assertEquals(0, host.count("assign " + heavy + " "));
-        assertEquals(1, host.count("bounce " + heavy + " "));
+        assertTrue(host.count("forward " + light + " ") > 0);
+        assertEquals(0, host.count("forward " + heavy + " "));
+        assertEquals(1, host.count("reject " + heavy + " "));
     }
 
     /**
@@ -1308,45 +1312,45 @@
      */
     @ParameterizedTest
     @CsvSource({"false,1", "true,0"})
-    void whereEarningsGoByWorkALightTaskIsNotWorthWhatAHeavyOneIs(boolean byWork, int light) {
-        Host host = new Host();
+    void whereValueGoesByWorkALightTaskIsWorthLessThanAHeavyOne(boolean byWork, int light) {
+        FakeHost host = new FakeHost();
         host.settings.earningsByWork = byWork;
         host.settings.crossingPrice = 0.05;
         host.places(THERE, THERE);
         for (int i = 0; i < 20; i++) {
             long id = host.hinted(IDEMPOTENT, 100, 5000);
-            host.begun(id, 0).after(100).ended(id, 0, AttemptOutcome.FINISHED);
+            host.started(id, 0).after(100).finished(id, 0, AttemptOutcome.FINISHED);
         }
-        assertEquals(1, host.count("assign " + host.hinted(SIDE_EFFECTING, 100, 5000) + " "));
+        assertEquals(1, host.count("forward " + host.hinted(NON_IDEMPOTENT, 100, 5000) + " "));
         host.after(300);
-        assertEquals(light, host.count("assign " + host.hinted(SIDE_EFFECTING, 2, 5000) + " "));
+        assertEquals(light, host.count("forward " + host.hinted(NON_IDEMPOTENT, 2, 5000) + " "));
     }
 
     /**
-     * Met with a bound type bounced on one in ten of its tasks, while others queued at the few workers that
+     * Met with a bound type rejected on one in ten of its tasks, while others queued at the few workers that
      * it may go to.
      */
     @Test
-    void whatMayRunAnywhereLeavesRoomWhereBoundTypesRunOnceThatIsFuller() {
+    void tasksThatMayRunAnywhereSpareFullerWorkersOfBoundTypes() {
         int[] leant = new int[2];
         for (int full = 0; full < 2; full++) {
-            Host host = new Host();
+            FakeHost host = new FakeHost();
             host.settings.mayProbe = true;
             host.bound(SAFE, TrafficType.Group.ALL, null, Set.of(1));
             host.places(HERE, OTHER_KIND, HERE, OTHER_KIND, HERE, OTHER_KIND, HERE, OTHER_KIND);
             for (int round = 0; round < 8; round++) {
                 for (long id = 1; id <= 8; id++) {
                     double held = id % 2 == 0 && full == 1 ? 2 : 0;
-                    host.choice().reported(id, 4 - held, Double.NaN, held, Double.NaN);
+                    host.policy().onLoadReport(id, 4 - held, Double.NaN, held, Double.NaN);
                 }
                 host.after(200);
             }
             host.after(5000);
             for (int i = 0; i < 40; i++) {
-                host.task(SIDE_EFFECTING);
+                host.task(NON_IDEMPOTENT);
                 host.after(2000);
             }
-            leant[full] = (int) host.said.stream().filter(s -> s.matches("probe [2468]")).count();
+            leant[full] = (int) host.decisions.stream().filter(s -> s.matches("probe [2468]")).count();
         }
         assertTrue(leant[1] > 0 && leant[1] * 2 < leant[0],
                 "less, and not none: " + leant[0] + ", " + leant[1]);
@@ -1357,55 +1361,55 @@
      * what they earn.
      */
     @Test
-    void aTaskThatIsStuckGoesOnToAnyWorkerThatIsWorthItsPrice() {
-        Host host = new Host();
+    void aStuckTaskIsRetriedAtAnyWorkerThatIsWorthItsCost() {
+        FakeHost host = new FakeHost();
         host.settings.handshakePrice = 0.6;
-        host.fleet(4).train(SIDE_EFFECTING, 20, 50);
+        host.fleet(4).train(NON_IDEMPOTENT, 20, 50);
         long id = host.task(IDEMPOTENT);
         host.after(40);
-        assertEquals(2, host.count("assign " + id + " "), "it has not begun where it is");
+        assertEquals(2, host.count("forward " + id + " "), "it has not begun where it is");
     }
 
     /** Workers that grew slower were met only as they finished something, many running times later. */
     @ParameterizedTest
     @ValueSource(booleans = {false, true})
-    void whereStartsAreNotToldARunThatShouldBeOverTellsOfASlowWorker(boolean progress) {
+    void whereStartsAreNotToldAnOverdueRunTellsOfASlowWorker(boolean progress) {
         for (int seed = 1; seed <= 8; seed++) {
-            Host host = new Host();
+            FakeHost host = new FakeHost();
             host.settings.seed = seed;
             host.settings.tellsStart = false;
             host.settings.progressEvery = Span.ofMillis(progress ? 50 : 0);
             host.fleet(2).free(1, 4).free(2, 4);
             for (int i = 0; i < 20; i++) {
-                long id = host.task(SIDE_EFFECTING);
-                host.after(50).ended(id, 0, AttemptOutcome.FINISHED);
+                long id = host.task(NON_IDEMPOTENT);
+                host.after(50).finished(id, 0, AttemptOutcome.FINISHED);
             }
-            long slow = host.task(SIDE_EFFECTING);
+            long slow = host.task(NON_IDEMPOTENT);
             host.after(progress ? 60 : 150);
             if (progress) {
-                host.choice().progressed(slow, 0, 0.1);
+                host.policy().onAttemptProgress(slow, 0, 0.1);
             }
             long other = 3 - host.worker(slow, 0);
-            host.choice().reported(host.worker(slow, 0), 3, Double.NaN, 1, Double.NaN);
-            host.choice().reported(other, 3, Double.NaN, 1, Double.NaN);
-            assertEquals(other, host.worker(host.task(SIDE_EFFECTING), 0), "seed " + seed);
+            host.policy().onLoadReport(host.worker(slow, 0), 3, Double.NaN, 1, Double.NaN);
+            host.policy().onLoadReport(other, 3, Double.NaN, 1, Double.NaN);
+            assertEquals(other, host.worker(host.task(NON_IDEMPOTENT), 0), "seed " + seed);
         }
     }
 
     /** A fleet short of room did a quarter of its work for answers that came late. */
     @ParameterizedTest
     @CsvSource({"0,true,1", "0,false,0", "2,true,0"})
-    void whatIsLateForNothingIsCalledOffWhereOthersWaitForItsRoom(int type, boolean full, int bounced) {
-        Host host = new Host().fleet(1).train(SIDE_EFFECTING, 20, 50).free(1, 1);
+    void aTaskLateForNothingIsCancelledWhereOthersWaitForItsSlots(int type, boolean full, int rejected) {
+        FakeHost host = new FakeHost().fleet(1).train(NON_IDEMPOTENT, 20, 50).free(1, 1);
         long id = host.hinted(type, 50, 5000);
-        host.begun(id, 0);
+        host.started(id, 0);
         for (int i = 0; i < 20; i++) {
-            host.choice().reported(1, full ? 0 : 3, full ? 3 : 0, 1, Double.NaN);
+            host.policy().onLoadReport(1, full ? 0 : 3, full ? 3 : 0, 1, Double.NaN);
             host.after(30);
         }
-        assertEquals(bounced, host.count("bounce " + id + " later"));
-        assertEquals(bounced, host.count("cancel " + id + " 0"));
-        assertEquals(0, host.count("abandon " + id + " "));
+        assertEquals(rejected, host.count("reject " + id + " later"));
+        assertEquals(rejected, host.count("cancel " + id + " 0"));
+        assertEquals(0, host.count("fail " + id + " "));
     }
 
     /**
@@ -1413,17 +1417,17 @@
      * tasks run far less than that.
      */
     @Test
-    void aTaskThatComesWithLittleTimeIsHeldAgainstTheLastRunsOfItsType() {
-        Host host = new Host().fleet(2);
+    void aTaskWithLittleTimeIsComparedToTheLastRunsOfItsType() {
+        FakeHost host = new FakeHost().fleet(2);
         for (int i = 0; i < 16; i++) {
             long id = host.task(IDEMPOTENT);
-            host.begun(id, 0).after(i % 4 == 0 ? 400 : 20).ended(id, 0, AttemptOutcome.FINISHED);
-            host.ended(id, 1, AttemptOutcome.CALLED_OFF).ended(id, 2, AttemptOutcome.CALLED_OFF);
+            host.started(id, 0).after(i % 4 == 0 ? 400 : 20).finished(id, 0, AttemptOutcome.FINISHED);
+            host.finished(id, 1, AttemptOutcome.CALLED_OFF).finished(id, 2, AttemptOutcome.CALLED_OFF);
         }
         host.task(IDEMPOTENT, 0, 60);
         host.after(100);
         long id = host.task(IDEMPOTENT, 0, 60);
-        assertTrue(host.count("assign " + id + " ") > 0, "three of four run less");
+        assertTrue(host.count("forward " + id + " ") > 0, "three of four run less");
     }
 
     /**
@@ -1433,19 +1437,19 @@
     @Test
     void whereStartsAreNotToldFinishesInTimeTellThatReportsHold() {
         for (int seed = 1; seed <= 5; seed++) {
-            Host host = new Host();
+            FakeHost host = new FakeHost();
             host.settings.seed = seed;
             host.settings.tellsStart = false;
             host.fleet(2);
             for (int i = 0; i < 40; i++) {
-                host.choice().reported(1, 4, Double.NaN, 0, Double.NaN);
-                host.choice().reported(2, 4, Double.NaN, 0, Double.NaN);
-                long id = host.hinted(SIDE_EFFECTING, 50, 5000);
-                host.after(i < 10 ? 150 : 50).ended(id, 0, AttemptOutcome.FINISHED);
+                host.policy().onLoadReport(1, 4, Double.NaN, 0, Double.NaN);
+                host.policy().onLoadReport(2, 4, Double.NaN, 0, Double.NaN);
+                long id = host.hinted(NON_IDEMPOTENT, 50, 5000);
+                host.after(i < 10 ? 150 : 50).finished(id, 0, AttemptOutcome.FINISHED);
             }
-            host.choice().reported(1, 4, Double.NaN, 0, Double.NaN);
-            host.choice().reported(2, 0, Double.NaN, 30, Double.NaN);
-            assertEquals(1, host.worker(host.hinted(SIDE_EFFECTING, 50, 5000), 0), "seed " + seed);
+            host.policy().onLoadReport(1, 4, Double.NaN, 0, Double.NaN);
+            host.policy().onLoadReport(2, 0, Double.NaN, 30, Double.NaN);
+            assertEquals(1, host.worker(host.hinted(NON_IDEMPOTENT, 50, 5000), 0), "seed " + seed);
         }
     }
 
@@ -1456,11 +1460,11 @@
      * seed is a dispatcher.
      */
     @Test
-    void whatHasToStayInItsGroupIsNotSureToMeetTheColdWorkerThere() {
+    void aTaskThatStaysInItsGroupIsNotSureToMeetTheColdWorkerThere() {
         int stuck = 0;
         int rescued = 0;
         for (int seed = 1; seed <= 60; seed++) {
-            Host host = new Host();
+            FakeHost host = new FakeHost();
             host.settings.seed = seed;
             host.settings.coldFrom = 0.5;
             host.settings.coldFor = Span.ofMillis(600_000);
@@ -1469,8 +1473,8 @@
             for (int id = 2; id <= 40; id += 2) {
                 host.change(id, true, host.now());
             }
-            host.train(SIDE_EFFECTING, 40, 50);
-            long id = host.hinted(FINGERPRINTED, 20, 5000);
+            host.train(NON_IDEMPOTENT, 40, 50);
+            long id = host.hinted(KEYED, 20, 5000);
             if (host.worker(id, 0) % 2 == 1) {
                 host.after(40);
                 stuck++;
--- /dev/null
+++ b/src/test/java/rampshift/policy/FakeHost.java
@@ -0,0 +1,220 @@
+package rampshift.policy;
+
+import java.util.ArrayList;
+import java.util.List;
+import java.util.Set;
+import rampshift.time.Moment;
+import rampshift.time.Span;
+
+/** A small host of the policy: a clock that tests move, and what was decided, one line a decision. */
+final class FakeHost implements Decisions {
+    /** The traffic types that a host has at first: idempotent, keyed in a cell, not idempotent. */
+    static final int IDEMPOTENT = 0;
+    static final int KEYED = 1;
+    static final int NON_IDEMPOTENT = 2;
+
+    /** Tests change them before the first input. */
+    final Settings settings = new Settings();
+    final List<String> decisions = new ArrayList<>();
+    private DispatchPolicy policy;
+    private long tasks;
+    private double clockMs = 1_000_000;
+
+    FakeHost() {
+        settings.seed = 7;
+        settings.mostAssignments = 5;
+        settings.mayCancel = true;
+        settings.secondCopies = true;
+        settings.tellsStart = true;
+        settings.comeBackAdvice = true;
+        settings.longestComeBack = Span.ofMillis(2000);
+        bound(TrafficType.Effect.IDEMPOTENT, TrafficType.Group.ALL, null, null);
+        bound(TrafficType.Effect.FINGERPRINTED, TrafficType.Group.CELL, null, null);
+        bound(TrafficType.Effect.SIDE_EFFECTING, TrafficType.Group.ALL, null, null);
+        bound(TrafficType.Effect.FINGERPRINTED, TrafficType.Group.ALL, null, null);
+    }
+
+    /** Adds a type of that effect and group that may go only to these zones and kinds; null: any. Its number. */
+    int bound(TrafficType.Effect effect, TrafficType.Group group, Set<Integer> zones, Set<Integer> kinds) {
+        settings.types.add(new TrafficType(1, 0, Span.ofMillis(100), 3, Span.ofMillis(5000), effect, group,
+                Span.ofMillis(1000), zones, kinds));
+        return settings.types.size() - 1;
+    }
+
+    /** The policy, with its time set. */
+    DispatchPolicy policy() {
+        Moment now = Moment.ofMillis(clockMs);
+        if (policy == null) {
+            policy = new DispatchPolicy(settings, now);
+        }
+        policy.setNow(now);
+        return policy;
+    }
+
+    /** Workers 1 to n, all in zone 0, two a cell, warm. */
+    FakeHost fleet(int n) {
+        int[][] rows = new int[n][];
+        for (int i = 0; i < n; i++) {
+            rows[i] = new int[]{0, (i + 2) / 2, 0};
+        }
+        return places(rows);
+    }
+
+    /** Workers 1 to n, warm, each in a zone, cell and of a kind as told by its row. */
+    FakeHost places(int[]... rows) {
+        policy().onEndpointListBegin(EndpointListKind.CACHED);
+        for (int i = 0; i < rows.length; i++) {
+            policy.onEndpoint(new ListedWorker(i + 1, rows[i][0], rows[i][1], rows[i][2], EndpointState.READY,
+                    longAgo(), 1));
+        }
+        policy.onEndpointListEnd();
+        return decide();
+    }
+
+    /** A change of one worker. */
+    FakeHost place(long id, int zone, int cell, int kind, EndpointState state, double startedMs) {
+        policy().onEndpointListBegin(EndpointListKind.CHANGES);
+        policy.onEndpoint(new ListedWorker(id, zone, cell, kind, state, Moment.ofMillis(startedMs), 1));
+        policy.onEndpointListEnd();
+        return decide();
+    }
+
+    FakeHost change(long id, boolean ready, double startedMs) {
+        return change(id, ready ? EndpointState.READY : EndpointState.DRAINING, startedMs);
+    }
+
+    FakeHost change(long id, EndpointState state, double startedMs) {
+        return place(id, 0, (int) (id + 1) / 2, 0, state, startedMs);
+    }
+
+    long task(int type) {
+        return task(type, 0);
+    }
+
+    long task(int type, int tenant) {
+        return task(type, tenant, 5000);
+    }
+
+    /** A task whose client waits for so long. */
+    long task(int type, int tenant, double patienceMs) {
+        return arrive(new TaskRequest(type, tenant, Span.ZERO, 1, 0, Span.ofMillis(patienceMs)));
+    }
+
+    /** A task that hints at what it should run. */
+    long hinted(int type, double hintMs, double patienceMs) {
+        return arrive(new TaskRequest(type, 0, Span.ofMillis(hintMs), 1, 0, Span.ofMillis(patienceMs)));
+    }
+
+    /** A task that takes so many slots. */
+    long wide(int type, double slots) {
+        return arrive(new TaskRequest(type, 0, Span.ZERO, slots, 0, Span.ofMillis(5000)));
+    }
+
+    private long arrive(TaskRequest request) {
+        policy().onTaskArrived(++tasks, request);
+        decide();
+        return tasks;
+    }
+
+    FakeHost started(long task, int number) {
+        policy().onAttemptStarted(task, number);
+        return decide();
+    }
+
+    FakeHost finished(long task, int number, AttemptOutcome outcome) {
+        policy().onAttemptFinished(task, number, outcome, outcome == AttemptOutcome.FINISHED);
+        return decide();
+    }
+
+    /** A free slot count, as a report in an answer tells it. */
+    FakeHost free(long worker, double slots) {
+        policy().onLoadReport(worker, slots, Double.NaN, Double.NaN, Double.NaN);
+        return this;
+    }
+
+    FakeHost after(double ms) {
+        clockMs += ms;
+        policy().onTimer();
+        return decide();
+    }
+
+    long taskCount() {
+        return tasks;
+    }
+
+    /** A start time of workers that are warm. */
+    Moment longAgo() {
+        return new Moment(0);
+    }
+
+    double now() {
+        return clockMs;
+    }
+
+    FakeHost decide() {
+        while (policy().decideNext(this)) {
+            continue;
+        }
+        return this;
+    }
+
+    /** Plays tasks of the type one after the other, each finished after this long on whatever worker has it. */
+    FakeHost train(int type, int count, double ms) {
+        for (int i = 0; i < count; i++) {
+            long id = task(type);
+            started(id, 0);
+            after(ms);
+            finished(id, 0, AttemptOutcome.FINISHED);
+            int hedges = count("forward " + id + " ") - 1;
+            for (int n = 1; n <= hedges; n++) {
+                finished(id, n, AttemptOutcome.CALLED_OFF);
+            }
+        }
+        return this;
+    }
+
+    int count(String start) {
+        return (int) decisions.stream().filter(s -> (s + " ").startsWith(start)).count();
+    }
+
+    /** The worker of an attempt of the task, or -1. */
+    long worker(long task, int number) {
+        List<String> sent = decisions.stream().filter(s -> s.startsWith("forward " + task + " ")).toList();
+        return number < sent.size() ? Long.parseLong(sent.get(number).split(" ")[2]) : -1;
+    }
+
+    @Override
+    public void forward(long task, long worker, Span timeout) {
+        decisions.add("forward " + task + " " + worker);
+    }
+
+    @Override
+    public void cancel(long task, int attempt) {
+        decisions.add("cancel " + task + " " + attempt);
+    }
+
+    @Override
+    public void reject(long task, Span retryAfter) {
+        decisions.add("reject " + task + " " + (retryAfter.micros() > 0 ? "later" : "now"));
+    }
+
+    @Override
+    public void fail(long task) {
+        decisions.add("fail " + task);
+    }
+
+    @Override
+    public void probe(long worker) {
+        decisions.add("probe " + worker);
+    }
+
+    @Override
+    public void subscribe() {
+        decisions.add("subscribe");
+    }
+
+    @Override
+    public void wakeAt(Moment when) {
+        // Tests move the clock themselves.
+    }
+}
--- a/src/test/java/rampshift/policy/SlowStartFleetTest.java
+++ b/src/test/java/rampshift/policy/SlowStartFleetTest.java
@@ -91,7 +91,7 @@
     }
 
     private final class Dispatcher implements Decisions {
-        final DispatchPolicy choice;
+        final DispatchPolicy policy;
         final List<int[]> sends = new ArrayList<>();
         long tasks;
         double wake = Double.MAX_VALUE;
@@ -113,35 +113,37 @@
                 s.types.add(new TrafficType(1, 0, Span.ofMillis(150), 3, Span.ofMillis(3000), e,
                         TrafficType.Group.ALL, Span.ofMillis(1000), null, null));
             }
-            choice = new DispatchPolicy(s, Moment.ofMillis(now));
-            list(DispatchPolicy.List.REMEMBERED, machines);
+            policy = new DispatchPolicy(s, Moment.ofMillis(now));
+            list(EndpointListKind.CACHED, machines);
         }
 
-        void list(DispatchPolicy.List as, List<Machine> told) {
-            choice.clock(Moment.ofMillis(now));
-            choice.listBegins(as);
+        void list(EndpointListKind as, List<Machine> told) {
+            policy.setNow(Moment.ofMillis(now));
+            policy.onEndpointListBegin(as);
             for (Machine m : told) {
-                choice.listed(m.id, 0, (int) m.id, 0, DispatchPolicy.Listed.READY, Moment.ofMillis(m.born),
-                        SLOTS);
+                policy.onEndpoint(
+                        new ListedWorker(m.id, 0, (int) m.id, 0, EndpointState.READY, Moment.ofMillis(m.born),
+                                SLOTS));
             }
-            choice.listEnds();
+            policy.onEndpointListEnd();
             pull();
         }
 
         void task() {
             long id = ++tasks;
-            hear(() -> choice.arrived(id, random.nextInt(4) == 0 ? 1 : 0, 0, Span.ZERO, 1, 0,
-                    Span.ofMillis(3000)));
+            hear(() -> policy.onTaskArrived(id,
+                    new TaskRequest(random.nextInt(4) == 0 ? 1 : 0, 0, Span.ZERO, 1, 0,
+                            Span.ofMillis(3000))));
         }
 
         private void hear(Runnable input) {
-            choice.clock(Moment.ofMillis(now));
+            policy.setNow(Moment.ofMillis(now));
             input.run();
             pull();
         }
 
         private void pull() {
-            while (choice.next(this)) {
+            while (policy.decideNext(this)) {
                 continue;
             }
         }
@@ -149,7 +151,7 @@
         private final java.util.Map<Long, List<boolean[]>> out = new java.util.HashMap<>();
 
         @Override
-        public void assign(long task, long worker, Span timeout) {
+        public void forward(long task, long worker, Span timeout) {
             Machine m = machines.get((int) worker - 1);
             List<boolean[]> mine = out.computeIfAbsent(task, t -> new ArrayList<>());
             int number = mine.size();
@@ -160,15 +162,15 @@
                     m.busy--;
                     return;
                 }
-                hear(() -> choice.begun(task, number));
+                hear(() -> policy.onAttemptStarted(task, number));
                 after(runMs * (0.5 + random.nextDouble()) / m.warmth(), () -> {
                     m.busy--;
                     m.next();
                     if (!off[0]) {
                         off[0] = true;
                         hear(() -> {
-                            choice.reported(m.id, SLOTS - m.busy, m.waiting.size(), m.busy, Double.NaN);
-                            choice.ended(task, number, AttemptOutcome.FINISHED, true);
+                            policy.onLoadReport(m.id, SLOTS - m.busy, m.waiting.size(), m.busy, Double.NaN);
+                            policy.onAttemptFinished(task, number, AttemptOutcome.FINISHED, true);
                         });
                     }
                 });
@@ -178,16 +180,17 @@
         @Override
         public void cancel(long task, int assignment) {
             out.get(task).get(assignment)[0] = true;
-            after(0, () -> hear(() -> choice.ended(task, assignment, AttemptOutcome.CALLED_OFF, false)));
+            after(0, () -> hear(
+                    () -> policy.onAttemptFinished(task, assignment, AttemptOutcome.CALLED_OFF, false)));
         }
 
         @Override
-        public void bounce(long task, Span comeBackAfter) {
+        public void reject(long task, Span comeBackAfter) {
             // Its client is not played: the load is what it is.
         }
 
         @Override
-        public void abandon(long task) {
+        public void fail(long task) {
             // The same.
         }
 
@@ -208,7 +211,7 @@
             after(Math.max(0, mine - now), () -> {
                 if (wake == mine) {
                     wake = Double.MAX_VALUE;
-                    hear(choice::woken);
+                    hear(policy::onTimer);
                 }
             });
         }
@@ -247,7 +250,7 @@
                     told.add(machines.get(i));
                 }
                 for (Dispatcher d : fleet) {
-                    d.list(DispatchPolicy.List.CHANGES, told);
+                    d.list(EndpointListKind.CHANGES, told);
                 }
             }));
             while (!events.isEmpty() && events.peek().at < end) {
