--- a/src/bench/java/rampshift/leases/LeaseMeasurementTest.java
+++ b/src/bench/java/rampshift/leases/LeaseMeasurementTest.java
@@ -6,98 +6,125 @@
 import java.util.SplittableRandom;
 import java.util.function.Consumer;
 import org.junit.jupiter.api.Test;
+import rampshift.leases.LeaseSimulation.Dispatcher;
 
 /**
  * Figures of leases in simulated time, in terms: a message takes up to 5 ms, a sync about 1 ms, clocks are up
- * to 5% off,
- * the term is 1 s. mvn -q -Pbench test -Dtest=LeasesMeasureTest
+ * to 5% off, the term is 1 s. {@code mvn -q -Pbench test -Dtest=LeaseMeasurementTest}
  */
 class LeaseMeasurementTest {
-    private static void after(String what, Consumer<LeaseSimulation.Node> fault) {
-        List<Double> all = new ArrayList<>();
-        for (long seed = 0; seed < 100; seed++) {
-            LeaseSimulation sim = new LeaseSimulation(seed, 5, 3, 1);
-            sim.drift();
-            sim.startAll();
-            sim.until(10, () -> sim.actor("l0") != null);
-            sim.run(2 + new SplittableRandom(seed).nextDouble());
-            String first = sim.actor("l0");
-            fault.accept(sim.nodes.get(first));
-            all.add(sim.until(20, () -> sim.actor("l0") != null && !sim.actor("l0").equals(first)));
+    private static final String LEASE = "l0";
+    private static final int TAKEOVERS = 100;
+    private static final double FAULT_MILLIS = 2500;
+    private static final int HOURS = 10;
+    private static final double SECONDS_PER_HOUR = 3600;
+    private static final double STEP_SECONDS = 0.1;
+    /** A fault each 10 s on the mean, at steps of a tenth of a second. */
+    private static final int STEPS_PER_FAULT = 100;
+
+    private static LeaseSimulation held(long seed) {
+        LeaseSimulation simulation = new LeaseSimulation(seed, 5, 3, 1);
+        simulation.drawClockRates();
+        simulation.startAll();
+        simulation.until(10, () -> simulation.actor(LEASE) != null);
+        return simulation;
+    }
+
+    private static void measureTakeover(String what, Consumer<Dispatcher> fault) {
+        List<Double> terms = new ArrayList<>();
+        for (long seed = 0; seed < TAKEOVERS; seed++) {
+            LeaseSimulation simulation = held(seed);
+            simulation.run(2 + new SplittableRandom(seed).nextDouble());
+            String first = simulation.actor(LEASE);
+            fault.accept(simulation.dispatchers.get(first));
+            terms.add(simulation.until(20,
+                    () -> simulation.actor(LEASE) != null && !simulation.actor(LEASE).equals(first)));
         }
-        all.sort(null);
-        System.out.printf("next act after %-28s median %.2f terms, most %.2f%n", what, all.get(50),
-                all.get(99));
+        terms.sort(null);
+        System.out.printf("next act after %-28s median %.2f terms, most %.2f%n", what,
+                terms.get(TAKEOVERS / 2), terms.get(TAKEOVERS - 1));
     }
 
     @Test
     void takeover() {
-        after("death", LeaseSimulation.Node::kill);
-        after("a stall", n -> n.stop(true));
-        after("a cut", n -> n.cut = true);
-        after("an end in order", n -> n.all.end(n.clock()));
+        measureTakeover("death", Dispatcher::kill);
+        measureTakeover("a stall", dispatcher -> dispatcher.setPaused(true));
+        measureTakeover("a cut", dispatcher -> dispatcher.cutOff = true);
+        measureTakeover("an end in order", dispatcher -> dispatcher.manager.shutDown(dispatcher.clock()));
     }
 
     @Test
-    void atRest() {
+    void costWithoutFaults() {
         for (int[] size : new int[][]{{3, 1}, {5, 1}, {3, 100}, {5, 100}}) {
-            LeaseSimulation sim = new LeaseSimulation(1, 20, size[0], size[1]).startAll();
-            sim.until(60, () -> sim.leases.stream().allMatch(l -> sim.actor(l) != null));
-            sim.run(5);
-            long messages = sim.messages;
-            long bytes = sim.bytes;
-            long syncs = sim.syncs;
-            long cpu = System.nanoTime();
-            sim.run(20);
-            double terms = 20;
-            System.out.printf(
-                    "%d keepers, 20 dispatchers, %d leases: a term and lease %.1f messages, %.0f bytes, %.2f syncs; CPU of all %.2f ms a term%n",
-                    size[0], size[1], (sim.messages - messages) / terms / size[1],
-                    (sim.bytes - bytes) / terms / size[1],
-                    (sim.syncs - syncs) / terms / size[1], (System.nanoTime() - cpu) / 1e6 / terms);
+            measureCost(size[0], size[1]);
         }
     }
 
+    private static void measureCost(int acceptors, int leases) {
+        LeaseSimulation simulation = new LeaseSimulation(1, 20, acceptors, leases).startAll();
+        simulation.until(60,
+                () -> simulation.leases.stream().allMatch(lease -> simulation.actor(lease) != null));
+        simulation.run(5);
+        long messages = simulation.messages;
+        long bytes = simulation.bytes;
+        long syncs = simulation.syncs;
+        long startNanos = System.nanoTime();
+        double terms = 20;
+        simulation.run(terms);
+        double cpuMillis = (System.nanoTime() - startNanos) / 1e6;
+        System.out.printf(
+                "%d keepers, 20 dispatchers, %d leases: a term and lease %.1f messages, %.0f bytes,"
+                        + " %.2f syncs; CPU of all %.2f ms a term%n",
+                acceptors, leases, (simulation.messages - messages) / terms / leases,
+                (simulation.bytes - bytes) / terms / leases, (simulation.syncs - syncs) / terms / leases,
+                cpuMillis / terms);
+    }
+
     @Test
     void anHourOfFaults() {
-        double[] without = new double[10];
-        for (int seed = 0; seed < 10; seed++) {
-            SplittableRandom chance = new SplittableRandom(seed);
-            LeaseSimulation sim = new LeaseSimulation(seed, 5, 3, 1);
-            sim.drift();
-            sim.startAll();
-            sim.until(10, () -> sim.actor("l0") != null);
-            long nobody = 0;
-            long looks = 0;
-            for (double s = 0; s < 3600; s += 0.1) {
-                if (chance.nextInt(100) == 0) {         // each 10 s on the mean, for 2.5 s
-                    LeaseSimulation.Node n = sim.node(1 + chance.nextInt(5));
-                    switch (chance.nextInt(3)) {
-                        case 0 -> {
-                            n.kill();
-                            sim.after(2500, () -> {
-                                if (n.all == null) {
-                                    n.start();
-                                }
-                            });
-                        }
-                        case 1 -> {
-                            n.stop(true);
-                            sim.after(2500, () -> n.stop(false));
-                        }
-                        default -> {
-                            n.cut = true;
-                            sim.after(2500, () -> n.cut = false);
-                        }
+        double[] percentWithoutActor = new double[HOURS];
+        for (int seed = 0; seed < HOURS; seed++) {
+            percentWithoutActor[seed] = playHour(seed);
+        }
+        System.out.println("an hour of faults, each 10 s on the mean, 2.5 terms long: nobody acts in % "
+                + Arrays.toString(percentWithoutActor));
+    }
+
+    private static double playHour(long seed) {
+        SplittableRandom random = new SplittableRandom(seed);
+        LeaseSimulation simulation = held(seed);
+        long withoutActor = 0;
+        long steps = 0;
+        for (double second = 0; second < SECONDS_PER_HOUR; second += STEP_SECONDS) {
+            if (random.nextInt(STEPS_PER_FAULT) == 0) {
+                injectFault(simulation, random);
+            }
+            simulation.run(STEP_SECONDS);
+            steps++;
+            withoutActor += simulation.actor(LEASE) == null ? 1 : 0;
+        }
+        return 100.0 * withoutActor / steps;
+    }
+
+    private static void injectFault(LeaseSimulation simulation, SplittableRandom random) {
+        Dispatcher dispatcher = simulation.dispatcher(1 + random.nextInt(5));
+        switch (random.nextInt(3)) {
+            case 0 -> {
+                dispatcher.kill();
+                simulation.after(FAULT_MILLIS, () -> {
+                    if (!dispatcher.isRunning()) {
+                        dispatcher.start();
                     }
-                }
-                sim.run(0.1);
-                looks++;
-                nobody += sim.actor("l0") == null ? 1 : 0;
+                });
+            }
+            case 1 -> {
+                dispatcher.setPaused(true);
+                simulation.after(FAULT_MILLIS, () -> dispatcher.setPaused(false));
+            }
+            default -> {
+                dispatcher.cutOff = true;
+                simulation.after(FAULT_MILLIS, () -> dispatcher.cutOff = false);
             }
-            without[seed] = 100.0 * nobody / looks;
         }
-        System.out.println("an hour of faults, each 10 s on the mean, 2.5 terms long: nobody acts in % "
-                + Arrays.toString(without));
     }
 }
--- a/src/main/java/rampshift/jobs/host/PeriodicJobHost.java
+++ b/src/main/java/rampshift/jobs/host/PeriodicJobHost.java
@@ -84,7 +84,7 @@
             text.append(String.format("  %-24s run %d %s, %d of %d settled, %d may be out, held %s%n",
                     plan.name(), p.run(),
                     p.over() ? "over" : "under way", p.from(), plan.objects().size(), p.to() - p.from(),
-                    leases.mayAct(plan.name()).longerThan(Span.ZERO) ? "here" : "elsewhere or by nobody"));
+                    leases.remaining(plan.name()).longerThan(Span.ZERO) ? "here" : "elsewhere or by nobody"));
         }
         return text.toString();
     }
@@ -116,12 +116,12 @@
 
         @Override
         public void note(String text) {
-            leases.note(plan.name(), text);
+            leases.writeNote(plan.name(), text);
         }
 
         @Override
         public void tell(String what, long run, int object) {
-            leases.write("duty-" + what, plan.name(), leases.token(plan.name()), run + "/" + object);
+            leases.logEvent("duty-" + what, plan.name(), leases.token(plan.name()), run + "/" + object);
         }
     }
 
@@ -169,7 +169,7 @@
         }
 
         private ByteBuffer message() {
-            Span left = leases.mayAct(plan.name()).times(SAFE).orShorter(plan.patience());
+            Span left = leases.remaining(plan.name()).times(SAFE).orShorter(plan.patience());
             byte[] body = plan.body().replace("{object}", plan.objects().get(object))
                     .getBytes(StandardCharsets.UTF_8);
             String head = "POST " + plan.target().replace("{object}", plan.objects().get(object))
@@ -186,7 +186,8 @@
         /** The last moment: what was stopped between the asking and here does not act. */
         @Override
         public boolean mayWrite() {
-            written = leases.mayAct(plan.name()).longerThan(Span.ZERO) && leases.token(plan.name()) == token;
+            written =
+                    leases.remaining(plan.name()).longerThan(Span.ZERO) && leases.token(plan.name()) == token;
             if (!written) {
                 connection.close();
                 thread.execute(() -> over(PeriodicJob.End.NEVER_RAN));
--- a/src/main/java/rampshift/leases/AcceptorSet.java
+++ b/src/main/java/rampshift/leases/AcceptorSet.java
@@ -7,86 +7,102 @@
 import java.util.Set;
 
 /**
- * Who keeps the registers. While they change both sets count, each by its own majority.
+ * The acceptors of one epoch. During a reconfiguration a quorum is a majority of the current and a majority
+ * of the joining members.
  *
- * @param epoch rises by one with each step; 0: not known
- * @param now whose majority counts
- * @param next whose majority counts as well; empty except in the midst of a change
+ * @param epoch rises by one with each step of a reconfiguration; 0 while the acceptors are not known
+ * @param current members whose majority is required
+ * @param joining members whose majority is required as well; empty except during a reconfiguration
  */
-public record AcceptorSet(long epoch, List<One> now, List<One> next) {
+public record AcceptorSet(long epoch, List<Member> current, List<Member> joining) {
 
-    /** The register in which the keepers themselves stand. */
+    /** The register that holds the acceptor set itself. */
     static final String REGISTER = "#keepers";
     static final AcceptorSet UNKNOWN = new AcceptorSet(0, List.of(), List.of());
 
+    private static final int ENCODED_PARTS = 3;
+
     /**
-     * A keeper by its name, and the number that its directory was given when it was made: a lost disk has
-     * another.
+     * One acceptor.
+     *
+     * @param name name of its dispatcher
+     * @param id number that its directory was given when it was created; a replaced disk has another one
      */
-    public record One(String name, long id) {
+    public record Member(String name, long id) {
         @Override
         public String toString() {
             return name + ":" + Long.toHexString(id);
         }
     }
 
-    boolean known() {
+    boolean isKnown() {
         return epoch > 0;
     }
 
-    boolean changing() {
-        return !next.isEmpty();
+    boolean isChanging() {
+        return !joining.isEmpty();
     }
 
-    boolean has(String name, long id) {
-        return now.contains(new One(name, id)) || next.contains(new One(name, id));
+    boolean contains(String name, long id) {
+        Member member = new Member(name, id);
+        return current.contains(member) || joining.contains(member);
     }
 
+    /** The names of all members, current ones first. */
     Set<String> names() {
-        Set<String> all = new LinkedHashSet<>();
-        now.forEach(k -> all.add(k.name()));
-        next.forEach(k -> all.add(k.name()));
-        return all;
+        Set<String> names = new LinkedHashSet<>();
+        current.forEach(member -> names.add(member.name()));
+        joining.forEach(member -> names.add(member.name()));
+        return names;
     }
 
-    /**
-     * Whether these are a majority of each set that counts. A name counts once, however often it answered.
-     */
-    boolean agreed(Collection<String> answered) {
-        return known() && majority(now, answered) && (next.isEmpty() || majority(next, answered));
+    /** Whether the replies of these members form a quorum. A name counts once, however often it replied. */
+    boolean hasQuorum(Collection<String> replied) {
+        return isKnown() && hasMajority(current, replied)
+                && (joining.isEmpty() || hasMajority(joining, replied));
+    }
+
+    private static boolean hasMajority(List<Member> members, Collection<String> replied) {
+        return members.stream().filter(member -> replied.contains(member.name())).count() * 2 > members
+                .size();
     }
 
-    private static boolean majority(List<One> of, Collection<String> answered) {
-        return of.stream().filter(k -> answered.contains(k.name())).count() * 2 > of.size();
+    /** The set as text, {@code epoch|name:id,...|name:id,...} with ids in hexadecimal digits. */
+    String encode() {
+        return epoch + "|" + encode(current) + "|" + encode(joining);
     }
 
-    /** As the note of a register. */
-    String text() {
-        return epoch + "|" + String.join(",", now.stream().map(One::toString).toList()) + "|"
-                + String.join(",", next.stream().map(One::toString).toList());
+    private static String encode(List<Member> members) {
+        return String.join(",", members.stream().map(Member::toString).toList());
     }
 
-    /** Null where the text is none. */
-    static AcceptorSet of(String text) {
+    /** The set that {@link #encode} made this text of; null where the text is malformed. */
+    static AcceptorSet parse(String text) {
         String[] parts = text.split("\\|", -1);
-        if (parts.length != 3 || !parts[0].matches("\\d{1,18}")) {
+        if (parts.length != ENCODED_PARTS || !parts[0].matches("\\d{1,18}")) {
+            return null;
+        }
+        List<Member> current = parseMembers(parts[1]);
+        List<Member> joining = parseMembers(parts[2]);
+        if (current == null || joining == null || current.isEmpty()) {
             return null;
         }
-        List<One> now = list(parts[1]);
-        List<One> next = list(parts[2]);
-        return now == null || next == null || now.isEmpty() ? null
-                : new AcceptorSet(Long.parseLong(parts[0]), now, next);
+        return new AcceptorSet(Long.parseLong(parts[0]), current, joining);
     }
 
-    private static List<One> list(String text) {
-        List<One> all = new ArrayList<>();
-        for (String one : text.isEmpty() ? new String[0] : text.split(",")) {
-            int cut = one.lastIndexOf(':');
-            if (cut < 1 || !one.substring(cut + 1).matches("[0-9a-f]{1,16}")) {
+    private static List<Member> parseMembers(String text) {
+        if (text.isEmpty()) {
+            return List.of();
+        }
+        List<Member> members = new ArrayList<>();
+        for (String member : text.split(",", -1)) {
+            int separator = member.lastIndexOf(':');
+            String id = member.substring(separator + 1);
+            if (separator < 1 || !id.matches("[0-9a-f]{1,16}")) {
                 return null;
             }
-            all.add(new One(one.substring(0, cut), Long.parseUnsignedLong(one.substring(cut + 1), 16)));
+            members.add(new Member(member.substring(0, separator), Long.parseUnsignedLong(id, 16)));
         }
-        return List.copyOf(all);
+        return List.copyOf(members);
     }
 }
--- a/src/main/java/rampshift/leases/AcceptorState.java
+++ b/src/main/java/rampshift/leases/AcceptorState.java
@@ -1,9 +1,12 @@
 package rampshift.leases;
 
 /**
- * What a keeper remembers of one register: no ballot under the promised one is taken; what it took last, and
- * with which.
+ * What an acceptor stores for one register.
+ *
+ * @param promised the lowest ballot that it still accepts
+ * @param accepted the ballot under which {@code value} was accepted
+ * @param value the value accepted last
  */
 record AcceptorState(Ballot promised, Ballot accepted, LeaseRecord value) {
-    static final AcceptorState EMPTY = new AcceptorState(Ballot.NONE, Ballot.NONE, LeaseRecord.FREE);
+    static final AcceptorState EMPTY = new AcceptorState(Ballot.NONE, Ballot.NONE, LeaseRecord.INITIAL);
 }
--- a/src/main/java/rampshift/leases/Ballot.java
+++ b/src/main/java/rampshift/leases/Ballot.java
@@ -1,18 +1,22 @@
 package rampshift.leases;
 
 /**
- * The number of an attempt at a register: the round first, then the life of the process whose attempt it is.
+ * The ballot number of one attempt to change a register.
+ *
+ * @param round compared first; rises with each attempt
+ * @param processId the proposing process, which breaks ties between equal rounds
  */
-record Ballot(long round, long life) implements Comparable<Ballot> {
+record Ballot(long round, long processId) implements Comparable<Ballot> {
     static final Ballot NONE = new Ballot(0, 0);
 
-    /** The next of the same process: promised to it with whatever it has accepted under this one. */
+    /** The next ballot of the same process, which an acceptor promises along with accepting this one. */
     Ballot next() {
-        return new Ballot(round + 1, life);
+        return new Ballot(round + 1, processId);
     }
 
     @Override
     public int compareTo(Ballot other) {
-        return round != other.round ? Long.compare(round, other.round) : Long.compare(life, other.life);
+        return round != other.round ? Long.compare(round, other.round)
+                : Long.compare(processId, other.processId);
     }
 }
--- a/src/main/java/rampshift/leases/Codec.java
+++ b/src/main/java/rampshift/leases/Codec.java
@@ -5,119 +5,100 @@
 import java.io.DataInputStream;
 import java.io.DataOutputStream;
 import java.io.IOException;
+import java.nio.ByteBuffer;
 import java.util.ArrayList;
 import java.util.List;
 
-/**
- * Messages and records as bytes. Whatever carries them has a checksum of its own; bounds are looked at here.
- */
+/** Messages and stored records as bytes. Checksums are the carrier's; bounds are checked here. */
 final class Codec {
-    /** Bytes of a message at most. */
-    static final int MOST = 1300;
-    private static final int NAMES = 200;
-    private static final int TEXT = 600;
+    /** Most bytes of a message. */
+    static final int MAX_MESSAGE_BYTES = 1300;
 
-    private Codec() {}
+    private static final int MAX_COUNT = 200;
+    private static final int MAX_TEXT_LENGTH = 600;
+    private static final int INITIAL_BUFFER_BYTES = 128;
+    /** Left free in a read reply for what is neither a name nor a value. */
+    private static final int MESSAGE_OVERHEAD_BYTES = 200;
+    /** A value without its texts, with the lengths of all texts. */
+    private static final int VALUE_OVERHEAD_BYTES = 60;
 
-    private interface Writing {
-        void to(DataOutputStream out) throws IOException;
-    }
+    private Codec() {}
 
-    private interface Reading<T> {
-        T from(DataInputStream in) throws IOException;
+    private interface Encoder {
+        void write(DataOutputStream out) throws IOException;
     }
 
-    private static byte[] bytes(Writing what) {
-        ByteArrayOutputStream bytes = new ByteArrayOutputStream(128);
-        try {
-            what.to(new DataOutputStream(bytes));
-        } catch (IOException e) {
-            throw new IllegalArgumentException("text of over 64 KB: " + e.getMessage());
-        }
-        return bytes.toByteArray();
+    private interface Decoder<T> {
+        T read(DataInputStream in) throws IOException;
     }
 
-    /** Null where the bytes are none of it, or more than it. */
-    private static <T> T read(byte[] bytes, Reading<T> what) {
-        DataInputStream in = new DataInputStream(new ByteArrayInputStream(bytes));
-        try {
-            T read = what.from(in);
-            return in.available() > 0 ? null : read;
-        } catch (IOException | IllegalArgumentException e) {
-            return null;
-        }
-    }
-
-    static byte[] write(Message m) {
-        return bytes(out -> {
-            out.writeByte(m.kind().ordinal());
-            out.writeLong(m.number());
-            out.writeLong(m.epoch());
-            out.writeUTF(m.register());
-            ballot(out, m.ballot());
-            ballot(out, m.accepted());
-            value(out, m.value());
-            out.writeShort(m.names().size());
-            for (String name : m.names()) {
+    static byte[] encode(Message message) {
+        WireMessage wire = message.toWire();
+        return encode(out -> {
+            out.writeByte(wire.type().code());
+            out.writeLong(wire.number());
+            out.writeLong(wire.epoch());
+            out.writeUTF(wire.register());
+            writeBallot(out, wire.ballot());
+            writeBallot(out, wire.accepted());
+            writeRecord(out, wire.value());
+            out.writeShort(wire.names().size());
+            for (String name : wire.names()) {
                 out.writeUTF(name);
             }
-            out.writeShort(m.values().size());
-            for (LeaseRecord value : m.values()) {
-                value(out, value);
+            out.writeShort(wire.values().size());
+            for (LeaseRecord value : wire.values()) {
+                writeRecord(out, value);
             }
-            out.writeUTF(m.text());
-            out.writeLong(m.id());
-            out.writeLong(m.boot());
-            out.writeLong(m.position());
+            out.writeUTF(wire.acceptors());
+            out.writeLong(wire.directoryId());
+            out.writeLong(wire.directory().starts());
+            out.writeLong(wire.directory().records());
         });
     }
 
-    static Message message(byte[] bytes) {
-        return read(bytes, in -> {
-            int kind = in.readUnsignedByte();
-            if (kind >= Message.Kind.values().length) {
-                throw new IOException("an unknown kind");
-            }
-            long number = in.readLong();
-            long epoch = in.readLong();
-            String register = text(in);
-            Ballot ballot = ballot(in);
-            Ballot accepted = ballot(in);
-            LeaseRecord value = value(in);
-            List<String> names = new ArrayList<>();
-            for (int left = bounded(in); left > 0; left--) {
-                names.add(text(in));
-            }
-            List<LeaseRecord> values = new ArrayList<>();
-            for (int left = bounded(in); left > 0; left--) {
-                values.add(value(in));
-            }
-            return new Message(Message.Kind.values()[kind], number, epoch, register, ballot, accepted, value,
-                    names, values,
-                    text(in), in.readLong(), in.readLong(), in.readLong());
-        });
+    /** The message in these bytes; null where they are malformed or longer than the message. */
+    static Message decodeMessage(byte[] bytes) {
+        WireMessage wire = decode(bytes, Codec::readMessage);
+        return wire == null ? null : wire.toMessage();
+    }
+
+    private static WireMessage readMessage(DataInputStream in) throws IOException {
+        MessageType type = MessageType.ofCode(in.readUnsignedByte());
+        if (type == null) {
+            throw new IOException("an unknown type of message");
+        }
+        return new WireMessage(type, in.readLong(), in.readLong(), readText(in), readBallot(in),
+                readBallot(in), readRecord(in), readNames(in), readRecords(in), readText(in), in.readLong(),
+                new DirectoryVersion(in.readLong(), in.readLong()));
     }
 
-    static byte[] write(AcceptorState s) {
-        return bytes(out -> {
-            ballot(out, s.promised());
-            ballot(out, s.accepted());
-            value(out, s.value());
+    static byte[] encode(AcceptorState state) {
+        return encode(out -> {
+            writeBallot(out, state.promised());
+            writeBallot(out, state.accepted());
+            writeRecord(out, state.value());
         });
     }
 
-    static AcceptorState slot(byte[] bytes) {
-        return read(bytes, in -> new AcceptorState(ballot(in), ballot(in), value(in)));
+    /** The state in these bytes; null where they are malformed or longer than the state. */
+    static AcceptorState decodeState(byte[] bytes) {
+        return decode(bytes, in -> new AcceptorState(readBallot(in), readBallot(in), readRecord(in)));
+    }
+
+    /** Two numbers as a stored record. */
+    static byte[] encode(long first, long second) {
+        return ByteBuffer.allocate(2 * Long.BYTES).putLong(first).putLong(second).array();
     }
 
-    /** As many of these as go into one message; at least one. */
-    static int fitting(List<LeaseRecord> values, List<String> names) {
-        int room = MOST - 200;
+    /** How many of these, from the first on, fit into one message; at least one. */
+    static int countThatFits(List<String> names, List<LeaseRecord> values) {
+        int room = MAX_MESSAGE_BYTES - MESSAGE_OVERHEAD_BYTES;
         int count = 0;
-        while (count < values.size() && count < NAMES) {
-            LeaseRecord v = values.get(count);
-            room -= 60 + names.get(count).length() + v.holder().length() + v.wanted().length()
-                    + v.note().length();
+        while (count < values.size() && count < MAX_COUNT) {
+            LeaseRecord value = values.get(count);
+            room -= VALUE_OVERHEAD_BYTES + names.get(count).length() + value.holder().length()
+                    + value.nextHolder().length() + value.note().length();
             if (room < 0 && count > 0) {
                 break;
             }
@@ -126,32 +107,61 @@
         return count;
     }
 
-    private static int bounded(DataInputStream in) throws IOException {
+    private static byte[] encode(Encoder encoder) {
+        ByteArrayOutputStream bytes = new ByteArrayOutputStream(INITIAL_BUFFER_BYTES);
+        try {
+            encoder.write(new DataOutputStream(bytes));
+        } catch (IOException e) {
+            throw new IllegalArgumentException("text of over 64 KB", e);
+        }
+        return bytes.toByteArray();
+    }
+
+    private static <T> T decode(byte[] bytes, Decoder<T> decoder) {
+        DataInputStream in = new DataInputStream(new ByteArrayInputStream(bytes));
+        try {
+            T decoded = decoder.read(in);
+            return in.available() > 0 ? null : decoded;
+        } catch (IOException | IllegalArgumentException e) {
+            return null;
+        }
+    }
+
+    private static List<String> readNames(DataInputStream in) throws IOException {
+        int count = readCount(in);
+        List<String> names = new ArrayList<>(count);
+        for (int i = 0; i < count; i++) {
+            names.add(readText(in));
+        }
+        return names;
+    }
+
+    private static List<LeaseRecord> readRecords(DataInputStream in) throws IOException {
+        int count = readCount(in);
+        List<LeaseRecord> records = new ArrayList<>(count);
+        for (int i = 0; i < count; i++) {
+            records.add(readRecord(in));
+        }
+        return records;
+    }
+
+    private static int readCount(DataInputStream in) throws IOException {
         int count = in.readUnsignedShort();
-        if (count > NAMES) {
+        if (count > MAX_COUNT) {
             throw new IOException("a count out of bounds");
         }
         return count;
     }
 
-    private static String text(DataInputStream in) throws IOException {
+    private static String readText(DataInputStream in) throws IOException {
         String text = in.readUTF();
-        if (text.length() > TEXT) {
+        if (text.length() > MAX_TEXT_LENGTH) {
             throw new IOException("text out of bounds");
         }
         return text;
     }
 
-    private static void ballot(DataOutputStream out, Ballot b) throws IOException {
-        out.writeLong(b.round());
-        out.writeLong(b.life());
-    }
-
-    private static Ballot ballot(DataInputStream in) throws IOException {
-        return new Ballot(notNegative(in), in.readLong());
-    }
-
-    private static long notNegative(DataInputStream in) throws IOException {
+    private static long readNotNegative(DataInputStream in) throws IOException {
         long number = in.readLong();
         if (number < 0) {
             throw new IOException("a number below 0");
@@ -159,21 +169,29 @@
         return number;
     }
 
-    private static void value(DataOutputStream out, LeaseRecord v) throws IOException {
-        out.writeLong(v.version());
-        out.writeLong(v.token());
-        out.writeUTF(v.holder());
-        out.writeLong(v.life());
-        out.writeLong(v.stamp());
-        out.writeLong(v.term());
-        out.writeUTF(v.wanted());
-        out.writeLong(v.rest());
-        out.writeUTF(v.note());
+    private static void writeBallot(DataOutputStream out, Ballot ballot) throws IOException {
+        out.writeLong(ballot.round());
+        out.writeLong(ballot.processId());
+    }
+
+    private static Ballot readBallot(DataInputStream in) throws IOException {
+        return new Ballot(readNotNegative(in), in.readLong());
+    }
+
+    private static void writeRecord(DataOutputStream out, LeaseRecord value) throws IOException {
+        out.writeLong(value.version());
+        out.writeLong(value.token());
+        out.writeUTF(value.holder());
+        out.writeLong(value.processId());
+        out.writeLong(value.stamp());
+        out.writeLong(value.termMicros());
+        out.writeUTF(value.nextHolder());
+        out.writeLong(value.blockMicros());
+        out.writeUTF(value.note());
     }
 
-    private static LeaseRecord value(DataInputStream in) throws IOException {
-        return new LeaseRecord(notNegative(in), notNegative(in), text(in), in.readLong(), in.readLong(),
-                notNegative(in), text(in),
-                notNegative(in), text(in));
+    private static LeaseRecord readRecord(DataInputStream in) throws IOException {
+        return new LeaseRecord(readNotNegative(in), readNotNegative(in), readText(in), in.readLong(),
+                in.readLong(), readNotNegative(in), readText(in), readNotNegative(in), readText(in));
     }
 }
--- a/src/main/java/rampshift/leases/LeaseClient.java
+++ b/src/main/java/rampshift/leases/LeaseClient.java
@@ -1,367 +1,307 @@
 package rampshift.leases;
 
-import java.util.LinkedHashMap;
-import java.util.Map;
 import rampshift.time.Moment;
 import rampshift.time.Span;
 
 /**
- * One dispatcher's part in one lease: it watches who holds it, takes it when nobody can act under it any
- * more, renews
- * it, and knows at any instant whether it may act. Never two act at once: the proof stands in
- * docs/design/leases.md.
+ * One dispatcher's part in one lease: it observes who holds the lease, acquires it once nobody can act under
+ * it any more, renews it, and knows at any instant whether this dispatcher may act. No two dispatchers ever
+ * act at once; the proof is in docs/design/leases.md.
  */
 final class LeaseClient {
-    /** What it needs of what is around it. */
-    interface Around extends RegisterChange.Out {
-        AcceptorSet keepers();
+    /** What a lease needs of the dispatcher. */
+    interface Context extends ProposerContext {
+        /** How much longer this dispatcher waits than the first contender for the lease. */
+        Span contentionDelay(String lease);
 
-        /** A number never used before by this process. */
-        long number();
+        void emit(String lease, EventType type, LeaseRecord value);
 
-        /**
-         * How much longer it is to wait than the first of those who would take this one; null: it doesn't
-         * want it.
-         */
-        Span after(String lease, LeaseRecord seen);
-
-        /** Between two attempts that were in each other's way: 0 to 1, drawn. */
-        double chance();
-
-        void tell(String lease, String what, LeaseRecord value);
-
-        /** A change of this process's, which a majority has; it took so long from its asking. */
-        void done(String lease, LeaseRecord value, Span took);
+        /** Reports a change that this process requested and a quorum has accepted. */
+        void changeCompleted(String lease, LeaseRecord value, Span elapsed);
     }
 
-    private static final int SIGHTINGS = 6;
-    private static final double NEAR = 3.5;         // steps: whoever would come later looks more rarely,
-    private static final double FAR_LOOKS = 3;      // by this
+    /** A contender that would be later than this many takeover steps polls more rarely, */
+    private static final double LATE_CONTENDER_STEPS = 3.5;
+    /** this many times. */
+    private static final double LATE_CONTENDER_POLL_FACTOR = 3;
 
     private final String name;
     private final String self;
-    private final long life;
-    private final LeaseTimings rules;
-    private final Around around;
-    private final Map<LeaseRecord, Moment> sightings = new LinkedHashMap<>();     // when each was first heard of
-    private LeaseRecord seen;             // that which most likely stands
+    private final long processId;
+    private final LeaseTimings timings;
+    private final Context context;
+    private final RegisterObserver observer = new RegisterObserver();
+    private final RegisterWriter writer;
     private boolean holding;
-    private long token;             // while holding
-    private Moment heldFrom;        // before the change was asked for by which it is held
-    private RegisterChange change;
-    private Moment attemptAt;       // when the present attempt at it began
-    private Moment askedAt;         // before the present change was asked for
-    private Moment againAt;         // when it is to be tried again; null: an attempt is under way
-    private Moment lookAt;
-    private Moment heardAt;         // when any keeper last said what stands
-    private long highest;
-    private double slow = 1;        // how many times longer than usual answers take
-    private String note;            // to be written with the next renewal; null for none
-    private Ready ready;            // null: the next change has to ask first
-    private Moment notBefore;       // it gave it back, or others were at it: they come first; null for never
-    private boolean unwanted;       // the dispatcher ends
-    private RegisterUpdate wish;            // of an operator
-    private Moment wishUntil;
-
-    LeaseClient(String name, String self, long life, LeaseTimings rules, Around around) {
+    private long token;
+    /** When the value was requested by which it holds the lease. */
+    private Moment heldFrom;
+    private Moment pollAt;
+    /** To be written with the next renewal; null for none. */
+    private String pendingNote;
+    /** Other contenders come first until then; null where they don't. */
+    private Moment notBefore;
+    private boolean shuttingDown;
+    private ChangeFunction operatorRequest;
+    private Moment operatorRequestDeadline;
+
+    LeaseClient(String name, String self, long processId, LeaseTimings timings, Context context) {
         this.name = name;
         this.self = self;
-        this.life = life;
-        this.rules = rules;
-        this.around = around;
+        this.processId = processId;
+        this.timings = timings;
+        this.context = context;
+        writer = new RegisterWriter(name, processId, timings, context);
     }
 
-    // ---------------------------------------------------------------- what is asked of it
-
     String name() {
         return name;
     }
 
-    /** How long it may act from this instant on; not positive: it may not. To be asked at the last moment. */
-    Span mayAct(Moment now) {
-        return holding ? heldFrom.plus(rules.actFor()).since(now) : Span.ZERO;
-    }
-
-    /** The token under which it acts, while it may. */
-    long token() {
-        return token;
-    }
-
-    boolean holding() {
-        return holding;
+    /** What this dispatcher has observed of the lease. */
+    RegisterObserver observer() {
+        return observer;
     }
 
-    /** What stands, as far as is known; null for unknown. */
-    LeaseRecord seen() {
-        return seen;
+    /** The changes that this dispatcher makes to the lease. */
+    RegisterWriter writer() {
+        return writer;
     }
 
-    /** When what stands was first heard of so, and when a keeper last said anything; null for never. */
-    Moment seenAt() {
-        return seen == null ? null : sightings.get(seen);
+    /**
+     * How long this dispatcher may act under the lease from this instant on; it may not where that is not
+     * positive. To be asked right before acting.
+     */
+    Span remaining(Moment now) {
+        return holding ? heldFrom.plus(timings.actingTime()).since(now) : Span.ZERO;
     }
 
-    Moment heardAt() {
-        return heardAt;
+    /** The fencing token under which this dispatcher acts, while it may. */
+    long token() {
+        return token;
     }
 
-    /** Waiting for an answer of the keepers. */
-    boolean asking() {
-        return change != null;
+    boolean isHolding() {
+        return holding;
     }
 
-    /** How far the work has come: goes with a renewal, at once. Only while it holds the lease. */
-    void note(Moment now, String text) {
-        note = text;
-        if (holding && change == null) {
+    /**
+     * Writes a note with the next renewal, which begins at once if none is in flight. Lost unless it is the
+     * holder.
+     */
+    void writeNote(Moment now, String note) {
+        pendingNote = note;
+        if (holding && !writer.isBusy()) {
             renew(now);
         }
     }
 
-    /** A wish of an operator: REST, WANT. It is tried for one term. */
-    void wish(Moment now, RegisterUpdate what) {
-        wish = what;
-        wishUntil = now.plus(rules.term());
-        if (change == null) {
-            begin(now, what);
+    /** Takes an operator's change, which is tried for one term. */
+    void request(Moment now, ChangeFunction change) {
+        operatorRequest = change;
+        operatorRequestDeadline = now.plus(timings.term());
+        if (!writer.isBusy()) {
+            writer.begin(now, change);
         }
     }
 
-    /**
-     * It stops acting now, and gives it back. For balance, or at an end in order, when it wants no more of
-     * it.
-     */
-    void giveBack(Moment now, boolean forGood) {
-        unwanted |= forGood;
+    /** Releases the lease for good: the dispatcher shuts down. */
+    void shutDown(Moment now) {
+        shuttingDown = true;
+        release(now);
+    }
+
+    /** Stops acting, then releases the lease. The other dispatchers come first for a term. */
+    private void release(Moment now) {
         if (holding) {
-            stop("gives");
-            notBefore = now.plus(rules.term());
-            begin(now, intent(RegisterUpdate.Kind.RELEASE, null));
+            stopActing(EventType.RELEASED);
+            notBefore = now.plus(timings.term());
+            long released = observer.current().token();
+            writer.begin(now, new ChangeFunction.Release(processId, released, context.nextNumber()));
         }
     }
 
-    // ---------------------------------------------------------------- time
-
-    /** When it is to be woken next. */
-    Moment due() {
-        Moment due = change != null ? againAt != null ? againAt : change.until()
-                : lookAt == null ? new Moment(0) : lookAt;
+    /** When {@link #onTimer} is to be called next. */
+    Moment dueAt() {
+        boolean busy = writer.isBusy();
+        Moment due = busy ? writer.dueAt() : pollAt == null ? new Moment(0) : pollAt;
         if (holding) {
-            due = due.orEarlier(heldFrom.plus(rules.actFor()));
-            due = change == null ? due.orEarlier(heldFrom.plus(rules.renewAfter())) : due;
-        } else if (change == null && seen != null && takeAt() != null) {
-            due = due.orEarlier(takeAt());
+            due = due.orEarlier(heldFrom.plus(timings.actingTime()));
+            return busy ? due : due.orEarlier(renewAt());
         }
-        return due;
+        Moment acquireAt = busy ? null : acquireAt();
+        return acquireAt == null ? due : due.orEarlier(acquireAt);
     }
 
-    void woken(Moment now) {
-        if (holding && !mayAct(now).longerThan(Span.ZERO)) {
-            stop("lapsed");
-        }
-        if (change != null) {
-            onWithChange(now);
-        }
-        if (change == null && wish != null) {
-            if (wishUntil.before(now)) {
-                wish = null;
+    private Moment renewAt() {
+        return heldFrom.plus(timings.renewalInterval());
+    }
+
+    /** Does what is due. */
+    void onTimer(Moment now) {
+        stopActingIfExpired(now);
+        handle(now, writer.onTimer(now));
+        if (!writer.isBusy() && operatorRequest != null) {
+            if (operatorRequestDeadline.before(now)) {
+                operatorRequest = null;
             } else {
-                begin(now, wish);
+                writer.begin(now, operatorRequest);
             }
         }
-        if (change == null) {
-            if (holding) {
-                if (!now.before(heldFrom.plus(rules.renewAfter()))) {
-                    renew(now);
-                }
-            } else if (seen != null && takeAt() != null && !now.before(takeAt())) {
-                // What was seen as this process's own, it asked for earlier and gave up hearing of: no
-                // waiting for oneself.
-                begin(now, seen.of(life) ? intent(RegisterUpdate.Kind.RENEW, null)
-                        : intent(RegisterUpdate.Kind.TAKE, null));
-            }
+        if (!writer.isBusy()) {
+            renewOrAcquire(now);
         }
-        if (lookAt == null || !now.before(lookAt)) {
-            Span after = seen == null ? null : around.after(name, seen);
-            boolean far = after != null && after.longerThan(rules.step().times(NEAR));
-            lookAt = now.plus(rules.lookEvery().times(far ? FAR_LOOKS : 1));
-        }
-    }
-
-    /** Whether it is to be looked at now: the owner asks the keepers for many at once. */
-    boolean looks(Moment now) {
-        return !holding && change == null && (lookAt == null || !now.before(lookAt));
+        schedulePoll(now);
     }
 
-    private void onWithChange(Moment now) {
-        if (againAt != null) {
-            if (!now.before(againAt)) {
-                againAt = null;
-                attempt(now);
-            }
-        } else if (!now.before(change.until())) {
-            highest = Math.max(highest, change.highest());
-            slow = change.refused() ? slow : rules.slower(slow);
-            if (change.refused() && change.refusals() == 1) {
-                attempt(now);
-            } else if (change.refused() && change.intent().kind() == RegisterUpdate.Kind.TAKE) {
-                change = null;      // another is at it: two that insist would keep each other from it
-                notBefore = now.plus(rules.backOff().times(slow * around.chance()));
-            } else if (now.since(askedAt).longerThan(rules.askFor())) {
-                // what may still come of it counts from its own asking, by its stamp: nobody counts it
-                change = null;
-            } else {
-                againAt = now.plus(rules.attemptFor(slow).times(around.chance()));
+    private void renewOrAcquire(Moment now) {
+        if (holding) {
+            if (!now.before(renewAt())) {
+                renew(now);
             }
+            return;
+        }
+        Moment acquireAt = acquireAt();
+        if (acquireAt == null || now.before(acquireAt)) {
+            return;
+        }
+        LeaseRecord current = observer.current();
+        if (current.isHeldBy(processId)) {
+            // A change of this process that it had given up: it does not wait for itself.
+            writer.begin(now, renewal(current.token(), null));
+        } else {
+            writer.begin(now, new ChangeFunction.Acquire(current, self, processId, context.nextNumber(),
+                    timings.term().micros()));
         }
     }
 
-    // ---------------------------------------------------------------- changes
+    private void renew(Moment now) {
+        writer.begin(now, renewal(token, pendingNote));
+    }
 
-    private RegisterUpdate intent(RegisterUpdate.Kind kind, String text) {
-        return new RegisterUpdate(kind, seen, self, life, holding ? token : seen.token(), around.number(),
-                rules.term().micros(), text);
+    private ChangeFunction renewal(long heldToken, String note) {
+        return new ChangeFunction.Renew(self, processId, heldToken, context.nextNumber(),
+                timings.term().micros(), note);
     }
 
-    private void renew(Moment now) {
-        begin(now, intent(RegisterUpdate.Kind.RENEW, note));
-    }
-
-    private void begin(Moment now, RegisterUpdate what) {
-        askedAt = now;              // before anything is sent: the term counts from here
-        change = new RegisterChange(name, what, life, highest);
-        againAt = null;
-        Ready known = ready;
-        ready = null;
-        attemptAt = now;
-        if (known != null && what.kind() == RegisterUpdate.Kind.RENEW
-                && known.epoch() == around.keepers().epoch()) {
-            change.quick(around.keepers(), around.number(), known.ballot(), known.value(),
-                    now.plus(rules.attemptFor(slow)), around);
-        } else {
-            attempt(now);
+    private void schedulePoll(Moment now) {
+        if (!isPollDue(now)) {
+            return;
         }
+        Span late = timings.takeoverStep().times(LATE_CONTENDER_STEPS);
+        boolean isLate = observer.current() != null && context.contentionDelay(name).longerThan(late);
+        pollAt = now.plus(timings.pollInterval().times(isLate ? LATE_CONTENDER_POLL_FACTOR : 1));
     }
 
-    /**
-     * What a majority has, known from the last change, and the ballot that it promised with it; by which
-     * keepers.
-     */
-    private record Ready(Ballot ballot, LeaseRecord value, long epoch) {}
+    private boolean isPollDue(Moment now) {
+        return pollAt == null || !now.before(pollAt);
+    }
 
-    private void attempt(Moment now) {
-        attemptAt = now;
-        change.attempt(around.keepers(), around.number(), now.plus(rules.attemptFor(slow)), around);
+    /** Whether its register is to be read now: the owner reads many of them with one message. */
+    boolean needsPoll(Moment now) {
+        return !holding && !writer.isBusy() && isPollDue(now);
     }
 
-    /** An answer to an attempt of this lease's. */
-    void answer(Moment now, String from, Message m) {
-        if (holding && !mayAct(now).longerThan(Span.ZERO)) {
-            stop("lapsed");
-        }
-        if (change == null || againAt != null || !change.answer(now, from, m, around)) {
-            return;
-        }
-        highest = Math.max(highest, change.highest());
-        switch (change.state()) {
-            case ASKING -> onWithChange(now);
-            case REFUSED -> {
-                RegisterChange over = change;
-                change = null;
-                if (over.intent().kind() == RegisterUpdate.Kind.RENEW && holding) {
-                    stop("taken");
-                }
-                stands(now, over.value());
+    /** Takes an acceptor's reply to an attempt of this lease. */
+    void onReply(Moment now, String from, Message.VoteReply reply) {
+        stopActingIfExpired(now);
+        handle(now, writer.onReply(now, from, reply));
+    }
+
+    private void handle(Moment now, RegisterWriter.Outcome outcome) {
+        if (outcome instanceof RegisterWriter.Outcome.Chosen chosen) {
+            onChosen(now, chosen);
+        } else if (outcome instanceof RegisterWriter.Outcome.Inapplicable inapplicable) {
+            if (inapplicable.change() instanceof ChangeFunction.Renew && holding) {
+                stopActing(EventType.LOST);
             }
-            case DONE -> done(now);
+            setCurrent(now, inapplicable.current());
+        } else if (outcome instanceof RegisterWriter.Outcome.Yielded yielded) {
+            notBefore = now.plus(yielded.backoff());
         }
     }
 
-    private void done(Moment now) {
-        RegisterUpdate was = change.intent();
-        LeaseRecord value = change.value();
-        ready = value.of(life) ? new Ready(change.promised(), value, change.epoch()) : null;
-        change = null;
-        slow = rules.fitting(slow, now.since(attemptAt));
-        around.done(name, value, now.since(askedAt));
-        stands(now, value);
-        if (was.kind() == RegisterUpdate.Kind.TAKE || was.kind() == RegisterUpdate.Kind.RENEW) {
-            if (was.kind() == RegisterUpdate.Kind.RENEW && was.text() != null && was.text().equals(note)) {
-                note = null;
+    private void onChosen(Moment now, RegisterWriter.Outcome.Chosen chosen) {
+        ChangeFunction change = chosen.change();
+        LeaseRecord value = chosen.value();
+        context.changeCompleted(name, value, now.since(chosen.requestedAt()));
+        setCurrent(now, value);
+        if (change instanceof ChangeFunction.Renew renewed) {
+            if (renewed.note() != null && renewed.note().equals(pendingNote)) {
+                pendingNote = null;
             }
-            held(now, value);
-        } else if (was.equals(wish)) {
-            wish = null;
+            hold(now, chosen);
+        } else if (change instanceof ChangeFunction.Acquire) {
+            hold(now, chosen);
+        } else if (change.equals(operatorRequest)) {
+            operatorRequest = null;
         }
-        if (holding && (value.rest() > 0 || !value.wanted().isEmpty() && !value.wanted().equals(self)
-                || unwanted)) {
-            giveBack(now, unwanted);
-        } else if (holding && note != null) {
+        if (holding && (shuttingDown || isToBeReleased(value))) {
+            release(now);
+        } else if (holding && pendingNote != null) {
             renew(now);
         }
     }
 
-    private void held(Moment now, LeaseRecord value) {
-        boolean before = holding;
-        heldFrom = askedAt;
-        token = value.token();
-        holding = askedAt.plus(rules.actFor()).since(now).longerThan(Span.ZERO);
-        if (holding && !before) {
-            around.tell(name, "holds", seen);
-        }
+    private boolean isToBeReleased(LeaseRecord value) {
+        return value.blockMicros() > 0 || (!value.nextHolder().isEmpty() && !value.nextHolder().equals(self));
     }
 
-    private void stop(String why) {
-        holding = false;
-        note = null;
-        around.tell(name, why, seen);
+    /** The dispatcher acts from before it requested the value, by its own clock. */
+    private void hold(Moment now, RegisterWriter.Outcome.Chosen chosen) {
+        boolean wasHolding = holding;
+        heldFrom = chosen.requestedAt();
+        token = chosen.value().token();
+        holding = heldFrom.plus(timings.actingTime()).since(now).longerThan(Span.ZERO);
+        if (holding && !wasHolding) {
+            context.emit(name, EventType.ACQUIRED, observer.current());
+        }
     }
 
-    /** What a keeper says that it has taken, whether a majority has it or not. */
-    void heard(Moment now, LeaseRecord value) {
-        heardAt = now;
-        if (seen == null || value.version() > seen.version()) {
-            stands(now, value);
-        } else {
-            sighted(now, value);
+    private void stopActingIfExpired(Moment now) {
+        if (holding && !remaining(now).longerThan(Span.ZERO)) {
+            stopActing(EventType.EXPIRED);
         }
     }
 
-    /** What a majority has, or had in the way. */
-    private void stands(Moment now, LeaseRecord value) {
-        heardAt = now;
-        sighted(now, value);
-        boolean taken =
-                seen == null || seen.token() != value.token() || !seen.holder().equals(value.holder());
-        seen = value;
-        if (taken && !value.of(life)) {
-            around.tell(name, "seen", value);
+    private void stopActing(EventType reason) {
+        holding = false;
+        pendingNote = null;
+        context.emit(name, reason, observer.current());
+    }
+
+    /** Takes the value that one acceptor has accepted, whether a quorum has it or not. */
+    void onRead(Moment now, LeaseRecord value) {
+        if (observer.observe(now, value)) {
+            setCurrent(now, value);
         }
     }
 
-    /** Whoever waits for a value's end waits from its first sighting: its holder asked for it before. */
-    private void sighted(Moment now, LeaseRecord value) {
-        if (sightings.putIfAbsent(value, now) == null && sightings.size() > SIGHTINGS) {
-            sightings.keySet().stream().filter(v -> !v.equals(seen) && !v.equals(value)).findFirst()
-                    .ifPresent(sightings::remove);
+    private void setCurrent(Moment now, LeaseRecord value) {
+        boolean acquired = observer.setCurrent(now, value);
+        if (acquired && !value.isHeldBy(processId)) {
+            context.emit(name, EventType.HOLDER_OBSERVED, value);
         }
     }
 
-    /** When it may be taken, and would be; null for never. */
-    private Moment takeAt() {
-        if (unwanted) {
+    /** When this dispatcher acquires the lease if nothing changes; null for never. */
+    private Moment acquireAt() {
+        LeaseRecord current = observer.current();
+        if (shuttingDown || current == null) {
             return null;
         }
-        Moment seenAt = sightings.get(seen);
-        if (seen.of(life)) {
-            return seenAt;
+        if (current.isHeldBy(processId)) {
+            return observer.currentSince();
         }
-        Span after = seen.wanted().equals(self) && seen.free() ? Span.ZERO : around.after(name, seen);
-        if (after == null) {
-            return null;
+        if (current.isFree() && current.nextHolder().equals(self)) {
+            return latest(observer.currentSince(), notBefore);
         }
-        Span most = seen.free() && seen.wanted().equals(self) ? Span.ZERO : rules.takeAfter(seen.term());
-        Moment at = seenAt.plus(most).plus(after.times(slow));
-        return notBefore == null || notBefore.before(at) ? at : notBefore;
+        Moment expiredAt = observer.currentSince().plus(timings.takeoverDelay(current.termMicros()));
+        Span contentionDelay = context.contentionDelay(name).times(writer.latencyFactor());
+        return latest(expiredAt.plus(contentionDelay), notBefore);
+    }
+
+    private static Moment latest(Moment time, Moment notBefore) {
+        return notBefore == null || notBefore.before(time) ? time : notBefore;
     }
 }
--- a/src/main/java/rampshift/leases/LeaseManager.java
+++ b/src/main/java/rampshift/leases/LeaseManager.java
@@ -1,535 +1,362 @@
 package rampshift.leases;
 
-import java.util.ArrayList;
 import java.util.Collection;
 import java.util.List;
 import java.util.Map;
-import java.util.PriorityQueue;
 import java.util.Set;
-import java.util.TreeMap;
 import java.util.TreeSet;
-import java.util.zip.CRC32;
 import rampshift.time.Moment;
 import rampshift.time.Span;
 
 /**
- * All leases as one dispatcher sees them, and its keeper if it is one. It takes messages and the time, and
- * says what is
- * to be sent and written down; it has no clock, disk, socket or thread.
+ * All leases as one dispatcher sees them, and its acceptor if it has one. It takes messages and the time, and
+ * decides what is sent and stored; it has no clock, disk, socket or thread.
  */
-public final class LeaseManager implements Reconfiguration.Around, Acceptor.Out {
+public final class LeaseManager {
     /** Carries out what is decided. */
-    public interface Out {
+    public interface Output {
+        /** Sends a message to a dispatcher; it may be lost. */
         void send(String to, byte[] message);
 
-        /** A record for this keeper's directory; a later one of the same key takes its place. */
-        void put(String key, byte[] record);
+        /** Writes a record to the acceptor's directory; a later one of the same key replaces it. */
+        void persist(String key, byte[] value);
 
-        /** Once all records so far are on disk. */
-        void sendOnceSynced(String to, byte[] message);
+        /** Sends a message once all records so far are on disk. */
+        void sendAfterSync(String to, byte[] message);
 
-        void wakeAt(Moment when);
+        /** Asks for a call of {@link LeaseManager#onTimer}; a later request replaces it. */
+        void wakeAt(Moment time);
 
-        void tell(Event event);
+        /** Reports an event. */
+        void emit(LeaseEvent event);
 
-        /** A change of a register by this process, which a majority has by now: for a history of them. */
-        void done(String register, long version, long token, String holder, Span took);
+        /**
+         * Reports a change of a register by this process that a quorum has accepted, for a history of them.
+         */
+        void changeCompleted(String register, LeaseRecord value, Span elapsed);
     }
 
     /**
-     * How it begins.
+     * Who this dispatcher is, and what it contends for.
      *
-     * @param name this dispatcher's
-     * @param life this process's: never another's
-     * @param keepers the first keepers, by name; those that are in force may be others by now
-     * @param leases names of what is fought for
-     * @param seed of all that is drawn
+     * @param name its name
+     * @param processId number of this process, which no other process ever has
+     * @param initialAcceptors names of the first acceptors; those in force may be others by now
+     * @param leases names of the leases
+     * @param timings times of the leases
+     * @param seed of all random draws
      */
-    public record Start(String name, long life, List<String> keepers, List<String> leases, LeaseTimings rules,
-            long seed) {}
-
-    private static final int LOOKS = 8;             // leases asked for in one message
-    private static final double SOON = 0.01;        // of a term: wakes that are as near as this are one
-
-    /** A time at which a lease wants to be woken. Later ones of the same lease make it void. */
-    private record Due(Moment at, String lease) {}
-
-    private final Start start;
-    private final LeaseTimings rules;
-    private final Out out;
-    private final Map<String, LeaseClient> leases = new TreeMap<>();
-    private final Map<String, Moment> dueOf = new TreeMap<>();
-    private final PriorityQueue<Due> dues =
-            new PriorityQueue<>((a, b) -> a.at.equals(b.at) ? a.lease.compareTo(b.lease)
-                    : a.at.compareTo(b.at));
-    private final Map<Long, LeaseClient> attempts = new java.util.HashMap<>();
-    private final Map<LeaseClient, Long> attemptOf = new java.util.IdentityHashMap<>();
-    private final Map<String, Integer> held = new TreeMap<>();      // leases by holder, as seen
-    private final Map<String, LeaseRecord> counted = new TreeMap<>();
-    private Set<String> there = new TreeSet<>();
-    private AcceptorSet keepers = AcceptorSet.UNKNOWN;
-    private Acceptor keeper;
-    private Reconfiguration reform;
+    public record Settings(String name, long processId, List<String> initialAcceptors, List<String> leases,
+            LeaseTimings timings, long seed) {}
+
+    private final Settings settings;
+    private final LeaseTimings timings;
+    private final Output out;
+    private final ProcessContext process;
+    private final LeaseClients clients;
+    private Acceptor acceptor;
+    private Reconfiguration reconfiguration;
     private Moment now;
-    private Moment askAt;
-    private Moment balancedAt;
-    private Moment armed;
-    private long numbers;
-    private long draws;
-    private LeaseClient asking;           // whose attempt is being sent
-
-    public LeaseManager(Start start, Out out) {
-        this.start = start;
+    private Moment housekeepingAt;
+    private Moment wakeRequestedAt;
+
+    /** A manager that has not started: nothing is known of the leases. */
+    public LeaseManager(Settings settings, Output out) {
+        this.settings = settings;
         this.out = out;
-        rules = start.rules();
-        start.leases()
-                .forEach(l -> leases.put(l, new LeaseClient(l, start.name(), start.life(), rules, this)));
-        there.add(start.name());
+        timings = settings.timings();
+        process = new ProcessContext(settings.seed(), out);
+        clients = new LeaseClients(settings, process, out);
     }
 
-    // ---------------------------------------------------------------- inputs
+    /** Starts without an acceptor. */
+    public void start(Moment at) {
+        now = at;
+        housekeepingAt = at;
+        clients.start(at);
+        requestWake();
+    }
 
     /**
-     * Begins. Disk: what the directory of a keeper holds; null for a dispatcher that keeps nothing. Position:
-     * how many
-     * records it has held. NewId: a number for a directory that has none yet.
+     * Starts with an acceptor.
+     *
+     * @param records what its directory holds
+     * @param recordCount how many records it has ever held
+     * @param newDirectoryId id for a directory that has none yet
      */
-    public void start(Moment at, Map<String, byte[]> disk, long position, long newId) {
+    public void startWithAcceptor(Moment at, Map<String, byte[]> records, long recordCount,
+            long newDirectoryId) {
         now = at;
-        askAt = at;
-        balancedAt = at;
-        if (disk != null) {
-            keeper = new Acceptor(start.name(), start.keepers(), rules.lookEvery(), this);
-            keeper.start(at, disk, position, newId);
-            learn(keeper.keepers());
-        }
-        leases.values().forEach(this::settle);
-        arm();
+        acceptor = new Acceptor(settings.name(), settings.initialAcceptors(), timings.pollInterval(),
+                new AcceptorOutput());
+        acceptor.start(at, records, recordCount, newDirectoryId);
+        learn(acceptor.acceptors());
+        start(at);
     }
 
-    public void message(Moment at, String from, byte[] bytes) {
-        Message m = Codec.message(bytes);
-        if (m == null) {
+    /** Takes a message of a dispatcher; a malformed one is ignored. */
+    public void onMessage(Moment at, String from, byte[] bytes) {
+        Message message = Codec.decodeMessage(bytes);
+        if (message == null) {
             return;
         }
         now = at;
-        switch (m.kind()) {
-            case PREPARE, ACCEPT, LOOK, LIST, ADOPT, HELLO -> {
-                if (keeper != null) {
-                    keeper.message(at, from, m);
-                    learn(keeper.keepers());
-                } else if (m.kind() == Message.Kind.HELLO) {
-                    send(from, Message.hello(Message.Kind.HELLO_BACK, m.boot(), keepers, 0, 0, 0));
-                }
-            }
-            case HELLO_BACK -> {
-                told(m);
-                if (keeper != null) {
-                    keeper.message(at, from, m);
-                    learn(keeper.keepers());
-                }
-                if (reform != null) {
-                    reform.helloBack(from, m);
-                }
-            }
-            case SEEN -> {
-                for (int i = 0; i < Math.min(m.names().size(), m.values().size()); i++) {
-                    LeaseClient lease = leases.get(m.names().get(i));
-                    if (lease != null) {
-                        lease.heard(at, m.values().get(i));
-                        settle(lease);
-                    }
-                }
-            }
-            case PROMISED, ACCEPTED, REFUSED -> {
-                LeaseClient lease = attempts.get(m.number());
-                if (lease != null) {
-                    asking = lease;
-                    lease.answer(at, from, m);
-                    settle(lease);
-                } else if (reform != null) {
-                    reform.answer(at, from, m);
-                }
-            }
-            case STALE, ADOPTED -> {
-                told(m);
-                if (reform != null) {
-                    reform.answer(at, from, m);
-                }
-            }
-            case BEHIND -> {
-                if (keepers.epoch() > m.epoch()) {
-                    send(from, Message.keepers(Message.Kind.ADOPT, 0, keepers));
-                }
-            }
-            case LISTED -> {
-                if (reform != null) {
-                    reform.answer(at, from, m);
-                }
+        if (message instanceof Message.Request request) {
+            onRequest(from, request);
+        } else if (message instanceof Message.VoteReply reply) {
+            onVoteReply(from, reply);
+        } else if (message instanceof Message.ReadReply reply) {
+            clients.onReadReply(at, reply);
+        } else if (message instanceof Message.HelloReply reply) {
+            onHelloReply(from, reply);
+        } else if (message instanceof Message.StaleEpoch stale) {
+            learn(stale.acceptors());
+        } else if (message instanceof Message.Installed reply) {
+            learn(reply.acceptors());
+            if (reconfiguration != null) {
+                reconfiguration.onInstalled(at, from, reply);
             }
-            default -> {
+        } else if (message instanceof Message.AcceptorBehind behind) {
+            if (process.acceptors().epoch() > behind.acceptors().epoch()) {
+                process.send(from, new Message.Install(0, process.acceptors()));
             }
+        } else if (message instanceof Message.RegisterList list && reconfiguration != null) {
+            reconfiguration.onRegisterList(at, from, list);
+        }
+        requestWake();
+    }
+
+    private void onRequest(String from, Message.Request request) {
+        if (acceptor != null) {
+            acceptor.onRequest(from, request);
+            learn(acceptor.acceptors());
+        } else if (request instanceof Message.Hello hello) {
+            process.send(from, new Message.HelloReply(hello.directory().starts(), process.acceptors(), 0,
+                    DirectoryVersion.NONE));
+        }
+    }
+
+    private void onVoteReply(String from, Message.VoteReply reply) {
+        if (!clients.onVoteReply(now, from, reply) && reconfiguration != null) {
+            reconfiguration.onReply(now, from, reply);
+        }
+    }
+
+    private void onHelloReply(String from, Message.HelloReply reply) {
+        learn(reply.acceptors());
+        if (acceptor != null) {
+            acceptor.onHelloReply(from, reply);
+            learn(acceptor.acceptors());
+        }
+        if (reconfiguration != null) {
+            reconfiguration.onHelloReply(from, reply);
         }
-        arm();
     }
 
-    /** How many records are on disk by now. */
-    public void synced(long position) {
-        if (keeper != null) {
-            keeper.synced(position);
+    /** Takes note of how many records of the acceptor's directory are on disk. */
+    public void onSynced(long recordCount) {
+        if (acceptor != null) {
+            acceptor.onSynced(recordCount);
         }
     }
 
     /**
-     * Its directory takes no more records: it answers for nothing from now on, and is a client of the other
-     * keepers.
+     * The acceptor's directory takes no more records: it answers nothing from now on. The leases go on
+     * without it.
      */
-    public void keepsNoMore(Moment at) {
+    public void stopAcceptor(Moment at) {
         now = at;
-        keeper = null;
-        out.tell(new Event("", "keeper", 0, "STOPPED"));
+        acceptor = null;
+        out.emit(LeaseEvent.ofAcceptor(EventType.ACCEPTOR_STATE, "STOPPED"));
     }
 
-    public void woken(Moment at) {
+    /** Does what is due; see {@link Output#wakeAt}. */
+    public void onTimer(Moment at) {
         now = at;
-        armed = null;
-        List<String> looked = new ArrayList<>();
-        while (!dues.isEmpty() && !now.before(dues.peek().at)) {
-            Due due = dues.poll();
-            if (due.at.equals(dueOf.get(due.lease))) {
-                LeaseClient lease = leases.get(due.lease);
-                if (lease.looks(now)) {
-                    looked.add(due.lease);
-                }
-                asking = lease;
-                lease.woken(now);
-                dueOf.remove(due.lease);
-                settle(lease);
-            }
+        wakeRequestedAt = null;
+        clients.onTimer(now);
+        if (acceptor != null) {
+            acceptor.onTimer(now);
+            learn(acceptor.acceptors());
         }
-        look(looked);
-        if (keeper != null) {
-            keeper.woken(now);
-            learn(keeper.keepers());
+        if (!now.before(housekeepingAt)) {
+            housekeepingAt = now.plus(timings.pollInterval());
+            findAcceptors();
+            clients.balance(now);
         }
-        if (!now.before(askAt)) {
-            askAt = now.plus(rules.lookEvery());
-            if (!keepers.known()) {
-                Set<String> all = new TreeSet<>(there);
-                all.addAll(start.keepers());
-                all.forEach(k -> send(k, Message.hello(Message.Kind.HELLO, 0, keepers, 0, 0, 0)));
+        if (reconfiguration != null) {
+            reconfiguration.onTimer(now);
+            if (reconfiguration.isFinished()) {
+                reconfiguration = null;
             }
-            balance();
         }
-        if (reform != null) {
-            reform.woken(now);
-            if (reform.over()) {
-                reform = null;
-            }
+        requestWake();
+    }
+
+    private void findAcceptors() {
+        if (process.acceptors().isKnown()) {
+            return;
         }
-        arm();
+        Set<String> names = new TreeSet<>(clients.alive());
+        names.addAll(settings.initialAcceptors());
+        Message hello = new Message.Hello(0, process.acceptors(), 0, DirectoryVersion.NONE);
+        names.forEach(name -> process.send(name, hello));
     }
 
-    /** Who is there, by the members: a hint. It decides who tries first, never who may. */
-    public void there(Collection<String> names) {
-        there = new TreeSet<>(names);
-        there.add(start.name());
+    /**
+     * Takes the names of the dispatchers that are alive, by the membership: a hint for who contends first.
+     */
+    public void setAlive(Collection<String> names) {
+        clients.setAlive(names);
     }
 
-    /** It ends in order: all is given back. */
-    public void end(Moment at) {
+    /** Releases all leases for good. */
+    public void shutDown(Moment at) {
         now = at;
-        leases.values().forEach(l -> {
-            asking = l;
-            l.giveBack(at, true);
-            settle(l);
-        });
-        arm();
+        clients.shutDown(at);
+        requestWake();
     }
 
-    // ---------------------------------------------------------------- what is known, and asked for
-
     /**
-     * How long it may act under that lease from this instant on; not positive: it may not. Asked at the last
-     * moment.
+     * How long this dispatcher may act under the lease from this instant on; it may not where that is not
+     * positive. To be asked right before acting.
      */
-    public Span mayAct(String lease, Moment at) {
-        LeaseClient l = leases.get(lease);
-        return l == null ? Span.ZERO : l.mayAct(at);
+    public Span remaining(String lease, Moment at) {
+        LeaseClient client = clients.get(lease);
+        return client == null ? Span.ZERO : client.remaining(at);
     }
 
-    /** The token that goes with each act, while it may act. */
+    /** The fencing token that goes with each act, while this dispatcher may act. */
     public long token(String lease) {
-        return leases.get(lease).token();
+        return clients.get(lease).token();
     }
 
-    /** How far the work under it has come, by the last that was written down. */
+    /** The note of the lease as far as is known here; empty for none. */
     public String note(String lease) {
-        LeaseClient l = leases.get(lease);
-        return l == null || l.seen() == null ? "" : l.seen().note();
+        LeaseClient client = clients.get(lease);
+        LeaseRecord value = client == null ? null : client.observer().current();
+        return value == null ? "" : value.note();
     }
 
-    /** Writes down how far the work has come: {@link #note} tells it once a majority has it. */
-    public void note(Moment at, String lease, String text) {
+    /** Writes the note of a lease that this dispatcher holds, cut to its longest length. */
+    public void writeNote(Moment at, String lease, String note) {
         now = at;
-        LeaseClient l = leases.get(lease);
-        asking = l;
-        l.note(at, text.length() > LeaseRecord.NOTE ? text.substring(0, LeaseRecord.NOTE) : text);
-        settle(l);
-        arm();
+        clients.writeNote(at, lease, note.substring(0, Math.min(note.length(), LeaseRecord.MAX_NOTE_LENGTH)));
+        requestWake();
     }
 
     /**
-     * Its holder is to give it back; to that one, or for * to whoever comes. False: there is none of that
-     * name.
+     * Asks the holder to release the lease to a dispatcher, or to anybody for "*". Returns whether it exists.
      */
-    public boolean give(Moment at, String lease, String to) {
-        return wish(at, lease,
-                new RegisterUpdate(RegisterUpdate.Kind.WANT, LeaseRecord.FREE, start.name(), start.life(), 0,
-                        number(),
-                        rules.term().micros(), to));
-    }
-
-    /** Nobody is to hold it for so long, counted from when its holder has given it back. */
-    public boolean rest(Moment at, String lease, Span length) {
-        return wish(at, lease,
-                new RegisterUpdate(RegisterUpdate.Kind.REST, LeaseRecord.FREE, start.name(), start.life(), 0,
-                        number(),
-                        length.micros(), null));
+    public boolean handOver(Moment at, String lease, String to) {
+        now = at;
+        boolean exists = clients.handOver(at, lease, to);
+        requestWake();
+        return exists;
     }
 
-    private boolean wish(Moment at, String lease, RegisterUpdate what) {
-        LeaseClient l = leases.get(lease);
-        if (l != null) {
-            now = at;
-            asking = l;
-            l.wish(at, what);
-            settle(l);
-            arm();
-        }
-        return l != null;
+    /**
+     * Asks that nobody holds the lease for a time after its holder has released it. Returns whether it
+     * exists.
+     */
+    public boolean block(Moment at, String lease, Span length) {
+        now = at;
+        boolean exists =
+                clients.request(at, lease, new ChangeFunction.Block(process.nextNumber(), length.micros()));
+        requestWake();
+        return exists;
     }
 
-    /** The keepers are to be these from now on. Why that can't be, in plain words; null: it has begun. */
-    public String keepers(Moment at, List<String> names) {
-        if (!keepers.known()) {
-            return "the keepers are not known here yet";
+    /** Begins a reconfiguration: these are to be the acceptors. */
+    public ReconfigurationStart reconfigure(Moment at, List<String> names) {
+        if (!process.acceptors().isKnown()) {
+            return ReconfigurationStart.ACCEPTORS_UNKNOWN;
         }
-        if (reform != null) {
-            return "the keepers are being changed already";
+        if (reconfiguration != null) {
+            return ReconfigurationStart.ALREADY_CHANGING;
         }
         if (names.isEmpty() || names.stream().distinct().count() != names.size()) {
-            return "expected different names, separated by commas";
+            return ReconfigurationStart.INVALID_NAMES;
         }
         now = at;
-        reform = new Reconfiguration(start.name(), start.life(), rules, names, this);
-        reform.woken(at);
-        arm();
-        return null;
+        reconfiguration =
+                new Reconfiguration(settings.processId(), timings, names, new ReconfigurationContext());
+        reconfiguration.onTimer(at);
+        requestWake();
+        return ReconfigurationStart.BEGUN;
     }
 
-    /** A page for people. */
-    public String page(Moment at) {
-        StringBuilder text = new StringBuilder();
-        text.append(String.format("keepers %s%s%n",
-                keepers.known() ? keepers.text().replace('|', ' ').trim()
-                        : "not known yet: "
-                                + String.join(",", start.keepers()) + " are asked",
-                keeper == null ? ""
-                        : ", this is one: "
-                                + keeper.state().name().toLowerCase(java.util.Locale.ROOT)));
-        leases.forEach((name, l) -> {
-            LeaseRecord v = l.seen();
-            String who = v == null ? "not known"
-                    : v.free() ? v.term() > 0 ? "nobody's, kept for " + (v.wanted().isEmpty()
-                            ? "nobody"
-                            : v.wanted()) : "nobody's" : v.holder();
-            String waits = l.holding() ? "acts for " + l.mayAct(at).seconds() + " s more"
-                    : l.asking() ? "asks the keepers"
-                            : l.heardAt() == null ? "no keeper has answered"
-                                    : at.since(l.heardAt()).longerThan(rules.term())
-                                            ? "no keeper has answered for " + at.since(l.heardAt()).seconds()
-                                                    + " s"
-                                            : "watches";
-            text.append(String.format("  %-24s %-16s token %d, version %d, stands here for %s s, %s%s%n",
-                    name, who,
-                    v == null ? 0 : v.token(), v == null ? 0 : v.version(),
-                    l.seenAt() == null ? "0" : at.since(l.seenAt()).seconds(), waits,
-                    v == null || v.note().isEmpty() ? "" : ", note " + v.note()));
-        });
-        return text.toString();
+    /** The leases and acceptors as text for operators. */
+    public String statusPage(Moment at) {
+        return new LeaseStatusPage(at, timings.term()).render(process.acceptors(),
+                settings.initialAcceptors(), acceptor, clients.all());
     }
 
-    // ---------------------------------------------------------------- keepers
-
-    private void told(Message m) {
-        AcceptorSet told = m.text().isEmpty() ? null : AcceptorSet.of(m.text());
-        if (told != null) {
-            learn(told);
+    private void learn(AcceptorSet newer) {
+        if (newer.epoch() <= process.acceptors().epoch()) {
+            return;
         }
-    }
-
-    @Override
-    public void learn(AcceptorSet newer) {
-        if (newer.epoch() > keepers.epoch()) {
-            keepers = newer;
-            if (newer.changing() && reform == null && newer.names().contains(start.name())) {
-                // Whoever began the change may be gone: each of its keepers ends it, the later the later it
-                // is named.
-                reform = new Reconfiguration(start.name(), start.life(), rules, newer, now, this);
-            }
+        process.setAcceptors(newer);
+        if (newer.isChanging() && reconfiguration == null && newer.names().contains(settings.name())) {
+            reconfiguration = Reconfiguration.begunElsewhere(settings.name(), settings.processId(), timings,
+                    newer, now, new ReconfigurationContext());
         }
     }
 
-    /**
-     * Who asks first for a lease that nobody holds, and who waits: fewer leases held first, then an order of
-     * its own.
-     */
-    @Override
-    public Span after(String lease, LeaseRecord seen) {
-        int before = 0;
-        int mine = held.getOrDefault(start.name(), 0);
-        for (String other : there) {
-            int theirs = held.getOrDefault(other, 0);
-            if (!other.equals(start.name()) && (theirs < mine
-                    || theirs == mine && order(lease, other) < order(lease, start.name()))) {
-                before++;
-            }
+    private void requestWake() {
+        Moment next = clients.dueAtOr(housekeepingAt);
+        if (acceptor != null) {
+            next = next.orEarlier(acceptor.dueAt());
         }
-        return rules.step().times(Math.min(before, 10));
-    }
-
-    private static long order(String lease, String name) {
-        CRC32 crc = new CRC32();
-        crc.update((lease + " " + name).getBytes(java.nio.charset.StandardCharsets.UTF_8));
-        return crc.getValue();
-    }
-
-    /** Whoever holds two more than another gives it one, no more often than is stated. */
-    private void balance() {
-        int mine = held.getOrDefault(start.name(), 0);
-        String least = null;
-        for (String other : there) {
-            if (least == null || held.getOrDefault(other, 0) < held.getOrDefault(least, 0)) {
-                least = other;
-            }
+        if (reconfiguration != null) {
+            next = next.orEarlier(reconfiguration.dueAt());
         }
-        if (now.since(balancedAt).longerThan(rules.balanceEvery())
-                && mine - held.getOrDefault(least, 0) >= 2) {
-            for (Map.Entry<String, LeaseClient> one : leases.entrySet()) {
-                if (one.getValue().holding() && !one.getValue().asking()) {
-                    balancedAt = now;
-                    give(now, one.getKey(), least);
-                    return;
-                }
-            }
+        next = next.before(now) ? now : next;
+        if (wakeRequestedAt == null || next.before(wakeRequestedAt)) {
+            wakeRequestedAt = next;
+            out.wakeAt(next);
         }
     }
 
-    private void count(String lease, LeaseRecord v) {
-        LeaseRecord before = counted.put(lease, v);
-        if (before != null && !before.free()) {
-            held.merge(before.holder(), -1, Integer::sum);
-        }
-        if (!v.free()) {
-            held.merge(v.holder(), 1, Integer::sum);
+    /** The reconfiguration's view of the process. */
+    private final class ReconfigurationContext extends ProcessContext.View
+            implements
+                Reconfiguration.Context {
+        ReconfigurationContext() {
+            super(process);
         }
-    }
-
-    // ---------------------------------------------------------------- around a lease and a keeper
-
-    @Override
-    public AcceptorSet keepers() {
-        return keepers;
-    }
-
-    @Override
-    public long number() {
-        return ++numbers;
-    }
-
-    @Override
-    public double chance() {
-        CRC32 crc = new CRC32();
-        crc.update((start.seed() + " " + ++draws).getBytes(java.nio.charset.StandardCharsets.UTF_8));
-        return crc.getValue() / (double) (1L << 32);
-    }
 
-    @Override
-    public void send(String to, Message m) {
-        if ((m.kind() == Message.Kind.PREPARE || m.kind() == Message.Kind.ACCEPT) && asking != null) {
-            Long before = attemptOf.put(asking, m.number());
-            if (before != null && before != m.number()) {
-                attempts.remove(before);
-            }
-            attempts.put(m.number(), asking);
+        @Override
+        public void learn(AcceptorSet newer) {
+            LeaseManager.this.learn(newer);
         }
-        out.send(to, Codec.write(m));
-    }
-
-    @Override
-    public void tell(String lease, String what, LeaseRecord value) {
-        out.tell(new Event(lease, what, value.token(), value.free() ? "-" : value.holder()));
-    }
-
-    @Override
-    public void done(String lease, LeaseRecord value, Span took) {
-        out.done(lease, value.version(), value.token(), value.holder(), took);
-    }
-
-    @Override
-    public void put(String key, byte[] record) {
-        out.put(key, record);
-    }
-
-    @Override
-    public void answer(String to, Message message) {
-        out.sendOnceSynced(to, Codec.write(message));
-    }
 
-    @Override
-    public void tell(String what, String detail) {
-        out.tell(new Event("", what, 0, detail));
-    }
-
-    // ---------------------------------------------------------------- time
-
-    private void look(List<String> names) {
-        for (int from = 0; from < names.size(); from += LOOKS) {
-            List<String> some = List.copyOf(names.subList(from, Math.min(names.size(), from + LOOKS)));
-            keepers.names().forEach(k -> send(k, Message.names(Message.Kind.LOOK, 0, some, List.of())));
+        @Override
+        public void emit(EventType type, LeaseRecord value) {
+            process.emit(AcceptorSet.REGISTER, type, value);
         }
     }
 
-    private void settle(LeaseClient lease) {
-        String name = lease.name();
-        asking = null;
-        if (lease.seen() != null && lease.seen() != counted.get(name)) {
-            count(name, lease.seen());
+    /** The acceptor's view. */
+    private final class AcceptorOutput implements Acceptor.Output {
+        @Override
+        public void persist(String key, byte[] value) {
+            out.persist(key, value);
         }
-        Moment due = keepers.known() ? lease.due() : now.plus(rules.lookEvery());
-        Moment soon = now.plus(rules.term().times(SOON));
-        due = due.before(soon) ? soon : due;
-        if (!due.equals(dueOf.put(name, due))) {
-            dues.add(new Due(due, name));
-        }
-    }
 
-    private void arm() {
-        Moment next = askAt;
-        if (!dues.isEmpty()) {
-            next = next.orEarlier(dues.peek().at);
+        @Override
+        public void sendAfterSync(String to, Message message) {
+            out.sendAfterSync(to, Codec.encode(message));
         }
-        if (keeper != null) {
-            next = next.orEarlier(keeper.due());
-        }
-        if (reform != null) {
-            next = next.orEarlier(reform.due());
+
+        @Override
+        public void send(String to, Message message) {
+            process.send(to, message);
         }
-        next = next.before(now) ? now : next;
-        if (armed == null || next.before(armed)) {
-            armed = next;
-            out.wakeAt(next);
+
+        @Override
+        public void emit(EventType type, String detail) {
+            out.emit(LeaseEvent.ofAcceptor(type, detail));
         }
     }
 }
--- a/src/main/java/rampshift/leases/LeaseRecord.java
+++ b/src/main/java/rampshift/leases/LeaseRecord.java
@@ -1,35 +1,33 @@
 package rampshift.leases;
 
 /**
- * What a register holds: one lease.
+ * The value of a register: the state of one lease.
  *
  * @param version rises by one with each change
- * @param token the fencing token: rises by one whenever it is taken, never falls
- * @param holder whose it is; empty for nobody's
- * @param life the holder's process; 0 for nobody's
- * @param stamp the number that the holder gave the change by which it holds it: it knows when it asked for
- * that
- * @param term how long it is the holder's, in microseconds from before it asked; nobody's: how long it is
- * kept for the
- *        one that is wanted, or for nobody
- * @param wanted who is to have it next; empty where nobody says
- * @param rest for how long nobody is to hold it once its holder has given it back, in microseconds
- * @param note how far the work under it has come
+ * @param token the fencing token: rises by one with each acquisition and never falls
+ * @param holder name of the dispatcher that holds the lease; empty while nobody holds it
+ * @param processId the holder's process; 0 while nobody holds the lease
+ * @param stamp number that the holder gave to the change by which it holds the lease, so that it knows when
+ *         it requested that change
+ * @param termMicros how long the lease belongs to its holder, in microseconds from before the request; while
+ *         nobody holds it, how long it is reserved for {@code nextHolder}, or for nobody if that is empty
+ * @param nextHolder the dispatcher that is to hold the lease next; empty for no preference
+ * @param blockMicros how long nobody may hold the lease after its holder has released it, in microseconds
+ * @param note progress of the work that is done under the lease
  */
-public record LeaseRecord(long version, long token, String holder, long life, long stamp, long term,
-        String wanted,
-        long rest,
-        String note) {
+public record LeaseRecord(long version, long token, String holder, long processId, long stamp,
+        long termMicros, String nextHolder, long blockMicros, String note) {
 
-    /** Characters in a note at most: a value goes into one datagram. */
-    public static final int NOTE = 600;
-    static final LeaseRecord FREE = new LeaseRecord(0, 0, "", 0, 0, 0, "", 0, "");
+    /** Longest note in characters: a record has to fit into one datagram. */
+    public static final int MAX_NOTE_LENGTH = 600;
+    /** The value of a register that was never written. */
+    static final LeaseRecord INITIAL = new LeaseRecord(0, 0, "", 0, 0, 0, "", 0, "");
 
-    boolean free() {
+    boolean isFree() {
         return holder.isEmpty();
     }
 
-    boolean of(long process) {
-        return life == process && !free();
+    boolean isHeldBy(long process) {
+        return processId == process && !isFree();
     }
 }
--- a/src/main/java/rampshift/leases/Reconfiguration.java
+++ b/src/main/java/rampshift/leases/Reconfiguration.java
@@ -1,8 +1,6 @@
 package rampshift.leases;
 
 import java.util.ArrayList;
-import java.util.HashMap;
-import java.util.HashSet;
 import java.util.List;
 import java.util.Map;
 import java.util.Set;
@@ -11,293 +9,263 @@
 import rampshift.time.Moment;
 
 /**
- * Puts other keepers in place of those that there are. First both sets count, each by its own majority; once
- * a majority
- * of the old goes by that, every register is written anew so that a majority of the new has it; then the new
- * count alone.
- * Any number of processes may be at it: each step can be done twice.
+ * Replaces the acceptor set. First the majorities of both sets are required; once a majority of the current
+ * set has installed that, every register is written anew, so that a majority of the joining set has its
+ * value; then the joining set stands alone. Several processes may work on the same reconfiguration: each step
+ * can be repeated.
  */
 final class Reconfiguration {
-    /** What it needs of what is around it. */
-    interface Around extends LeaseClient.Around {
-        /** These are in force from now on: a majority has them. */
+    /** What a reconfiguration needs of the dispatcher. */
+    interface Context extends ProposerContext {
+        /** Takes an acceptor set that a quorum has accepted. */
         void learn(AcceptorSet newer);
+
+        void emit(EventType type, LeaseRecord value);
     }
 
-    private enum Step { KNOWING, JOINING, ADOPTING, LISTING, COPYING, LEAVING, OVER }
+    private enum Step {
+        /** Asks the wanted acceptors for the ids of their directories. */
+        FINDING_DIRECTORIES,
+        /** Writes the set that requires both majorities. */
+        JOINING,
+        /** Tells that set to all acceptors. */
+        INSTALLING,
+        /** Finds the names of all registers. */
+        LISTING,
+        /** Writes all registers anew. */
+        REWRITING,
+        /** Writes the set that requires the new majority alone. */
+        LEAVING, FINISHED
+    }
 
-    private static final double GIVES_UP = 6;       // terms, for one that an operator asked for
-    // terms after it was found begun, times one's place among the keepers
-    private static final double TAKEN_UP = 2;
-    private static final int AT_ONCE = 16;          // registers that are written anew side by side
+    /** An operator's reconfiguration that has not begun by then fails. */
+    private static final double START_TIMEOUT_TERMS = 6;
+    /** How long another process's reconfiguration is left to it, times one's place among the acceptors. */
+    private static final double ADOPTION_TERMS = 2;
+    private static final int MAX_CONCURRENT_REWRITES = 16;
 
-    private final String self;
-    private final long life;
-    private final LeaseTimings rules;
-    private final Around around;
+    private final LeaseTimings timings;
+    private final Context context;
     private final List<String> wanted;
-    private final Map<String, Long> ids = new TreeMap<>();
-    private final Set<String> adopted = new TreeSet<>();
-    private final Map<String, String> listedTo = new HashMap<>();       // the last name heard from each
-    private final Set<String> listed = new HashSet<>();                 // who has told all
-    private final TreeSet<String> registers = new TreeSet<>();
-    private final Map<Long, RegisterChange> changes = new HashMap<>();
-    private final Map<RegisterChange, String> copying = new HashMap<>();
-    private final Map<String, Long> highest = new HashMap<>();
-    private Step step;
-    private AcceptorSet keepers = AcceptorSet.UNKNOWN;
-    private Moment againAt = new Moment(0);
-    private Moment endAt;
-    private double slow = 1;
+    private final Map<String, Long> directoryIds = new TreeMap<>();
+    private final Set<String> installed = new TreeSet<>();
+    private final RegisterListing listing;
+    private final ChangeBatch changes;
+    private Step step = Step.FINDING_DIRECTORIES;
+    private AcceptorSet acceptors = AcceptorSet.UNKNOWN;
+    private Moment nextAt = new Moment(0);
+    private Moment startDeadline;
     private Moment now;
 
-    /** Asked for by an operator: the keepers are to be these. */
-    Reconfiguration(String self, long life, LeaseTimings rules, List<String> wanted, Around around) {
-        this.self = self;
-        this.life = life;
-        this.rules = rules;
+    /** One that an operator asked for: these are to be the acceptors. */
+    Reconfiguration(long processId, LeaseTimings timings, List<String> wanted, Context context) {
+        this.timings = timings;
         this.wanted = List.copyOf(wanted);
-        this.around = around;
-        step = Step.KNOWING;
+        this.context = context;
+        listing = new RegisterListing(context);
+        changes = new ChangeBatch(processId, timings, context);
     }
 
-    /** Found begun: it is taken up if it does not come to its end without. */
-    Reconfiguration(String self, long life, LeaseTimings rules, AcceptorSet midst, Moment now,
-            Around around) {
-        this(self, life, rules, midst.next().stream().map(AcceptorSet.One::name).toList(), around);
-        step = Step.ADOPTING;
-        keepers = midst;
-        againAt = now.plus(rules.term().times(TAKEN_UP * (1 + new ArrayList<>(midst.names()).indexOf(self))));
+    /** One that another process began: it is continued if it does not end without this dispatcher. */
+    static Reconfiguration begunElsewhere(String self, long processId, LeaseTimings timings,
+            AcceptorSet joint, Moment now, Context context) {
+        List<String> wanted = joint.joining().stream().map(AcceptorSet.Member::name).toList();
+        Reconfiguration found = new Reconfiguration(processId, timings, wanted, context);
+        int place = new ArrayList<>(joint.names()).indexOf(self);
+        found.step = Step.INSTALLING;
+        found.acceptors = joint;
+        found.nextAt = now.plus(timings.term().times(ADOPTION_TERMS * (1 + place)));
+        return found;
     }
 
-    boolean over() {
-        return step == Step.OVER;
+    boolean isFinished() {
+        return step == Step.FINISHED;
     }
 
-    Moment due() {
-        return againAt;
+    /** When {@link #onTimer} is to be called. */
+    Moment dueAt() {
+        return nextAt;
     }
 
-    void woken(Moment at) {
+    /** Goes on with the present step, if it is time. */
+    void onTimer(Moment at) {
         now = at;
-        endAt = endAt == null ? at.plus(rules.term().times(GIVES_UP)) : endAt;
-        if (at.before(againAt)) {
+        if (startDeadline == null) {
+            startDeadline = at.plus(timings.term().times(START_TIMEOUT_TERMS));
+        }
+        if (at.before(nextAt)) {
             return;
         }
-        againAt = at.plus(rules.attemptFor(1));
-        if (around.keepers().epoch() > keepers.epoch() && step != Step.KNOWING && step != Step.JOINING) {
-            if (!around.keepers().changing()) {
-                step = Step.OVER;           // another has ended it
-                return;
-            }
-            keepers = around.keepers();
+        nextAt = at.plus(timings.attemptTimeout(1));
+        followNewerEpoch();
+        if (isStarting() && startDeadline.before(at)) {
+            finish(EventType.RECONFIGURATION_FAILED, LeaseRecord.INITIAL);
+            return;
         }
         switch (step) {
-            case KNOWING -> {
-                if (endAt.before(at)) {
-                    around.tell(AcceptorSet.REGISTER, "given up", LeaseRecord.FREE);
-                    step = Step.OVER;
-                } else if (wanted.stream().allMatch(ids::containsKey)) {
-                    to(Step.JOINING);
-                } else {
-                    wanted.forEach(k -> around.send(k,
-                            Message.hello(Message.Kind.HELLO, 0, around.keepers(), 0, 0, 0)));
-                }
-            }
-            case JOINING, LEAVING -> {
-                if (step == Step.JOINING && endAt.before(at)) {
-                    around.tell(AcceptorSet.REGISTER, "given up", LeaseRecord.FREE);
-                    step = Step.OVER;
-                } else if (changes.isEmpty()) {
-                    write();
-                } else {
-                    retry();
-                }
-            }
-            case ADOPTING ->
-                keepers.names().forEach(k -> around.send(k, Message.keepers(Message.Kind.ADOPT, 0, keepers)));
-            case LISTING -> list();
-            case COPYING -> copy();
-            case OVER -> {
+            case FINDING_DIRECTORIES -> findDirectories();
+            case JOINING, LEAVING -> replaceAcceptors();
+            case INSTALLING -> sendInstall(acceptors.names(), acceptors);
+            case LISTING -> listing.requestMissing(acceptors);
+            case REWRITING -> rewriteRegisters();
+            default -> {
             }
         }
     }
 
-    private void to(Step next) {
+    private boolean isStarting() {
+        return step == Step.FINDING_DIRECTORIES || step == Step.JOINING;
+    }
+
+    /** Another process may have gone on with it, or ended it. */
+    private void followNewerEpoch() {
+        AcceptorSet known = context.acceptors();
+        if (isStarting() || known.epoch() <= acceptors.epoch()) {
+            return;
+        }
+        if (known.isChanging()) {
+            acceptors = known;
+        } else {
+            step = Step.FINISHED;
+        }
+    }
+
+    private void enter(Step next) {
         step = next;
         changes.clear();
-        copying.clear();
-        againAt = new Moment(0);
-        woken(now);
+        nextAt = new Moment(0);
+        onTimer(now);
     }
 
-    /** A keeper's number, and the keepers that it goes by. */
-    void helloBack(String from, Message m) {
-        if (step == Step.KNOWING && wanted.contains(from) && m.id() != 0) {
-            ids.put(from, m.id());
-            againAt = new Moment(0);
+    private void finish(EventType outcome, LeaseRecord value) {
+        context.emit(outcome, value);
+        step = Step.FINISHED;
+    }
+
+    private void findDirectories() {
+        if (directoryIds.keySet().containsAll(wanted)) {
+            enter(Step.JOINING);
+            return;
         }
+        Message hello = new Message.Hello(0, context.acceptors(), 0, DirectoryVersion.NONE);
+        wanted.forEach(name -> context.send(name, hello));
     }
 
-    private void write() {
-        AcceptorSet in = around.keepers();
-        AcceptorSet next;
-        if (step == Step.JOINING) {
-            if (in.changing()) {
-                keepers = in;
-                to(Step.ADOPTING);
-                return;
-            }
-            next = new AcceptorSet(in.epoch() + 1, in.now(),
-                    wanted.stream().map(n -> new AcceptorSet.One(n, ids.get(n))).toList());
-            if (in.now().equals(next.next())) {
-                around.tell(AcceptorSet.REGISTER, "unchanged", LeaseRecord.FREE);
-                step = Step.OVER;
-                return;
-            }
-        } else {
-            next = new AcceptorSet(in.epoch() + 1, in.next(), List.of());
+    /** Takes the directory id of a wanted acceptor. */
+    void onHelloReply(String from, Message.HelloReply reply) {
+        if (step == Step.FINDING_DIRECTORIES && wanted.contains(from) && reply.directoryId() != 0) {
+            directoryIds.put(from, reply.directoryId());
+            nextAt = new Moment(0);
         }
-        begin(AcceptorSet.REGISTER,
-                new RegisterUpdate(RegisterUpdate.Kind.KEEPERS, standing(in), self, life, 0, around.number(),
-                        0, next.text()));
     }
 
-    /** What the register of the keepers holds while these are in force: the first were made without it. */
-    private static LeaseRecord standing(AcceptorSet in) {
-        return in.epoch() == 1 ? LeaseRecord.FREE
-                : new LeaseRecord(in.epoch() - 1, 0, "", 0, 0, 0, "", 0, in.text());
+    private void replaceAcceptors() {
+        if (changes.size() > 0) {
+            changes.retryOverdue(now);
+            return;
+        }
+        AcceptorSet known = context.acceptors();
+        if (step == Step.LEAVING) {
+            propose(known, new AcceptorSet(known.epoch() + 1, known.joining(), List.of()));
+        } else if (known.isChanging()) {
+            acceptors = known;
+            enter(Step.INSTALLING);
+        } else {
+            List<AcceptorSet.Member> joining = wanted.stream()
+                    .map(name -> new AcceptorSet.Member(name, directoryIds.get(name))).toList();
+            if (known.current().equals(joining)) {
+                finish(EventType.RECONFIGURATION_UNNEEDED, LeaseRecord.INITIAL);
+            } else {
+                propose(known, new AcceptorSet(known.epoch() + 1, known.current(), joining));
+            }
+        }
     }
 
-    private void begin(String register, RegisterUpdate what) {
-        RegisterChange change = new RegisterChange(register, what, life, highest.getOrDefault(register, 0L));
-        copying.put(change, register);
-        attempt(change);
+    private void propose(AcceptorSet known, AcceptorSet next) {
+        ChangeFunction change = new ChangeFunction.ReplaceAcceptors(registerValue(known), next.encode());
+        changes.begin(now, AcceptorSet.REGISTER, change);
     }
 
-    private void attempt(RegisterChange change) {
-        long number = around.number();
-        changes.values().remove(change);
-        changes.put(number, change);
-        change.attempt(around.keepers(), number, now.plus(rules.attemptFor(slow)), around);
+    /**
+     * What the register of the acceptors holds while these are in force: the first set was formed without it.
+     */
+    private static LeaseRecord registerValue(AcceptorSet known) {
+        return known.epoch() == 1 ? LeaseRecord.INITIAL
+                : new LeaseRecord(known.epoch() - 1, 0, "", 0, 0, 0, "", 0, known.encode());
     }
 
-    void answer(Moment at, String from, Message m) {
+    /** Takes the answer of an acceptor that was told the joint set. */
+    void onInstalled(Moment at, String from, Message.Installed reply) {
         now = at;
-        switch (m.kind()) {
-            case ADOPTED -> {
-                if (step == Step.ADOPTING && m.epoch() == keepers.epoch()) {
-                    adopted.add(from);
-                    if (keepers.agreed(adopted)) {
-                        to(Step.LISTING);
-                    }
-                }
-            }
-            case LISTED -> listed(from, m);
-            case PROMISED, ACCEPTED, REFUSED -> {
-                RegisterChange change = changes.get(m.number());
-                if (change != null && change.answer(at, from, m, around)) {
-                    String register = copying.get(change);
-                    highest.merge(register, change.highest(), Math::max);
-                    if (change.state() == RegisterChange.State.ASKING) {
-                        change.waitUntil(at.plus(rules.backOff().times(slow * around.chance())));
-                    } else {
-                        changes.remove(m.number());
-                        copying.remove(change);
-                        ended(register, change);
-                    }
-                }
-            }
-            default -> {
+        if (step == Step.INSTALLING && reply.acceptors().epoch() == acceptors.epoch()) {
+            installed.add(from);
+            if (acceptors.hasQuorum(installed)) {
+                enter(Step.LISTING);
             }
         }
     }
 
-    private void list() {
-        for (AcceptorSet.One one : keepers.now()) {
-            if (!listed.contains(one.name())) {
-                list(one.name());
-            }
+    /** Takes a part of an acceptor's register names. */
+    void onRegisterList(Moment at, String from, Message.RegisterList reply) {
+        now = at;
+        if (step == Step.LISTING && listing.onList(acceptors, from, reply.registers())) {
+            enter(Step.REWRITING);
         }
     }
 
-    private void list(String from) {
-        around.send(from,
-                new Message(Message.Kind.LIST, 0, keepers.epoch(), listedTo.getOrDefault(from, ""),
-                        Ballot.NONE,
-                        Ballot.NONE, LeaseRecord.FREE, List.of(), List.of(), "", 0, 0, 0));
-    }
-
-    private void listed(String from, Message m) {
-        if (step != Step.LISTING || listed.contains(from)) {
+    /** Takes a reply to an attempt of this reconfiguration. */
+    void onReply(Moment at, String from, Message.VoteReply reply) {
+        now = at;
+        ChangeBatch.Entry decided = changes.onReply(at, from, reply);
+        if (decided == null) {
             return;
         }
-        if (m.names().isEmpty()) {
-            listed.add(from);
-        } else {
-            registers.addAll(m.names());
-            listedTo.put(from, m.names().get(m.names().size() - 1));
-        }
-        if (new AcceptorSet(keepers.epoch(), keepers.now(), List.of()).agreed(listed)) {
-            to(Step.COPYING);
-        } else if (!listed.contains(from)) {
-            list(from);     // the next part, from that one alone
+        if (decided.register().equals(AcceptorSet.REGISTER)) {
+            onAcceptorsDecided(decided.proposer());
+        } else if (step == Step.REWRITING) {
+            rewriteRegisters();
         }
     }
 
-    private void retry() {
-        for (RegisterChange change : List.copyOf(changes.values())) {
-            if (!now.before(change.until())) {
-                highest.merge(copying.get(change), change.highest(), Math::max);
-                slow = change.refused() ? slow : rules.slower(slow);
-                attempt(change);
+    private void rewriteRegisters() {
+        changes.retryOverdue(now);
+        while (changes.size() < MAX_CONCURRENT_REWRITES) {
+            String register = listing.pollRegister();
+            if (register == null) {
+                break;
             }
+            changes.begin(now, register, new ChangeFunction.Rewrite());
         }
-    }
-
-    private void copy() {
-        retry();
-        while (copying.size() < AT_ONCE && !registers.isEmpty()) {
-            begin(registers.pollFirst(), new RegisterUpdate(RegisterUpdate.Kind.COPY, LeaseRecord.FREE, self,
-                    life, 0, 0, 0, null));
-        }
-        if (copying.isEmpty()) {
-            to(Step.LEAVING);
+        if (changes.size() == 0) {
+            enter(Step.LEAVING);
         }
     }
 
-    private void ended(String register, RegisterChange change) {
-        if (!register.equals(AcceptorSet.REGISTER)) {
-            if (step == Step.COPYING) {
-                copy();
-            }
+    private void onAcceptorsDecided(Proposer proposer) {
+        AcceptorSet decided = AcceptorSet.parse(proposer.value().note());
+        if (decided == null) {
             return;
         }
-        AcceptorSet stands = AcceptorSet.of(change.value().note());
-        if (change.state() != RegisterChange.State.DONE) {
-            if (stands != null && stands.epoch() > around.keepers().epoch()) {
-                // Another's, which may be no majority's yet: nobody goes by it before it is.
-                begin(AcceptorSet.REGISTER, new RegisterUpdate(RegisterUpdate.Kind.COPY, LeaseRecord.FREE,
-                        self, life, 0, 0, 0, null));
+        if (proposer.state() != Proposer.State.CHOSEN) {
+            if (decided.epoch() > context.acceptors().epoch()) {
+                // Another process's, which a quorum may not have yet: nobody goes by it before one has.
+                changes.begin(now, AcceptorSet.REGISTER, new ChangeFunction.Rewrite());
             }
             return;
         }
-        if (stands == null) {
-            return;
-        }
-        tellAll(stands);
-        around.learn(stands);
-        keepers = stands;
-        if (stands.changing()) {
-            to(Step.ADOPTING);
+        sendInstall(context.acceptors().names(), decided);
+        sendInstall(decided.names(), decided);
+        context.learn(decided);
+        acceptors = decided;
+        if (decided.isChanging()) {
+            enter(Step.INSTALLING);
         } else {
-            around.tell(AcceptorSet.REGISTER, "changed", change.value());
-            step = Step.OVER;
+            finish(EventType.RECONFIGURED, proposer.value());
         }
     }
 
-    private void tellAll(AcceptorSet stands) {
-        around.keepers().names().forEach(k -> around.send(k, Message.keepers(Message.Kind.ADOPT, 0, stands)));
-        stands.names().forEach(k -> around.send(k, Message.keepers(Message.Kind.ADOPT, 0, stands)));
+    private void sendInstall(Set<String> names, AcceptorSet set) {
+        Message install = new Message.Install(0, set);
+        names.forEach(name -> context.send(name, install));
     }
 }
--- /dev/null
+++ b/src/main/java/rampshift/leases/RegisterListing.java
@@ -0,0 +1,62 @@
+package rampshift.leases;
+
+import java.util.HashMap;
+import java.util.HashSet;
+import java.util.List;
+import java.util.Map;
+import java.util.Set;
+import java.util.TreeSet;
+
+/** Finds the names of all registers, from a majority of the current acceptors. */
+final class RegisterListing {
+    private final Proposer.Transport transport;
+    private final Map<String, String> lastNameOf = new HashMap<>();
+    private final Set<String> completed = new HashSet<>();
+    private final TreeSet<String> registers = new TreeSet<>();
+
+    RegisterListing(Proposer.Transport transport) {
+        this.transport = transport;
+    }
+
+    /** Asks all current acceptors that have not told all their names yet. */
+    void requestMissing(AcceptorSet acceptors) {
+        for (AcceptorSet.Member member : acceptors.current()) {
+            if (!completed.contains(member.name())) {
+                request(acceptors, member.name());
+            }
+        }
+    }
+
+    private void request(AcceptorSet acceptors, String from) {
+        transport.send(from,
+                new Message.ListRegisters(0, acceptors.epoch(), lastNameOf.getOrDefault(from, "")));
+    }
+
+    /**
+     * Takes a part of an acceptor's names, and asks it for the next. Returns whether all registers are known
+     * by now.
+     */
+    boolean onList(AcceptorSet acceptors, String from, List<String> names) {
+        if (completed.contains(from)) {
+            return false;
+        }
+        if (names.isEmpty()) {
+            completed.add(from);
+        } else {
+            registers.addAll(names);
+            lastNameOf.put(from, names.get(names.size() - 1));
+        }
+        if (new AcceptorSet(acceptors.epoch(), acceptors.current(), List.of()).hasQuorum(completed)) {
+            return true;
+        }
+        if (!completed.contains(from)) {
+            request(acceptors, from);
+        }
+        return false;
+    }
+
+    /** Removes the next register; null where there are none left. */
+    String pollRegister() {
+        return registers.pollFirst();
+    }
+}
--- /dev/null
+++ b/src/main/java/rampshift/leases/SeededDraws.java
@@ -0,0 +1,29 @@
+package rampshift.leases;
+
+import java.nio.charset.StandardCharsets;
+import java.util.zip.CRC32;
+
+/** Random draws from a seed and a counter: the same seed gives the same draws. */
+final class SeededDraws {
+    private static final double CRC_VALUES = 1L << 32;
+
+    private final long seed;
+    private long counter;
+
+    SeededDraws(long seed) {
+        this.seed = seed;
+    }
+
+    /** The next draw, from 0 to under 1. */
+    double next() {
+        counter++;
+        return checksum(seed + " " + counter) / CRC_VALUES;
+    }
+
+    /** The CRC32 of a text, as an order of things that is the same everywhere. */
+    static long checksum(String text) {
+        CRC32 crc = new CRC32();
+        crc.update(text.getBytes(StandardCharsets.UTF_8));
+        return crc.getValue();
+    }
+}
--- a/src/main/java/rampshift/leases/host/LeaseHost.java
+++ b/src/main/java/rampshift/leases/host/LeaseHost.java
@@ -9,8 +9,9 @@
 import org.xnio.XnioExecutor;
 import rampshift.eventlog.EventClock;
 import rampshift.eventlog.EventLog;
-import rampshift.leases.Event;
+import rampshift.leases.LeaseEvent;
 import rampshift.leases.LeaseManager;
+import rampshift.leases.LeaseRecord;
 import rampshift.leases.store.RecordLog;
 import rampshift.log.Log;
 import rampshift.membership.host.MessageChannel;
@@ -18,187 +19,189 @@
 import rampshift.time.Span;
 
 /**
- * The timer, clock and disk of the leases, on the dispatcher's one I/O thread. It owns the directory and the
- * ledger.
+ * The timer, clock and disk of the leases, on the dispatcher's one I/O thread. It owns the acceptor's
+ * directory and the event log.
  */
-public final class LeaseHost implements MessageChannel.Guest, LeaseManager.Out {
-    private final LeaseSettings setting;
+public final class LeaseHost implements MessageChannel.Guest {
+    private static final String NONE = "-";
+    private static final long MICROS_PER_MILLI = 1000;
+
+    private final LeaseSettings settings;
     private final String name;
     private final BootTimeClock clock = new BootTimeClock();
-    private final EventLog ledger;
-    private final RecordLog records;      // null where it keeps nothing
-    private MessageChannel post;
-    private RecordWriter disk;
+    private final EventLog eventLog;
+    private final RecordLog records;
+    private MessageChannel channel;
+    private RecordWriter writer;
     private LeaseManager leases;
+    private LeaseQueries queries;
     private XnioExecutor.Key wake;
-    private boolean ended;
+    private boolean stopped;
 
-    /** Throws where its directory can't be used. */
-    public LeaseHost(LeaseSettings setting, String name) throws IOException {
-        this.setting = setting;
+    /**
+     * Opens the directory and the event log.
+     *
+     * @param name this dispatcher
+     * @throws IOException if one of them can't be used
+     */
+    public LeaseHost(LeaseSettings settings, String name) throws IOException {
+        this.settings = settings;
         this.name = name;
-        records = setting.directory() == null ? null : new RecordLog(setting.directory());
-        ledger = setting.ledger() == null ? null : new EventLog(setting.ledger(), true);
+        records = settings.directory() == null ? null : new RecordLog(settings.directory());
+        eventLog = settings.eventLog() == null ? null : new EventLog(settings.eventLog(), true);
     }
 
     @Override
-    public void begin(MessageChannel post) {
-        this.post = post;
-        SecureRandom chance = new SecureRandom();
-        long life = chance.nextLong() | 1;
-        leases = new LeaseManager(
-                new LeaseManager.Start(name, life, setting.keepers(), setting.names(), setting.rules(), life),
-                this);
-        if (records != null) {
-            disk = new RecordWriter(records, post.thread()::execute, () -> leases.keepsNoMore(clock.now()));
+    public void begin(MessageChannel messages) {
+        channel = messages;
+        SecureRandom random = new SecureRandom();
+        long processId = randomNonZero(random);
+        leases = new LeaseManager(new LeaseManager.Settings(name, processId, settings.initialAcceptors(),
+                settings.leases(), settings.timings(), processId), new ManagerOutput());
+        queries = new LeaseQueries(leases);
+        logEvent("began", NONE, 0, String.valueOf(processId));
+        if (records == null) {
+            leases.start(clock.now());
+        } else {
+            writer = new RecordWriter(records, channel.thread(),
+                    () -> leases.stopAcceptor(clock.now()));
+            leases.startWithAcceptor(clock.now(), records.records(), records.recordCount(),
+                    randomNonZero(random));
         }
-        write("began", "-", 0, String.valueOf(life));
-        leases.start(clock.now(), records == null ? null : records.all(),
-                records == null ? 0 : records.position(),
-                chance.nextLong() | 1);
     }
 
-    /**
-     * How long it may act under that lease from this instant on, by the clock as it is now; not positive: it
-     * may not.
-     */
-    public Span mayAct(String lease) {
-        return leases.mayAct(lease, clock.now());
+    private static long randomNonZero(SecureRandom random) {
+        return random.nextLong() | 1;
     }
 
     /**
-     * The token of each of these that may be acted under now; of the others 0. One look at the clock for all.
+     * How long this dispatcher may act under the lease from this instant on; it may not where that is not
+     * positive. It reads the clock.
      */
+    public Span remaining(String lease) {
+        return leases.remaining(lease, clock.now());
+    }
+
+    /** The token of each of these leases under which this dispatcher may act now; 0 for the others. */
     public long[] tokens(List<String> names) {
         Moment now = clock.now();
-        return names.stream()
-                .mapToLong(n -> leases.mayAct(n, now).longerThan(Span.ZERO) ? leases.token(n) : 0).toArray();
+        return names.stream().mapToLong(lease -> tokenAt(lease, now)).toArray();
+    }
+
+    private long tokenAt(String lease, Moment now) {
+        return leases.remaining(lease, now).longerThan(Span.ZERO) ? leases.token(lease) : 0;
     }
 
+    /** The term of all leases. */
     public Span term() {
-        return setting.rules().term();
+        return settings.timings().term();
     }
 
+    /** The fencing token that goes with each act, while this dispatcher may act. */
     public long token(String lease) {
         return leases.token(lease);
     }
 
-    /** How far the work under it has come, as a majority has it as far as is known here. */
+    /** The note of the lease as far as is known here; empty for none. */
     public String note(String lease) {
         return leases.note(lease);
     }
 
-    public void note(String lease, String text) {
-        leases.note(clock.now(), lease, text);
+    /** Writes the note of a lease that this dispatcher holds. */
+    public void writeNote(String lease, String note) {
+        leases.writeNote(clock.now(), lease, note);
     }
 
-    /** Writes a line to the ledger, if there is one. */
-    public void write(String word, String lease, long token, String detail) {
-        if (ledger != null && !ended) {
-            ledger.line(EventClock.now(), "leases", name, word, lease, token,
-                    detail.isEmpty() ? "-" : detail.replace(' ', '-'));
+    /** Writes a line to the event log, if there is one. */
+    public void logEvent(String word, String lease, long token, String detail) {
+        if (eventLog != null && !stopped) {
+            eventLog.line(EventClock.now(), "leases", name, word, lease, token,
+                    detail.isEmpty() ? NONE : detail.replace(' ', '-'));
         }
     }
 
-    // ---- what comes in
-
     @Override
-    public void parcel(String from, byte[] parcel) {
-        if (!ended) {
-            leases.message(clock.now(), from, parcel);
+    public void parcel(String from, byte[] message) {
+        if (!stopped) {
+            leases.onMessage(clock.now(), from, message);
         }
     }
 
     @Override
     public void there(Collection<String> names) {
-        leases.there(names);
+        leases.setAlive(names);
     }
 
     @Override
     public String asked(String question) {
-        if (!question.matches("\\?leases( give [!-~]+( [!-~]+)?| hold [!-~]+ \\d{1,16}| keepers [!-~]+)?")) {
-            return null;
-        }
-        String[] words = question.substring(1).split(" ");
-        Moment now = clock.now();
-        if (words.length == 1) {
-            return leases.page(now);
-        }
-        boolean known = true;
-        switch (words[1]) {
-            case "give" -> known = leases.give(now, words[2], words.length > 3 ? words[3] : "*");
-            case "hold" -> known = leases.rest(now, words[2], new Span(Long.parseLong(words[3])));
-            default -> {
-                String why = leases.keepers(now, List.of(words[2].split(",")));
-                return why == null ? "begun; \"rampshift leases\" tells how it stands\n"
-                        : "not begun: " + why + "\n";
-            }
-        }
-        return known ? "told; \"rampshift leases\" tells what came of it\n"
-                : "there is no lease " + words[2] + "\n";
+        return queries.answer(question, clock.now());
     }
 
     @Override
     public void stopping() {
-        leases.end(clock.now());
+        leases.shutDown(clock.now());
     }
 
     @Override
     public void end() {
-        ended = true;
+        stopped = true;
         if (wake != null) {
             wake.remove();
         }
-        if (disk != null) {
-            disk.close();
+        if (writer != null) {
+            writer.close();
         }
-        if (ledger != null) {
-            IoUtils.safeClose(ledger);
+        if (eventLog != null) {
+            IoUtils.safeClose(eventLog);
         }
     }
 
-    // ---- what is decided
+    /** Carries out what the manager decides. */
+    private final class ManagerOutput implements LeaseManager.Output {
+        @Override
+        public void send(String to, byte[] message) {
+            channel.post(to, message);
+        }
 
-    @Override
-    public void send(String to, byte[] message) {
-        post.post(to, message);
-    }
+        @Override
+        public void persist(String key, byte[] value) {
+            writer.write(key, value);
+        }
 
-    @Override
-    public void put(String key, byte[] record) {
-        disk.put(key, record);
-    }
+        @Override
+        public void sendAfterSync(String to, byte[] message) {
+            writer.afterSync(recordCount -> {
+                if (!stopped) {
+                    leases.onSynced(recordCount);
+                    channel.post(to, message);
+                }
+            });
+        }
 
-    @Override
-    public void sendOnceSynced(String to, byte[] message) {
-        disk.then(position -> {
-            if (!ended) {
-                leases.synced(position);
-                post.post(to, message);
+        @Override
+        public void wakeAt(Moment time) {
+            if (wake != null) {
+                wake.remove();
             }
-        });
-    }
-
-    @Override
-    public void wakeAt(Moment when) {
-        if (wake != null) {
-            wake.remove();
+            long delayMicros = Math.max(0, time.since(clock.now()).micros() + MICROS_PER_MILLI - 1);
+            wake = stopped ? null
+                    : channel.thread().executeAfter(() -> leases.onTimer(clock.now()),
+                            delayMicros / MICROS_PER_MILLI, TimeUnit.MILLISECONDS);
         }
-        wake = ended ? null
-                : post.thread().executeAfter(() -> leases.woken(clock.now()),
-                        Math.max(0, when.since(clock.now()).micros() + 999) / 1000, TimeUnit.MILLISECONDS);
-    }
 
-    @Override
-    public void done(String register, long version, long token, String holder, Span took) {
-        write("done", register, token,
-                version + "/" + took.micros() + "/" + (holder.isEmpty() ? "-" : holder));
-    }
+        @Override
+        public void changeCompleted(String register, LeaseRecord value, Span elapsed) {
+            String holder = value.holder().isEmpty() ? NONE : value.holder();
+            logEvent("done", register, value.token(),
+                    value.version() + "/" + elapsed.micros() + "/" + holder);
+        }
 
-    @Override
-    public void tell(Event event) {
-        write(event.what(), event.lease().isEmpty() ? "-" : event.lease(), event.token(), event.detail());
-        Log.info("leases", "lease", event.lease(), "event", event.what(), "token", event.token(), "detail",
-                event.detail());
+        @Override
+        public void emit(LeaseEvent event) {
+            String word = event.type().word();
+            logEvent(word, event.lease().isEmpty() ? NONE : event.lease(), event.token(), event.detail());
+            Log.info("leases", "lease", event.lease(), "event", word, "token", event.token(), "detail",
+                    event.detail());
+        }
     }
 }
--- /dev/null
+++ b/src/main/java/rampshift/leases/host/LeaseQueries.java
@@ -0,0 +1,57 @@
+package rampshift.leases.host;
+
+import java.util.List;
+import java.util.regex.Pattern;
+import rampshift.leases.LeaseManager;
+import rampshift.leases.ReconfigurationStart;
+import rampshift.time.Moment;
+import rampshift.time.Span;
+
+/** Answers what operators ask and request by the command {@code leases}. */
+final class LeaseQueries {
+    private static final Pattern QUESTION =
+            Pattern.compile("\\?leases( give [!-~]+( [!-~]+)?| hold [!-~]+ \\d{1,16}| keepers [!-~]+)?");
+    private static final String ANYBODY = "*";
+    private static final int COMMAND = 1;
+    private static final int LEASE = 2;
+    private static final int ARGUMENT = 3;
+
+    private final LeaseManager leases;
+
+    LeaseQueries(LeaseManager leases) {
+        this.leases = leases;
+    }
+
+    /** The answer; null where the question is not about leases. */
+    String answer(String question, Moment now) {
+        if (!QUESTION.matcher(question).matches()) {
+            return null;
+        }
+        String[] words = question.split(" ", -1);
+        if (words.length <= COMMAND) {
+            return leases.statusPage(now);
+        }
+        return switch (words[COMMAND]) {
+            case "give" -> {
+                String to = words.length > ARGUMENT ? words[ARGUMENT] : ANYBODY;
+                yield told(leases.handOver(now, words[LEASE], to), words[LEASE]);
+            }
+            case "hold" -> {
+                Span length = new Span(Long.parseLong(words[ARGUMENT]));
+                yield told(leases.block(now, words[LEASE], length), words[LEASE]);
+            }
+            default -> reconfigure(now, words[LEASE]);
+        };
+    }
+
+    private String reconfigure(Moment now, String names) {
+        ReconfigurationStart start = leases.reconfigure(now, List.of(names.split(",", 0)));
+        return start == ReconfigurationStart.BEGUN ? "begun; \"rampshift leases\" tells how it stands\n"
+                : "not begun: " + start.reason() + "\n";
+    }
+
+    private static String told(boolean exists, String lease) {
+        return exists ? "told; \"rampshift leases\" tells what came of it\n"
+                : "there is no lease " + lease + "\n";
+    }
+}
--- a/src/main/java/rampshift/leases/host/RecordWriter.java
+++ b/src/main/java/rampshift/leases/host/RecordWriter.java
@@ -9,95 +9,118 @@
 import rampshift.log.Log;
 
 /**
- * Writes a keeper's records on a thread of its own: all that has come since the last write goes in one. What
- * waits for
- * them is told on the thread that decides. Where the disk fails nothing is told any more.
+ * Writes an acceptor's records on a thread of its own, and owns them: whatever has come since the last write
+ * shares one sync. Listeners are called on the I/O thread. Once the disk has failed no listener is called any
+ * more.
  */
 final class RecordWriter {
-    /** Told once all that came before is on disk, with how many records it has held. */
-    interface Synced {
-        void on(long position);
+    /** Called once all records that came before it are on disk. */
+    interface SyncListener {
+        /** Takes the number of records that the directory has held. */
+        void onSynced(long recordCount);
     }
 
-    private record Entry(String key, byte[] value, Synced then) {}
+    private static final class PendingRecord {
+        private final String key;
+        private final byte[] value;
+
+        PendingRecord(String key, byte[] value) {
+            this.key = key;
+            this.value = value;
+        }
+    }
+
+    /** What shares one sync. */
+    private static final class Batch {
+        private final List<PendingRecord> records = new ArrayList<>();
+        private final List<SyncListener> listeners = new ArrayList<>();
+
+        boolean isEmpty() {
+            return records.isEmpty() && listeners.isEmpty();
+        }
+    }
 
     private final RecordLog records;
-    private final Executor decides;
-    private final Runnable failed;
-    private final Thread thread;
-    private List<Entry> waiting = new ArrayList<>();
+    private final Executor ioThread;
+    private final Runnable onFailure;
+    private Batch waiting = new Batch();
     private boolean closed;
-    private boolean dead;
+    private boolean failed;
 
-    /** Decides: where what waits is told. Failed: told there once, when nothing can be written any more. */
-    RecordWriter(RecordLog records, Executor decides, Runnable failed) {
+    /**
+     * Starts the thread.
+     *
+     * @param ioThread where listeners are called
+     * @param onFailure called there once, when nothing can be written any more
+     */
+    RecordWriter(RecordLog records, Executor ioThread, Runnable onFailure) {
         this.records = records;
-        this.decides = decides;
-        this.failed = failed;
-        thread = new Thread(this::work, "leases-disk");
+        this.ioThread = ioThread;
+        this.onFailure = onFailure;
+        Thread thread = new Thread(this::run, "leases-disk");
         thread.setDaemon(true);
         thread.start();
     }
 
-    synchronized void put(String key, byte[] value) {
-        add(new Entry(key, value, null));
-    }
-
-    synchronized void then(Synced then) {
-        add(new Entry(null, null, then));
-    }
-
-    private void add(Entry entry) {
-        if (!dead) {
-            waiting.add(entry);
+    synchronized void write(String key, byte[] value) {
+        if (!failed) {
+            waiting.records.add(new PendingRecord(key, value));
             notifyAll();
         }
     }
 
-    private synchronized void dies() {
-        dead = true;
-        waiting = List.of();
+    synchronized void afterSync(SyncListener listener) {
+        if (!failed) {
+            waiting.listeners.add(listener);
+            notifyAll();
+        }
     }
 
+    /** Ends the thread once all that waits is written. */
     synchronized void close() {
         closed = true;
         notifyAll();
     }
 
-    private synchronized List<Entry> next() throws InterruptedException {
+    private synchronized void fail() {
+        failed = true;
+        waiting = new Batch();
+    }
+
+    /** Waits for the next batch; an empty one where there is none any more. */
+    private synchronized Batch next() throws InterruptedException {
         while (waiting.isEmpty() && !closed) {
             wait();
         }
-        List<Entry> all = waiting;
-        waiting = new ArrayList<>();
-        return all;
+        Batch batch = waiting;
+        waiting = new Batch();
+        return batch;
     }
 
-    private void work() {
+    private void run() {
         try (records) {
-            for (List<Entry> all = next(); !all.isEmpty(); all = next()) {
-                boolean any = false;
-                for (Entry e : all) {
-                    if (e.key != null) {
-                        records.add(e.key, e.value);
-                        any = true;
-                    }
-                }
-                if (any) {
-                    records.sync();
-                }
-                long position = records.position();
-                List<Synced> told = all.stream().filter(e -> e.then != null).map(Entry::then).toList();
-                decides.execute(() -> told.forEach(t -> t.on(position)));
+            for (Batch batch = next(); !batch.isEmpty(); batch = next()) {
+                write(batch);
             }
         } catch (IOException e) {
-            dies();
+            fail();
             Log.warn("leases", "keeper", "stops", "why", e.getMessage());
-            decides.execute(failed);
+            ioThread.execute(onFailure);
         } catch (RejectedExecutionException e) {
-            // The dispatcher has ended: nobody waits for it any more.
+            // The dispatcher has stopped: nobody waits for it any more.
         } catch (InterruptedException e) {
             Thread.currentThread().interrupt();
         }
     }
+
+    private void write(Batch batch) throws IOException {
+        for (PendingRecord pending : batch.records) {
+            records.add(pending.key, pending.value);
+        }
+        if (!batch.records.isEmpty()) {
+            records.sync();
+        }
+        long recordCount = records.recordCount();
+        ioThread.execute(() -> batch.listeners.forEach(listener -> listener.onSynced(recordCount)));
+    }
 }
--- /dev/null
+++ b/src/main/java/rampshift/leases/store/DirectoryLock.java
@@ -0,0 +1,48 @@
+package rampshift.leases.store;
+
+import java.io.Closeable;
+import java.io.IOException;
+import java.nio.channels.FileChannel;
+import java.nio.channels.FileLock;
+import java.nio.channels.OverlappingFileLockException;
+import java.nio.file.Path;
+import java.nio.file.StandardOpenOption;
+
+/** Keeps other processes out of a directory until it is closed. */
+final class DirectoryLock implements Closeable {
+    private static final String FILE = "lock";
+
+    private final FileChannel channel;
+
+    /**
+     * Takes the lock.
+     *
+     * @throws IOException if another process has it
+     */
+    DirectoryLock(Path directory) throws IOException {
+        channel = FileChannel.open(directory.resolve(FILE), StandardOpenOption.CREATE,
+                StandardOpenOption.WRITE);
+        try {
+            if (lock(channel) == null) {
+                throw new IOException(directory + ": another process keeps its records there");
+            }
+        } catch (IOException e) {
+            channel.close();
+            throw e;
+        }
+    }
+
+    private static FileLock lock(FileChannel channel) throws IOException {
+        try {
+            return channel.tryLock();
+        } catch (OverlappingFileLockException e) {
+            return null;
+        }
+    }
+
+    /** Releases the lock with its channel. */
+    @Override
+    public void close() throws IOException {
+        channel.close();
+    }
+}
--- a/src/main/java/rampshift/leases/store/RecordLog.java
+++ b/src/main/java/rampshift/leases/store/RecordLog.java
@@ -4,8 +4,6 @@
 import java.io.IOException;
 import java.nio.ByteBuffer;
 import java.nio.channels.FileChannel;
-import java.nio.channels.FileLock;
-import java.nio.channels.OverlappingFileLockException;
 import java.nio.charset.StandardCharsets;
 import java.nio.file.Files;
 import java.nio.file.Path;
@@ -13,206 +11,165 @@
 import java.nio.file.StandardOpenOption;
 import java.util.Map;
 import java.util.TreeMap;
-import java.util.zip.CRC32C;
 
 /**
- * A directory that remembers records by key: one file, to which each change is added with a length, a number
- * that rises
- * by one and a checksum. What is torn at its end was never answered for, and is cut off; damage before the
- * end is told,
- * and nothing goes on. For one thread at a time.
+ * A directory that stores records by key, in one file to which each change is appended. A torn record at the
+ * end was never acknowledged and is cut off. Damage before the end is an error: nothing may go on without a
+ * record that was acknowledged. For one thread at a time.
  */
 public final class RecordLog implements Closeable {
     private static final String FILE = "records";
-    private static final String NEW = "records.new";
-    private static final String LOCK = "lock";
-    private static final byte[] HEAD = "RSHREC01".getBytes(StandardCharsets.US_ASCII);
-    private static final int FRAME = 8;                     // length and checksum
-    private static final int LEAST = 10;                    // number and key length
-    private static final int MOST = 1 << 16;                // bytes of a record
-    private static final long COMPACT_AT = 1 << 20;         // bytes in the file,
-    private static final int COMPACT_TIMES = 4;             // and times what is still in force
-
-    private final Path folder;
-    private final FileChannel lockFile;
-    private final FileLock lock;
-    private final TreeMap<String, byte[]> all = new TreeMap<>();
+    private static final String NEW_FILE = "records.new";
+    /** A file is compacted once it is larger than this, */
+    private static final long MIN_COMPACTION_BYTES = 1 << 20;
+    /** and this many times larger than the records in force. */
+    private static final int COMPACTION_FACTOR = 4;
+
+    private final Path directory;
+    private final DirectoryLock lock;
+    private final TreeMap<String, byte[]> records = new TreeMap<>();
     private FileChannel file;
-    private ByteBuffer pending = ByteBuffer.allocate(MOST);
-    private long position;
-    private long size;
-    private long live;
+    private ByteBuffer pending = ByteBuffer.allocate(RecordFormat.MAX_BODY_BYTES);
+    private long recordCount;
+    private long fileBytes;
+    private long liveBytes;
     private boolean broken;
 
     /**
-     * Opens it, or makes it. Throws where another process has it, or where it is damaged; says what is to be
-     * done.
+     * Opens the directory, or creates it.
+     *
+     * @throws IOException if another process uses it or it is damaged; the message says what is to be done
      */
-    public RecordLog(Path folder) throws IOException {
-        this.folder = folder;
-        Files.createDirectories(folder);
-        lockFile =
-                FileChannel.open(folder.resolve(LOCK), StandardOpenOption.CREATE, StandardOpenOption.WRITE);
+    public RecordLog(Path directory) throws IOException {
+        this.directory = directory;
+        Files.createDirectories(directory);
+        lock = new DirectoryLock(directory);
         try {
-            lock = locked();
-            Files.deleteIfExists(folder.resolve(NEW));
-            Path path = folder.resolve(FILE);
+            Files.deleteIfExists(directory.resolve(NEW_FILE));
+            Path path = directory.resolve(FILE);
             if (Files.exists(path)) {
-                read(path);
+                load(path);
             } else {
                 compact();
             }
         } catch (IOException e) {
-            lockFile.close();
+            lock.close();
             throw e;
         }
     }
 
-    private FileLock locked() throws IOException {
-        FileLock got;
-        try {
-            got = lockFile.tryLock();
-        } catch (OverlappingFileLockException e) {
-            got = null;
-        }
-        if (got == null) {
-            throw new IOException(folder + ": another process keeps its records there");
-        }
-        return got;
-    }
-
-    private void read(Path path) throws IOException {
-        ByteBuffer b = ByteBuffer.wrap(Files.readAllBytes(path));
-        byte[] head = new byte[HEAD.length];
-        if (b.remaining() < HEAD.length
-                || !java.util.Arrays.equals(HEAD, 0, HEAD.length, b.get(head).array(), 0, HEAD.length)) {
+    private void load(Path path) throws IOException {
+        ByteBuffer content = ByteBuffer.wrap(Files.readAllBytes(path));
+        if (!RecordFormat.readFileHeader(content)) {
             throw new IOException(path + ": is no file of records, or of another version");
         }
-        while (sound(b, b.position())) {
-            take(b);
-        }
-        int end = b.position();
-        if (end < b.limit()) {
-            for (int at = end + 1; at < b.limit() - FRAME; at++) {
-                if (sound(b, at)) {
-                    throw new IOException(path + ": byte " + end
-                            + ": a damaged record, and a sound one after it at byte " + at
-                            + ": what this keeper promised is lost. Put its directory away, start it with an empty one,"
-                            + " and take it in again: rampshift leases keepers NAME,NAME,...");
-                }
-            }
+        while (RecordFormat.isFrameAt(content, content.position(), recordCount)) {
+            RecordFormat.StoredRecord stored = RecordFormat.read(content);
+            recordCount = stored.number();
+            keep(stored.key(), stored.value());
         }
+        int end = content.position();
+        requireTornEnd(path, content, end);
         file = FileChannel.open(path, StandardOpenOption.WRITE);
         file.truncate(end);
         file.force(true);
         file.position(end);
-        size = end;
+        fileBytes = end;
     }
 
-    /** Whether a record that comes next in number begins there. */
-    private boolean sound(ByteBuffer b, int at) {
-        if (b.limit() - at < FRAME + LEAST) {
-            return false;
-        }
-        int length = b.getInt(at);
-        if (length < LEAST || length > MOST || length > b.limit() - at - FRAME) {
-            return false;
+    /** An undamaged record after a damaged one shows that the damage is not a torn end. */
+    private void requireTornEnd(Path path, ByteBuffer content, int end) throws IOException {
+        for (int offset = end + 1; offset < content.limit() - RecordFormat.FRAME_HEADER_BYTES; offset++) {
+            if (RecordFormat.isFrameAt(content, offset, recordCount)) {
+                throw new IOException(path + ": byte " + end
+                        + ": a damaged record, and a sound one after it at byte " + offset
+                        + ": what this keeper promised is lost. Put its directory away, start it with an"
+                        + " empty one, and take it in again: rampshift leases keepers NAME,NAME,...");
+            }
         }
-        long number = b.getLong(at + FRAME);
-        return (position == 0 || number > position) && sum(b.array(), at + FRAME, length) == b.getInt(at + 4);
-    }
-
-    private void take(ByteBuffer b) {
-        int length = b.getInt();
-        b.getInt();
-        position = b.getLong();
-        byte[] key = new byte[b.getShort()];
-        b.get(key);
-        byte[] value = new byte[length - LEAST - key.length];
-        b.get(value);
-        keep(new String(key, StandardCharsets.UTF_8), value);
     }
 
     private void keep(String key, byte[] value) {
-        byte[] before = all.put(key, value);
-        live += value.length - (before == null ? -FRAME - LEAST - key.length() : before.length);
-    }
-
-    private static int sum(byte[] bytes, int from, int length) {
-        CRC32C crc = new CRC32C();
-        crc.update(bytes, from, length);
-        return (int) crc.getValue();
+        byte[] before = records.put(key, value);
+        if (before == null) {
+            liveBytes += RecordFormat.FRAME_HEADER_BYTES + RecordFormat.MIN_BODY_BYTES + key.length()
+                    + value.length;
+        } else {
+            liveBytes += value.length - before.length;
+        }
     }
 
-    /** All records, by key. */
-    public Map<String, byte[]> all() {
-        return new TreeMap<>(all);
+    /** A copy of all records by key. */
+    public Map<String, byte[]> records() {
+        return new TreeMap<>(records);
     }
 
-    /** How many records it has ever held. */
-    public long position() {
-        return position;
+    /** How many records the directory has ever held; the number of the last one. */
+    public long recordCount() {
+        return recordCount;
     }
 
-    /** Adds one, in memory: it is on disk after {@link #sync}. */
+    /**
+     * Adds a record in memory. It is on disk after {@link #sync}.
+     *
+     * @throws IOException if the record is too long
+     */
     public void add(String key, byte[] value) throws IOException {
-        byte[] name = key.getBytes(StandardCharsets.UTF_8);
-        int length = LEAST + name.length + value.length;
-        if (length > MOST) {
+        byte[] keyBytes = key.getBytes(StandardCharsets.UTF_8);
+        int length = RecordFormat.bodyBytes(keyBytes, value);
+        if (length > RecordFormat.MAX_BODY_BYTES) {
             throw new IOException("a record of " + length + " bytes");
         }
-        if (pending.remaining() < FRAME + length) {
+        if (pending.remaining() < RecordFormat.FRAME_HEADER_BYTES + length) {
             pending = ByteBuffer.allocate(pending.capacity() * 2).put(pending.flip());
         }
-        int at = pending.position() + FRAME;
-        pending.putInt(length).putInt(0).putLong(++position).putShort((short) name.length).put(name)
-                .put(value);
-        pending.putInt(at - 4, sum(pending.array(), at, length));
+        recordCount++;
+        RecordFormat.write(pending, recordCount, keyBytes, value);
         keep(key, value);
     }
 
     /**
-     * What was added is on disk when it returns. Once it has thrown nothing is known of the file's end: it
-     * throws ever
-     * after.
+     * Returns once all records that were added are on disk.
+     *
+     * @throws IOException if the disk fails; from then on always, since nothing is known of the file's end
      */
     public void sync() throws IOException {
         if (broken) {
-            throw new IOException(folder + ": was not written to its end before");
+            throw new IOException(directory + ": was not written to its end before");
         }
         broken = true;
-        pending.flip();
-        while (pending.hasRemaining()) {
-            size += file.write(pending);
-        }
-        pending.clear();
+        writePending();
         file.force(false);
-        if (size > COMPACT_AT && size > COMPACT_TIMES * live) {
+        if (fileBytes > MIN_COMPACTION_BYTES && fileBytes > COMPACTION_FACTOR * liveBytes) {
             compact();
         }
         broken = false;
     }
 
-    /** A new file of what is in force takes the old one's place, whole or not at all. */
+    private void writePending() throws IOException {
+        pending.flip();
+        while (pending.hasRemaining()) {
+            fileBytes += file.write(pending);
+        }
+        pending.clear();
+    }
+
+    /** A new file of the records in force replaces the old one, wholly or not at all. */
     private void compact() throws IOException {
-        Path path = folder.resolve(NEW);
+        Path path = directory.resolve(NEW_FILE);
         FileChannel old = file;
         file = FileChannel.open(path, StandardOpenOption.CREATE, StandardOpenOption.TRUNCATE_EXISTING,
                 StandardOpenOption.WRITE);
-        size = file.write(ByteBuffer.wrap(HEAD));
-        for (Map.Entry<String, byte[]> one : new TreeMap<>(all).entrySet()) {
-            add(one.getKey(), one.getValue());
-        }
-        pending.flip();
-        while (pending.hasRemaining()) {
-            size += file.write(pending);
+        fileBytes = file.write(ByteBuffer.wrap(RecordFormat.fileHeader()));
+        for (Map.Entry<String, byte[]> entry : new TreeMap<>(records).entrySet()) {
+            add(entry.getKey(), entry.getValue());
         }
-        pending.clear();
+        writePending();
         file.force(true);
-        Files.move(path, folder.resolve(FILE), StandardCopyOption.ATOMIC_MOVE,
+        Files.move(path, directory.resolve(FILE), StandardCopyOption.ATOMIC_MOVE,
                 StandardCopyOption.REPLACE_EXISTING);
-        try (FileChannel directory = FileChannel.open(folder)) {
-            directory.force(true);
+        try (FileChannel parent = FileChannel.open(directory)) {
+            parent.force(true);
         }
         if (old != null) {
             old.close();
@@ -221,8 +178,8 @@
 
     @Override
     public void close() throws IOException {
-        file.close();
-        lock.release();
-        lockFile.close();
+        try (lock) {
+            file.close();
+        }
     }
 }
--- a/src/test/java/rampshift/extensions/OperatorFileTest.java
+++ b/src/test/java/rampshift/extensions/OperatorFileTest.java
@@ -36,8 +36,8 @@
                 type = "rederive"
                 objects = 7
                 """);
-        assertEquals(java.util.List.of("archive", "sweep"), read.leases().names());
-        assertEquals(5000, read.leases().rules().term().millis());
+        assertEquals(java.util.List.of("archive", "sweep"), read.leases().leases());
+        assertEquals(5000, read.leases().timings().term().millis());
         assertEquals(7, read.duties().get(0).objects().size());
         ConfigurationException fault =
                 assertThrows(ConfigurationException.class, () -> OperatorFile.read("op.toml", members + """
--- /dev/null
+++ b/src/test/java/rampshift/leases/ExplorerState.java
@@ -0,0 +1,101 @@
+package rampshift.leases;
+
+import java.util.ArrayList;
+import java.util.IdentityHashMap;
+import java.util.List;
+import java.util.Map;
+import java.util.TreeMap;
+
+/** One state of an explored world. Nodes are shared between states until they change. */
+final class ExplorerState {
+    private static final long PRIME = 31;
+    private static final long NODE_PRIME = 1_000_003;
+    private static final long REPLIED = 7;
+
+    /** A message under way; its number stands for all of it. */
+    record InFlight(String from, String to, Message message, long hash) {}
+
+    final Map<String, ExplorerNode> nodes;
+    final List<InFlight> inFlight;
+    int ticks;
+    int repeats;
+    int crashes;
+    /** The highest token under which anybody acted. */
+    long highestToken;
+    private final ExplorerState parent;
+    private final String step;
+
+    /** The first state of a world without nodes. */
+    ExplorerState() {
+        parent = null;
+        step = "";
+        nodes = new TreeMap<>();
+        inFlight = new ArrayList<>();
+    }
+
+    /** A state that one step leads to from its parent. */
+    ExplorerState(ExplorerState parent, String step) {
+        this.parent = parent;
+        this.step = step;
+        nodes = new TreeMap<>(parent.nodes);
+        inFlight = new ArrayList<>(parent.inFlight);
+        ticks = parent.ticks;
+        repeats = parent.repeats;
+        crashes = parent.crashes;
+        highestToken = parent.highestToken;
+    }
+
+    /** Replaces the node of that name by a copy that is this state's alone, and returns it. */
+    ExplorerNode ownNode(String name) {
+        ExplorerNode original = nodes.get(name);
+        IdentityHashMap<Object, Object> shared = new IdentityHashMap<>();
+        shared.put(original.world(), original.world());
+        ExplorerNode copy = StateCopier.copy(original, shared);
+        copy.forgetFingerprint();
+        nodes.put(name, copy);
+        return copy;
+    }
+
+    /** Equal for equal states, and for states in which acceptors have changed places. */
+    long fingerprint() {
+        long sum = ticks + PRIME * (repeats + PRIME * (crashes + PRIME * highestToken));
+        for (ExplorerNode node : nodes.values()) {
+            sum = node.isContender() ? sum * NODE_PRIME + node.fingerprint() : sum;
+        }
+        long acceptors = 0;
+        for (ExplorerNode node : nodes.values()) {
+            acceptors += node.isContender() ? 0 : fingerprintOfAcceptor(node);
+        }
+        return mix(sum) + acceptors;
+    }
+
+    private long fingerprintOfAcceptor(ExplorerNode acceptor) {
+        long sum = acceptor.fingerprint();
+        for (InFlight each : inFlight) {
+            sum += each.from.equals(acceptor.name) || each.to.equals(acceptor.name) ? mix(each.hash) : 0;
+        }
+        for (ExplorerNode node : nodes.values()) {
+            boolean hasReplied = node.isContender() && node.replied().contains(acceptor.name);
+            sum = sum * PRIME + (hasReplied ? REPLIED : 0);
+        }
+        return mix(sum);
+    }
+
+    static long hash(CharSequence text) {
+        long sum = 0xcbf29ce484222325L;
+        for (int i = 0; i < text.length(); i++) {
+            sum = (sum ^ text.charAt(i)) * 0x100000001b3L;
+        }
+        return mix(sum);
+    }
+
+    private static long mix(long value) {
+        long mixed = (value ^ (value >>> 32)) * 0x9e3779b97f4a7c15L;
+        return (mixed ^ (mixed >>> 29)) * 0xbf58476d1ce4e5b9L;
+    }
+
+    /** All steps that lead here. */
+    String path() {
+        return parent == null ? "" : parent.path() + " " + step + ";";
+    }
+}
--- a/src/test/java/rampshift/leases/InterleavingExplorer.java
+++ b/src/test/java/rampshift/leases/InterleavingExplorer.java
@@ -2,477 +2,278 @@
 
 import java.util.ArrayList;
 import java.util.HashSet;
-import java.util.IdentityHashMap;
 import java.util.List;
-import java.util.Map;
 import java.util.Set;
-import java.util.TreeMap;
 import java.util.concurrent.ConcurrentHashMap;
 import java.util.concurrent.ConcurrentLinkedDeque;
 import java.util.concurrent.atomic.AtomicInteger;
 import java.util.concurrent.atomic.AtomicLong;
+import java.util.function.Consumer;
 import java.util.function.Supplier;
-import rampshift.time.Moment;
 import rampshift.time.Span;
 
 /**
- * Walks the interleavings of a small world over the real state machines of keepers and leases. At each step
- * any message
- * under way may arrive, in any order; any may be lost, which is to arrive never; one may come twice; keepers
- * may crash
- * with what they have not synced; time goes on in steps whether a contender looks or not, so each may stand
- * still at any
- * point. What is asserted holds in each state.
+ * Walks the interleavings of a small world over the real state machines of acceptors and leases. At each step
+ * any message under way may arrive, in any order; any may be lost, which is to arrive never; one may come
+ * twice; acceptors may crash with what they have not synced; time goes on in steps whether a contender is
+ * called or not, so each may stand still at any point. What is asserted holds in each state.
  */
 final class InterleavingExplorer {
-    /** Micros of a step of time, and of a term. */
-    static final long TICK = 1000;
-    static final LeaseTimings RULES = new LeaseTimings(new Span(4 * TICK), 0.2, new Span(1L << 40));
+    /** Microseconds of a step of time; a term is four of them. */
+    static final long TICK_MICROS = 1000;
+    static final LeaseTimings TIMINGS = new LeaseTimings(new Span(4 * TICK_MICROS), 0.2, new Span(1L << 40));
+
+    private static final List<String> ACCEPTOR_NAMES = List.of("k1", "k2", "k3");
 
     /**
      * What a walk may use up.
      *
      * @param ticks steps of time, from where it begins
-     * @param numbers that each contender gives to what it asks for: each change takes one, each attempt at it
-     * another
+     * @param numbers that each contender gives: each change takes one, each attempt at it another
      * @param repeats messages that come twice
-     * @param crashes of keepers
-     * @param mostStates states, then it ends
+     * @param crashes of acceptors
+     * @param maxStates states, then it ends
      */
-    record Bounds(int ticks, int numbers, int repeats, int crashes, long mostStates) {}
-
-    /** A message under way; its number stands for all of it. */
-    private record Under(String from, String to, Message message, long hash) {}
-
-    /** A state of all of it. Nodes are shared between states until they change. */
-    final class World {
-        final Map<String, Node> nodes;
-        final List<Under> under;
-        int ticks;
-        int repeats;
-        int crashes;
-        long tokens;            // the highest that anybody acted under
-        final World before;
-        final String step;
-
-        World(World before, String step) {
-            this.before = before;
-            this.step = step;
-            nodes = before == null ? new TreeMap<>() : new TreeMap<>(before.nodes);
-            under = before == null ? new ArrayList<>() : new ArrayList<>(before.under);
-            if (before != null) {
-                ticks = before.ticks;
-                repeats = before.repeats;
-                crashes = before.crashes;
-                tokens = before.tokens;
-            }
-        }
-
-        /** The node of that name, as one of this state alone. */
-        Node own(String name) {
-            Node from = nodes.get(name);
-            Map<Object, Object> shared = new IdentityHashMap<>();
-            shared.put(InterleavingExplorer.this, InterleavingExplorer.this);
-            Node to = StateCopier.copy(from, shared);
-            nodes.put(name, to);
-            return to;
-        }
-
-        long print() {
-            long sum = ticks + 31L * (repeats + 31L * (crashes + 31L * tokens));
-            for (Node n : nodes.values()) {
-                sum = n.lease != null ? sum * 1_000_003 + n.print() : sum;
-            }
-            long keepers = 0;       // which of them is which makes no difference
-            for (Node n : nodes.values()) {
-                if (n.keeper != null) {
-                    long one = n.print();
-                    for (Under u : under) {
-                        one += u.from.equals(n.name) || u.to.equals(n.name) ? mixed(u.hash) : 0;
-                    }
-                    for (Node c : nodes.values()) {
-                        one = one * 31 + (c.lease != null && c.answered().contains(n.name) ? 7 : 0);
-                    }
-                    keepers += mixed(one);
-                }
-            }
-            return mixed(sum) + keepers;
-        }
-
-        String path() {
-            return before == null ? "" : before.path() + " " + step + ";";
-        }
-    }
-
-    private static long hash(CharSequence text) {
-        long sum = 0xcbf29ce484222325L;
-        for (int i = 0; i < text.length(); i++) {
-            sum = (sum ^ text.charAt(i)) * 0x100000001b3L;
-        }
-        return mixed(sum);
-    }
-
-    private static long mixed(long x) {
-        long y = (x ^ x >>> 32) * 0x9e3779b97f4a7c15L;
-        return (y ^ y >>> 29) * 0xbf58476d1ce4e5b9L;
-    }
-
-    /** A keeper or a contender. */
-    final class Node implements Acceptor.Out, LeaseClient.Around {
-        final String name;
-        final double rate;
-        Acceptor keeper;
-        LeaseClient lease;
-        final TreeMap<String, byte[]> disk = new TreeMap<>();
-        final List<Object[]> unsynced = new ArrayList<>();      // key and record, or whom and what to answer
-        long numbers;
-        int delay;          // ticks that this contender waits longer than another would
-
-        long printed;
-
-        Node(String name, double rate, int delay) {
-            this.name = name;
-            this.rate = rate;
-            this.delay = delay;
-        }
-
-        Moment now() {
-            return new Moment(1_000_000 + Math.round(now.get().ticks * TICK * rate));
-        }
-
-        @Override
-        public void put(String key, byte[] record) {
-            unsynced.add(new Object[]{key, record});
-        }
-
-        @Override
-        public void answer(String to, Message message) {
-            if (unsafe == Bug.NO_SYNC) {
-                send(to, message);
-            } else {
-                unsynced.add(new Object[]{to, message});
-            }
-        }
-
-        @Override
-        public void send(String to, Message message) {
-            if (cut.contains(name + ">" + to)) {
-                return;
-            }
-            now.get().under.add(new Under(name, to, message,
-                    hash((name.startsWith("k") ? "" : name) + (to.startsWith("k") ? "" : to) + message)));
-        }
-
-        @Override
-        public void tell(String what, String detail) {
-            // Not looked at here.
-        }
-
-        @Override
-        public AcceptorSet keepers() {
-            return KEEPERS;
-        }
-
-        @Override
-        public long number() {
-            return ++numbers;
-        }
-
-        @Override
-        public Span after(String lease, LeaseRecord seen) {
-            return new Span(delay * TICK);
-        }
-
-        @Override
-        public double chance() {
-            return 1;
-        }
-
-        @Override
-        public void done(String lease, LeaseRecord value, Span took) {
-            // Not looked at here.
-        }
-
-        @Override
-        public void tell(String lease, String what, LeaseRecord value) {
-            // Not looked at here.
-        }
-
-        long print() {
-            if (printed == 0) {
-                Map<Object, Object> shared = new IdentityHashMap<>();
-                shared.put(KEEPERS, "");
-                shared.put(this, "");
-                shared.put(answered(), "");
-                StringBuilder text = new StringBuilder(1000);
-                StateCopier.print(keeper == null ? null : StateCopier.get(keeper, "slots"), text, shared);
-                StateCopier.print(lease, text, shared);
-                unsynced.forEach(o -> {
-                    StateCopier.print(o[0], text, shared);
-                    StateCopier.print(o[1], text, shared);
-                });
-                printed = hash(text.append(numbers));
-            }
-            return printed;
-        }
+    record Bounds(int ticks, int numbers, int repeats, int crashes, long maxStates) {}
 
-        @SuppressWarnings("unchecked")
-        Set<String> answered() {
-            Object change = lease == null ? null : StateCopier.get(lease, "change");
-            return change == null ? Set.of() : (Set<String>) StateCopier.get(change, "answered");
-        }
-
-        void sync() {
-            for (Object[] one : unsynced) {
-                if (one[1] instanceof Message m) {
-                    send((String) one[0], m);
-                } else {
-                    disk.put((String) one[0], (byte[]) one[1]);
-                }
-            }
-            unsynced.clear();
-        }
-
-        void crash() {
-            unsynced.clear();
-            keeper = keeper(this);
-        }
-    }
-
-    /**
-     * What is broken on purpose: keepers answer before it is on disk; whoever waits leaves out that clocks
-     * drift.
-     */
+    /** What is broken on purpose. */
     enum Bug {
-        NONE, NO_SYNC, NO_DRIFT
+        NONE,
+        /** Acceptors answer before it is on disk. */
+        NO_SYNC,
+        /** Contenders leave out that clocks drift. */
+        NO_DRIFT
     }
 
-    static final AcceptorSet KEEPERS =
-            new AcceptorSet(1, List.of(new AcceptorSet.One("k1", 1), new AcceptorSet.One("k2", 2),
-                    new AcceptorSet.One("k3", 3)), List.of());
-
-    private final ThreadLocal<World> now = new ThreadLocal<>();
     private final Bounds bounds;
-    private final Set<String> cut;
-    private final Bug unsafe;
+    private final Bug bug;
+    private final ExplorerNode.World world;
     private final Set<Long> known = ConcurrentHashMap.newKeySet();
-    private final ConcurrentLinkedDeque<World> open = new ConcurrentLinkedDeque<>();
-    private final AtomicInteger busy = new AtomicInteger();
-    private volatile String found;
-    final AtomicLong states = new AtomicLong();
-    final AtomicLong acted = new AtomicLong();      // states in which somebody may act
-    final AtomicLong tokens = new AtomicLong();     // the highest token reached
-    boolean whole;                                  // all within the bounds was walked
-
-    /** Cut: ways by which nothing comes, as "a>k3". */
-    InterleavingExplorer(Bounds bounds, Bug bug, Set<String> cut) {
+    private final ConcurrentLinkedDeque<ExplorerState> open = new ConcurrentLinkedDeque<>();
+    private final AtomicInteger busyThreads = new AtomicInteger();
+    private final AtomicLong states = new AtomicLong();
+    private final AtomicLong actingStates = new AtomicLong();
+    private final AtomicLong highestToken = new AtomicLong();
+    private volatile String violation;
+    private boolean complete;
+
+    /** The cut links, as "a&gt;k3", carry nothing. */
+    InterleavingExplorer(Bounds bounds, Bug bug, Set<String> cutLinks) {
         this.bounds = bounds;
-        this.cut = cut;
-        this.unsafe = bug;
+        this.bug = bug;
+        world = new ExplorerNode.World(cutLinks, bug == Bug.NO_SYNC);
     }
 
-    /** One that votes at once: its start is another story. */
-    private static Acceptor keeper(Node node) {
-        Acceptor k = new Acceptor(node.name, List.of("k1"), new Span(1L << 40), node);
-        TreeMap<String, byte[]> disk = new TreeMap<>(node.disk);
-        k.start(new Moment(0), disk, 0, 0);
-        StateCopier.set(k, "state", Acceptor.State.VOTING);
-        return k;
+    /** States that were found. */
+    long states() {
+        return states.get();
     }
 
-    private LeaseTimings rules() {
-        return unsafe == Bug.NO_DRIFT ? new LeaseTimings(RULES.term(), 0, RULES.balanceEvery()) : RULES;
+    /** How often a state was met in which somebody may act. */
+    long actingStates() {
+        return actingStates.get();
     }
 
-    World begin() {
-        World w = new World(null, "");
-        now.set(w);
-        for (int i = 1; i <= 3; i++) {
-            Node n = new Node("k" + i, 1, 0);
-            n.disk.put("keepers", KEEPERS.text().getBytes(java.nio.charset.StandardCharsets.US_ASCII));
-            n.disk.put("self", java.nio.ByteBuffer.allocate(16).putLong(i).putLong(0).array());
-            n.keeper = keeper(n);
-            n.unsynced.clear();
-            w.nodes.put(n.name, n);
-        }
-        w.under.clear();
-        Node a = new Node("a", 1 - RULES.drift(), 0);
-        Node b = new Node("b", 1 + RULES.drift(), 0);
-        a.lease = new LeaseClient("l", "a", 101, rules(), a);
-        b.lease = new LeaseClient("l", "b", 102, rules(), b);
-        w.nodes.put("a", a);
-        w.nodes.put("b", b);
-        a.lease.heard(a.now(), LeaseRecord.FREE);
-        b.lease.heard(b.now(), LeaseRecord.FREE);
-        return w;
+    /** The highest token under which anybody acted. */
+    long highestToken() {
+        return highestToken.get();
     }
 
-    /** As in the first, until somebody holds: all that comes is taken in order. */
-    World beginHeld() {
-        World w = begin();
-        w = with(w, "a", "wakes", x -> x.lease.woken(x.now()));
-        while (!w.under.isEmpty()) {
-            w = arrive(w, 0, false);
-            for (String k : List.of("k1", "k2", "k3")) {
-                w = with(w, k, "syncs", Node::sync);
+    /** Whether all states within the bounds were walked. */
+    boolean isComplete() {
+        return complete;
+    }
+
+    /** Three acceptors that vote, and two contenders for a lease that was never held. */
+    ExplorerState initialState() {
+        ExplorerState state = new ExplorerState();
+        world.enter(state);
+        for (int id = 1; id <= ACCEPTOR_NAMES.size(); id++) {
+            ExplorerNode acceptor = ExplorerNode.acceptor(world, id);
+            state.nodes.put(acceptor.name, acceptor);
+        }
+        state.inFlight.clear();
+        LeaseTimings timings =
+                bug == Bug.NO_DRIFT ? new LeaseTimings(TIMINGS.term(), 0, TIMINGS.balanceInterval())
+                        : TIMINGS;
+        ExplorerNode slow = ExplorerNode.contender(world, "a", 101, 1 - TIMINGS.drift(), timings);
+        ExplorerNode fast = ExplorerNode.contender(world, "b", 102, 1 + TIMINGS.drift(), timings);
+        for (ExplorerNode contender : List.of(slow, fast)) {
+            state.nodes.put(contender.name, contender);
+            contender.lease().onRead(contender.now(), LeaseRecord.INITIAL);
+        }
+        return state;
+    }
+
+    /** The same once the slow contender holds the lease and the fast one has observed that. */
+    ExplorerState heldState() {
+        ExplorerState state = change(initialState(), "a", "wakes", node -> node.lease().onTimer(node.now()));
+        while (!state.inFlight.isEmpty()) {
+            state = deliver(state, 0, false);
+            for (String acceptor : ACCEPTOR_NAMES) {
+                state = change(state, acceptor, "syncs", ExplorerNode::sync);
             }
         }
-        LeaseRecord stands = w.nodes.get("a").lease.seen();
-        return with(w, "b", "hears", x -> x.lease.heard(x.now(), stands));
+        LeaseRecord held = state.nodes.get("a").lease().observer().current();
+        return change(state, "b", "observes", node -> node.lease().onRead(node.now(), held));
     }
 
     /**
-     * Depth first and side by side, until all within the bounds is walked or so many states are known. What
-     * broke, or null.
+     * Walks depth first on several threads, until all states within the bounds are walked or enough are
+     * known. Returns what is violated; null for nothing.
      */
-    String walk(World first, int threads) throws InterruptedException {
-        known.add(first.print());
+    String walk(ExplorerState first, int threadCount) throws InterruptedException {
+        known.add(first.fingerprint());
         open.push(first);
-        List<Thread> all = new ArrayList<>();
-        for (int i = 0; i < threads; i++) {
-            all.add(new Thread(this::work));
+        List<Thread> threads = new ArrayList<>();
+        for (int i = 0; i < threadCount; i++) {
+            threads.add(new Thread(this::work));
         }
-        all.forEach(Thread::start);
-        for (Thread t : all) {
-            t.join();
+        threads.forEach(Thread::start);
+        for (Thread thread : threads) {
+            thread.join();
         }
-        whole = found == null && open.isEmpty();
-        return found;
+        complete = violation == null && open.isEmpty();
+        return violation;
     }
 
     private void work() {
         try {
-            while (found == null && states.get() < bounds.mostStates) {
-                busy.incrementAndGet();
-                World at = open.pollFirst();
-                if (at != null) {
-                    expand(at);
+            while (violation == null && states.get() < bounds.maxStates) {
+                busyThreads.incrementAndGet();
+                ExplorerState state = open.pollFirst();
+                if (state != null) {
+                    expand(state);
                 }
-                if (busy.decrementAndGet() == 0 && open.isEmpty()) {
+                if (busyThreads.decrementAndGet() == 0 && open.isEmpty()) {
                     return;
                 }
             }
         } catch (RuntimeException | Error e) {
-            found = e.toString();
+            violation = e.toString();
         }
     }
 
-    private void expand(World at) {
-        for (Supplier<World> step : steps(at)) {
-            World next = step.get();
-            String broken = broken(next);
-            if (broken != null) {
-                found = broken + " after" + next.path();
+    private void expand(ExplorerState state) {
+        for (Supplier<ExplorerState> step : steps(state)) {
+            ExplorerState next = step.get();
+            String found = violationIn(next);
+            if (found != null) {
+                violation = found + " after" + next.path();
                 return;
             }
-            if (next.nodes.values().stream().allMatch(n -> n.numbers <= bounds.numbers)
-                    && known.add(next.print())) {
+            boolean isWithinBounds =
+                    next.nodes.values().stream().allMatch(node -> node.numbers() <= bounds.numbers);
+            if (isWithinBounds && known.add(next.fingerprint())) {
                 open.push(next);
                 states.incrementAndGet();
             }
         }
     }
 
-    private String broken(World w) {
-        now.set(w);
+    private String violationIn(ExplorerState state) {
+        world.enter(state);
         int acting = 0;
         long highest = 0;
-        for (Node n : w.nodes.values()) {
-            if (n.lease != null && n.lease.mayAct(n.now()).longerThan(Span.ZERO)) {
+        for (ExplorerNode node : state.nodes.values()) {
+            if (node.isContender() && node.lease().remaining(node.now()).longerThan(Span.ZERO)) {
                 acting++;
-                highest = Math.max(highest, n.lease.token());
+                highest = Math.max(highest, node.lease().token());
             }
         }
         if (acting > 0) {
-            acted.incrementAndGet();
-            tokens.accumulateAndGet(highest, Math::max);
-            if (highest < w.tokens) {
-                return "a token fell from " + w.tokens + " to " + highest;
+            actingStates.incrementAndGet();
+            highestToken.accumulateAndGet(highest, Math::max);
+            if (highest < state.highestToken) {
+                return "a token fell from " + state.highestToken + " to " + highest;
             }
-            w.tokens = highest;
+            state.highestToken = highest;
         }
         return acting > 1 ? "two act at once" : null;
     }
 
-    private List<Supplier<World>> steps(World at) {
-        List<Supplier<World>> all = new ArrayList<>();
-        Set<Long> same = new HashSet<>();
-        for (int i = 0; i < at.under.size(); i++) {
-            int place = i;
-            Under u = at.under.get(i);
-            if (same.add(u.hash)) {
-                all.add(() -> arrive(at, place, false));
-                if (at.repeats < bounds.repeats) {
-                    all.add(() -> arrive(at, place, true));
-                }
+    private List<Supplier<ExplorerState>> steps(ExplorerState state) {
+        List<Supplier<ExplorerState>> steps = new ArrayList<>();
+        addDeliveries(state, steps);
+        world.enter(state);
+        for (ExplorerNode node : state.nodes.values()) {
+            if (!node.isContender() && node.hasPendingOutput()) {
+                steps.add(() -> change(state, node.name, "syncs", ExplorerNode::sync));
             }
-        }
-        now.set(at);
-        for (Node n : at.nodes.values()) {
-            if (n.keeper != null && !n.unsynced.isEmpty()) {
-                all.add(() -> with(at, n.name, "syncs", Node::sync));
+            if (node.isContender() && !node.now().before(node.lease().dueAt())) {
+                steps.add(() -> change(state, node.name, "wakes", own -> own.lease().onTimer(own.now())));
             }
-            if (n.lease != null && !n.now().before(n.lease.due())) {
-                all.add(() -> with(at, n.name, "wakes", x -> x.lease.woken(x.now())));
+        }
+        addCrashes(state, steps);
+        if (state.ticks < bounds.ticks) {
+            steps.add(() -> {
+                ExplorerState next = new ExplorerState(state, "tick");
+                next.ticks++;
+                return next;
+            });
+        }
+        return steps;
+    }
+
+    private void addDeliveries(ExplorerState state, List<Supplier<ExplorerState>> steps) {
+        Set<Long> hashes = new HashSet<>();
+        for (int i = 0; i < state.inFlight.size(); i++) {
+            int index = i;
+            if (hashes.add(state.inFlight.get(i).hash())) {
+                steps.add(() -> deliver(state, index, false));
+                if (state.repeats < bounds.repeats) {
+                    steps.add(() -> deliver(state, index, true));
+                }
             }
         }
-        for (Node n : at.nodes.values()) {
-            if (n.keeper != null && at.crashes < bounds.crashes) {
-                all.add(() -> {
-                    World w = with(at, n.name, "crashes", Node::crash);
-                    w.crashes++;
-                    return w;
+    }
+
+    private void addCrashes(ExplorerState state, List<Supplier<ExplorerState>> steps) {
+        for (ExplorerNode node : state.nodes.values()) {
+            if (!node.isContender() && state.crashes < bounds.crashes) {
+                steps.add(() -> {
+                    ExplorerState next = change(state, node.name, "crashes", ExplorerNode::crash);
+                    next.crashes++;
+                    return next;
                 });
             }
         }
-        if (at.ticks < bounds.ticks) {
-            all.add(() -> {
-                World w = new World(at, "tick");
-                w.ticks++;
-                return w;
-            });
-        }
-        return all;
     }
 
-    private World with(World at, String name, String what, java.util.function.Consumer<Node> change) {
-        World w = new World(at, name + " " + what);
-        now.set(w);
-        Node n = w.own(name);
-        n.printed = 0;
-        change.accept(n);
-        clear(w);
-        return w;
+    private ExplorerState change(ExplorerState state, String name, String what,
+            Consumer<ExplorerNode> change) {
+        ExplorerState next = new ExplorerState(state, name + " " + what);
+        world.enter(next);
+        change.accept(next.ownNode(name));
+        dropStaleReplies(next);
+        return next;
     }
 
-    private World arrive(World at, int place, boolean again) {
-        Under u = at.under.get(place);
-        World w = new World(at, u.from + ">" + u.to + " " + u.message.kind() + (again ? " twice" : ""));
-        if (again) {
-            w.repeats++;
+    private ExplorerState deliver(ExplorerState state, int index, boolean repeated) {
+        ExplorerState.InFlight delivered = state.inFlight.get(index);
+        Message message = delivered.message();
+        ExplorerState next = new ExplorerState(state, delivered.from() + ">" + delivered.to() + " "
+                + message.getClass().getSimpleName() + (repeated ? " twice" : ""));
+        if (repeated) {
+            next.repeats++;
         } else {
-            w.under.remove(place);
+            next.inFlight.remove(index);
         }
-        now.set(w);
-        Node n = w.own(u.to);
-        n.printed = 0;
-        if (n.keeper != null) {
-            n.keeper.message(n.now(), u.from, u.message);
-            if (bounds.crashes == 0) {
-                n.sync();       // when that happens makes no difference unless it is lost
-            }
-        } else {
-            n.lease.answer(n.now(), u.from, u.message);
+        world.enter(next);
+        ExplorerNode node = next.ownNode(delivered.to());
+        node.onMessage(delivered.from(), message);
+        if (!node.isContender() && bounds.crashes == 0) {
+            node.sync(); // when that happens makes no difference unless it is lost
         }
-        clear(w);
-        return w;
+        dropStaleReplies(next);
+        return next;
     }
 
-    /** An answer to an attempt that is over changes nothing: it is as good as lost. */
-    private static void clear(World w) {
-        w.under.removeIf(u -> {
-            Node n = w.nodes.get(u.to);
-            return n.lease != null && u.message.number() != n.numbers;
+    /** A reply to an attempt that is over changes nothing: it is as good as lost. */
+    private static void dropStaleReplies(ExplorerState state) {
+        state.inFlight.removeIf(each -> {
+            ExplorerNode node = state.nodes.get(each.to());
+            return node.isContender() && each.message().number() != node.numbers();
         });
     }
 }
--- a/src/test/java/rampshift/leases/InterleavingExplorerTest.java
+++ b/src/test/java/rampshift/leases/InterleavingExplorerTest.java
@@ -6,71 +6,76 @@
 
 import java.util.Set;
 import org.junit.jupiter.api.Test;
+import rampshift.leases.InterleavingExplorer.Bounds;
+import rampshift.leases.InterleavingExplorer.Bug;
 
 /**
- * Three keepers, two contenders, whose clocks are a fifth slow and a fifth fast; every interleaving within
- * the bounds.
+ * Three acceptors and two contenders, whose clocks are a fifth slow and a fifth fast: every interleaving
+ * within the bounds.
  */
 class InterleavingExplorerTest {
     private static final int THREADS = Math.max(2, Runtime.getRuntime().availableProcessors() / 2);
-    private static final long MOST = Long.getLong("explorer.states", 80_000);
+    private static final long MAX_STATES = Long.getLong("explorer.states", 80_000);
+    private static final long ALL_STATES = 1_000_000;
+    private static final int MIN_ACTING_STATES = 100;
+    private static final String TWO_ACT = "two act at once";
+    private static final String[] NONE_CUT = {};
+    /** Each contender reaches another two of the three acceptors. */
+    private static final String[] ONE_CUT_EACH = {"a>k3", "b>k2"};
 
-    private static InterleavingExplorer walk(boolean held, InterleavingExplorer.Bounds bounds,
-            InterleavingExplorer.Bug bug, String found,
-            String... cut)
+    private static InterleavingExplorer assertSafe(boolean held, Bounds bounds, String... cutLinks)
             throws Exception {
-        InterleavingExplorer e = new InterleavingExplorer(bounds, bug, Set.of(cut));
-        String broken = e.walk(held ? e.beginHeld() : e.begin(), THREADS);
+        InterleavingExplorer explorer = new InterleavingExplorer(bounds, Bug.NONE, Set.of(cutLinks));
+        assertNull(walk(explorer, held, bounds, Bug.NONE));
+        assertTrue(explorer.actingStates() > MIN_ACTING_STATES, "the assertion was at stake");
+        return explorer;
+    }
+
+    private static void assertFound(boolean held, Bounds bounds, Bug bug, String... cutLinks)
+            throws Exception {
+        InterleavingExplorer explorer = new InterleavingExplorer(bounds, bug, Set.of(cutLinks));
+        String violation = walk(explorer, held, bounds, bug);
+        assertTrue(violation != null && violation.startsWith(TWO_ACT), "found: " + violation);
+    }
+
+    private static String walk(InterleavingExplorer explorer, boolean held, Bounds bounds, Bug bug)
+            throws Exception {
+        String violation = explorer.walk(held ? explorer.heldState() : explorer.initialState(), THREADS);
         if (Boolean.getBoolean("explorer.talk")) {
-            System.out.println(bounds + " " + bug + ": " + e.states + " states"
-                    + (e.whole ? ", all there are" : "") + ", somebody acts in "
-                    + e.acted + ", tokens up to " + e.tokens + ": " + broken);
-        }
-        if (found == null) {
-            assertNull(broken);
-            assertTrue(e.acted.get() > 100, "it was at stake");
-        } else {
-            assertTrue(broken != null && broken.startsWith(found), "found: " + broken);
+            System.out.println(bounds + " " + bug + ": " + explorer.states() + " states"
+                    + (explorer.isComplete() ? ", all there are" : "") + ", somebody acts in "
+                    + explorer.actingStates() + ", tokens up to " + explorer.highestToken() + ": "
+                    + violation);
         }
-        return e;
+        return violation;
     }
 
     @Test
-    void twoThatAskAtOnceWithAMessageThatComesTwice() throws Exception {
-        InterleavingExplorer e = walk(false, new InterleavingExplorer.Bounds(0, 2, 1, 0, 1_000_000),
-                InterleavingExplorer.Bug.NONE, null);
-        assertTrue(e.whole);
+    void twoContendersNeverActAtOnceWithARepeatedMessage() throws Exception {
+        assertTrue(assertSafe(false, new Bounds(0, 2, 1, 0, ALL_STATES), NONE_CUT).isComplete());
     }
 
     @Test
-    void aKeeperThatCrashesWhileTwoAsk() throws Exception {
-        assertTrue(walk(false, new InterleavingExplorer.Bounds(0, 2, 1, 2, 1_000_000),
-                InterleavingExplorer.Bug.NONE, null, "a>k3",
-                "b>k2").whole);
-        assertTrue(walk(false, new InterleavingExplorer.Bounds(0, 3, 0, 1, 1_000_000),
-                InterleavingExplorer.Bug.NONE, null, "a>k3",
-                "b>k2").whole);
+    void twoContendersNeverActAtOnceWhileAcceptorsCrash() throws Exception {
+        assertTrue(assertSafe(false, new Bounds(0, 2, 1, 2, ALL_STATES), ONE_CUT_EACH).isComplete());
+        assertTrue(assertSafe(false, new Bounds(0, 3, 0, 1, ALL_STATES), ONE_CUT_EACH).isComplete());
     }
 
     @Test
-    void oneRenewsWhileTheOtherWaitsAndTakes() throws Exception {
-        walk(true, new InterleavingExplorer.Bounds(4, 4, 0, 0, MOST), InterleavingExplorer.Bug.NONE, null);
-        walk(true, new InterleavingExplorer.Bounds(6, 6, 0, 0, MOST), InterleavingExplorer.Bug.NONE, null);
-        InterleavingExplorer taken = walk(true, new InterleavingExplorer.Bounds(6, 3, 0, 0, MOST),
-                InterleavingExplorer.Bug.NONE, null);
-        assertEquals(2, taken.tokens.get(), "without a renewal it is taken over");
+    void aTakeoverNeverOverlapsARenewal() throws Exception {
+        assertSafe(true, new Bounds(4, 4, 0, 0, MAX_STATES), NONE_CUT);
+        assertSafe(true, new Bounds(6, 6, 0, 0, MAX_STATES), NONE_CUT);
+        InterleavingExplorer takeover = assertSafe(true, new Bounds(6, 3, 0, 0, MAX_STATES), NONE_CUT);
+        assertEquals(2, takeover.highestToken(), "without a renewal it is taken over");
     }
 
     @Test
-    void anAnswerBeforeItIsOnDiskIsFound() throws Exception {
-        walk(false, new InterleavingExplorer.Bounds(0, 2, 0, 1, 1_000_000), InterleavingExplorer.Bug.NO_SYNC,
-                "two act at once",
-                "a>k3", "b>k2");
+    void anAnswerBeforeTheSyncIsFound() throws Exception {
+        assertFound(false, new Bounds(0, 2, 0, 1, ALL_STATES), Bug.NO_SYNC, ONE_CUT_EACH);
     }
 
     @Test
-    void aWaitThatLeavesOutDriftIsFound() throws Exception {
-        walk(true, new InterleavingExplorer.Bounds(4, 4, 0, 0, 2_000_000), InterleavingExplorer.Bug.NO_DRIFT,
-                "two act at once");
+    void aTakeoverDelayWithoutDriftIsFound() throws Exception {
+        assertFound(true, new Bounds(4, 4, 0, 0, 2 * ALL_STATES), Bug.NO_DRIFT, NONE_CUT);
     }
 }
