--- a/src/test/java/rampshift/leases/LeaseSimulation.java
+++ b/src/test/java/rampshift/leases/LeaseSimulation.java
@@ -5,214 +5,253 @@
 import java.util.Map;
 import java.util.SplittableRandom;
 import java.util.TreeMap;
+import java.util.function.BooleanSupplier;
+import java.util.stream.IntStream;
 import rampshift.EventSimulation;
 import rampshift.time.Moment;
 import rampshift.time.Span;
 
 /**
- * Dispatchers with leases in simulated time: clocks that differ, lost messages, crashes, slow disks, all by a
- * seed.
+ * Dispatchers with leases in simulated time: clocks that differ, lost messages, crashes, slow disks, all
+ * drawn from a seed. After every event it asserts that no two dispatchers may act under one lease.
  */
 final class LeaseSimulation extends EventSimulation {
-    static final LeaseTimings RULES = new LeaseTimings(Span.ofMillis(1000), 0.05, Span.ofMillis(1L << 40));
+    static final LeaseTimings TIMINGS = new LeaseTimings(Span.ofMillis(1000), 0.05, Span.ofMillis(1L << 40));
 
-    final Map<String, Node> nodes = new TreeMap<>();
-    final SplittableRandom chance;
+    private static final long CLOCK_START_MICROS = 1_000_000_000L;
+    private static final long FIRST_DIRECTORY_ID = 1000;
+    private static final double CHECK_INTERVAL_SECONDS = 0.01;
+
+    final Map<String, Dispatcher> dispatchers = new TreeMap<>();
     final List<String> leases;
-    private final List<String> keepers = new ArrayList<>();
-    // the highest token under which anybody acted, by lease
-    private final Map<String, Long> acted = new TreeMap<>();
-    private final Map<String, String> actor = new TreeMap<>();
-    private long lives;
-    double lost;
-    double repeated;
-    double mostMs = 5;
-    double syncMs = 1;
-    long takeovers;             // changes of who acts
+    /** Shares of messages that are lost, and that come twice. */
+    double lossRate;
+    double repeatRate;
+    double maxLatencyMillis = 5;
+    double syncMillis = 1;
+    /** Changes of who acts. */
+    long takeovers;
     long messages;
     long bytes;
     long syncs;
+    private final SplittableRandom random;
+    private final List<String> acceptors = new ArrayList<>();
+    private final Map<String, Long> highestTokenOf = new TreeMap<>();
+    private final Map<String, String> lastActorOf = new TreeMap<>();
+    private final RegisterHistory history = new RegisterHistory();
+    private long processes;
+
+    LeaseSimulation(long seed, int dispatcherCount, int acceptorCount, int leaseCount) {
+        random = new SplittableRandom(seed);
+        leases = IntStream.range(0, leaseCount).mapToObj(i -> "l" + i).toList();
+        for (int i = 1; i <= dispatcherCount; i++) {
+            Dispatcher dispatcher = new Dispatcher("d" + i);
+            dispatchers.put(dispatcher.name, dispatcher);
+            if (i <= acceptorCount) {
+                dispatcher.disk = new TreeMap<>();
+                acceptors.add(dispatcher.name);
+            }
+        }
+    }
 
     /** One process after another under one name. */
-    final class Node implements LeaseManager.Out {
+    final class Dispatcher implements LeaseManager.Output {
         final String name;
-        final List<Event> told = new ArrayList<>();
-        TreeMap<String, byte[]> disk;       // null: it keeps nothing
-        long position;
-        double rate = 1;
-        LeaseManager all;
-        private Map<String, LeaseClient> lease = Map.of();
-        boolean cut;
-        private final List<Object[]> unsynced = new ArrayList<>();
-        private final List<Runnable> waiting = new ArrayList<>();
-        private boolean syncing;
-        private boolean stopped;
+        final List<LeaseEvent> events = new ArrayList<>();
+        /** The acceptor's directory; null where it has none. */
+        TreeMap<String, byte[]> disk;
+        long recordCount;
+        double clockRate = 1;
+        /** Null while no process runs. */
+        LeaseManager manager;
+        /** Whether it reaches only others that are cut off. */
+        boolean cutOff;
+        private LeaseClients clients;
+        private final List<PendingOutput> pending = new ArrayList<>();
+        private final List<Runnable> paused = new ArrayList<>();
+        private boolean isSyncing;
+        private boolean isPaused;
         private long process;
         private long wakes;
 
-        Node(String name) {
+        Dispatcher(String name) {
             this.name = name;
         }
 
         Moment clock() {
-            return new Moment(1_000_000_000L + Math.round(now * rate));
+            return new Moment(CLOCK_START_MICROS + Math.round(now * clockRate));
         }
 
         void start() {
-            long life = ++lives;
-            process = life;
-            stopped = false;
-            waiting.clear();
-            unsynced.clear();
-            syncing = false;
+            processes++;
+            process = processes;
+            isPaused = false;
+            paused.clear();
+            pending.clear();
+            isSyncing = false;
             wakes++;
-            all = new LeaseManager(new LeaseManager.Start(name, life, keepers, leases, RULES, life), this);
-            lease = leasesOf(all);
-            all.start(clock(), disk, position, 1000 + life);
-            List<String> there = nodes.values().stream().filter(n -> n.all != null).map(n -> n.name).toList();
-            nodes.values().stream().filter(n -> n.all != null).forEach(n -> n.all.there(there));
+            manager = new LeaseManager(
+                    new LeaseManager.Settings(name, process, acceptors, leases, TIMINGS, process), this);
+            clients = (LeaseClients) StateCopier.get(manager, "clients");
+            if (disk == null) {
+                manager.start(clock());
+            } else {
+                manager.startWithAcceptor(clock(), disk, recordCount, FIRST_DIRECTORY_ID + process);
+            }
+            List<Dispatcher> alive = dispatchers.values().stream().filter(Dispatcher::isRunning).toList();
+            List<String> names = alive.stream().map(each -> each.name).toList();
+            alive.forEach(each -> each.manager.setAlive(names));
         }
 
-        /** With what its disk has by now. */
+        boolean isRunning() {
+            return manager != null;
+        }
+
+        /** Ends the process; its disk keeps what is written by now. */
         void kill() {
-            all = null;
+            manager = null;
             process = -1;
         }
 
-        void stop(boolean on) {
-            stopped = on;
+        void setPaused(boolean on) {
+            isPaused = on;
             if (!on) {
-                List<Runnable> some = List.copyOf(waiting);
-                waiting.clear();
-                some.forEach(this::run);
+                List<Runnable> missed = List.copyOf(paused);
+                paused.clear();
+                missed.forEach(this::run);
             }
         }
 
-        private void run(Runnable what) {
-            if (stopped) {
-                waiting.add(what);
-            } else if (all != null) {
-                Map<String, RegisterChange> before = new TreeMap<>();
-                lease.forEach((name, l) -> before.put(name, (RegisterChange) StateCopier.get(l, "change")));
-                what.run();
-                lease.forEach((name, l) -> history(name, before.get(name),
-                        (RegisterChange) StateCopier.get(l, "change")));
-                check(this);
+        private void run(Runnable action) {
+            if (isPaused) {
+                paused.add(action);
+            } else if (isRunning()) {
+                Map<String, Proposer> before = new TreeMap<>();
+                clients.all().forEach(client -> before.put(client.name(), client.writer().proposer()));
+                action.run();
+                clients.all().forEach(client -> history.observe(client.name(), before.get(client.name()),
+                        client.writer().proposer(), now));
+                assertActsAlone(this);
             }
         }
 
         @Override
         public void send(String to, byte[] message) {
-            Node other = nodes.get(to);
+            Dispatcher other = dispatchers.get(to);
             messages++;
             bytes += message.length;
-            int copies = chance.nextDouble() < repeated ? 2 : 1;
+            int copies = random.nextDouble() < repeatRate ? 2 : 1;
             for (int i = 0; other != null && i < copies; i++) {
-                if (other == this || chance.nextDouble() >= lost && cut == other.cut) {
-                    after(chance.nextDouble() * mostMs,
-                            () -> other.run(() -> other.all.message(other.clock(), name, message)));
+                if (other == this || (random.nextDouble() >= lossRate && cutOff == other.cutOff)) {
+                    after(random.nextDouble() * maxLatencyMillis,
+                            () -> other.run(() -> other.manager.onMessage(other.clock(), name, message)));
                 }
             }
         }
 
         @Override
-        public void put(String key, byte[] record) {
-            unsynced.add(new Object[]{key, record});
+        public void persist(String key, byte[] value) {
+            pending.add(new PendingOutput.Write(key, value));
             sync();
         }
 
         @Override
-        public void sendOnceSynced(String to, byte[] message) {
-            unsynced.add(new Object[]{to, message, true});
+        public void sendAfterSync(String to, byte[] message) {
+            pending.add(new PendingOutput.Send<>(to, message));
             sync();
         }
 
         private void sync() {
-            if (syncing) {
+            if (isSyncing) {
                 return;
             }
-            syncing = true;
-            long of = process;
-            after(syncMs * (0.5 + chance.nextDouble()), () -> {
-                if (process != of) {
-                    return;         // it died before
+            isSyncing = true;
+            long syncing = process;
+            after(syncMillis * (0.5 + random.nextDouble()), () -> {
+                if (process == syncing) {
+                    isSyncing = false;
+                    onSynced();
                 }
-                syncing = false;
-                List<Object[]> batch = List.copyOf(unsynced);
-                syncs += batch.stream().anyMatch(o -> o.length == 2) ? 1 : 0;
-                unsynced.clear();
-                for (Object[] one : batch) {
-                    if (one.length == 2) {
-                        disk.put((String) one[0], (byte[]) one[1]);
-                        position++;
-                    }
+            });
+        }
+
+        private void onSynced() {
+            List<PendingOutput> batch = List.copyOf(pending);
+            pending.clear();
+            syncs += batch.stream().anyMatch(each -> each instanceof PendingOutput.Write) ? 1 : 0;
+            for (PendingOutput each : batch) {
+                if (each instanceof PendingOutput.Write write) {
+                    disk.put(write.key(), write.value());
+                    recordCount++;
                 }
-                run(() -> {
-                    all.synced(position);
-                    for (Object[] one : batch) {
-                        if (one.length == 3) {
-                            send((String) one[0], (byte[]) one[1]);
-                        }
+            }
+            run(() -> {
+                manager.onSynced(recordCount);
+                for (PendingOutput each : batch) {
+                    if (each instanceof PendingOutput.Send<?> send) {
+                        send(send.to(), (byte[]) send.message());
                     }
-                });
+                }
             });
         }
 
         @Override
-        public void wakeAt(Moment when) {
-            long wake = ++wakes;
-            long of = process;
-            due(Math.max(now, (long) Math.ceil((when.micros() - 1_000_000_000L) / rate) + 1), () -> {
-                if (wake == wakes && process == of) {
-                    run(() -> all.woken(clock()));
+        public void wakeAt(Moment time) {
+            wakes++;
+            long wake = wakes;
+            long waking = process;
+            long trueMicros = (long) Math.ceil((time.micros() - CLOCK_START_MICROS) / clockRate) + 1;
+            due(Math.max(now, trueMicros), () -> {
+                if (wake == wakes && process == waking) {
+                    run(() -> manager.onTimer(clock()));
                 }
             });
         }
 
         @Override
-        public void done(String register, long version, long token, String holder, Span took) {
-            // Sim keeps its own history.
+        public void changeCompleted(String register, LeaseRecord value, Span elapsed) {
+            // The simulation keeps its own history.
         }
 
         @Override
-        public void tell(Event event) {
-            told.add(event);
+        public void emit(LeaseEvent event) {
+            events.add(event);
         }
 
-        boolean acts(String lease) {
-            return all != null && all.mayAct(lease, clock()).longerThan(Span.ZERO);
+        boolean mayAct(String lease) {
+            return isRunning() && manager.remaining(lease, clock()).longerThan(Span.ZERO);
         }
-    }
 
-    LeaseSimulation(long seed, int dispatchers, int keeping, int leases) {
-        chance = new SplittableRandom(seed);
-        this.leases = java.util.stream.IntStream.range(0, leases).mapToObj(i -> "l" + i).toList();
-        for (int i = 1; i <= dispatchers; i++) {
-            Node n = new Node("d" + i);
-            nodes.put(n.name, n);
-            if (i <= keeping) {
-                n.disk = new TreeMap<>();
-                keepers.add(n.name);
-            }
+        /** Whether an event of that type was reported whose detail begins like that. */
+        boolean hasReported(EventType type, String detailPrefix) {
+            return events.stream()
+                    .anyMatch(event -> event.type() == type && event.detail().startsWith(detailPrefix));
+        }
+
+        /** The state that its acceptor reported last. */
+        String lastAcceptorState() {
+            return events.stream().filter(event -> event.type() == EventType.ACCEPTOR_STATE)
+                    .reduce((earlier, later) -> later).orElseThrow().detail();
         }
     }
 
     LeaseSimulation startAll() {
-        nodes.values().forEach(Node::start);
+        dispatchers.values().forEach(Dispatcher::start);
         return this;
     }
 
-    Node node(int number) {
-        return nodes.get("d" + number);
+    Dispatcher dispatcher(int number) {
+        return dispatchers.get("d" + number);
     }
 
-    /** Clocks drawn within the bound. */
-    void drift() {
-        nodes.values().forEach(n -> n.rate = 1 + RULES.drift() * (2 * chance.nextDouble() - 1));
+    /** Draws the rates of all clocks within the allowed drift. */
+    void drawClockRates() {
+        dispatchers.values()
+                .forEach(each -> each.clockRate = 1 + TIMINGS.drift() * (2 * random.nextDouble() - 1));
     }
 
-    void after(double ms, Runnable what) {
-        due(now + Math.round(ms * 1000), what);
+    void after(double millis, Runnable action) {
+        due(now + Math.round(millis * 1000), action);
     }
 
     LeaseSimulation run(double seconds) {
@@ -220,101 +259,55 @@
         return this;
     }
 
-    double until(double most, java.util.function.BooleanSupplier so) {
-        return until(most, 0.01, so);
+    /** Runs until the condition holds; returns the seconds that took, or -1 where it did not come to hold. */
+    double until(double maxSeconds, BooleanSupplier condition) {
+        return until(maxSeconds, CHECK_INTERVAL_SECONDS, condition);
     }
 
-    /**
-     * After whatever a node did: under what it may act nobody else may, and nobody ever did with a higher
-     * token.
-     */
-    private void check(Node n) {
-        for (String lease : n.all == null ? List.<String>of() : leases) {
-            if (!n.acts(lease)) {
-                continue;
-            }
-            String last = actor.get(lease);
-            if (last != null && !last.equals(n.name) && nodes.get(last).acts(lease)) {
-                throw new AssertionError(now + ": " + last + " and " + n.name + " may act under " + lease);
-            }
-            long token = n.all.token(lease);
-            long before = acted.getOrDefault(lease, 0L);
-            if (token < before || token == before && !n.name.equals(last)) {
-                throw new AssertionError(now + ": " + n.name + " acts under " + lease + " with token " + token
-                        + " after " + before
-                        + " of " + last);
-            }
-            if (token > before) {
-                takeovers++;
-                acted.put(lease, token);
-                actor.put(lease, n.name);
+    /** Under what a dispatcher may act nobody else may, and nobody ever did with a higher token. */
+    private void assertActsAlone(Dispatcher dispatcher) {
+        if (!dispatcher.isRunning()) {
+            return;
+        }
+        for (String lease : leases) {
+            if (dispatcher.mayAct(lease)) {
+                assertActsAlone(dispatcher, lease);
             }
         }
     }
 
-    @SuppressWarnings("unchecked")
-    private static Map<String, LeaseClient> leasesOf(LeaseManager all) {
-        return (Map<String, LeaseClient>) StateCopier.get(all, "leases");
-    }
-
-    /** A change that was asked for, and known as done: by which value. */
-    private record Done(long asked, long known, LeaseRecord value) {}
-
-    private final Map<RegisterChange, Long> asked = new java.util.IdentityHashMap<>();
-    private final Map<String, List<Done>> done = new TreeMap<>();
-
-    private void history(String lease, RegisterChange before, RegisterChange after) {
-        if (after != null) {
-            asked.putIfAbsent(after, now);
+    private void assertActsAlone(Dispatcher dispatcher, String lease) {
+        String name = dispatcher.name;
+        String last = lastActorOf.get(lease);
+        if (last != null && !last.equals(name) && dispatchers.get(last).mayAct(lease)) {
+            throw new AssertionError(now + ": " + last + " and " + name + " may act under " + lease);
         }
-        if (before != null && before != after) {
-            Long from = asked.remove(before);
-            if (before.state() == RegisterChange.State.DONE) {
-                done.computeIfAbsent(lease, k -> new ArrayList<>()).add(new Done(from, now, before.value()));
-            }
+        long token = dispatcher.manager.token(lease);
+        long highest = highestToken(lease);
+        if (token < highest || (token == highest && !name.equals(last))) {
+            throw new AssertionError(now + ": " + name + " acts under " + lease + " with token " + token
+                    + " after " + highest + " of " + last);
+        }
+        if (token > highest) {
+            takeovers++;
+            highestTokenOf.put(lease, token);
+            lastActorOf.put(lease, name);
         }
     }
 
-    /**
-     * Each register's changes as they were seen from outside are those of one register: a version is one
-     * value, and what
-     * was known as done before another was asked for comes before it. Versions make the order total: no
-     * search is needed.
-     */
-    long linear() {
-        long looked = 0;
-        for (List<Done> all : done.values()) {
-            Map<Long, LeaseRecord> values = new TreeMap<>();
-            for (Done d : all) {
-                LeaseRecord one = values.putIfAbsent(d.value.version(), d.value);
-                if (one != null && !one.equals(d.value)) {
-                    throw new AssertionError("two values of one version: " + one + " and " + d.value);
-                }
-            }
-            List<Done> byAsked = new ArrayList<>(all);
-            byAsked.sort((a, b) -> Long.compare(a.asked, b.asked));
-            List<Done> byKnown = new ArrayList<>(all);
-            byKnown.sort((a, b) -> Long.compare(a.known, b.known));
-            long highest = 0;
-            int known = 0;
-            for (Done d : byAsked) {
-                for (; known < byKnown.size() && byKnown.get(known).known < d.asked; known++) {
-                    highest = Math.max(highest, byKnown.get(known).value.version());
-                }
-                if (d.value.version() < highest) {
-                    throw new AssertionError("asked for after version " + highest + " was known: " + d.value);
-                }
-                looked++;
-            }
-        }
-        return looked;
+    /** Asserts that all histories are those of registers; returns how many changes were checked. */
+    long checkHistories() {
+        return history.check();
     }
 
+    /** The dispatcher that may act under the lease; null for none. */
     String actor(String lease) {
-        return nodes.values().stream().filter(n -> n.acts(lease)).map(n -> n.name).findFirst().orElse(null);
+        return dispatchers.values().stream().filter(each -> each.mayAct(lease)).map(each -> each.name)
+                .findFirst().orElse(null);
     }
 
-    long token(String lease) {
-        return acted.getOrDefault(lease, 0L);
+    /** The highest token under which anybody acted. */
+    long highestToken(String lease) {
+        return highestTokenOf.getOrDefault(lease, 0L);
     }
 }
--- a/src/test/java/rampshift/leases/RecordLogTest.java
+++ b/src/test/java/rampshift/leases/RecordLogTest.java
@@ -8,103 +8,108 @@
 import java.io.IOException;
 import java.nio.file.Files;
 import java.nio.file.Path;
+import java.util.Arrays;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.io.TempDir;
 import rampshift.leases.store.RecordLog;
 
-/** A keeper's directory. */
+/** The directory of an acceptor. */
 class RecordLogTest {
+    private static final int FILE_HEADER_BYTES = 8;
+    private static final int KEYS = 3;
+
     @TempDir
     private Path folder;
 
-    private static byte[] bytes(int of) {
-        return new byte[]{(byte) of, 1, 2};
+    private static byte[] value(int number) {
+        return new byte[]{(byte) number, 1, 2};
     }
 
     private Path file() {
         return folder.resolve("records");
     }
 
-    private void write(int count) throws IOException {
-        try (RecordLog r = new RecordLog(folder)) {
+    /** Writes records of equal length; returns the file. */
+    private byte[] write(int count) throws IOException {
+        try (RecordLog log = new RecordLog(folder)) {
             for (int i = 0; i < count; i++) {
-                r.add("k" + i % 3, bytes(i));
-                r.sync();
+                log.add("k" + i % KEYS, value(i));
+                log.sync();
             }
         }
+        return Files.readAllBytes(file());
     }
 
     @Test
-    void theLastOfEachKeyIsThereAgain() throws IOException {
+    void theLastRecordOfEachKeyIsReadAgain() throws IOException {
         write(7);
-        try (RecordLog r = new RecordLog(folder)) {
-            assertEquals(7, r.position());
-            assertArrayEquals(bytes(6), r.all().get("k0"));
-            assertArrayEquals(bytes(5), r.all().get("k2"));
+        try (RecordLog log = new RecordLog(folder)) {
+            assertEquals(7, log.recordCount());
+            assertArrayEquals(value(6), log.records().get("k0"));
+            assertArrayEquals(value(5), log.records().get("k2"));
         }
     }
 
     @Test
-    void whateverIsTornOffAtTheEndOnlyTheLastIsLost() throws IOException {
-        write(4);
-        byte[] whole = Files.readAllBytes(file());
-        int last = (whole.length - 8) / 4;
-        for (int cut = 1; cut <= last; cut++) {
-            Files.write(file(), java.util.Arrays.copyOf(whole, whole.length - cut));
-            try (RecordLog r = new RecordLog(folder)) {
-                assertEquals(3, r.position(), "cut by " + cut);
+    void aTornEndLosesTheLastRecordOnly() throws IOException {
+        byte[] whole = write(4);
+        int frameBytes = (whole.length - FILE_HEADER_BYTES) / 4;
+        for (int cut = 1; cut <= frameBytes; cut++) {
+            Files.write(file(), Arrays.copyOf(whole, whole.length - cut));
+            try (RecordLog log = new RecordLog(folder)) {
+                assertEquals(3, log.recordCount(), "cut by " + cut);
             }
         }
-        // the system had made room already
-        Files.write(file(), java.util.Arrays.copyOf(whole, whole.length + 4096));
-        try (RecordLog r = new RecordLog(folder)) {
-            assertEquals(4, r.position());
-            r.add("new", bytes(9));
-            r.sync();
+        Files.write(file(), Arrays.copyOf(whole, whole.length + 4096)); // the system had made room already
+        try (RecordLog log = new RecordLog(folder)) {
+            assertEquals(4, log.recordCount());
+            log.add("new", value(9));
+            log.sync();
         }
-        try (RecordLog r = new RecordLog(folder)) {
-            assertArrayEquals(bytes(9), r.all().get("new"));
+        try (RecordLog log = new RecordLog(folder)) {
+            assertArrayEquals(value(9), log.records().get("new"));
         }
     }
 
     @Test
-    void anyByteChangedBeforeTheLastRecordIsRefused() throws IOException {
-        write(4);
-        byte[] whole = Files.readAllBytes(file());
-        int last = (whole.length - 8) / 4;
-        for (int at = 0; at < whole.length - last; at++) {
+    void anyByteChangedBeforeTheLastRecordIsAnError() throws IOException {
+        byte[] whole = write(4);
+        int frameBytes = (whole.length - FILE_HEADER_BYTES) / 4;
+        for (int offset = 0; offset < whole.length - frameBytes; offset++) {
             byte[] changed = whole.clone();
-            changed[at] ^= 0x11;
+            changed[offset] ^= 0x11;
             Files.write(file(), changed);
-            String why = assertThrows(IOException.class, () -> new RecordLog(folder).close(), "byte " + at)
-                    .getMessage();
-            assertTrue(why.startsWith(file().toString()) && why.split("\n").length == 1, why);
+            String message =
+                    assertThrows(IOException.class, () -> new RecordLog(folder).close(), "byte " + offset)
+                            .getMessage();
+            assertTrue(message.startsWith(file().toString()) && message.lines().count() == 1, message);
         }
     }
 
     @Test
-    void aSecondProcessIsRefused() throws IOException {
-        try (RecordLog r = new RecordLog(folder)) {
-            assertTrue(assertThrows(IOException.class, () -> new RecordLog(folder)).getMessage()
-                    .contains("another process"));
+    void aSecondProcessIsRejected() throws IOException {
+        try (RecordLog log = new RecordLog(folder)) {
+            assertEquals(0, log.recordCount());
+            IOException rejected = assertThrows(IOException.class, () -> new RecordLog(folder).close());
+            assertTrue(rejected.getMessage().contains("another process"));
         }
         write(1);
     }
 
     @Test
-    void itStaysSmallAndKeepsCounting() throws IOException {
-        byte[] much = new byte[20_000];
-        try (RecordLog r = new RecordLog(folder)) {
+    void theFileStaysSmallAndTheRecordCountRises() throws IOException {
+        byte[] large = new byte[20_000];
+        try (RecordLog log = new RecordLog(folder)) {
             for (int i = 0; i < 400; i++) {
-                r.add("k" + i % 3, much);
-                r.sync();
+                log.add("k" + i % KEYS, large);
+                log.sync();
             }
-            assertTrue(r.position() >= 400);
+            assertTrue(log.recordCount() >= 400);
         }
         assertTrue(Files.size(file()) < 2 << 20, Files.size(file()) + " bytes");
-        try (RecordLog r = new RecordLog(folder)) {
-            assertEquals(3, r.all().size());
-            assertTrue(r.position() >= 400);
+        try (RecordLog log = new RecordLog(folder)) {
+            assertEquals(KEYS, log.records().size());
+            assertTrue(log.recordCount() >= 400);
         }
     }
 }
--- a/src/test/java/rampshift/leases/StateCopier.java
+++ b/src/test/java/rampshift/leases/StateCopier.java
@@ -1,6 +1,7 @@
 package rampshift.leases;
 
 import java.lang.reflect.Field;
+import java.lang.reflect.Method;
 import java.lang.reflect.Modifier;
 import java.util.ArrayList;
 import java.util.Arrays;
@@ -12,158 +13,182 @@
 import java.util.Map;
 import java.util.TreeMap;
 import java.util.TreeSet;
+import java.util.concurrent.ConcurrentHashMap;
 
-/**
- * Copies of real state machines, and their state as text: what an explorer needs of objects that know of
- * neither.
- */
+/** Copies real state machines and prints their state, by reflection: they know nothing of the explorer. */
 final class StateCopier {
-    private static final Map<Class<?>, Field[]> FIELDS = new java.util.concurrent.ConcurrentHashMap<>();
+    private static final Map<Class<?>, Field[]> FIELDS = new ConcurrentHashMap<>();
 
     private StateCopier() {}
 
-    /** Shared: what is not copied and not looked into, as the outside world. */
-    static <T> T copy(T from, Map<Object, Object> shared) {
-        return copied(from, new IdentityHashMap<>(shared));
+    /** A deep copy. What is shared, as the outside world, is neither copied nor looked into. */
+    static <T> T copy(T original, IdentityHashMap<Object, Object> shared) {
+        return copyOnce(original, new IdentityHashMap<>(shared));
     }
 
-    private static boolean plain(Object o) {
-        return o == null || o instanceof String || o instanceof Number || o instanceof Boolean
-                || o instanceof Enum
-                || o instanceof Record || o instanceof Class;
+    private static boolean isPlain(Object value) {
+        return value == null || value instanceof String || value instanceof Number || value instanceof Boolean
+                || value instanceof Enum || value instanceof Record || value instanceof Class;
     }
 
     @SuppressWarnings("unchecked")
-    private static <T> T copied(T from, Map<Object, Object> done) {
-        if (plain(from) || from.getClass().isArray()) {
-            return from;        // records and arrays here hold what never changes
+    private static <T> T copyOnce(T original, IdentityHashMap<Object, Object> copies) {
+        if (isPlain(original) || original.getClass().isArray()) {
+            return original; // records and arrays here hold what never changes
         }
-        Object known = done.get(from);
+        Object known = copies.get(original);
         if (known != null) {
             return (T) known;
         }
-        if (from instanceof Map<?, ?> map) {
-            Map<Object, Object> to = from instanceof TreeMap ? new TreeMap<>()
-                    : from instanceof LinkedHashMap ? new LinkedHashMap<>()
-                            : from instanceof HashMap ? new HashMap<>() : null;
-            if (to == null) {
-                return from;    // unmodifiable
-            }
-            done.put(from, to);
-            map.forEach((k, v) -> to.put(copied(k, done), copied(v, done)));
-            return (T) to;
+        if (original instanceof Map<?, ?> map) {
+            return (T) copyMap(map, copies);
         }
-        if (from instanceof Collection<?> all) {
-            Collection<Object> to = from instanceof TreeSet ? new TreeSet<>()
-                    : from instanceof ArrayList ? new ArrayList<>() : null;
-            if (to == null) {
-                return from;
-            }
-            done.put(from, to);
-            all.forEach(e -> to.add(copied(e, done)));
-            return (T) to;
+        if (original instanceof Collection<?> collection) {
+            return (T) copyCollection(collection, copies);
         }
         try {
-            Object to = unsafe().allocateInstance(from.getClass());
-            done.put(from, to);
-            for (Field f : fields(from.getClass())) {
-                f.set(to, copied(f.get(from), done));
+            Object copy = Allocator.allocate(original.getClass());
+            copies.put(original, copy);
+            for (Field field : fields(original.getClass())) {
+                field.set(copy, copyOnce(field.get(original), copies));
             }
-            return (T) to;
+            return (T) copy;
         } catch (ReflectiveOperationException e) {
             throw new IllegalStateException(e);
         }
     }
 
-    static Object get(Object of, String field) {
+    private static Map<?, ?> copyMap(Map<?, ?> original, IdentityHashMap<Object, Object> copies) {
+        Map<Object, Object> copy;
+        if (original instanceof TreeMap) {
+            copy = new TreeMap<>();
+        } else if (original instanceof LinkedHashMap) {
+            copy = new LinkedHashMap<>();
+        } else if (original instanceof HashMap) {
+            copy = new HashMap<>();
+        } else {
+            return original; // unmodifiable
+        }
+        copies.put(original, copy);
+        original.forEach((key, value) -> copy.put(copyOnce(key, copies), copyOnce(value, copies)));
+        return copy;
+    }
+
+    private static Collection<?> copyCollection(Collection<?> original,
+            IdentityHashMap<Object, Object> copies) {
+        Collection<Object> copy;
+        if (original instanceof TreeSet) {
+            copy = new TreeSet<>();
+        } else if (original instanceof ArrayList) {
+            copy = new ArrayList<>();
+        } else {
+            return original; // unmodifiable
+        }
+        copies.put(original, copy);
+        original.forEach(element -> copy.add(copyOnce(element, copies)));
+        return copy;
+    }
+
+    /** The value of a private field. */
+    static Object get(Object owner, String fieldName) {
         try {
-            for (Field f : fields(of.getClass())) {
-                if (f.getName().equals(field)) {
-                    return f.get(of);
-                }
-            }
+            return field(owner, fieldName).get(owner);
         } catch (ReflectiveOperationException e) {
             throw new IllegalStateException(e);
         }
-        throw new IllegalArgumentException(field);
     }
 
-    /** Puts a private field to a value that its class would have come to by a way of no concern here. */
-    static void set(Object of, String field, Object value) {
+    /** Sets a private field to a value that its class would have come to by steps that are not explored. */
+    static void set(Object owner, String fieldName, Object value) {
         try {
-            for (Field f : fields(of.getClass())) {
-                if (f.getName().equals(field)) {
-                    f.set(of, value);
-                }
-            }
+            field(owner, fieldName).set(owner, value);
         } catch (ReflectiveOperationException e) {
             throw new IllegalStateException(e);
         }
     }
 
-    private static sun.misc.Unsafe unsafe() throws ReflectiveOperationException {
-        return Holder.UNSAFE;
+    private static Field field(Object owner, String name) {
+        for (Field field : fields(owner.getClass())) {
+            if (field.getName().equals(name)) {
+                return field;
+            }
+        }
+        throw new IllegalArgumentException(name);
     }
 
-    private static final class Holder {
-        static final sun.misc.Unsafe UNSAFE;
+    /** Makes instances without their constructors, which the copied classes do not offer for that. */
+    private static final class Allocator {
+        private static final Object UNSAFE;
+        private static final Method ALLOCATE;
 
         static {
             try {
-                Field f = sun.misc.Unsafe.class.getDeclaredField("theUnsafe");
-                f.setAccessible(true);
-                UNSAFE = (sun.misc.Unsafe) f.get(null);
+                Class<?> type = Class.forName("sun.misc.Unsafe");
+                Field instance = type.getDeclaredField("theUnsafe");
+                instance.setAccessible(true);
+                UNSAFE = instance.get(null);
+                ALLOCATE = type.getMethod("allocateInstance", Class.class);
             } catch (ReflectiveOperationException e) {
                 throw new IllegalStateException(e);
             }
         }
+
+        static Object allocate(Class<?> type) throws ReflectiveOperationException {
+            return ALLOCATE.invoke(UNSAFE, type);
+        }
+    }
+
+    private static Field[] fields(Class<?> type) {
+        return FIELDS.computeIfAbsent(type, StateCopier::instanceFields);
     }
 
-    private static Field[] fields(Class<?> of) {
-        return FIELDS.computeIfAbsent(of, c -> {
-            List<Field> all = new ArrayList<>();
-            for (Class<?> k = c; k != Object.class; k = k.getSuperclass()) {
-                for (Field f : k.getDeclaredFields()) {
-                    if (!Modifier.isStatic(f.getModifiers())) {
-                        f.setAccessible(true);
-                        all.add(f);
-                    }
+    private static Field[] instanceFields(Class<?> type) {
+        List<Field> found = new ArrayList<>();
+        for (Class<?> declaring = type; declaring != Object.class; declaring = declaring.getSuperclass()) {
+            for (Field field : declaring.getDeclaredFields()) {
+                if (!Modifier.isStatic(field.getModifiers())) {
+                    field.setAccessible(true);
+                    found.add(field);
                 }
             }
-            return all.toArray(Field[]::new);
-        });
+        }
+        return found.toArray(Field[]::new);
     }
 
-    /** All of it, in an order that is always the same. */
-    static void print(Object o, StringBuilder to, Map<Object, Object> shared) {
-        if (o != null && shared.containsKey(o)) {
-            to.append('^');
-        } else if (plain(o)) {
-            to.append(o).append(';');
-        } else if (o instanceof Map<?, ?> map) {
-            to.append('{');
-            (o instanceof HashMap && !(o instanceof LinkedHashMap) ? new TreeMap<>(map) : map)
-                    .forEach((k, v) -> {
-                        print(k, to, shared);
-                        print(v, to, shared);
-                    });
-            to.append('}');
-        } else if (o instanceof Collection<?> all) {
-            to.append('[');
-            all.forEach(e -> print(e, to, shared));
-            to.append(']');
-        } else if (o.getClass().isArray()) {
-            to.append(Arrays.hashCode((byte[]) o)).append(',');
+    /** Prints the whole state, in an order that is always the same. */
+    static void print(Object value, StringBuilder text, IdentityHashMap<Object, Object> shared) {
+        if (value != null && shared.containsKey(value)) {
+            text.append('^');
+        } else if (isPlain(value)) {
+            text.append(value).append(';');
+        } else if (value instanceof Map<?, ?> map) {
+            printMap(map, text, shared);
+        } else if (value instanceof Collection<?> collection) {
+            text.append('[');
+            collection.forEach(element -> print(element, text, shared));
+            text.append(']');
+        } else if (value.getClass().isArray()) {
+            text.append(Arrays.hashCode((byte[]) value)).append(',');
         } else {
-            to.append('(');
-            for (Field f : fields(o.getClass())) {
+            text.append('(');
+            for (Field field : fields(value.getClass())) {
                 try {
-                    print(f.get(o), to, shared);
+                    print(field.get(value), text, shared);
                 } catch (ReflectiveOperationException e) {
                     throw new IllegalStateException(e);
                 }
             }
-            to.append(')');
+            text.append(')');
         }
     }
+
+    private static void printMap(Map<?, ?> map, StringBuilder text, IdentityHashMap<Object, Object> shared) {
+        boolean isUnordered = map instanceof HashMap && !(map instanceof LinkedHashMap);
+        text.append('{');
+        (isUnordered ? new TreeMap<>(map) : map).forEach((key, value) -> {
+            print(key, text, shared);
+            print(value, text, shared);
+        });
+        text.append('}');
+    }
 }
--- a/src/test/java/rampshift/leases/host/HostPartsTest.java
+++ b/src/test/java/rampshift/leases/host/HostPartsTest.java
@@ -1,8 +1,11 @@
 package rampshift.leases.host;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
+import static org.junit.jupiter.api.Assertions.assertFalse;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
+import java.io.IOException;
+import java.io.UncheckedIOException;
 import java.nio.file.Files;
 import java.nio.file.Path;
 import java.util.List;
@@ -16,48 +19,56 @@
 
 /** The clock and the disk of leases. */
 class HostPartsTest {
+    private static final int TIMEOUT_SECONDS = 5;
+    /** A file header and one record: frame header, shortest body, key and value of a byte each. */
+    private static final int ONE_RECORD_BYTES = 8 + 8 + 10 + 1 + 1;
+
     @TempDir
     private Path folder;
 
     @Test
-    void anHourAsleepIsAnHourGone() throws Exception {
+    void theClockCountsAnHourOfSuspension() throws Exception {
         Path uptime = Files.writeString(folder.resolve("uptime"), "1000.00 0.00\n");
         BootTimeClock clock = new BootTimeClock(uptime);
         Moment before = clock.now();
         Files.writeString(uptime, "4600.00 0.00\n");
-        double gone = clock.now().since(before).millis();
-        assertTrue(gone > 3_590_000 && gone < 3_610_000, gone + " ms");
+        double elapsedMillis = clock.now().since(before).millis();
+        assertTrue(elapsedMillis > 3_590_000 && elapsedMillis < 3_610_000, elapsedMillis + " ms");
         Moment after = clock.now();
         Files.writeString(uptime, "900.00 0.00\n");
-        assertTrue(!clock.now().before(after), "it never goes back");
+        assertFalse(clock.now().before(after), "it never goes back");
         Files.delete(uptime);
-        assertTrue(!clock.now().before(after), "nor where nothing tells any more");
+        assertFalse(clock.now().before(after), "nor where nothing tells the uptime any more");
     }
 
     @Test
-    void nothingIsToldBeforeItIsOnDiskAndNothingAfterTheDiskFailed() throws Exception {
-        List<String> told = new CopyOnWriteArrayList<>();
-        CountDownLatch first = new CountDownLatch(1);
+    void listenersAreCalledOnceTheirRecordsAreOnDiskAndNeverAfterAFailure() throws Exception {
+        List<String> calls = new CopyOnWriteArrayList<>();
+        CountDownLatch synced = new CountDownLatch(1);
         CountDownLatch failed = new CountDownLatch(1);
-        Path directory = folder.resolve("keeper");
+        Path directory = folder.resolve("acceptor");
         RecordLog records = new RecordLog(directory);
-        RecordWriter disk = new RecordWriter(records, Runnable::run, failed::countDown);
-        disk.put("k", new byte[]{1});
-        disk.then(position -> {
-            try {
-                told.add(position + " " + Files.size(directory.resolve("records")));
-            } catch (java.io.IOException e) {
-                told.add(e.toString());
-            }
-            first.countDown();
+        RecordWriter writer = new RecordWriter(records, Runnable::run, failed::countDown);
+        writer.write("k", new byte[]{1});
+        writer.afterSync(recordCount -> {
+            calls.add(recordCount + " " + size(directory.resolve("records")));
+            synced.countDown();
         });
-        assertTrue(first.await(5, TimeUnit.SECONDS));
-        assertEquals(List.of("1 " + (8 + 8 + 10 + 1 + 1)), told);
-        records.close();        // as good as a disk that takes nothing
-        disk.put("k", new byte[]{2});
-        disk.then(position -> told.add("told"));
-        assertTrue(failed.await(5, TimeUnit.SECONDS));
-        disk.then(position -> told.add("told"));
-        assertEquals(1, told.size());
+        assertTrue(synced.await(TIMEOUT_SECONDS, TimeUnit.SECONDS));
+        assertEquals(List.of("1 " + ONE_RECORD_BYTES), calls);
+        records.close(); // as good as a disk that takes nothing
+        writer.write("k", new byte[]{2});
+        writer.afterSync(recordCount -> calls.add("called"));
+        assertTrue(failed.await(TIMEOUT_SECONDS, TimeUnit.SECONDS));
+        writer.afterSync(recordCount -> calls.add("called"));
+        assertEquals(1, calls.size());
+    }
+
+    private static long size(Path file) {
+        try {
+            return Files.size(file);
+        } catch (IOException e) {
+            throw new UncheckedIOException(e);
+        }
     }
 }
