--- a/src/main/java/rampshift/pipeline/PolicyHost.java
+++ b/src/main/java/rampshift/pipeline/PolicyHost.java
@@ -151,7 +151,7 @@
     }
 
     void task(InFlightTask task) {
-        task.call.onGone(() -> hear(() -> {
+        task.call.onDisconnect(() -> hear(() -> {
             relay.clientLeft(task);
             policy.onClientGone(task.id);
             book.settle(task);
