--- a/src/main/java/rampshift/connections/Dialer.java
+++ b/src/main/java/rampshift/connections/Dialer.java
@@ -20,32 +20,32 @@
     private static final OptionMap OPTIONS = OptionMap.create(Options.TCP_NODELAY, true);
 
     final XnioIoThread thread;
-    private final Opener opener;
+    private final ChannelOpener opener;
     final ByteBuffer buffer = ByteBuffer.allocateDirect(BUFFER);
     final byte[] bytes = new byte[BUFFER];
     final ByteBuffer lookBuffer = ByteBuffer.allocateDirect(LOOK_BUFFER);
     int open;
 
     /** Opens a channel to an address, and hands it to the listener on the I/O thread. */
-    public interface Opener {
+    public interface ChannelOpener {
         IoFuture<StreamConnection> open(InetSocketAddress to, ChannelListener<StreamConnection> opened);
     }
 
     /** Tells how a dial ended, once, unless it was called off. */
-    public interface Dialed {
-        void connected(HttpConnection connection);
+    public interface DialListener {
+        void onConnected(HttpConnection connection);
 
-        void unreachable(String why);
+        void onUnreachable(String why);
     }
 
     /** A dial under way: one timer and one half-open socket, both given back in {@link #over}. */
     public final class Dial {
-        private final Dialed told;
+        private final DialListener told;
         private IoFuture<StreamConnection> coming;
         private IoTimer timer;
         private boolean over;
 
-        private Dial(Dialed told) {
+        private Dial(DialListener told) {
             this.told = told;
         }
 
@@ -67,18 +67,18 @@
                 return;
             }
             over();
-            told.connected(new HttpConnection(Dialer.this, channel));
+            told.onConnected(new HttpConnection(Dialer.this, channel));
         }
 
         private void fail(String why) {
             if (!over) {
-                callOff();
-                told.unreachable(why);
+                cancel();
+                told.onUnreachable(why);
             }
         }
 
         /** Stops waiting; nothing is told. */
-        public void callOff() {
+        public void cancel() {
             if (!over) {
                 over();
                 open--;
@@ -98,18 +98,18 @@
         this(thread, (to, opened) -> thread.openStreamConnection(to, opened, OPTIONS));
     }
 
-    public Dialer(XnioIoThread thread, Opener opener) {
+    public Dialer(XnioIoThread thread, ChannelOpener opener) {
         this.thread = thread;
         this.opener = opener;
     }
 
     /** Connections and dials under way. */
-    public int open() {
+    public int openCount() {
         return open;
     }
 
     /** Never tells before it returns. */
-    public Dial dial(InetSocketAddress to, Span timeout, Dialed told) {
+    public Dial dial(InetSocketAddress to, Span timeout, DialListener told) {
         Dial dial = new Dial(told);
         dial.start(to, timeout);
         return dial;
--- a/src/main/java/rampshift/connections/ExchangeListener.java
+++ b/src/main/java/rampshift/connections/ExchangeListener.java
@@ -6,7 +6,7 @@
  */
 public interface ExchangeListener {
     /** The first byte is about to be written; false holds it back, and the connection stays unused. */
-    default boolean mayWrite() {
+    default boolean mayWriteFirstByte() {
         return true;
     }
 
@@ -14,21 +14,21 @@
      * The last byte, which was held back, is about to be written; false: it is not, and the connection was
      * given back.
      */
-    default boolean mayFinish() {
+    default boolean mayWriteLastByte() {
         return true;
     }
 
     /** The last byte was written: from now on the other side may have got it all. */
-    default void written() {}
+    default void onRequestWritten() {}
 
-    default void head(ResponseHead head) {}
+    default void onHead(ResponseHead head) {}
 
     /** A piece of the body; the array is only lent. */
-    default void body(byte[] bytes, int from, int length) {}
+    default void onBody(byte[] bytes, int from, int length) {}
 
     /** The whole answer has come. */
-    void ended();
+    void onComplete();
 
     /** No connection, or it broke before the whole answer had come. */
-    void broken(String why);
+    void onFailure(String why);
 }
--- a/src/main/java/rampshift/connections/HttpConnection.java
+++ b/src/main/java/rampshift/connections/HttpConnection.java
@@ -45,12 +45,12 @@
         channel.getSourceChannel().resumeReads();
     }
 
-    public void onEnd(Runnable told) {
+    public void onIdleClose(Runnable told) {
         onEnd = told;
     }
 
     /** Whether another exchange may be tried on it. */
-    public boolean usable() {
+    public boolean isReusable() {
         return !closed && lasting && heard == null;
     }
 
@@ -59,8 +59,8 @@
      * while the
      * thread was at something else. To be asked while no exchange is on.
      */
-    public boolean stillOpen() {
-        if (!usable()) {
+    public boolean verifyOpen() {
+        if (!isReusable()) {
             return false;
         }
         try {
@@ -86,7 +86,7 @@
      */
     public void exchange(ExchangeListener heard, Span hold, Supplier<ByteBuffer[]> message) {
         this.heard = heard;
-        if (!heard.mayWrite()) {
+        if (!heard.mayWriteFirstByte()) {
             this.heard = null;
             return;
         }
@@ -107,7 +107,7 @@
     }
 
     /** From the last byte written to the first of the answer; ZERO before. */
-    public Span answeredAfter() {
+    public Span timeToFirstByte() {
         return answeredAfter;
     }
 
@@ -137,12 +137,12 @@
         written = true;
         writtenAt = System.nanoTime();
         readAt = writtenAt;
-        heard.written();
+        heard.onRequestWritten();
     }
 
     private void release() {
         timer = null;
-        if (!heard.mayFinish()) {
+        if (!heard.mayWriteLastByte()) {
             return;     // it has given this connection back
         }
         toWrite = new ByteBuffer[]{lastByte};
@@ -155,7 +155,7 @@
      * another
      * connection is being read: it has a buffer of its own.
      */
-    public void look() {
+    public void poll() {
         if (heard != null && written) {
             readable(dialer.lookBuffer, new byte[dialer.lookBuffer.capacity()]);
         }
@@ -186,7 +186,7 @@
     }
 
     /** How long ago the last bytes were read of the answer that is coming, or its request was written. */
-    public Span quietFor() {
+    public Span timeSinceLastRead() {
         return new Span((System.nanoTime() - readAt) / 1000);
     }
 
@@ -233,7 +233,7 @@
         if (!lasting) {
             close();
         }
-        told.ended();
+        told.onComplete();
     }
 
     private void broken(String why) {
@@ -243,7 +243,7 @@
         ExchangeListener told = heard;
         close();
         if (told != null) {
-            told.broken(why);
+            told.onFailure(why);
         } else if (onEnd != null) {
             onEnd.run();
         }
--- a/src/main/java/rampshift/connections/ResponseReader.java
+++ b/src/main/java/rampshift/connections/ResponseReader.java
@@ -67,7 +67,7 @@
                     if (left == 0 && at != At.TO_THE_END) {
                         at = at == At.FIXED ? At.DONE : At.CHUNK_END;
                     }
-                    heard.body(bytes, i, piece);
+                    heard.onBody(bytes, i, piece);
                     i += piece;
                 }
                 default -> {
@@ -184,7 +184,7 @@
         } else {
             at = At.TO_THE_END;
         }
-        heard.head(head);
+        heard.onHead(head);
     }
 
     private void size(String text) throws Odd {
--- a/src/main/java/rampshift/discovery/EndpointWatch.java
+++ b/src/main/java/rampshift/discovery/EndpointWatch.java
@@ -101,17 +101,17 @@
             return;     // a break that crossed the next call has begun it already
         }
         if (connection == null) {
-            dial = dialer.dial(address, FIRST, new Dialer.Dialed() {
+            dial = dialer.dial(address, FIRST, new Dialer.DialListener() {
                 @Override
-                public void connected(HttpConnection made) {
+                public void onConnected(HttpConnection made) {
                     dial = null;
                     connection = made;
-                    connection.onEnd(() -> retry("the idle connection ended"));
+                    connection.onIdleClose(() -> retry("the idle connection ended"));
                     call();
                 }
 
                 @Override
-                public void unreachable(String why) {
+                public void onUnreachable(String why) {
                     dial = null;
                     retry(why);
                 }
@@ -147,7 +147,7 @@
         Moment now = clock.now();
         if (connection != null && now.since(lookedAt).longerThan(lookEvery)) {
             lookedAt = now;
-            connection.look();
+            connection.poll();
         }
     }
 
@@ -180,11 +180,11 @@
      */
     private void overdue(Moment end) {
         Answer mine = answer;
-        connection.look();
+        connection.poll();
         if (!calling || answer != mine) {
             return;
         }
-        Span left = late.minus(connection.quietFor()).orShorter(end.since(clock.now()));
+        Span left = late.minus(connection.timeSinceLastRead()).orShorter(end.since(clock.now()));
         if (left.micros() > 0) {
             timer = IoTimer.notBefore(thread, left, () -> overdue(end));
         } else {
@@ -198,12 +198,12 @@
         private int length;
 
         @Override
-        public void head(ResponseHead head) {
+        public void onHead(ResponseHead head) {
             status = head.status();
         }
 
         @Override
-        public void body(byte[] piece, int from, int count) {
+        public void onBody(byte[] piece, int from, int count) {
             if (length + count > LONGEST) {
                 retry("a list over " + LONGEST + " bytes");
                 return;
@@ -216,7 +216,7 @@
         }
 
         @Override
-        public void ended() {
+        public void onComplete() {
             if (status != 200) {
                 retry("status " + status);
                 return;
@@ -238,7 +238,7 @@
             failures = 0;
             version = listing.version();
             counters.add(listing.whole() ? Counters.Name.LISTS_WHOLE : Counters.Name.LISTS_CHANGES);
-            if (connection != null && !connection.usable()) {
+            if (connection != null && !connection.isReusable()) {
                 connection = null;
             }
             start();    // before the tasks that waited for the list go out: more news may come meanwhile
@@ -246,7 +246,7 @@
         }
 
         @Override
-        public void broken(String why) {
+        public void onFailure(String why) {
             retry(why);
         }
     }
@@ -274,7 +274,7 @@
             timer.off();
         }
         if (dial != null) {
-            dial.callOff();
+            dial.cancel();
             dial = null;
         }
         if (connection != null) {
--- a/src/main/java/rampshift/jobs/host/PeriodicJobHost.java
+++ b/src/main/java/rampshift/jobs/host/PeriodicJobHost.java
@@ -126,7 +126,7 @@
     }
 
     /** One task at the door, from its dial to its answer. */
-    private final class Task implements ExchangeListener, Dialer.Dialed {
+    private final class Task implements ExchangeListener, Dialer.DialListener {
         private final PeriodicJobSettings plan;
         private final int object;
         private final String id;
@@ -146,7 +146,7 @@
         }
 
         void start() {
-            for (connection = idle.poll(); connection != null && !connection.usable(); connection =
+            for (connection = idle.poll(); connection != null && !connection.isReusable(); connection =
                     idle.poll()) {
                 connection.close();
             }
@@ -158,13 +158,13 @@
         }
 
         @Override
-        public void connected(HttpConnection made) {
+        public void onConnected(HttpConnection made) {
             connection = made;
             connection.exchange(this, message());
         }
 
         @Override
-        public void unreachable(String why) {
+        public void onUnreachable(String why) {
             over(PeriodicJob.End.NEVER_RAN);
         }
 
@@ -185,7 +185,7 @@
 
         /** The last moment: what was stopped between the asking and here does not act. */
         @Override
-        public boolean mayWrite() {
+        public boolean mayWriteFirstByte() {
             written = leases.mayAct(plan.name()).longerThan(Span.ZERO) && leases.token(plan.name()) == token;
             if (!written) {
                 connection.close();
@@ -195,7 +195,7 @@
         }
 
         @Override
-        public void head(ResponseHead head) {
+        public void onHead(ResponseHead head) {
             status = head.status();
             String after = head.field("Retry-After");
             if (after != null && after.matches("\\d{1,6}(\\.\\d{1,6})?")) {
@@ -204,8 +204,8 @@
         }
 
         @Override
-        public void ended() {
-            if (connection.usable() && !ended) {
+        public void onComplete() {
+            if (connection.isReusable() && !ended) {
                 idle.push(connection);
             } else {
                 connection.close();
@@ -216,7 +216,7 @@
         }
 
         @Override
-        public void broken(String why) {
+        public void onFailure(String why) {
             over(written ? PeriodicJob.End.MAY_HAVE_RUN : PeriodicJob.End.NEVER_RAN);
         }
 
--- a/src/main/java/rampshift/pipeline/AttemptSender.java
+++ b/src/main/java/rampshift/pipeline/AttemptSender.java
@@ -29,40 +29,41 @@
         task.out++;
         book.count(Counters.Name.ASSIGNED);
         boolean[] ended = {false};
-        AttemptExchange a = pool.assign(worker, task.txn, task.once, sendBy, () -> task.message(clock.now()),
-                timeout, new AttemptExchange.Told() {
-                    @Override
-                    public boolean wanted() {
-                        return task.call.waits();
-                    }
+        AttemptExchange a =
+                pool.startAttempt(worker, task.txn, task.once, sendBy, () -> task.message(clock.now()),
+                        timeout, new AttemptExchange.Told() {
+                            @Override
+                            public boolean isStillWanted() {
+                                return task.call.waits();
+                            }
 
-                    @Override
-                    public void begun() {
-                        route.begun(task, number);
-                    }
+                            @Override
+                            public void onStarted() {
+                                route.begun(task, number);
+                            }
 
-                    @Override
-                    public void progressed(double share) {
-                        route.progressed(task, number, share);
-                    }
+                            @Override
+                            public void onProgress(double share) {
+                                route.progressed(task, number, share);
+                            }
 
-                    @Override
-                    public void reported(long from, LoadReport load) {
-                        route.reported(from, load);
-                    }
+                            @Override
+                            public void onLoadReport(long from, LoadReport load) {
+                                route.reported(from, load);
+                            }
 
-                    @Override
-                    public void ended(AttemptOutcome outcome, byte[] result) {
-                        ended[0] = true;
-                        task.assignments.set(number, null);
-                        if (outcome.neverRan) {
-                            task.sentAt.set(number, null);
-                        }
-                        task.out--;
-                        book.count(Counters.Name.valueOf("OUTCOME_" + outcome));
-                        route.ended(task, number, outcome, result);
-                    }
-                });
+                            @Override
+                            public void onOutcome(AttemptOutcome outcome, byte[] result) {
+                                ended[0] = true;
+                                task.assignments.set(number, null);
+                                if (outcome.neverRan) {
+                                    task.sentAt.set(number, null);
+                                }
+                                task.out--;
+                                book.count(Counters.Name.valueOf("OUTCOME_" + outcome));
+                                route.ended(task, number, outcome, result);
+                            }
+                        });
         if (!ended[0]) {
             task.assignments.set(number, a);
         }
@@ -72,12 +73,12 @@
         AttemptExchange a =
                 number < 0 || number >= task.assignments.size() ? null : task.assignments.get(number);
         if (a != null) {
-            a.callOff();
+            a.cancel();
         }
     }
 
     void probe(PolicyHost route, long worker) {
         book.count(Counters.Name.PROBES);
-        pool.probe(worker, route::echoed);
+        pool.checkHealth(worker, route::echoed);
     }
 }
--- a/src/main/java/rampshift/pipeline/PolicyHost.java
+++ b/src/main/java/rampshift/pipeline/PolicyHost.java
@@ -92,14 +92,15 @@
     public void listed(EndpointList list, boolean remembered) {
         boolean whole = list.whole() || remembered;
         if (whole) {
-            pool.beginWhole();
+            pool.beginFullList();
         }
         for (Endpoint t : list.targets()) {
-            pool.listed(uids.number(t.uid()), t.uid(), t.address(), t.zone() + '/' + t.kind(), t.bootMs(),
+            pool.updateWorker(uids.number(t.uid()), t.uid(), t.address(), t.zone() + '/' + t.kind(),
+                    t.bootMs(),
                     t.state() == Endpoint.State.READY);
         }
         if (whole) {
-            pool.endWhole();
+            pool.endFullList();
         }
         hear(() -> {
             choice.listBegins(remembered ? DispatchPolicy.List.REMEMBERED
@@ -163,7 +164,8 @@
     }
 
     void reported(long worker, LoadReport load) {
-        hear(() -> choice.reported(worker, load.free(), load.queued(), load.held(), load.memoryFree()));
+        hear(() -> choice.reported(worker, load.freeSlots(), load.queued(), load.inFlight(),
+                load.freeMemory()));
     }
 
     void ended(InFlightTask task, int number, AttemptOutcome outcome, byte[] result) {
--- a/src/main/java/rampshift/serve/WarmUp.java
+++ b/src/main/java/rampshift/serve/WarmUp.java
@@ -98,15 +98,15 @@
     void start() {
         began = clock.now();
         timer = IoTimer.in(thread, MOST, () -> finish("time"));
-        new Dialer(thread, this::toDoor).dial(null, MOST, new Dialer.Dialed() {
+        new Dialer(thread, this::toDoor).dial(null, MOST, new Dialer.DialListener() {
             @Override
-            public void connected(HttpConnection connection) {
+            public void onConnected(HttpConnection connection) {
                 client = connection;
                 next();
             }
 
             @Override
-            public void unreachable(String why) {
+            public void onUnreachable(String why) {
                 finish(why);
             }
         });
@@ -177,19 +177,19 @@
                 + BODY.length + "\r\n\r\n";
         client.exchange(new ExchangeListener() {
             @Override
-            public void head(ResponseHead head) {
+            public void onHead(ResponseHead head) {
                 if (head.status() != 200) {
                     finish("status " + head.status());
                 }
             }
 
             @Override
-            public void ended() {
+            public void onComplete() {
                 thread.execute(WarmUp.this::next);
             }
 
             @Override
-            public void broken(String why) {
+            public void onFailure(String why) {
                 finish(why);
             }
         }, ByteBuffer.wrap(ascii(head)), ByteBuffer.wrap(BODY));
--- a/src/main/java/rampshift/workers/AttemptExchange.java
+++ b/src/main/java/rampshift/workers/AttemptExchange.java
@@ -30,16 +30,16 @@
          * Whether its client still waits: asked before the first byte goes out, and before a last one that
          * was held back.
          */
-        boolean wanted();
+        boolean isStillWanted();
 
-        void begun();
+        void onStarted();
 
-        void progressed(double share);
+        void onProgress(double share);
 
-        void reported(long worker, LoadReport load);
+        void onLoadReport(long worker, LoadReport load);
 
         /** The result is null unless it finished. */
-        void ended(AttemptOutcome outcome, byte[] result);
+        void onOutcome(AttemptOutcome outcome, byte[] result);
     }
 
     private final String txn;
@@ -93,7 +93,7 @@
     }
 
     /** Closes its connection; the outcome is told if none was before. */
-    public void callOff() {
+    public void cancel() {
         callOff(written ? AttemptOutcome.CALLED_OFF : AttemptOutcome.NOT_SENT);
     }
 
@@ -108,9 +108,9 @@
      * A drain or another address may have been told while the connection was made, or its client have left.
      */
     @Override
-    public boolean mayWrite() {
+    public boolean mayWriteFirstByte() {
         pool.beforeFirstByte.run();
-        boolean may = place.ready && current() && inTime() && out.wanted();
+        boolean may = place.ready && current() && inTime() && out.isStillWanted();
         if (!may) {
             pool.counters.add(Counters.Name.FIRST_BYTE_HELD_BACK);
             end(AttemptOutcome.NOT_SENT, null);
@@ -124,8 +124,8 @@
     }
 
     @Override
-    public boolean mayFinish() {
-        boolean may = inTime() && out.wanted();
+    public boolean mayWriteLastByte() {
+        boolean may = inTime() && out.isStillWanted();
         if (!may) {
             end(AttemptOutcome.NOT_SENT, null);
         }
@@ -133,7 +133,7 @@
     }
 
     @Override
-    public void written() {
+    public void onRequestWritten() {
         written = true;
     }
 
@@ -143,13 +143,13 @@
     }
 
     @Override
-    public void unreachable(String why) {
+    public void onUnreachable(String why) {
         pool.counters.add(Counters.Name.DIAL_FAILED);
         end(AttemptOutcome.NO_CONNECTION, null);
     }
 
     @Override
-    public void head(ResponseHead head) {
+    public void onHead(ResponseHead head) {
         status = head.status();
         Span after = answeredAfter();
         place.quickest = place.quickest.micros() == 0 ? after : place.quickest.orShorter(after);
@@ -172,7 +172,7 @@
             in.nextToken();
             LoadReport load = LoadReport.read(in, pool.platform.freeSlots(), pool.platform.freeMemory());
             if (load != null) {
-                out.reported(place.number, load);
+                out.onLoadReport(place.number, load);
             }
         } catch (IOException e) {
             odd("a load report that is no JSON");
@@ -180,7 +180,7 @@
     }
 
     @Override
-    public void body(byte[] bytes, int from, int count) {
+    public void onBody(byte[] bytes, int from, int count) {
         if (status != 200 || told()) {
             return;
         }
@@ -223,17 +223,17 @@
             odd("a line from " + note.from);
         }
         if (note.load != null) {
-            out.reported(place.number, note.load);
+            out.onLoadReport(place.number, note.load);
         }
         state(note);
     }
 
     private void state(ProgressMessage note) {
         switch (note.state == null ? "" : note.state) {
-            case "started" -> out.begun();
+            case "started" -> out.onStarted();
             case "running" -> {
                 if (note.share > 0 && note.share <= 1) {
-                    out.progressed(note.share);
+                    out.onProgress(note.share);
                 }
             }
             case "done" -> tell(AttemptOutcome.FINISHED, note.result);
@@ -245,7 +245,7 @@
     }
 
     @Override
-    public void ended() {
+    public void onComplete() {
         if (!told() && length > 0) {
             line();
         }
@@ -253,7 +253,7 @@
     }
 
     @Override
-    public void broken(String why) {
+    public void onFailure(String why) {
         boolean stale = status == 0 && stale();
         // What befalls a kept connection tells nothing of its worker: the best ones were set aside for it.
         end(written ? stale ? AttemptOutcome.STALE : AttemptOutcome.BROKEN
@@ -262,7 +262,7 @@
 
     private void odd(String what) {
         pool.counters.add(Counters.Name.ODD_ANSWERS);
-        Log.warn("odd-answer", "worker", place.uid, "what", what);
+        Log.warn("malformed-response", "worker", place.uid, "what", what);
     }
 
     /** Tells the outcome while the rest of the answer is still to come. */
@@ -270,7 +270,7 @@
         if (tell()) {
             giveTimerBack();
             linger();
-            out.ended(outcome, result);
+            out.onOutcome(outcome, result);
         }
     }
 
@@ -279,7 +279,7 @@
         over();
         if (first) {
             giveTimerBack();
-            out.ended(outcome, result);
+            out.onOutcome(outcome, result);
         }
     }
 
--- a/src/main/java/rampshift/workers/ConnectionPool.java
+++ b/src/main/java/rampshift/workers/ConnectionPool.java
@@ -64,7 +64,7 @@
      * What a list tells of a worker; with no address it can't be sent to. Where: its zone and kind. In
      * another one it is not what tasks were decided for: those that are not out yet are told as never sent.
      */
-    public void listed(long number, String uid, InetSocketAddress address, String where, long bootMs,
+    public void updateWorker(long number, String uid, InetSocketAddress address, String where, long bootMs,
             boolean ready) {
         WorkerEndpoint place = places.computeIfAbsent(number, n -> new WorkerEndpoint(n, uid));
         boolean other = address != null && !address.equals(place.address) || bootMs != place.bootMs
@@ -80,13 +80,13 @@
     }
 
     /** A whole list follows: what it does not name is gone. */
-    public void beginWhole() {
+    public void beginFullList() {
         for (WorkerEndpoint place : places.values()) {
             place.ready = false;
         }
     }
 
-    public void endWhole() {
+    public void endFullList() {
         for (WorkerEndpoint place : places.values()) {
             if (!place.ready) {
                 dropIdle(place);
@@ -94,13 +94,13 @@
         }
     }
 
-    public boolean ready(long number) {
+    public boolean isReady(long number) {
         WorkerEndpoint place = places.get(number);
         return place != null && place.ready;
     }
 
     /** May tell before it returns. */
-    public AttemptExchange assign(long number, String txn, boolean once, Moment expiry,
+    public AttemptExchange startAttempt(long number, String txn, boolean once, Moment expiry,
             Supplier<ByteBuffer[]> message,
             Span timeout, AttemptExchange.Told told) {
         AttemptExchange a =
@@ -110,7 +110,7 @@
     }
 
     /** May tell before it returns. */
-    public void probe(long number, Probed told) {
+    public void checkHealth(long number, Probed told) {
         new HealthCheck(this, places.get(number), told::echoed).start();
     }
 
@@ -143,7 +143,7 @@
             }
             place.idle.remove(c);
             idle--;
-            if (!been.longerThan(mostIdle()) && c.stillOpen()) {
+            if (!been.longerThan(mostIdle()) && c.verifyOpen()) {
                 counters.add(Counters.Name.REUSED);
                 return c;
             }
@@ -159,7 +159,7 @@
 
     /** Whether one more may be opened; the connection that idled longest makes room. */
     boolean room() {
-        if (dialer.open() >= most && idle > 0) {
+        if (dialer.openCount() >= most && idle > 0) {
             WorkerEndpoint with = null;
             for (WorkerEndpoint p : places.values()) {
                 if (!p.idle.isEmpty() && (with == null
@@ -169,7 +169,7 @@
             }
             dropOldest(with);
         }
-        return dialer.open() < most;
+        return dialer.openCount() < most;
     }
 
     Dialer.Dial dial(WorkerEndpoint place, WorkerExchange errand) {
@@ -179,12 +179,12 @@
 
     void giveBack(WorkerEndpoint place, int life, HttpConnection connection) {
         // One that was out while its worker moved is to the old address: kept, it was used on and on.
-        if (closed || !connection.usable() || !place.ready || life != place.life) {
+        if (closed || !connection.isReusable() || !place.ready || life != place.life) {
             connection.close();
             return;
         }
         connection.idleSince = clock.now();
-        connection.onEnd(() -> {
+        connection.onIdleClose(() -> {
             if (place.idle.remove(connection)) {
                 idle--;
             }
--- a/src/main/java/rampshift/workers/HealthCheck.java
+++ b/src/main/java/rampshift/workers/HealthCheck.java
@@ -45,17 +45,17 @@
     }
 
     @Override
-    public void unreachable(String why) {
+    public void onUnreachable(String why) {
         end(false, null);
     }
 
     @Override
-    public void head(ResponseHead head) {
+    public void onHead(ResponseHead head) {
         status = head.status();
     }
 
     @Override
-    public void body(byte[] piece, int from, int count) {
+    public void onBody(byte[] piece, int from, int count) {
         int kept = Math.min(count, LONGEST - length);
         bytes = length + kept > bytes.length ? Arrays.copyOf(bytes, LONGEST) : bytes;
         System.arraycopy(piece, from, bytes, length, kept);
@@ -63,19 +63,19 @@
     }
 
     @Override
-    public void ended() {
+    public void onComplete() {
         LoadReport load = null;
         try (JsonParser in = JSON.createParser(bytes, 0, length)) {
             load = in.nextToken() == null ? null
                     : LoadReport.read(in, pool.platform.freeSlots(), pool.platform.freeMemory());
         } catch (IOException e) {
-            Log.warn("odd-answer", "worker", place.uid, "what", "a probe's answer that is no JSON");
+            Log.warn("malformed-response", "worker", place.uid, "what", "a probe's answer that is no JSON");
         }
         end(status == 200, load);
     }
 
     @Override
-    public void broken(String why) {
+    public void onFailure(String why) {
         end(false, null);
     }
 
--- a/src/main/java/rampshift/workers/LoadReport.java
+++ b/src/main/java/rampshift/workers/LoadReport.java
@@ -5,7 +5,7 @@
 import java.io.IOException;
 
 /** A worker's load as an answer or a probe told it; NaN where it says nothing, or nothing sensible. */
-public record LoadReport(double free, double queued, double held, double memoryFree) {
+public record LoadReport(double freeSlots, double queued, double inFlight, double freeMemory) {
 
     private static final double SILLY = 1e6;
 
--- a/src/main/java/rampshift/workers/WorkerExchange.java
+++ b/src/main/java/rampshift/workers/WorkerExchange.java
@@ -8,7 +8,7 @@
 import rampshift.time.Span;
 
 /** Something carried to a worker and back: it gets a connection, and gives it back once, in {@link #over}. */
-abstract class WorkerExchange implements ExchangeListener, Dialer.Dialed {
+abstract class WorkerExchange implements ExchangeListener, Dialer.DialListener {
     final ConnectionPool pool;
     final WorkerEndpoint place;
     private Dialer.Dial dial;
@@ -52,7 +52,7 @@
 
     /** How soon the answer began. */
     final Span answeredAfter() {
-        return connection.answeredAfter();
+        return connection.timeToFirstByte();
     }
 
     /** No connection can be had, for want of room here. */
@@ -72,7 +72,7 @@
     }
 
     @Override
-    public final void connected(HttpConnection made) {
+    public final void onConnected(HttpConnection made) {
         dial = null;
         connection = made;
         connection.exchange(this, hold(), this::message);
@@ -104,7 +104,7 @@
     /** The one place where dial and connection are given back: for reuse, if they are in a known state. */
     final void over() {
         if (dial != null) {
-            dial.callOff();
+            dial.cancel();
             dial = null;
         }
         if (connection != null) {
--- a/src/test/java/rampshift/connections/ResponseReaderTest.java
+++ b/src/test/java/rampshift/connections/ResponseReaderTest.java
@@ -78,22 +78,22 @@
     }
 
     @Override
-    public void head(ResponseHead head) {
+    public void onHead(ResponseHead head) {
         said.append(head.status()).append(' ').append(head.field("X-Load")).append(' ');
     }
 
     @Override
-    public void body(byte[] bytes, int from, int length) {
+    public void onBody(byte[] bytes, int from, int length) {
         said.append(new String(bytes, from, length, StandardCharsets.ISO_8859_1));
     }
 
     @Override
-    public void ended() {
+    public void onComplete() {
         // Not of interest here.
     }
 
     @Override
-    public void broken(String why) {
+    public void onFailure(String why) {
         // Not of interest here.
     }
 }
--- a/src/test/java/rampshift/workers/ConnectionPoolTest.java
+++ b/src/test/java/rampshift/workers/ConnectionPoolTest.java
@@ -81,7 +81,7 @@
                     new HostSettings(List.of(), List.of(), List.of(), List.of(),
                             Span.ofMillis(dialMs), Span.ofMillis(idleMs), 100, "x0", "x1"),
                     counters, most);
-            pool.listed(1, "s-1", ADDRESS, "a/m", 0, true);
+            pool.updateWorker(1, "s-1", ADDRESS, "a/m", 0, true);
         });
     }
 
@@ -102,7 +102,7 @@
 
     private AttemptExchange assign(boolean once) throws Exception {
         AttemptExchange[] a = new AttemptExchange[1];
-        on(() -> a[0] = pool.assign(1, "t", once, expiry,
+        on(() -> a[0] = pool.startAttempt(1, "t", once, expiry,
                 () -> new ByteBuffer[]{ByteBuffer.wrap(new byte[]{'x'})}, Span.ZERO, this));
         return a[0];
     }
@@ -115,7 +115,7 @@
         assertEquals(List.of(AttemptOutcome.NO_CONNECTION), outcomes);
         assertEquals(IoFuture.Status.CANCELLED, dials.get(0).getIoFuture().getStatus(),
                 "its socket is given back");
-        on(() -> assertEquals(0, dialer.open()));
+        on(() -> assertEquals(0, dialer.openCount()));
     }
 
     /** A thread with much to do had such news unread for 0.4 s, and sent by the list before it. */
@@ -125,7 +125,7 @@
         assign();
         ChannelPipe<StreamConnection, StreamConnection> pipe = thread.createFullDuplexPipeConnection();
         on(() -> {
-            pool.beforeFirstByte(() -> pool.listed(1, "s-1", ADDRESS, "a/m", 0, false));
+            pool.beforeFirstByte(() -> pool.updateWorker(1, "s-1", ADDRESS, "a/m", 0, false));
             coming.get(0).handleEvent(pipe.getLeftSide());
         });
         assertEquals(List.of(AttemptOutcome.NOT_SENT), outcomes);
@@ -152,7 +152,7 @@
             throws Exception {
         pool(10, 20_000);
         assign();
-        on(() -> pool.listed(1, "s-1", ADDRESS, where, 0, true));
+        on(() -> pool.updateWorker(1, "s-1", ADDRESS, where, 0, true));
         ChannelPipe<StreamConnection, StreamConnection> pipe = thread.createFullDuplexPipeConnection();
         on(() -> coming.get(0).handleEvent(pipe.getLeftSide()));
         assertEquals(List.of(AttemptOutcome.NOT_SENT), outcomes);
@@ -162,7 +162,7 @@
     void aWorkerThatDrainsWhileItIsDialedGetsNoFirstByte() throws Exception {
         pool(10, 20_000);
         assign();
-        on(() -> pool.listed(1, "s-1", ADDRESS, "a/m", 0, false));
+        on(() -> pool.updateWorker(1, "s-1", ADDRESS, "a/m", 0, false));
         ChannelPipe<StreamConnection, StreamConnection> pipe = thread.createFullDuplexPipeConnection();
         on(() -> coming.get(0).handleEvent(pipe.getLeftSide()));
         assertEquals(List.of(AttemptOutcome.NOT_SENT), outcomes);
@@ -175,13 +175,13 @@
     void aTaskCalledOffBeforeItsLastByteNeverRanAndAfterItMayHave() throws Exception {
         pool(10, 20_000);
         AttemptExchange dialed = assign();
-        on(dialed::callOff);
+        on(dialed::cancel);
         AttemptExchange sent = assign();
         ChannelPipe<StreamConnection, StreamConnection> pipe = thread.createFullDuplexPipeConnection();
         on(() -> coming.get(1).handleEvent(pipe.getLeftSide()));
-        on(sent::callOff);
+        on(sent::cancel);
         assertEquals(List.of(AttemptOutcome.NOT_SENT, AttemptOutcome.CALLED_OFF), outcomes);
-        on(() -> assertEquals(0, dialer.open()));
+        on(() -> assertEquals(0, dialer.openCount()));
     }
 
     /** Met as a story over loopback that failed now and then: tasks went on to the worker's old address. */
@@ -193,11 +193,12 @@
         assign();
         ChannelPipe<StreamConnection, StreamConnection> pipe = thread.createFullDuplexPipeConnection();
         on(() -> coming.get(0).handleEvent(pipe.getLeftSide()));
-        on(() -> pool.listed(1, "s-1", InetSocketAddress.createUnresolved(address, 1), where, bootMs, true));
+        on(() -> pool.updateWorker(1, "s-1", InetSocketAddress.createUnresolved(address, 1), where, bootMs,
+                true));
         pipe.getRightSide().getSinkChannel()
                 .write(ByteBuffer.wrap("HTTP/1.1 500 x\r\nContent-Length: 0\r\n\r\n".getBytes()));
         until("told", () -> !outcomes.isEmpty());
-        on(() -> assertEquals(0, dialer.open()));
+        on(() -> assertEquals(0, dialer.openCount()));
         assign();
         assertEquals(2, dials.size(), "dialed anew");
     }
@@ -267,11 +268,11 @@
         StreamConnection worker = kept();
         on(() -> {
             IoUtils.safeClose(worker);
-            pool.assign(1, "t", false, expiry, () -> new ByteBuffer[]{ByteBuffer.wrap(new byte[]{'x'})},
+            pool.startAttempt(1, "t", false, expiry, () -> new ByteBuffer[]{ByteBuffer.wrap(new byte[]{'x'})},
                     Span.ZERO, this);
         });
         assertEquals(2, dials.size(), "dialed anew");
-        on(() -> assertEquals(1, dialer.open(), "the kept one was given back"));
+        on(() -> assertEquals(1, dialer.openCount(), "the kept one was given back"));
     }
 
     /** The sweep comes twice a second, and later where the thread stands still. */
@@ -345,7 +346,7 @@
 
     private int openNow() throws Exception {
         int[] now = new int[1];
-        on(() -> now[0] = dialer.open());
+        on(() -> now[0] = dialer.openCount());
         return now[0];
     }
 
@@ -367,7 +368,7 @@
         until("its connection went", () -> pipe.getRightSide().getSourceChannel().read(got) < 0);
         assertEquals(0, got.position(), "no last byte");
         assertEquals(List.of(AttemptOutcome.NO_CONNECTION), outcomes);
-        on(() -> assertEquals(0, dialer.open()));
+        on(() -> assertEquals(0, dialer.openCount()));
     }
 
     private static void write(StreamConnection to, String text) {
@@ -402,7 +403,7 @@
         flood.setDaemon(true);
         flood.start();
         until("it is well under way", () -> sent.get() > 4_000_000);
-        FutureTask<Void> turn = new FutureTask<>(task::callOff, null);
+        FutureTask<Void> turn = new FutureTask<>(task::cancel, null);
         thread.execute(turn);
         turn.get(10, TimeUnit.SECONDS);
         assertEquals(List.of(AttemptOutcome.CALLED_OFF), outcomes, "it may have run");
@@ -430,7 +431,7 @@
         List<String> order = Collections.synchronizedList(new ArrayList<>());
         on(() -> {
             pool.beforeFirstByte(() -> order.add("look"));
-            pool.assign(1, "t", false, expiry, () -> {
+            pool.startAttempt(1, "t", false, expiry, () -> {
                 order.add("message");
                 return new ByteBuffer[]{ByteBuffer.wrap(new byte[]{'x'})};
             }, Span.ZERO, this);
@@ -449,27 +450,27 @@
     }
 
     @Override
-    public boolean wanted() {
+    public boolean isStillWanted() {
         return true;
     }
 
     @Override
-    public void begun() {
+    public void onStarted() {
         // Not of interest here.
     }
 
     @Override
-    public void progressed(double share) {
+    public void onProgress(double share) {
         // Not of interest here.
     }
 
     @Override
-    public void reported(long worker, LoadReport load) {
+    public void onLoadReport(long worker, LoadReport load) {
         // Not of interest here.
     }
 
     @Override
-    public void ended(AttemptOutcome outcome, byte[] result) {
+    public void onOutcome(AttemptOutcome outcome, byte[] result) {
         outcomes.add(outcome);
     }
 }
