--- a/src/main/java/rampshift/pipeline/PolicyHost.java
+++ b/src/main/java/rampshift/pipeline/PolicyHost.java
@@ -96,14 +96,15 @@
     public void onEndpointList(EndpointList list, boolean remembered) {
         boolean whole = list.complete() || remembered;
         if (whole) {
-            pool.beginWhole();
+            pool.beginFullList();
         }
         for (Endpoint t : list.endpoints()) {
-            pool.listed(uids.number(t.uid()), t.uid(), t.address(), t.zone() + '/' + t.kind(), t.startedAtMillis(),
+            pool.updateWorker(uids.number(t.uid()), t.uid(), t.address(), t.zone() + '/' + t.kind(),
+                    t.startedAtMillis(),
                     t.state() == Endpoint.State.READY);
         }
         if (whole) {
-            pool.endWhole();
+            pool.endFullList();
         }
         hear(() -> {
             policy.onEndpointListBegin(remembered ? EndpointListKind.CACHED
@@ -180,7 +181,8 @@
     }
 
     void reported(long worker, LoadReport load) {
-        hear(() -> policy.onLoadReport(worker, load.free(), load.queued(), load.held(), load.memoryFree()));
+        hear(() -> policy.onLoadReport(worker, load.freeSlots(), load.queued(), load.inFlight(),
+                load.freeMemory()));
     }
 
     void ended(InFlightTask task, int number, AttemptOutcome outcome, byte[] result) {
