--- a/src/main/java/rampshift/membership/host/DrainOverrides.java
+++ b/src/main/java/rampshift/membership/host/DrainOverrides.java
@@ -42,7 +42,8 @@
      * @param changes    is told of workers that a notice takes out of service
      * @param dispatcher the name of this dispatcher, for the log
      */
-    DrainOverrides(boolean enabled, Span lifetime, ServerExtension.EndpointListener changes, String dispatcher) {
+    DrainOverrides(boolean enabled, Span lifetime, ServerExtension.EndpointListener changes,
+            String dispatcher) {
         this.enabled = enabled;
         this.lifetime = lifetime;
         this.changes = changes;
--- a/src/main/java/rampshift/serve/Dispatcher.java
+++ b/src/main/java/rampshift/serve/Dispatcher.java
@@ -60,7 +60,8 @@
                 (long) (configuration.memoryMb() * BODIES * (1 << 20)), clock, tasks, responder, policyHost);
         stalls = new StallDetector(thread, clock);
         ClientLimits limits = new ClientLimits(clients - spare, spare,
-                (long) (configuration.memoryMb() * RECEIVING * (1 << 20)), longestDeadline.times(CLIENT_IDLE));
+                (long) (configuration.memoryMb() * RECEIVING * (1 << 20)),
+                longestDeadline.times(CLIENT_IDLE));
         clientListener = new ClientListener(thread, buffers, clock, counters, limits,
                 new RequestDecoder(settings, platform, counters, tasks, admission), stalls::maxUnreadTime);
     }
--- a/src/main/java/rampshift/serve/DispatcherServer.java
+++ b/src/main/java/rampshift/serve/DispatcherServer.java
@@ -115,7 +115,8 @@
         dispatcher.clientListener.addPage("/ready", this::ready);
         dispatcher.clientListener.addPage("/counters", () -> new StatusPage(200, counters.text()));
         dispatcher.clientListener.listen(worker, configuration.listen());
-        watch = new EndpointWatch(thread, dialer, clock, configuration.discovery(), dispatcher.drainGrace, counters,
+        watch = new EndpointWatch(thread, dialer, clock, configuration.discovery(), dispatcher.drainGrace,
+                counters,
                 list -> {
                     haveList = true;
                     dispatcher.policyHost.onEndpointList(beside == null ? list : beside.adjust(list), false);
@@ -153,12 +154,14 @@
      */
     public void stop() {
         thread.execute(() -> {
-            Log.info("stopping", "tasks", dispatcher.tasks.size(), "connections", dispatcher.clientListener.connectionCount());
+            Log.info("stopping", "tasks", dispatcher.tasks.size(), "connections",
+                    dispatcher.clientListener.connectionCount());
             stopping = true;
             if (beside != null) {
                 beside.onStopping();
             }
-            Moment kill = clock.now().plus(dispatcher.longestDeadline.orShorter(LONGEST_STOP)).plus(KILL_AFTER);
+            Moment kill =
+                    clock.now().plus(dispatcher.longestDeadline.orShorter(LONGEST_STOP)).plus(KILL_AFTER);
             dispatcher.admission.limitDeadlines(kill.minus(SHORT), kill.minus(GIVE_UP));
             dispatcher.clientListener.beginShutdown();
             lookForEnd(clock.now().plus(STOP_LEAST), kill.minus(LAST_CALL), kill.minus(GIVE_UP));
@@ -199,7 +202,8 @@
             if (!clock.now().before(giveUp)) {
                 dispatcher.policyHost.endAllTasks();
             }
-            boolean quiet = dispatcher.clientListener.isEmpty() && dispatcher.clientListener.isUnchangedFor(CROSSED);
+            boolean quiet =
+                    dispatcher.clientListener.isEmpty() && dispatcher.clientListener.isUnchangedFor(CROSSED);
             if (dispatcher.tasks.size() == 0
                     && (quiet || !clock.now().before(giveUp.plus(GIVE_UP).minus(HANG_ON)))) {
                 watch.stop();
--- a/src/main/java/rampshift/serve/ServerExtension.java
+++ b/src/main/java/rampshift/serve/ServerExtension.java
@@ -13,7 +13,8 @@
     int maxDescriptors(Configuration configuration);
 
     /** Begins; throws where an address can't be had. */
-    void start(XnioWorker worker, XnioIoThread thread, Clock clock, Configuration configuration, EndpointListener listener)
+    void start(XnioWorker worker, XnioIoThread thread, Clock clock, Configuration configuration,
+            EndpointListener listener)
             throws IOException;
 
     /** The dispatcher's own list service has told this; what is to be gone by. */
--- a/src/main/java/rampshift/serve/WarmUp.java
+++ b/src/main/java/rampshift/serve/WarmUp.java
@@ -62,8 +62,9 @@
         this.thread = thread;
         this.clock = clock;
         this.done = done;
-        dispatcher = new Dispatcher(thread, buffers, new Dialer(thread, this::toWorker), clock, new Counters(),
-                configuration, 0);
+        dispatcher =
+                new Dispatcher(thread, buffers, new Dialer(thread, this::toWorker), clock, new Counters(),
+                        configuration, 0);
         types = configuration.settings().hostSettings().types();
         dispatcher.policyHost.onEndpointList(
                 EndpointList.read(configuration.knownEndpoints(), configuration.knownEndpoints().length),
--- a/src/test/java/rampshift/serve/ResponseDeliveryTest.java
+++ b/src/test/java/rampshift/serve/ResponseDeliveryTest.java
@@ -113,7 +113,8 @@
         for (int i = 0; i < 21; i++) {
             others.add(client());
         }
-        until("all places are taken", () -> onThread(() -> node.dispatcher.clientListener.connectionCount()) == 22);
+        until("all places are taken",
+                () -> onThread(() -> node.dispatcher.clientListener.connectionCount()) == 22);
         go.countDown();
         until("its answer is written", () -> onThread(() -> node.dispatcher.tasks.size()) == 0);
         Slow last = slow();
@@ -431,7 +432,8 @@
             Thread.sleep(200);      // another thread accepts them meanwhile
             return null;
         });
-        until("all are taken in", () -> onThread(() -> node.dispatcher.clientListener.connectionCount()) == 150);
+        until("all are taken in",
+                () -> onThread(() -> node.dispatcher.clientListener.connectionCount()) == 150);
         // 16 before that look, and 16 more if the door's own pipe was the first that the look found.
         assertTrue(takenIn[0] >= 0 && takenIn[0] <= 32,
                 takenIn[0] + " were taken in before the sockets were looked at");
