--- a/src/main/java/rampshift/eventlog/EventClock.java
+++ b/src/main/java/rampshift/eventlog/EventClock.java
@@ -5,22 +5,23 @@
 import rampshift.time.Moment;
 
 /**
- * The clock that ledgers are stamped by: Unix time to the microsecond, read once, then monotonic. All
- * processes
- * of a run are on one machine, so their stamps can be compared.
+ * The clock of event logs: Unix time to the microsecond, read once, monotonic from there. All processes of
+ * a run are on one machine, so that their times can be compared.
  */
 public final class EventClock {
-    private static final long ZERO = ChronoUnit.MICROS.between(Instant.EPOCH, Instant.now())
-            - System.nanoTime() / 1000;
+    private static final long NANOS_PER_MICRO = 1000;
+    private static final long START_MICROS = ChronoUnit.MICROS.between(Instant.EPOCH, Instant.now())
+            - System.nanoTime() / NANOS_PER_MICRO;
 
     private EventClock() {}
 
+    /** The present time. */
     public static Moment now() {
-        return new Moment(ZERO + System.nanoTime() / 1000);
+        return new Moment(START_MICROS + System.nanoTime() / NANOS_PER_MICRO);
     }
 
     /** On the scale of {@link System#nanoTime()}: for waits that are shorter than a millisecond. */
     public static long nanoTimeOf(Moment when) {
-        return (when.micros() - ZERO) * 1000;
+        return (when.micros() - START_MICROS) * NANOS_PER_MICRO;
     }
 }
--- a/src/main/java/rampshift/eventlog/EventLog.java
+++ b/src/main/java/rampshift/eventlog/EventLog.java
@@ -10,75 +10,85 @@
 import rampshift.time.Moment;
 
 /**
- * What one process saw, one line an event: {@code micros word field ...}. A thread of its own writes, so
- * that a slow disk never shows up as a slow worker or client. Fields hold no blanks; an empty one is a dash.
+ * What one process observed, one line an event: {@code micros word field ...}. A thread of its own writes
+ * the file, so that a slow disk is never taken for a slow worker or client. Fields hold no blanks; an empty
+ * one is written as a dash.
  */
 public final class EventLog implements Closeable {
-    private static final int MOST_WAITING = 64 << 20;
-    private static final int MOST_KEPT = 1 << 20;
-    private static final long EVERY_MS = 100;
+    private static final int MAX_BUFFERED_CHARS = 64 << 20;
+    private static final int MAX_BUFFERED_CHARS_IF_LOSSY = 1 << 20;
+    private static final int INITIAL_BUFFER_CHARS = 1 << 16;
+    private static final long WRITE_INTERVAL_MS = 100;
 
-    private final boolean kept;
+    private final boolean lossy;
     private final OutputStream out;
     private final Thread writer;
-    private StringBuilder lines = new StringBuilder(1 << 16);
-    private volatile IOException broken;
+    private StringBuilder buffer = new StringBuilder(INITIAL_BUFFER_CHARS);
+    private volatile IOException failure;
     private boolean closed;
 
+    /** A new file, in which every line is written; {@link #line} throws once the disk is too far behind. */
     public EventLog(Path file) throws IOException {
         this(file, false);
     }
 
-    /** One that is to be kept may go on where it ended; it leaves lines out rather than wait for its disk. */
-    public EventLog(Path file, boolean kept) throws IOException {
-        this.kept = kept;
-        out = kept ? Files.newOutputStream(file, StandardOpenOption.CREATE, StandardOpenOption.APPEND)
+    /**
+     * Opens the file.
+     *
+     * @param lossy whether to append to what the file holds and, where the disk fails or is behind, to
+     * leave lines out
+     */
+    public EventLog(Path file, boolean lossy) throws IOException {
+        this.lossy = lossy;
+        out = lossy ? Files.newOutputStream(file, StandardOpenOption.CREATE, StandardOpenOption.APPEND)
                 : Files.newOutputStream(file);
-        writer = new Thread(this::write, "ledger");
+        writer = new Thread(this::writeUntilClosed, "event-log");
         writer.setDaemon(true);
         writer.start();
     }
 
+    /** Adds an event; after {@link #close} it does nothing. It never waits for the disk. */
     public synchronized void line(Moment when, String word, Object... fields) {
         if (closed) {
             return;
         }
-        if (kept && (lines.length() > MOST_KEPT || broken != null)) {
+        if (lossy && (buffer.length() > MAX_BUFFERED_CHARS_IF_LOSSY || failure != null)) {
             return;
         }
-        if (lines.length() > MOST_WAITING) {
-            throw new IllegalStateException("the ledger's disk does not keep up");
+        if (buffer.length() > MAX_BUFFERED_CHARS) {
+            throw new IllegalStateException("the event log's disk does not keep up");
         }
-        lines.append(when.micros()).append(' ').append(word);
+        buffer.append(when.micros()).append(' ').append(word);
         for (Object field : fields) {
             String text = String.valueOf(field);
-            lines.append(' ').append(text.isEmpty() ? "-" : text);
+            buffer.append(' ').append(text.isEmpty() ? "-" : text);
         }
-        lines.append('\n');
+        buffer.append('\n');
     }
 
-    private void write() {
+    private void writeUntilClosed() {
         try {
-            for (boolean last = false; !last;) {
-                StringBuilder full;
+            boolean last = false;
+            while (!last) {
+                StringBuilder lines;
                 synchronized (this) {
                     if (!closed) {
-                        wait(EVERY_MS);
+                        wait(WRITE_INTERVAL_MS);
                     }
                     last = closed;
-                    full = lines;
-                    lines = new StringBuilder(1 << 16);
+                    lines = buffer;
+                    buffer = new StringBuilder(INITIAL_BUFFER_CHARS);
                 }
-                out.write(full.toString().getBytes(StandardCharsets.UTF_8));
+                out.write(lines.toString().getBytes(StandardCharsets.UTF_8));
             }
         } catch (IOException e) {
-            broken = e;
+            failure = e;
         } catch (InterruptedException e) {
             Thread.currentThread().interrupt();
         }
     }
 
-    /** All lines are in the file when it returns. */
+    /** Returns once all lines are in the file; throws what went wrong in writing them. */
     @Override
     public void close() throws IOException {
         synchronized (this) {
@@ -91,8 +101,8 @@
             Thread.currentThread().interrupt();
         }
         out.close();
-        if (broken != null) {
-            throw broken;
+        if (failure != null) {
+            throw failure;
         }
     }
 }
--- a/src/main/java/rampshift/migrate/MigrateCommand.java
+++ b/src/main/java/rampshift/migrate/MigrateCommand.java
@@ -1,8 +1,11 @@
 package rampshift.migrate;
 
+import com.fasterxml.jackson.core.JsonLocation;
 import com.fasterxml.jackson.core.JsonProcessingException;
 import java.io.IOException;
+import java.io.InputStream;
 import java.io.PrintStream;
+import java.nio.charset.StandardCharsets;
 import java.nio.file.Files;
 import java.nio.file.InvalidPathException;
 import java.nio.file.Path;
@@ -13,138 +16,139 @@
 import org.apache.commons.cli.Options;
 import org.apache.commons.cli.ParseException;
 import rampshift.settings.Configuration;
-import rampshift.settings.InvalidInputException;
+import rampshift.settings.ConfigurationException;
+import rampshift.settings.ConfigurationFault;
 import rampshift.settings.JsonTree;
+import rampshift.settings.SourcePosition;
 
-/** {@code rampshift migrate}: reads a configuration, writes its counterpart for the new shape beside it. */
+/**
+ * {@code rampshift migrate}: reads a configuration and writes its counterpart for another deployment beside
+ * it.
+ */
 public final class MigrateCommand {
-    private static final String HELP =
-            """
-                    usage: rampshift migrate OLD --shape SHAPE (--out NEW | --dry-run)
-
-                    Reads a dispatcher's configuration and writes its counterpart for a deployment of another shape. OLD is
-                    never touched, and NEW must not exist. Says what it changed, what it could not carry over, and what to
-                    look at. SHAPE is one JSON object:
-
-                      zones            all zones there, in the order in which they are numbered
-                      zone             the dispatcher's own
-                      name, listen, discovery    where these differ there
-                      dispatchers      how many there are
-                      reports          off (if absent), inline or on_probe: how workers tell their load
-                      list             on_request (if absent) or pushed: how the list of workers comes
-                      ask_within_ms    how long a dispatcher may go without asking for the list
-                      probes           whether workers may be probed
-
-                      --dry-run        says it all and writes nothing
-                    """;
-    private static final long LARGEST = 1 << 22;
+    private static final String HELP_RESOURCE = "help.txt";
+    private static final long MAX_FILE_BYTES = 1 << 22;
+    private static final int EXIT_DONE = 0;
+    private static final int EXIT_INVALID_INPUT = 2;
 
     private MigrateCommand() {}
 
-    /** Exit status: 0 done, 2 a wrong command line or file, named in one line; then nothing was written. */
+    /**
+     * The exit status: 0 done, 2 a wrong command line or file, named in one line; then nothing was written.
+     */
     public static int run(List<String> args, PrintStream out, PrintStream err) {
-        Options options = new Options();
-        for (String name : List.of("shape", "out")) {
-            options.addOption(Option.builder().longOpt(name).hasArg().build());
-        }
-        options.addOption(Option.builder().longOpt("dry-run").build())
-                .addOption(Option.builder().longOpt("help").build());
         try {
-            CommandLine line = new DefaultParser(false).parse(options, args.toArray(String[]::new));
+            CommandLine line = new DefaultParser(false).parse(options(), args.toArray(String[]::new));
             if (line.hasOption("help")) {
-                out.print(HELP);
-                return 0;
+                printHelp(out);
+            } else {
+                migrate(line, out);
             }
-            migrate(line, out);
-            return 0;
-        } catch (ParseException | InvalidInputException e) {
+            return EXIT_DONE;
+        } catch (ParseException | ConfigurationException e) {
             err.println("rampshift migrate: " + e.getMessage());
         } catch (InvalidPathException | IOException e) {
             err.println("rampshift migrate: " + e);
         }
-        return 2;
+        return EXIT_INVALID_INPUT;
     }
 
-    private static void migrate(CommandLine line, PrintStream out) throws IOException {
-        if (line.getArgList().size() != 1 || !line.hasOption("shape")) {
-            throw new InvalidInputException(
-                    "one OLD and its --shape SHAPE are wanted; rampshift migrate --help tells more");
-        }
-        if (line.hasOption("out") == line.hasOption("dry-run")) {
-            throw new InvalidInputException("either --out NEW or --dry-run is wanted");
-        }
-        Path to = line.hasOption("out") ? Path.of(line.getOptionValue("out")) : null;
-        if (to != null && Files.exists(to)) {
-            throw new InvalidInputException(to + " exists and is left as it is");
+    private static void printHelp(PrintStream out) throws IOException {
+        try (InputStream text = MigrateCommand.class.getResourceAsStream(HELP_RESOURCE)) {
+            out.print(new String(text.readAllBytes(), StandardCharsets.UTF_8));
         }
+    }
+
+    private static Options options() {
+        return new Options().addOption(Option.builder().longOpt("shape").hasArg().build())
+                .addOption(Option.builder().longOpt("out").hasArg().build())
+                .addOption(Option.builder().longOpt("dry-run").build())
+                .addOption(Option.builder().longOpt("help").build());
+    }
+
+    private static void migrate(CommandLine line, PrintStream out) throws IOException, ParseException {
+        Path target = checkedTarget(line);
         String file = line.getArgList().get(0);
-        TargetDeployment shape = of(line.getOptionValue("shape"), TargetDeployment::read);
-        Migration migration = of(file, bytes -> {
-            Configuration.read(bytes);      // What serve would not take is not carried over either.
-            return new Migration(JsonTree.read(bytes), shape);
+        TargetDeployment deployment = parse(line.getOptionValue("shape"), TargetDeployment::read);
+        Migration migration = parse(file, bytes -> {
+            Configuration.read(bytes);      // what serve would reject is not migrated
+            return new Migration(JsonTree.read(bytes), deployment);
         });
-        if (migration.changed.isEmpty() && migration.leftOut.isEmpty()) {
+        if (migration.report().isEmpty()) {
             out.println(file + " is of that shape already; nothing was written");
             return;
         }
-        byte[] made = JsonTree.write(migration.result);
-        Configuration.read(made);
-        if (to != null) {
-            write(to, made, Path.of(file));
+        byte[] result = JsonTree.write(migration.result());
+        Configuration.read(result);
+        if (target != null) {
+            write(target, result, Path.of(file));
         }
-        say(out, "changed", migration.changed);
-        say(out, "not carried over", migration.leftOut);
-        say(out, "look at", migration.lookAt);
-        out.println(to == null ? "nothing was written" : "written: " + to);
+        migration.report().print(out);
+        out.println(target == null ? "nothing was written" : "written: " + target);
     }
 
-    private interface Reading<T> {
-        T of(byte[] bytes) throws IOException;
+    /** The file to write, which must not exist; null for a dry run. */
+    private static Path checkedTarget(CommandLine line) throws ParseException {
+        if (line.getArgList().size() != 1 || !line.hasOption("shape")) {
+            throw new ParseException(
+                    "one OLD and its --shape SHAPE are wanted; rampshift migrate --help tells more");
+        }
+        if (line.hasOption("out") == line.hasOption("dry-run")) {
+            throw new ParseException("either --out NEW or --dry-run is wanted");
+        }
+        Path target = line.hasOption("out") ? Path.of(line.getOptionValue("out")) : null;
+        if (target != null && Files.exists(target)) {
+            throw new ConfigurationException(target + " exists and is left as it is");
+        }
+        return target;
     }
 
-    /** What is read of a file; what is wrong with it is named with the file, the line and the column. */
-    private static <T> T of(String file, Reading<T> reading) throws IOException {
+    private interface Parser<T> {
+        T parse(byte[] bytes) throws IOException;
+    }
+
+    /** What a file holds; a fault is named with the file and, where it is no JSON, with line and column. */
+    private static <T> T parse(String file, Parser<T> parser) throws IOException {
         try {
-            return reading.of(read(file));
+            return parser.parse(read(file));
         } catch (JsonProcessingException e) {
-            var at = e.getLocation();
-            throw new InvalidInputException(
-                    file + (at == null ? "" : ", line " + at.getLineNr() + ", column " + at.getColumnNr())
-                            + ": " + e.getOriginalMessage().replace('\n', ' '));
-        } catch (InvalidInputException e) {
-            throw new InvalidInputException(file + ": " + e.getMessage());
+            throw new ConfigurationException(new ConfigurationFault(position(file, e.getLocation()), null,
+                    e.getOriginalMessage().replace('\n', ' ')));
+        } catch (ConfigurationException e) {
+            throw e.in(file);
         }
     }
 
+    private static SourcePosition position(String file, JsonLocation location) {
+        return location == null ? SourcePosition.ofFile(file)
+                : new SourcePosition(file, location.getLineNr(), location.getColumnNr());
+    }
+
     private static byte[] read(String file) throws IOException {
         Path path = Path.of(file);
         if (!Files.isRegularFile(path) || !Files.isReadable(path)) {
-            throw new InvalidInputException("cannot be read");
+            throw new ConfigurationException("cannot be read");
         }
-        if (Files.size(path) > LARGEST) {
-            throw new InvalidInputException("over " + LARGEST + " bytes");
+        if (Files.size(path) > MAX_FILE_BYTES) {
+            throw new ConfigurationException("over " + MAX_FILE_BYTES + " bytes");
         }
         return Files.readAllBytes(path);
     }
 
-    /** Whole or not at all: a half-written file must never be taken for a configuration. */
-    private static void write(Path to, byte[] made, Path like) throws IOException {
-        Path folder = to.toAbsolutePath().getParent();
+    /** Writes the whole file or none: a file cut short must never be taken for a configuration. */
+    private static void write(Path target, byte[] bytes, Path permissionsFrom) throws IOException {
+        Path folder = target.toAbsolutePath().getParent();
         if (!Files.isDirectory(folder)) {
-            throw new InvalidInputException("--out " + to + ": there is no folder " + folder);
+            throw new ConfigurationException("--out " + target + ": there is no folder " + folder);
         }
-        Path half = Files.createTempFile(folder, ".migrate", ".half");
+        Path temporary = Files.createTempFile(folder, ".migrate", ".half");
         try {
-            Files.write(half, made);
-            Files.setPosixFilePermissions(half, Files.getPosixFilePermissions(like));
-            // A link fails where the name is taken meanwhile, a move would put it aside.
-            Files.createLink(to, half);
+            Files.write(temporary, bytes);
+            Files.setPosixFilePermissions(temporary, Files.getPosixFilePermissions(permissionsFrom));
+            // A link fails where the name has been taken meanwhile; a move would replace that file.
+            Files.createLink(target, temporary);
         } finally {
-            Files.deleteIfExists(half);
+            Files.deleteIfExists(temporary);
         }
     }
-
-    private static void say(PrintStream out, String what, List<String> lines) {
-        lines.forEach(line -> out.println(what + ": " + line));
-    }
 }
--- a/src/main/java/rampshift/migrate/Migration.java
+++ b/src/main/java/rampshift/migrate/Migration.java
@@ -7,188 +7,211 @@
 import java.util.Map;
 import java.util.Objects;
 import java.util.Set;
-import rampshift.settings.InvalidInputException;
+import rampshift.settings.ConfigurationException;
 
 /**
- * The counterpart of a configuration for the new shape: each client process with a dispatcher of its own,
- * workers
- * that report no load, lists that must be asked for, other zones. Decides alone; files are {@link MigrateCommand}'s.
+ * Makes the counterpart of a configuration for the new deployment: each client process with a dispatcher of
+ * its own, workers that report no load, lists that must be polled, other zones. Does no I/O; that is {@link
+ * MigrateCommand}'s.
  */
 final class Migration {
-    /** What was changed, one line each: key, old value, new value. */
-    final List<String> changed = new ArrayList<>();
-    /** What could not be carried over, and why. */
-    final List<String> leftOut = new ArrayList<>();
-    /** What was carried over as it was and may mean something else there. */
-    final List<String> lookAt = new ArrayList<>();
-    private static final Set<String> KNOWN =
-            Set.of("name", "listen", "discovery", "seed", "limits", "known", "settings");
-    /** The new configuration. */
-    final Map<String, Object> result;
-    private final TargetDeployment shape;
+    private static final Set<String> KNOWN_KEYS =
+            Set.of("name", "listen", "discovery", "seed", "limits", "known",
+                    "settings");
+    private static final String SETTINGS = "settings.";
+
+    private final TargetDeployment target;
+    private final MigrationReport report = new MigrationReport();
+    private final Map<String, Object> result;
 
     /**
-     * Of a configuration that Configuration reads. Throws a Malformed where neither it nor the shape tells
-     * what the
-     * new one must hold.
+     * Migrates a configuration that has been read without a fault. Throws a {@link ConfigurationException}
+     * where neither it nor the target tells what the new one must hold.
      */
-    Migration(Map<String, Object> old, TargetDeployment shape) {
-        this.shape = shape;
-        result = copy(old);
-        for (String key : old.keySet()) {
-            if (!KNOWN.contains(key)) {
+    Migration(Map<String, Object> old, TargetDeployment target) {
+        this.target = target;
+        result = copyOf(old);
+        dropUnknownKeys();
+        set(result, "", "name", target.name());
+        set(result, "", "listen", target.listen());
+        set(result, "", "discovery", target.discovery());
+        dropKnownEndpoints();
+        Map<String, Object> settings = object(result, "settings");
+        migrateLoadReports(settings);
+        migrateEndpointList(settings);
+        migrateZones(settings);
+        migrateProbes(settings);
+        migrateDispatcherPool(settings);
+        reviewTrafficTypes(settings);
+        reviewTenants(settings);
+    }
+
+    /** The new configuration. */
+    Map<String, Object> result() {
+        return result;
+    }
+
+    /** What was changed, what was left out, and what is to be reviewed. */
+    MigrationReport report() {
+        return report;
+    }
+
+    private void dropUnknownKeys() {
+        for (String key : List.copyOf(result.keySet())) {
+            if (!KNOWN_KEYS.contains(key)) {
                 result.remove(key);
-                leftOut.add(key + ": not known to this program");
+                report.notCarriedOver(key + ": not known to this program");
             }
         }
-        set(result, "", "name", shape.name());
-        set(result, "", "listen", shape.listen());
-        set(result, "", "discovery", shape.discovery());
-        known();
-        Map<String, Object> settings = part(result, "settings");
-        reports(settings);
-        list(settings);
-        zones(settings);
-        probes(settings);
-        alone(settings);
-        types(settings);
-    }
-
-    private void reports(Map<String, Object> settings) {
-        Map<String, Object> load = made(settings, "LoadInfo");
-        set(load, "settings.LoadInfo.", "How", shape.reports());
-        if (!shape.reports().equals("off")) {
+    }
+
+    /** Its workers are numbered by the old deployment's zones. */
+    private void dropKnownEndpoints() {
+        if (result.remove("known") instanceof Map<?, ?> list) {
+            int workers = list.get("targets") instanceof List<?> targets ? targets.size() : 0;
+            report.notCarriedOver("known, " + workers + " workers: they are of the old house");
+        }
+    }
+
+    private void migrateLoadReports(Map<String, Object> settings) {
+        Map<String, Object> load = objectOrNew(settings, "LoadInfo");
+        set(load, SETTINGS + "LoadInfo.", "How", target.reports());
+        if (!target.reports().equals("off")) {
             return;
         }
         Object names = load.get("Names");
         if (names instanceof List<?> list && !list.isEmpty()) {
-            leftOut.add("settings.LoadInfo.Names " + show(names) + ": workers report no load there");
+            report.notCarriedOver("settings.LoadInfo.Names " + MigrationReport.text(names)
+                    + ": workers report no load there");
         }
         load.put("Names", new ArrayList<>());
         if ("live".equals(settings.get("WeightSource"))) {
-            leftOut.add("settings.WeightSource live: weights that tell load are not listed there");
-            set(settings, "settings.", "WeightSource", "nominal");
+            report.notCarriedOver("settings.WeightSource live: weights that tell load are not listed there");
+            set(settings, SETTINGS, "WeightSource", "nominal");
         }
-        if (!Boolean.TRUE.equals(part(settings, "FamilyInfo").get("TellsStart"))) {
-            lookAt.add("settings.FamilyInfo.TellsStart is not true: with neither reports nor start notes a"
-                    + " dispatcher knows nothing of a worker but its own tasks");
+        if (!Boolean.TRUE.equals(object(settings, "FamilyInfo").get("TellsStart"))) {
+            report.toReview(
+                    "settings.FamilyInfo.TellsStart is not true: with neither reports nor start notes a"
+                            + " dispatcher knows nothing of a worker but its own tasks");
         }
     }
 
-    private void list(Map<String, Object> settings) {
-        set(settings, "settings.", "Discovery", shape.list());
-        Map<String, Object> rules = made(settings, "Rules");
-        if (shape.askWithinMs() != null) {
-            set(rules, "settings.Rules.", "AskWithinMs", shape.askWithinMs());
-        } else if (shape.list().equals("on_request")
-                && !(rules.get("AskWithinMs") instanceof BigDecimal within && within.signum() > 0)) {
-            throw new InvalidInputException(
+    private void migrateEndpointList(Map<String, Object> settings) {
+        set(settings, SETTINGS, "Discovery", target.list());
+        Map<String, Object> rules = objectOrNew(settings, "Rules");
+        if (target.askWithinMs() != null) {
+            set(rules, SETTINGS + "Rules.", "AskWithinMs", target.askWithinMs());
+            return;
+        }
+        boolean stated = rules.get("AskWithinMs") instanceof BigDecimal within && within.signum() > 0;
+        if (target.list().equals("on_request") && !stated) {
+            throw ConfigurationException.ofKey("settings.Rules.AskWithinMs",
                     "settings.Rules.AskWithinMs is missing, and the list must be asked for there:"
                             + " the shape's ask_within_ms has to tell");
         }
     }
 
-    private void zones(Map<String, Object> settings) {
-        List<Object> zones = new ArrayList<>(shape.zones());
-        set(settings, "settings.", "Zones", zones);
-        set(settings, "settings.", "Zone", BigDecimal.valueOf(shape.zones().indexOf(shape.zone())));
-        Object price = part(settings, "Costs").get("CrossZone");
-        if (price instanceof BigDecimal figure && figure.signum() > 0) {
-            lookAt.add("settings.Costs.CrossZone " + figure + ": one price between any two of "
+    private void migrateZones(Map<String, Object> settings) {
+        List<Object> zones = new ArrayList<>(target.zones());
+        set(settings, SETTINGS, "Zones", zones);
+        set(settings, SETTINGS, "Zone", BigDecimal.valueOf(target.zones().indexOf(target.zone())));
+        Object cost = object(settings, "Costs").get("CrossZone");
+        if (cost instanceof BigDecimal figure && figure.signum() > 0) {
+            report.toReview("settings.Costs.CrossZone " + figure + ": one price between any two of "
                     + zones.size() + " zones");
         }
     }
 
-    private void probes(Map<String, Object> settings) {
-        Map<String, Object> limits = made(settings, "Limits");
-        set(limits, "settings.Limits.", "MayProbe", shape.probes());
+    private void migrateProbes(Map<String, Object> settings) {
+        set(objectOrNew(settings, "Limits"), SETTINGS + "Limits.", "MayProbe", target.probes());
     }
 
-    /** A place in a pool means nothing to a dispatcher that its client process has for itself. */
-    private void alone(Map<String, Object> settings) {
-        Object me = settings.remove("Me");
-        if (me != null) {
-            leftOut.add("settings.Me " + show(me) + ": there is no pool of dispatchers there");
+    /** The number in a pool of dispatchers means nothing to one that serves a single client process. */
+    private void migrateDispatcherPool(Map<String, Object> settings) {
+        Object number = settings.remove("Me");
+        if (number != null) {
+            report.notCarriedOver("settings.Me " + MigrationReport.text(number)
+                    + ": there is no pool of dispatchers there");
         }
-        set(settings, "settings.", "PeersTotal", shape.dispatchers());
-        Object floor = part(settings, "Rules").get("ExtraFloor");
+        set(settings, SETTINGS, "PeersTotal", target.dispatchers());
+        Object floor = object(settings, "Rules").get("ExtraFloor");
         if (floor != null) {
-            lookAt.add("settings.Rules.ExtraFloor " + show(floor)
-                    + ": each dispatcher has so many further assignments"
-                    + " in a span, and their number is another");
+            report.toReview("settings.Rules.ExtraFloor " + MigrationReport.text(floor)
+                    + ": each dispatcher has so many further assignments in a span,"
+                    + " and their number is another");
         }
     }
 
-    private void types(Map<String, Object> settings) {
+    private void reviewTrafficTypes(Map<String, Object> settings) {
         for (Object row : (List<?>) settings.get("TrafficTypes")) {
             if (row instanceof Map<?, ?> type && "keyed".equals(type.get("Effect"))
                     && !"all".equals(type.get("DedupScope"))) {
-                lookAt.add(
+                report.toReview(
                         "settings.TrafficTypes " + type.get("Name") + ": its repeats are dropped within one "
                                 + (type.get("DedupScope") instanceof String scope ? scope : "cell")
                                 + "; make sure that workers do so there before it is served");
             }
         }
-        if (settings.get("Tenants") instanceof List<?> tenants && !tenants.isEmpty()) {
-            lookAt.add(
-                    "settings.Tenants: QuotaPerS counts all dispatchers together, and the fleet is another");
-        }
     }
 
-    /**
-     * Workers are remembered under zones of the old house; those that are not in the new one would be
-     * guesses.
-     */
-    private void known() {
-        if (result.remove("known") instanceof Map<?, ?> list) {
-            int workers = list.get("targets") instanceof List<?> targets ? targets.size() : 0;
-            leftOut.add("known, " + workers + " workers: they are of the old house");
+    private void reviewTenants(Map<String, Object> settings) {
+        if (settings.get("Tenants") instanceof List<?> tenants && !tenants.isEmpty()) {
+            report.toReview(
+                    "settings.Tenants: QuotaPerS counts all dispatchers together, and the fleet is another");
         }
     }
 
-    private void set(Map<String, Object> in, String where, String key, Object value) {
+    /** Sets a value unless it is null; reports it where the old one was another. */
+    private void set(Map<String, Object> object, String pathPrefix, String key, Object value) {
         if (value == null) {
             return;
         }
-        Object was = in.put(key, value);
-        if (!Objects.equals(was, value) && !(was instanceof BigDecimal a && value instanceof BigDecimal b
-                && a.compareTo(b) == 0)) {
-            changed.add(where + key + ": " + show(was) + " -> " + show(value));
+        Object previous = object.put(key, value);
+        if (!sameValue(previous, value)) {
+            report.changed(pathPrefix + key, previous, value);
         }
     }
 
-    private static String show(Object value) {
-        return value == null ? "absent" : String.valueOf(value);
+    /** Numbers are the same where they differ in trailing zeros alone. */
+    private static boolean sameValue(Object one, Object other) {
+        if (one instanceof BigDecimal number && other instanceof BigDecimal otherNumber) {
+            return number.compareTo(otherNumber) == 0;
+        }
+        return Objects.equals(one, other);
     }
 
-    private static Map<String, Object> copy(Map<String, Object> of) {
+    private static Map<String, Object> copyOf(Map<String, Object> object) {
         Map<String, Object> copy = new LinkedHashMap<>();
-        of.forEach((key, value) -> copy.put(key, same(value)));
+        object.forEach((key, value) -> copy.put(key, copyOfValue(value)));
         return copy;
     }
 
     @SuppressWarnings("unchecked")
-    private static Object same(Object value) {
-        return value instanceof Map<?, ?> map ? copy((Map<String, Object>) map)
-                : value instanceof List<?> list ? new ArrayList<>(list.stream().map(Migration::same).toList())
-                        : value;
+    private static Object copyOfValue(Object value) {
+        if (value instanceof Map<?, ?> map) {
+            return copyOf((Map<String, Object>) map);
+        }
+        if (value instanceof List<?> list) {
+            return new ArrayList<>(list.stream().map(Migration::copyOfValue).toList());
+        }
+        return value;
     }
 
-    /** The part of that name, made where it is absent. */
-    private static Map<String, Object> made(Map<String, Object> in, String name) {
-        in.putIfAbsent(name, new LinkedHashMap<String, Object>());
-        return part(in, name);
+    /** An object within another, added where it is absent. */
+    private static Map<String, Object> objectOrNew(Map<String, Object> parent, String key) {
+        parent.putIfAbsent(key, new LinkedHashMap<String, Object>());
+        return object(parent, key);
     }
 
     @SuppressWarnings("unchecked")
-    private static Map<String, Object> part(Map<String, Object> in, String name) {
-        Object part = in.get(name);
-        if (part == null) {
+    private static Map<String, Object> object(Map<String, Object> parent, String key) {
+        Object value = parent.get(key);
+        if (value == null) {
             return Map.of();
         }
-        if (part instanceof Map<?, ?>) {
-            return (Map<String, Object>) part;
+        if (value instanceof Map<?, ?>) {
+            return (Map<String, Object>) value;
         }
-        throw new InvalidInputException("setting " + name + " is not an object");
+        throw ConfigurationException.ofKey(key, "setting " + key + " is not an object");
     }
 }
--- a/src/test/java/rampshift/migrate/MigrateCommandTest.java
+++ b/src/test/java/rampshift/migrate/MigrateCommandTest.java
@@ -30,27 +30,28 @@
 
 class MigrateCommandTest {
     private static final String LIMITS = "{\"memory_mb\":100,\"sockets\":200}";
-    private static final String SHAPE =
+    private static final String TARGET =
             "{\"zones\":[\"a\",\"b\",\"c\",\"d\"],\"zone\":\"c\",\"ask_within_ms\":4000}";
     @TempDir
     private Path folder;
     private Path old;
-    private Path made;
+    private Path migrated;
     private Path shape;
-    private String said;
-    private String refused;
+    private String output;
+    private String errors;
 
     @BeforeEach
-    void anOldOne() throws IOException {
+    void writeInputFiles() throws IOException {
         old = folder.resolve("old.json");
-        made = folder.resolve("new.json");
+        migrated = folder.resolve("new.json");
         shape = folder.resolve("shape.json");
-        Files.writeString(shape, SHAPE);
+        Files.writeString(shape, TARGET);
         Files.writeString(old, TestPeers
                 .configuration(null, TestPeers.list(true, "{\"uid\":\"s-1\"}"), LIMITS)
                 .replace("\"settings\"", "\"more\":{},\"settings\"")
                 .replace("\"Zones\"",
-                        "\"Me\":3,\"Own\":1.250,\"LoadInfo\":{\"How\":\"inline\",\"Names\":[\"x0\"]},\"Zones\""));
+                        "\"Me\":3,\"Own\":1.250,\"LoadInfo\":{\"How\":\"inline\",\"Names\":[\"x0\"]},"
+                                + "\"Zones\""));
     }
 
     private int migrate(String... more) {
@@ -63,8 +64,8 @@
         ByteArrayOutputStream out = new ByteArrayOutputStream();
         ByteArrayOutputStream err = new ByteArrayOutputStream();
         int status = MigrateCommand.run(args, new PrintStream(out), new PrintStream(err));
-        said = out.toString();
-        refused = err.toString();
+        output = out.toString();
+        errors = err.toString();
         return status;
     }
 
@@ -77,20 +78,20 @@
     }
 
     @Test
-    void theCounterpartIsReadAndSaysThatNothingIsReported() throws IOException {
+    void writesAConfigurationWithoutLoadReports() throws IOException {
         byte[] before = Files.readAllBytes(old);
         Files.setPosixFilePermissions(old, PosixFilePermissions.fromString("rw-r-----"));
-        assertEquals(0, migrateTo(made), refused);
-        var settings = read(made).settings().read(1);
+        assertEquals(0, migrateTo(migrated), errors);
+        var settings = read(migrated).settings().read(1);
         assertFalse(settings.reportsLoad);
         assertFalse(settings.liveWeights);
         assertTrue(settings.listOnRequest);
         assertEquals(2, settings.zone);
         assertEquals(4000, settings.askWithin.millis());
-        assertNull(read(made).knownEndpoints(), "workers of the old house");
+        assertNull(read(migrated).knownEndpoints(), "workers of the old house");
         assertArrayEquals(before, Files.readAllBytes(old), "the old one is the way back");
-        assertEquals("rw-r-----", PosixFilePermissions.toString(Files.getPosixFilePermissions(made)));
-        assertTrue(Files.readString(made).contains("1.250"),
+        assertEquals("rw-r-----", PosixFilePermissions.toString(Files.getPosixFilePermissions(migrated)));
+        assertTrue(Files.readString(migrated).contains("1.250"),
                 "what this program does not know is kept as written");
         try (var files = Files.list(folder)) {
             assertEquals(3, files.count(), "no half file is left");
@@ -98,8 +99,8 @@
     }
 
     @Test
-    void itListsWhatItChangedAndWhatItCouldNotCarryOver() {
-        assertEquals(0, migrateTo(made), refused);
+    void listsChangesAndWhatIsNotCarriedOver() {
+        assertEquals(0, migrateTo(migrated), errors);
         for (String line : List.of("changed: settings.LoadInfo.How: inline -> off",
                 "changed: settings.Zones: [a] -> [a, b, c, d]", "changed: settings.Zone: 0 -> 2",
                 "not carried over: settings.WeightSource live",
@@ -107,38 +108,38 @@
                 "not carried over: settings.Me 3", "not carried over: more: not known",
                 "not carried over: known, 1 workers",
                 "look at: settings.TrafficTypes mark: its repeats are dropped within one cell")) {
-            assertTrue(said.contains(line), line + "\n" + said);
+            assertTrue(output.contains(line), line + "\n" + output);
         }
     }
 
     @Test
-    void aDryRunSaysTheSameAndWritesNothing() throws IOException {
-        migrateTo(made);
-        String wet = said;
-        Files.delete(made);
+    void dryRunPrintsTheSameAndWritesNothing() throws IOException {
+        migrateTo(migrated);
+        String written = output;
+        Files.delete(migrated);
         assertEquals(0, migrate("--shape", shape.toString(), "--dry-run"));
-        assertEquals(wet.replace("written: " + made, "nothing was written"), said);
+        assertEquals(written.replace("written: " + migrated, "nothing was written"), output);
         try (var files = Files.list(folder)) {
             assertEquals(2, files.count(), "the old one and the shape");
         }
     }
 
     @Test
-    void aFileOfThatShapeIsSaidToBeSoAndNothingIsWritten() {
-        migrateTo(made);
-        old = made;
+    void writesNothingForAFileOfTheTargetDeployment() {
+        migrateTo(migrated);
+        old = migrated;
         Path again = folder.resolve("again.json");
-        assertEquals(0, migrateTo(again), refused);
-        assertTrue(said.contains("is of that shape already"), said);
+        assertEquals(0, migrateTo(again), errors);
+        assertTrue(output.contains("is of that shape already"), output);
         assertFalse(Files.exists(again));
     }
 
     @Test
-    void aFileThatIsThereIsNotWrittenOver() throws IOException {
-        Files.writeString(made, "somebody's");
-        assertEquals(2, migrateTo(made));
-        assertEquals("somebody's", Files.readString(made));
-        assertTrue(refused.contains("exists"), refused);
+    void doesNotOverwriteAnExistingFile() throws IOException {
+        Files.writeString(migrated, "somebody's");
+        assertEquals(2, migrateTo(migrated));
+        assertEquals("somebody's", Files.readString(migrated));
+        assertTrue(errors.contains("exists"), errors);
     }
 
     @ParameterizedTest
@@ -151,13 +152,13 @@
             "127.0.0.1:0         | localhost:0            | listen is not an address",
             "\"Me\":3            | \"Me\":3,\"Me\":4      | Duplicate field 'Me'",
     })
-    void aWrongFileIsNamedInOneLineAndNothingIsWritten(String part, String instead, String named)
+    void reportsAnInvalidConfigurationInOneLineAndWritesNothing(String part, String instead, String named)
             throws IOException {
         Files.writeString(old, Files.readString(old).replace(part, instead));
-        assertEquals(2, migrateTo(made));
-        assertEquals(1, refused.lines().count(), refused);
-        assertTrue(refused.startsWith("rampshift migrate: " + old) && refused.contains(named), refused);
-        assertFalse(Files.exists(made));
+        assertEquals(2, migrateTo(migrated));
+        assertEquals(1, errors.lines().count(), errors);
+        assertTrue(errors.startsWith("rampshift migrate: " + old) && errors.contains(named), errors);
+        assertFalse(Files.exists(migrated));
     }
 
     @ParameterizedTest
@@ -174,17 +175,18 @@
             "4000                        | 4000,\"zoens\":[]       | unknown key zoens",
             "4000                        | NaN                     | line 1, column",
     })
-    void aWrongShapeIsNamedInOneLine(String part, String instead, String named) throws IOException {
-        Files.writeString(shape, SHAPE.replace(part, instead));
-        assertEquals(2, migrateTo(made));
-        assertEquals(1, refused.lines().count(), refused);
-        assertTrue(refused.startsWith("rampshift migrate: " + shape) && refused.contains(named), refused);
-        assertFalse(Files.exists(made));
+    void reportsAnInvalidTargetInOneLineAndWritesNothing(String part, String instead, String named)
+            throws IOException {
+        Files.writeString(shape, TARGET.replace(part, instead));
+        assertEquals(2, migrateTo(migrated));
+        assertEquals(1, errors.lines().count(), errors);
+        assertTrue(errors.startsWith("rampshift migrate: " + shape) && errors.contains(named), errors);
+        assertFalse(Files.exists(migrated));
     }
 
     @ParameterizedTest
     @ValueSource(strings = {"folder", "empty", "missing", "huge"})
-    void whatCannotBeReadIsNamed(String kind) throws IOException {
+    void namesAnUnreadableFile(String kind) throws IOException {
         Path file = folder.resolve(kind);
         switch (kind) {
             case "folder" -> Files.createDirectory(file);
@@ -194,49 +196,49 @@
             }
         }
         old = file;
-        assertEquals(2, migrateTo(made));
-        assertEquals(1, refused.lines().count(), refused);
-        assertTrue(refused.startsWith("rampshift migrate: " + file), refused);
-        assertFalse(Files.exists(made));
+        assertEquals(2, migrateTo(migrated));
+        assertEquals(1, errors.lines().count(), errors);
+        assertTrue(errors.startsWith("rampshift migrate: " + file), errors);
+        assertFalse(Files.exists(migrated));
     }
 
     /** Written out in full, one such number took all memory. */
     @Test
-    void aNumberOfAnySizeIsSaidAsItWasWritten() throws IOException {
+    void printsNumbersOfAnySizeAsWritten() throws IOException {
         Files.writeString(old, Files.readString(old).replace("\"Me\":3", "\"Me\":3e99999999"));
-        assertEquals(0, migrateTo(made), refused);
-        assertTrue(said.contains("settings.Me 3E+99999999"), said);
+        assertEquals(0, migrateTo(migrated), errors);
+        assertTrue(output.contains("settings.Me 3E+99999999"), output);
     }
 
     @Test
-    void aWrongCommandLineIsNamed() {
+    void rejectsAnInvalidCommandLineInOneLine() {
         String there = shape.toString();
         String[][] lines = {{"--dry-run"}, {"--shape", there}, {"--shape", there, "--dry-run", "--out", "x"},
                 {"--shape", there, "--dry-run", "--odd"}, {"--shape", "/no/such", "--dry-run"},
                 {"--shape", there, "--out", "/no/such/x"}, {"--shape"}};
         for (String[] line : lines) {
             assertEquals(2, migrate(line), String.join(" ", line));
-            assertEquals(1, refused.lines().count(), refused);
+            assertEquals(1, errors.lines().count(), errors);
         }
     }
 
     /**
-     * The move itself: four zones, a list that must be asked for and refuses at first, workers that report
+     * The migration as a whole: four zones, a list that is polled and refuses at first, workers that report
      * nothing.
      */
     @Test
-    void aDispatcherServesByTheNewFile() throws Exception {
-        Peer hung = new Peer((task, line) -> {});
+    void dispatcherServesWithTheMigratedConfiguration() throws Exception {
+        Peer unresponsive = new Peer((task, line) -> {});
         Peer good = new Peer((task, line) -> {
             String id = task.field("X-Txn");
             line.lines("{\"id\":\"" + id + "\",\"state\":\"started\"}",
                     "{\"id\":\"" + id + "\",\"state\":\"done\",\"result\":\"ok\"}");
         });
-        String list = TestPeers.list(true, hung.entry("s-1", "in_service"),
+        String list = TestPeers.list(true, unresponsive.entry("s-1", "in_service"),
                 good.entry("s-2", "in_service").replace("\"az\":\"a\"", "\"az\":\"d\"")).replace("REV", "1");
-        AtomicInteger asked = new AtomicInteger();
+        AtomicInteger polls = new AtomicInteger();
         Peer discovery = new Peer((message, line) -> {
-            if (asked.incrementAndGet() % 2 == 1) {
+            if (polls.incrementAndGet() % 2 == 1) {
                 line.write("HTTP/1.1 503 Busy\r\nContent-Length: 0\r\n\r\n");
             } else {
                 line.write("HTTP/1.1 200 OK\r\nContent-Length: " + list.length() + "\r\n\r\n" + list);
@@ -246,10 +248,10 @@
         Files.writeString(old,
                 Files.readString(old).replace("\"SecondCopies\":false", "\"SecondCopies\":true"));
         Files.writeString(shape,
-                SHAPE.replace("4000", "4000,\"discovery\":\"127.0.0.1:" + discovery.port() + "\""));
-        assertEquals(0, migrateTo(made), refused);
-        DispatcherServer node = new DispatcherServer(read(made));
-        try (hung; good; discovery; Line client = new Line(node)) {
+                TARGET.replace("4000", "4000,\"discovery\":\"127.0.0.1:" + discovery.port() + "\""));
+        assertEquals(0, migrateTo(migrated), errors);
+        DispatcherServer node = new DispatcherServer(read(migrated));
+        try (unresponsive; good; discovery; Line client = new Line(node)) {
             node.awaitReady();
             TestPeers.until("the list has come",
                     () -> client.write("GET /ready HTTP/1.1\r\nHost: a\r\n\r\n").read()
@@ -258,7 +260,7 @@
                 assertEquals(200, client.task("t" + i, "look", "x").read().status());
             }
             assertEquals(6, good.received.size(), "what does not begin at one worker goes on to the other");
-            assertTrue(asked.get() >= 2, "the list refused at first");
+            assertTrue(polls.get() >= 2, "the list refused at first");
         } finally {
             node.stop();    // waited for: its I/O thread would run on into other stories
         }
