--- a/src/main/java/rampshift/OptionalJars.java
+++ b/src/main/java/rampshift/OptionalJars.java
@@ -3,6 +3,7 @@
 import java.io.IOException;
 import java.io.PrintStream;
 import java.lang.reflect.InvocationTargetException;
+import java.lang.reflect.Method;
 import java.net.URISyntaxException;
 import java.net.URL;
 import java.net.URLClassLoader;
@@ -13,12 +14,12 @@
 import java.util.Set;
 
 /**
- * What a plain `serve` never opens lies in jars beside this program's own: the fleet to try it on, and what
- * an
- * operator's file adds. In one jar its directory alone, which every start of `serve` reads, would have grown
- * by half.
+ * Loads what a plain {@code serve} never opens from jars beside this program's own: the testbed, and what
+ * an operator's file adds. With all of it in one jar the jar's directory, which every start of {@code
+ * serve} reads, was half as large again.
  */
 final class OptionalJars {
+    /** The commands of the testbed. */
     static final Set<String> FLEET =
             Set.of("try", "fleet", "load", "experiment", "ladder", "judge", "profile",
                     "together");
@@ -29,81 +30,99 @@
 
     private OptionalJars() {}
 
-    /** A command of the fleet's: its exit status. */
+    /** Runs a command of the testbed; the result is its exit status. */
     static int fleet(String[] args, PrintStream out, PrintStream err) throws IOException {
         try {
             return (int) load(FLEET_ENTRY, List.of(OPERATOR_JAR, FLEET_JAR))
                     .getMethod("run", String[].class, PrintStream.class, PrintStream.class)
                     .invoke(null, args, out, err);
-        } catch (Missing e) {
-            err.println("rampshift " + args[0] + ": " + e.getMessage());
-            return 2;
+        } catch (MissingJarException e) {
+            return invalid(args[0], e.getMessage(), err);
         } catch (InvocationTargetException e) {
-            if (e.getCause() instanceof RuntimeException fault) {
-                throw fault;
-            }
-            throw new IOException(e.getCause());
+            throw unchecked(e, new IOException(e.getCause()));
         } catch (ReflectiveOperationException e) {
-            err.println("rampshift " + args[0] + ": " + FLEET_JAR + " does not fit this program ("
-                    + e.getMessage()
-                    + "); build both anew");
-            return 2;
+            return invalid(args[0], mismatch(FLEET_JAR, e.getMessage()), err);
         }
     }
 
-    /** What the operator's file asks for, by a method of its entry; what that throws comes through. */
+    private static int invalid(String command, String message, PrintStream err) {
+        err.println("rampshift " + command + ": " + message);
+        return ExitStatus.INVALID_INPUT;
+    }
+
+    /**
+     * Calls a method of the operator's commands by its name; unchecked exceptions of its own pass through.
+     */
     static Object operator(String method, Object... arguments) throws IOException {
         try {
-            Class<?> entry = load(OPERATOR_ENTRY, List.of(OPERATOR_JAR));
-            for (var m : entry.getMethods()) {
-                if (m.getName().equals(method)) {
-                    return m.invoke(null, arguments);
-                }
-            }
-            throw new IOException(
-                    OPERATOR_JAR + " does not fit this program (no " + method + "); build both anew");
-        } catch (Missing e) {
+            return method(load(OPERATOR_ENTRY, List.of(OPERATOR_JAR)), method).invoke(null, arguments);
+        } catch (MissingJarException e) {
             throw new IOException(e.getMessage());
         } catch (InvocationTargetException e) {
-            if (e.getCause() instanceof RuntimeException fault) {
-                throw fault;
-            }
-            throw new IOException(e.getCause().getMessage());
+            throw unchecked(e, new IOException(e.getCause().getMessage()));
         } catch (ReflectiveOperationException e) {
-            throw new IOException(
-                    OPERATOR_JAR + " does not fit this program (" + e.getMessage() + "); build both anew");
+            throw new IOException(mismatch(OPERATOR_JAR, e.getMessage()));
+        }
+    }
+
+    private static Method method(Class<?> entry, String name) throws NoSuchMethodException {
+        for (Method method : entry.getMethods()) {
+            if (method.getName().equals(name)) {
+                return method;
+            }
         }
+        throw new NoSuchMethodException("no " + name);
     }
 
-    private static final class Missing extends ReflectiveOperationException {
+    private static String mismatch(String jar, String reason) {
+        return jar + " does not fit this program (" + reason + "); build both anew";
+    }
+
+    /** Throws the cause where it is unchecked; the result is what to throw otherwise. */
+    private static IOException unchecked(InvocationTargetException thrown, IOException otherwise) {
+        if (thrown.getCause() instanceof RuntimeException cause) {
+            throw cause;
+        }
+        return otherwise;
+    }
+
+    private static final class MissingJarException extends ReflectiveOperationException {
         private static final long serialVersionUID = 1L;
 
-        Missing(String what) {
-            super(what);
+        MissingJarException(String message) {
+            super(message);
         }
     }
 
     private static Class<?> load(String entry, List<String> jars)
             throws IOException, ReflectiveOperationException {
         ClassLoader loader = Main.class.getClassLoader();
-        Path here;
+        Path program = programFile();
+        if (Files.isRegularFile(program)) {
+            loader = new URLClassLoader(urls(program, jars), loader);
+            Thread.currentThread().setContextClassLoader(loader);
+        }
+        return Class.forName(entry, true, loader);
+    }
+
+    /** This program's jar, or the folder of its classes where it runs from the build. */
+    private static Path programFile() throws MissingJarException {
         try {
-            here = Path.of(Main.class.getProtectionDomain().getCodeSource().getLocation().toURI());
+            return Path.of(Main.class.getProtectionDomain().getCodeSource().getLocation().toURI());
         } catch (URISyntaxException e) {
-            throw new Missing("the program's own place is not to be found");
+            throw new MissingJarException("the program's own place is not to be found");
         }
-        if (Files.isRegularFile(here)) {
-            List<URL> all = new ArrayList<>();
-            for (String jar : jars) {
-                Path beside = here.resolveSibling(jar);
-                if (!Files.exists(beside)) {
-                    throw new Missing(beside + " is missing; the build makes it");
-                }
-                all.add(beside.toUri().toURL());
+    }
+
+    private static URL[] urls(Path program, List<String> jars) throws IOException, MissingJarException {
+        List<URL> urls = new ArrayList<>();
+        for (String name : jars) {
+            Path jar = program.resolveSibling(name);
+            if (!Files.exists(jar)) {
+                throw new MissingJarException(jar + " is missing; the build makes it");
             }
-            loader = new URLClassLoader(all.toArray(new URL[0]), loader);
-            Thread.currentThread().setContextClassLoader(loader);
+            urls.add(jar.toUri().toURL());
         }
-        return Class.forName(entry, true, loader);
+        return urls.toArray(new URL[0]);
     }
 }
--- a/src/test/java/rampshift/MainAccess.java
+++ b/src/test/java/rampshift/MainAccess.java
@@ -3,11 +3,12 @@
 import java.util.concurrent.FutureTask;
 import rampshift.serve.DispatcherServer;
 
-/** Lets the stories of other packages at what the command line does on SIGTERM. */
+/** Gives tests of other packages access to what the command line does on SIGTERM. */
 public final class MainAccess {
     private MainAccess() {}
 
+    /** The shutdown hook of {@code serve}. */
     public static Thread stopper(FutureTask<DispatcherServer> start) {
-        return Main.stopper(start);
+        return ServeCommand.stopper(start);
     }
 }
--- a/src/test/java/rampshift/MainTest.java
+++ b/src/test/java/rampshift/MainTest.java
@@ -19,9 +19,9 @@
     private final ByteArrayOutputStream out = new ByteArrayOutputStream();
     private final ByteArrayOutputStream err = new ByteArrayOutputStream();
 
-    /** Met on the first day with new configurations: SIGHUP ended the dispatcher, or left it stopping. */
+    /** By default SIGHUP ends a JVM; one in mid-start was left stopping. */
     @Test
-    void aHangupHasTheFileReadAgainAndTheDispatcherLives(@TempDir Path folder) throws Exception {
+    void sighupReloadsTheConfigurationAndTheDispatcherKeepsRunning(@TempDir Path folder) throws Exception {
         try (TestPeers.Peer one = TestPeers.Peer.discovery(List.of());
                 TestPeers.Peer other = TestPeers.Peer.discovery(List.of())) {
             Path file = folder.resolve("config.json");
@@ -60,8 +60,7 @@
 
     /**
      * Where no other program may be started, 93 of 93 dispatchers that were granted 160 MB had the heap of
-     * 192, and
-     * nothing said so.
+     * 192, and nothing said so.
      */
     @ParameterizedTest
     @CsvSource({
@@ -71,7 +70,7 @@
             "'{\"old_memory_mb\":8,\"limits\":{\"x_memory_mb\":8,~\"memory_mb\":160}}',-Xmx72m,false",
             "'{\"limits\":{\"memory_mb\":1.6e2}}',-Xmx86m,true", "'{\"memory_mb\":160}',-Xmx86m,true",
             "'',-Xmx86m,true"})
-    void theHeapFollowsTheMemoryThatTheConfigurationGrants(String config, String heap, boolean tells,
+    void heapSizeFollowsTheConfiguredMemory(String config, String heap, boolean tells,
             @TempDir Path folder) throws Exception {
         Path path = Files.createDirectory(folder.resolve("path"));
         Path java = path.resolve("java");
@@ -93,7 +92,7 @@
     }
 
     @Test
-    void aWrongSettingIsNamedWithItsFileByCheck(@TempDir Path folder) throws Exception {
+    void checkNamesAnInvalidSettingWithItsFile(@TempDir Path folder) throws Exception {
         Path file = folder.resolve("config.json");
         String good = TestPeers.configuration(null, TestPeers.list(true), "{}");
         Files.writeString(file, good);
@@ -108,6 +107,21 @@
                 err.toString().strip());
     }
 
+    @Test
+    void membersReportsEachFaultOfAnOperatorFileWithItsLine(@TempDir Path folder) throws Exception {
+        Path file = folder.resolve("operator.toml");
+        Files.writeString(file,
+                "[members]\nfleet = \"two words\"\nlisten = \"127.0.0.1:7946\"\nforgett = 1\n");
+        int status = Main.run(new String[]{"members", "--operator", file.toString()}, Map.of(),
+                new PrintStream(out), new PrintStream(err));
+        assertEquals(2, status);
+        assertEquals("""
+                rampshift members: FILE:2: members.fleet is "two words", \
+                expected a name of letters, digits, '-', '_' and '.'
+                rampshift members: FILE:4: members.forgett is not known; the nearest key here is forget
+                """.replace("FILE", file.toString()), err.toString());
+    }
+
     private static void signal(String name, Process process) throws Exception {
         assertEquals(0,
                 new ProcessBuilder("sh", "-c", "kill -" + name + " " + process.pid()).start().waitFor());
@@ -116,7 +130,7 @@
     @ParameterizedTest
     @CsvSource({"--help,0", "help,0", "--version,0", "version,0", "'',2", "nonsense,2", "--nonsense,2",
             "serve drill,2", "serve,2", "check,2"})
-    void commandLinesEndAsTheHelpSays(String line, int status) throws Exception {
+    void commandLinesExitWithTheDocumentedStatus(String line, int status) throws Exception {
         String[] args = line.isEmpty() ? new String[0] : line.split(" ");
         assertEquals(status, Main.run(args, Map.of(), new PrintStream(out), new PrintStream(err)));
         assertTrue(status == 0 ? out.size() > 0 && err.size() == 0 : err.toString().lines().count() == 1,
