--- a/src/main/java/rampshift/pipeline/AdmissionControl.java
+++ b/src/main/java/rampshift/pipeline/AdmissionControl.java
@@ -6,60 +6,81 @@
 import rampshift.time.Moment;
 import rampshift.time.Span;
 
-/** Second stage: bounds what is in hand. Full, it bounces: harmless, since nothing was sent for the task. */
+/**
+ * Bounds the tasks in flight. Beyond the bounds tasks are rejected, which is harmless: nothing was forwarded
+ * yet.
+ */
 public final class AdmissionControl {
-    private final int mostTasks;
-    private final long mostBytes;
+    private final int maxTasks;
+    private final long maxBytes;
     private final Clock clock;
-    private final TaskRegistry book;
-    private final Responder relay;
-    private final PolicyHost next;
-    private Moment shortFrom;
-    private Moment end;
+    private final Counters counters;
+    private final TaskRegistry registry;
+    private final Responder responder;
+    private final PolicyHost policyHost;
+    private Moment limitDeadlinesFrom;
+    private Moment latestDeadline;
     private boolean closed;
 
-    public AdmissionControl(int mostTasks, long mostBytes, Clock clock, TaskRegistry book, Responder relay,
-            PolicyHost next) {
-        this.mostTasks = mostTasks;
-        this.mostBytes = mostBytes;
+    /**
+     * Creates an admission control that is open.
+     *
+     * @param maxTasks the most tasks in flight
+     * @param maxBytes the most bytes that the messages of the tasks in flight may take together
+     */
+    public AdmissionControl(int maxTasks, long maxBytes, Clock clock, Counters counters,
+            TaskRegistry registry,
+            Responder responder, PolicyHost policyHost) {
+        this.maxTasks = maxTasks;
+        this.maxBytes = maxBytes;
         this.clock = clock;
-        this.book = book;
-        this.relay = relay;
-        this.next = next;
+        this.counters = counters;
+        this.registry = registry;
+        this.responder = responder;
+        this.policyHost = policyHost;
     }
 
-    /** The dispatcher ends then: from a moment on tasks are taken only if they are likely to end before. */
-    public void limitDeadlines(Moment shortFrom, Moment end) {
-        this.shortFrom = shortFrom;
-        this.end = end;
+    /**
+     * The dispatcher will stop: tasks that are admitted from some moment on have no deadline beyond another.
+     */
+    public void limitDeadlines(Moment from, Moment latest) {
+        limitDeadlinesFrom = from;
+        latestDeadline = latest;
     }
 
-    /** Nothing more is taken: it would not end before the dispatcher does. */
+    /** Rejects all tasks from now on: they would not end before the dispatcher stops. */
     public void close() {
         closed = true;
     }
 
-    void task(InFlightTask task) {
-        if (closed) {
-            book.count(Counters.Name.BOUNCED_STOPPING);
-            relay.bounced(task, Span.ZERO);
+    /** Admits a task and passes it on, or rejects it. */
+    void admit(InFlightTask task) {
+        Counters.Name rejection = reasonToReject(task);
+        if (rejection != null) {
+            counters.add(rejection);
+            responder.rejected(task, Span.ZERO);
             return;
         }
-        if (!clock.now().before(task.expiry)) {
-            book.count(Counters.Name.BOUNCED_STALE);    // it lay unread while this process stood still
-            relay.bounced(task, Span.ZERO);
-            return;
+        if (latestDeadline != null && !clock.now().before(limitDeadlinesFrom)) {
+            task.limitDeadline(latestDeadline);
         }
-        if (book.size() >= mostTasks || book.bytes() + task.bytes() > mostBytes) {
-            Log.warn("full", "tasks", book.size(), "bytes", book.bytes());
-            book.count(Counters.Name.BOUNCED_FULL);
-            relay.bounced(task, Span.ZERO);
-            return;
+        counters.add(Counters.Name.TAKEN);
+        registry.add(task);
+        policyHost.onTask(task);
+    }
+
+    /** Returns the counter of the reason; null if the task is to be admitted. */
+    private Counters.Name reasonToReject(InFlightTask task) {
+        if (closed) {
+            return Counters.Name.BOUNCED_STOPPING;
+        }
+        if (!clock.now().before(task.deadline())) {
+            return Counters.Name.BOUNCED_STALE;     // it was unread while this process was stalled
         }
-        if (end != null && !clock.now().before(shortFrom)) {
-            task.endBy(end);
+        if (registry.size() >= maxTasks || registry.byteCount() + task.byteCount() > maxBytes) {
+            Log.warn("load-shed", "tasks", registry.size(), "bytes", registry.byteCount());
+            return Counters.Name.BOUNCED_FULL;
         }
-        book.taken(task);
-        next.task(task);
+        return null;
     }
 }
--- a/src/main/java/rampshift/pipeline/AttemptSender.java
+++ b/src/main/java/rampshift/pipeline/AttemptSender.java
@@ -1,5 +1,7 @@
 package rampshift.pipeline;
 
+import java.util.EnumMap;
+import java.util.Map;
 import rampshift.counters.Counters;
 import rampshift.policy.AttemptOutcome;
 import rampshift.time.Clock;
@@ -9,75 +11,101 @@
 import rampshift.workers.ConnectionPool;
 import rampshift.workers.LoadReport;
 
-/** Fourth stage: carries an assignment to its worker and what comes of it back to the routing stage. */
+/** Sends attempts and health checks to workers, and reports what becomes of them. */
 public final class AttemptSender {
+    private static final Map<AttemptOutcome, Counters.Name> OUTCOME_COUNTERS = outcomeCounters();
+
     private final ConnectionPool pool;
     private final Clock clock;
-    private final TaskRegistry book;
+    private final Counters counters;
 
-    public AttemptSender(ConnectionPool pool, Clock clock, TaskRegistry book) {
+    /** Creates a sender that uses the connections of a pool. */
+    public AttemptSender(ConnectionPool pool, Clock clock, Counters counters) {
         this.pool = pool;
         this.clock = clock;
-        this.book = book;
+        this.counters = counters;
     }
 
-    void assign(PolicyHost route, InFlightTask task, long worker, Span timeout) {
-        int number = task.assignments.size();
-        Moment sendBy = task.sendBy();
-        task.assignments.add(null);
-        task.sentAt.add(clock.now());
-        task.out++;
-        book.count(Counters.Name.ASSIGNED);
-        boolean[] ended = {false};
-        AttemptExchange a = pool.assign(worker, task.txn, task.once, sendBy, () -> task.message(clock.now()),
-                timeout, new AttemptExchange.Told() {
-                    @Override
-                    public boolean wanted() {
-                        return task.call.isClientWaiting();
-                    }
-
-                    @Override
-                    public void begun() {
-                        route.begun(task, number);
-                    }
-
-                    @Override
-                    public void progressed(double share) {
-                        route.progressed(task, number, share);
-                    }
-
-                    @Override
-                    public void reported(long from, LoadReport load) {
-                        route.reported(from, load);
-                    }
+    private static Map<AttemptOutcome, Counters.Name> outcomeCounters() {
+        Map<AttemptOutcome, Counters.Name> result = new EnumMap<>(AttemptOutcome.class);
+        for (AttemptOutcome outcome : AttemptOutcome.values()) {
+            result.put(outcome, Counters.Name.valueOf("OUTCOME_" + outcome.name()));
+        }
+        return result;
+    }
 
-                    @Override
-                    public void ended(AttemptOutcome outcome, byte[] result) {
-                        ended[0] = true;
-                        task.assignments.set(number, null);
-                        if (outcome.neverRan) {
-                            task.sentAt.set(number, null);
-                        }
-                        task.out--;
-                        book.count(Counters.Name.valueOf("OUTCOME_" + outcome));
-                        route.ended(task, number, outcome, result);
-                    }
-                });
-        if (!ended[0]) {
-            task.assignments.set(number, a);
+    /** Starts the next attempt of a task. */
+    void send(PolicyHost host, InFlightTask task, long worker, Span timeout) {
+        Moment sendBy = task.attemptDeadline();
+        int number = task.startAttempt(clock.now());
+        counters.add(Counters.Name.ASSIGNED);
+        AttemptEvents events = new AttemptEvents(host, task, number);
+        AttemptExchange attempt =
+                pool.assign(worker, task.transactionId(), task.description().nonIdempotent(),
+                        sendBy, () -> task.message(clock.now()), timeout, events);
+        if (!events.ended) {
+            task.setAttempt(number, attempt);
         }
     }
 
+    /** Cancels an attempt, if it is still in progress. */
     void cancel(InFlightTask task, int number) {
-        AttemptExchange a =
-                number < 0 || number >= task.assignments.size() ? null : task.assignments.get(number);
-        if (a != null) {
-            a.callOff();
+        AttemptExchange attempt = task.attempt(number);
+        if (attempt != null) {
+            attempt.callOff();
         }
     }
 
-    void probe(PolicyHost route, long worker) {
-        book.count(Counters.Name.PROBES);
-        pool.probe(worker, route::echoed);
+    /** Sends a health check to a worker. */
+    void checkHealth(PolicyHost host, long worker) {
+        counters.add(Counters.Name.PROBES);
+        pool.probe(worker, (checked, answered, load) -> {
+            if (answered) {
+                counters.add(Counters.Name.PROBES_ANSWERED);
+            }
+            host.onHealthCheckResult(checked, answered, load);
+        });
+    }
+
+    /** Passes the events of one attempt on. */
+    private final class AttemptEvents implements AttemptExchange.Told {
+        private final PolicyHost host;
+        private final InFlightTask task;
+        private final int number;
+        private boolean ended;
+
+        AttemptEvents(PolicyHost host, InFlightTask task, int number) {
+            this.host = host;
+            this.task = task;
+            this.number = number;
+        }
+
+        @Override
+        public boolean wanted() {
+            return task.request().isClientWaiting();
+        }
+
+        @Override
+        public void begun() {
+            host.onAttemptBegun(task, number);
+        }
+
+        @Override
+        public void progressed(double share) {
+            host.onProgress(task, number, share);
+        }
+
+        @Override
+        public void reported(long worker, LoadReport load) {
+            host.onLoadReport(worker, load);
+        }
+
+        @Override
+        public void ended(AttemptOutcome outcome, byte[] result) {
+            ended = true;
+            task.endAttempt(number, outcome.neverRan);
+            counters.add(OUTCOME_COUNTERS.get(outcome));
+            host.onAttemptEnded(task, number, outcome, result);
+        }
     }
 }
--- a/src/main/java/rampshift/pipeline/InFlightTask.java
+++ b/src/main/java/rampshift/pipeline/InFlightTask.java
@@ -6,78 +6,138 @@
 import java.util.List;
 import rampshift.clients.ClientRequest;
 import rampshift.time.Moment;
-import rampshift.time.Span;
 import rampshift.workers.AttemptExchange;
 
-/** A task that was taken in, until it is answered and all its assignments have ended. */
+/** A task that was admitted, until it is answered and all its attempts have ended. */
 final class InFlightTask {
-    final long id;
-    final ClientRequest call;
-    final String txn;
-    final int type;
-    final int tenant;
-    /** It must not run twice. */
-    final boolean once;
-    /** How long workers drop a repeat, from the first send that may have run; null unless fingerprinted. */
-    private final Span window;
-    final double width;
-    final double memory;
-    Moment expiry;
-    /** All of the head that goes on to workers, but for the time left; and the body, as they came. */
+    private static final int INITIAL_HEAD_CHARACTERS = 512;
+
+    private final long id;
+    private final ClientRequest request;
+    private final TaskDescription description;
+    /** The part of the head that is the same for all attempts: all but the time that is left. */
     private final byte[] head;
     private final byte[] body;
-    /** In the order of their numbers; null once ended. */
-    final List<AttemptExchange> assignments = new ArrayList<>(2);
-    /** When each of them was decided; null for those that are known not to have run. */
-    final List<Moment> sentAt = new ArrayList<>(2);
-    int out;
-    boolean closed;
-
-    InFlightTask(long id, ClientRequest call, String txn, int type, int tenant, boolean once, Span window,
-            double width,
-            double memory, Moment expiry) {
+    /** By the number of the attempt; null before it is sent, and once it has ended. */
+    private final List<AttemptExchange> attempts = new ArrayList<>(2);
+    /** When each attempt was started; null for those that are known not to have run. */
+    private final List<Moment> attemptStarts = new ArrayList<>(2);
+    private Moment deadline;
+    private int openAttempts;
+    private boolean answered;
+
+    InFlightTask(long id, ClientRequest request, TaskDescription description, Moment deadline) {
         this.id = id;
-        this.call = call;
-        this.txn = txn;
-        this.type = type;
-        this.tenant = tenant;
-        this.once = once;
-        this.window = window;
-        this.width = width;
-        this.memory = memory;
-        this.expiry = expiry;
-        StringBuilder text = new StringBuilder(512);
-        text.append(call.method()).append(' ').append(call.target()).append(" HTTP/1.1\r\n");
-        call.appendForwardedFields(text, RequestDecoder.REMAINING);
-        text.append("Content-Length: ").append(call.body().length).append("\r\n");
-        head = text.toString().getBytes(StandardCharsets.ISO_8859_1);
-        body = call.body();
-    }
-
-    /** Its answer must be given by then, however long its client would wait. */
-    void endBy(Moment end) {
-        expiry = expiry.orEarlier(end);
-    }
-
-    /** The next assignment must begin before: the expiry, or the end of an earlier one's window. */
-    Moment sendBy() {
-        Moment end = expiry;
-        for (Moment at : sentAt) {
-            if (window != null && at != null) {
-                end = end.orEarlier(at.plus(window));
+        this.request = request;
+        this.description = description;
+        this.deadline = deadline;
+        head = head(request).getBytes(StandardCharsets.ISO_8859_1);
+        body = request.body();
+    }
+
+    private static String head(ClientRequest request) {
+        StringBuilder text = new StringBuilder(INITIAL_HEAD_CHARACTERS);
+        text.append(request.method()).append(' ').append(request.target()).append(" HTTP/1.1\r\n");
+        request.appendForwardedFields(text, RequestDecoder.REMAINING_TIME_FIELD);
+        text.append("Content-Length: ").append(request.body().length).append("\r\n");
+        return text.toString();
+    }
+
+    long id() {
+        return id;
+    }
+
+    ClientRequest request() {
+        return request;
+    }
+
+    TaskDescription description() {
+        return description;
+    }
+
+    String transactionId() {
+        return description.transactionId();
+    }
+
+    /** Returns when the response is due at the latest. */
+    Moment deadline() {
+        return deadline;
+    }
+
+    /** Moves the deadline forward, however long the client would wait. */
+    void limitDeadline(Moment end) {
+        deadline = deadline.orEarlier(end);
+    }
+
+    /**
+     * Returns by when the next attempt must begin: the deadline, or the end of the first deduplication
+     * window.
+     */
+    Moment attemptDeadline() {
+        if (description.deduplicationWindow() == null) {
+            return deadline;
+        }
+        Moment end = deadline;
+        for (Moment start : attemptStarts) {
+            if (start != null) {
+                end = end.orEarlier(start.plus(description.deduplicationWindow()));
             }
         }
         return end;
     }
 
-    int bytes() {
+    /** Records that an attempt starts, and returns its number. */
+    int startAttempt(Moment now) {
+        attempts.add(null);
+        attemptStarts.add(now);
+        openAttempts++;
+        return attempts.size() - 1;
+    }
+
+    void setAttempt(int number, AttemptExchange attempt) {
+        attempts.set(number, attempt);
+    }
+
+    /** Returns an attempt that is in progress; null if there is none of this number. */
+    AttemptExchange attempt(int number) {
+        return number < 0 || number >= attempts.size() ? null : attempts.get(number);
+    }
+
+    /** Records that an attempt has ended, and whether the task is known not to have run in it. */
+    void endAttempt(int number, boolean neverRan) {
+        attempts.set(number, null);
+        if (neverRan) {
+            attemptStarts.set(number, null);
+        }
+        openAttempts--;
+    }
+
+    boolean isAnswered() {
+        return answered;
+    }
+
+    /** Marks the task as answered, and returns false if it was so before. */
+    boolean markAnswered() {
+        boolean first = !answered;
+        answered = true;
+        return first;
+    }
+
+    /** Returns whether the task is answered and no attempt is in progress. */
+    boolean isCompleted() {
+        return answered && openAttempts == 0;
+    }
+
+    /** Returns the size of the message to a worker without the time that is left. */
+    int byteCount() {
         return head.length + body.length;
     }
 
-    /** The whole message for one worker. */
+    /** Returns the message to a worker, with the time that is left now. */
     ByteBuffer[] message(Moment now) {
-        String last = RequestDecoder.REMAINING + ": " + expiry.since(now).seconds() + "\r\n\r\n";
+        String remainingTime =
+                RequestDecoder.REMAINING_TIME_FIELD + ": " + deadline.since(now).seconds() + "\r\n\r\n";
         return new ByteBuffer[]{ByteBuffer.wrap(head),
-                ByteBuffer.wrap(last.getBytes(StandardCharsets.ISO_8859_1)), ByteBuffer.wrap(body)};
+                ByteBuffer.wrap(remainingTime.getBytes(StandardCharsets.ISO_8859_1)), ByteBuffer.wrap(body)};
     }
 }
--- a/src/main/java/rampshift/pipeline/PolicyHost.java
+++ b/src/main/java/rampshift/pipeline/PolicyHost.java
@@ -1,237 +1,211 @@
 package rampshift.pipeline;
 
 import java.util.ArrayDeque;
-import java.util.List;
 import org.xnio.XnioIoThread;
-import rampshift.counters.Counters;
-import rampshift.discovery.Endpoint;
 import rampshift.discovery.EndpointList;
 import rampshift.log.Log;
 import rampshift.policy.AttemptOutcome;
 import rampshift.policy.Decisions;
 import rampshift.policy.DispatchPolicy;
 import rampshift.policy.Settings;
-import rampshift.settings.HostSettings;
 import rampshift.time.Clock;
 import rampshift.time.IoTimer;
 import rampshift.time.Moment;
 import rampshift.time.Span;
-import rampshift.workers.ConnectionPool;
 import rampshift.workers.LoadReport;
 
-/**
- * Third stage: the host of the decision module. Whatever is heard goes straight into a call on it, then its
- * decisions are pulled one by one and carried out straight away.
- */
+/** Hosts the dispatch policy: passes each event to it, then carries out its decisions one by one. */
 public final class PolicyHost implements Decisions {
     private final XnioIoThread thread;
     private final Clock clock;
-    private final DispatchPolicy choice;
-    private final HostSettings platform;
-    private final ConnectionPool pool;
-    private final TaskRegistry book;
-    private final AttemptSender send;
-    private final Responder relay;
-    private final WorkerIds uids = new WorkerIds();
-    /** What is heard while decisions are carried out waits until they are. */
-    private final ArrayDeque<Runnable> heard = new ArrayDeque<>();
-    private boolean deciding;
-    private IoTimer wake;
-
-    public PolicyHost(XnioIoThread thread, Clock clock, Settings settings, HostSettings platform,
-            ConnectionPool pool, TaskRegistry book,
-            AttemptSender send, Responder relay) {
+    private final DispatchPolicy policy;
+    private final EndpointListUpdater endpoints;
+    private final TaskRegistry registry;
+    private final AttemptSender sender;
+    private final Responder responder;
+    /** Events that arrive while decisions are carried out wait until these are. */
+    private final ArrayDeque<Runnable> events = new ArrayDeque<>();
+    private boolean processing;
+    private IoTimer wakeUpTimer;
+
+    /** Creates the host of a new policy. */
+    public PolicyHost(XnioIoThread thread, Clock clock, Settings settings, EndpointListUpdater endpoints,
+            TaskRegistry registry, AttemptSender sender, Responder responder) {
         this.thread = thread;
         this.clock = clock;
-        this.platform = platform;
-        this.pool = pool;
-        this.book = book;
-        this.send = send;
-        this.relay = relay;
-        choice = new DispatchPolicy(settings, clock.now());
+        this.endpoints = endpoints;
+        this.registry = registry;
+        this.sender = sender;
+        this.responder = responder;
+        policy = new DispatchPolicy(settings, clock.now());
     }
 
-    /** Gives back the timer. */
+    /** Stops the timer. */
     public void close() {
-        if (wake != null) {
-            wake.off();
+        if (wakeUpTimer != null) {
+            wakeUpTimer.off();
         }
     }
 
-    // ---- what is heard
+    // ---- events
 
-    private void hear(Runnable input) {
-        heard.add(input);
-        if (deciding) {
+    private void onEvent(Runnable event) {
+        events.add(event);
+        if (processing) {
             return;
         }
-        deciding = true;
+        processing = true;
         try {
-            while (!heard.isEmpty()) {
-                try {
-                    choice.clock(clock.now());
-                    heard.poll().run();
-                    while (choice.next(this)) {
-                        continue;
-                    }
-                } catch (RuntimeException e) {
-                    StackTraceElement[] at = e.getStackTrace();
-                    Log.error("fault", "thrown", e, "at", at.length == 0 ? "?" : at[0]);
-                }
+            while (!events.isEmpty()) {
+                processNextEvent();
             }
         } finally {
-            deciding = false;
+            processing = false;
+        }
+    }
+
+    private void processNextEvent() {
+        try {
+            policy.clock(clock.now());
+            events.poll().run();
+            boolean hasMore = true;
+            while (hasMore) {
+                hasMore = policy.next(this);
+            }
+        } catch (RuntimeException e) {
+            StackTraceElement[] trace = e.getStackTrace();
+            Log.error("internal-error", "thrown", e, "at", trace.length == 0 ? "?" : trace[0]);
         }
     }
 
     /**
-     * {@code remembered}: the list had before the start, perhaps old. It may come in the midst of a decision;
-     * then it
-     * binds what is sent at once, and the module hears of it after that decision.
+     * An endpoint list has arrived, perhaps amid a decision: then the pool uses it at once, and the policy is
+     * told after that decision.
+     *
+     * @param cached whether it was stored before the start, and may be out of date
      */
-    public void onEndpointList(EndpointList list, boolean remembered) {
-        boolean whole = list.whole() || remembered;
-        if (whole) {
-            pool.beginWhole();
-        }
-        for (Endpoint t : list.targets()) {
-            pool.listed(uids.number(t.uid()), t.uid(), t.address(), t.zone() + '/' + t.kind(), t.bootMs(),
-                    t.state() == Endpoint.State.READY);
-        }
-        if (whole) {
-            pool.endWhole();
+    public void onEndpointList(EndpointList list, boolean cached) {
+        boolean complete = list.whole() || cached;
+        endpoints.updatePool(list, complete);
+        DispatchPolicy.List kind = listKind(complete, cached);
+        onEvent(() -> endpoints.updatePolicy(policy, list, kind));
+    }
+
+    private static DispatchPolicy.List listKind(boolean complete, boolean cached) {
+        if (cached) {
+            return DispatchPolicy.List.REMEMBERED;
         }
-        hear(() -> {
-            choice.listBegins(remembered ? DispatchPolicy.List.REMEMBERED
-                    : whole ? DispatchPolicy.List.WHOLE : DispatchPolicy.List.CHANGES);
-            for (Endpoint t : list.targets()) {
-                choice.listed(uids.number(t.uid()), index(platform.zones(), t.zone()), t.cell(),
-                        index(platform.kinds(), t.kind()), DispatchPolicy.Listed.valueOf(t.state().name()),
-                        Moment.ofMillis(t.bootMs()), t.weight());
-            }
-            choice.listEnds();
-        });
+        return complete ? DispatchPolicy.List.WHOLE : DispatchPolicy.List.CHANGES;
     }
 
     /**
-     * The list service is asked anew: at the start, where it may long have had news, or at another address.
+     * The discovery service is asked anew: at the start, when its list may be much newer, or at another
+     * address.
      */
     public void onEndpointListAwaited(boolean atStart) {
-        hear(() -> choice.listAwaited(atStart));
+        onEvent(() -> policy.listAwaited(atStart));
     }
 
-    /** The list service can't be reached: the list that there is goes on. */
+    /** The discovery service can't be reached; the present list stays in use. */
     public void onEndpointListFailed() {
-        hear(() -> {
-            choice.listBegins(DispatchPolicy.List.FAILED);
-            choice.listEnds();
+        onEvent(() -> {
+            policy.listBegins(DispatchPolicy.List.FAILED);
+            policy.listEnds();
         });
     }
 
-    /** A name that the settings do not know stands after all that they do. */
-    private static int index(List<String> names, String name) {
-        int i = names.indexOf(name);
-        return i < 0 ? names.size() : i;
-    }
-
-    void task(InFlightTask task) {
-        task.call.onDisconnect(() -> hear(() -> {
-            relay.clientLeft(task);
-            choice.clientLeft(task.id);
-            book.settle(task);
+    void onTask(InFlightTask task) {
+        task.request().onDisconnect(() -> onEvent(() -> {
+            responder.clientLeft(task);
+            policy.clientLeft(task.id());
+            registry.removeIfCompleted(task);
         }));
-        hear(() -> choice.arrived(task.id, task.type, task.tenant, Span.ZERO, task.width, task.memory,
-                task.expiry.since(clock.now())));
+        TaskDescription description = task.description();
+        onEvent(() -> policy.arrived(task.id(), description.type(), description.tenant(), Span.ZERO,
+                description.slots(), description.memory(), task.deadline().since(clock.now())));
     }
 
-    /**
-     * The end has come: the clients that still wait are told so, bounced where that is lawful, instead of
-     * being cut off.
-     */
+    /** The dispatcher stops: answers the clients that still wait, by rejections where these are allowed. */
     public void endAllTasks() {
-        for (InFlightTask task : book.inHand()) {
-            hear(() -> choice.cutShort(task.id));
+        for (InFlightTask task : registry.all()) {
+            onEvent(() -> policy.cutShort(task.id()));
         }
     }
 
-    void begun(InFlightTask task, int number) {
-        hear(() -> choice.begun(task.id, number));
+    void onAttemptBegun(InFlightTask task, int number) {
+        onEvent(() -> policy.begun(task.id(), number));
     }
 
-    void progressed(InFlightTask task, int number, double share) {
-        hear(() -> choice.progressed(task.id, number, share));
+    void onProgress(InFlightTask task, int number, double share) {
+        onEvent(() -> policy.progressed(task.id(), number, share));
     }
 
-    void reported(long worker, LoadReport load) {
-        hear(() -> choice.reported(worker, load.free(), load.queued(), load.held(), load.memoryFree()));
+    void onLoadReport(long worker, LoadReport load) {
+        onEvent(() -> policy.reported(worker, load.free(), load.queued(), load.held(), load.memoryFree()));
     }
 
-    void ended(InFlightTask task, int number, AttemptOutcome outcome, byte[] result) {
+    void onAttemptEnded(InFlightTask task, int number, AttemptOutcome outcome, byte[] result) {
         if (outcome == AttemptOutcome.FINISHED) {
-            relay.finished(task, result);
+            responder.finished(task, result);
         }
-        hear(() -> {
-            choice.ended(task.id, number, outcome, task.closed);
-            book.settle(task);
+        onEvent(() -> {
+            policy.ended(task.id(), number, outcome, task.isAnswered());
+            registry.removeIfCompleted(task);
         });
     }
 
-    void echoed(long worker, boolean answered, LoadReport load) {
-        if (answered) {
-            book.count(Counters.Name.PROBES_ANSWERED);
-        }
+    void onHealthCheckResult(long worker, boolean answered, LoadReport load) {
         if (load != null) {
-            reported(worker, load);
+            onLoadReport(worker, load);
         }
-        hear(() -> choice.echoed(worker, answered));
+        onEvent(() -> policy.echoed(worker, answered));
     }
 
-    // ---- what is decided
+    // ---- decisions
 
     @Override
     public void assign(long task, long worker, Span timeout) {
-        send.assign(this, book.get(task), worker, timeout);
+        sender.send(this, registry.get(task), worker, timeout);
     }
 
     @Override
-    public void cancel(long task, int assignment) {
-        InFlightTask held = book.get(task);
-        if (held != null) {
-            send.cancel(held, assignment);
+    public void cancel(long task, int attempt) {
+        InFlightTask inFlight = registry.get(task);
+        if (inFlight != null) {
+            sender.cancel(inFlight, attempt);
         }
     }
 
     @Override
-    public void bounce(long task, Span comeBackAfter) {
-        InFlightTask held = book.get(task);
-        relay.bounced(held, comeBackAfter);
-        book.settle(held);
+    public void bounce(long task, Span retryAfter) {
+        InFlightTask inFlight = registry.get(task);
+        responder.rejected(inFlight, retryAfter);
+        registry.removeIfCompleted(inFlight);
     }
 
     @Override
     public void abandon(long task) {
-        InFlightTask held = book.get(task);
-        relay.abandoned(held);
-        book.settle(held);
+        InFlightTask inFlight = registry.get(task);
+        responder.failed(inFlight);
+        registry.removeIfCompleted(inFlight);
     }
 
     @Override
     public void probe(long worker) {
-        send.probe(this, worker);
+        sender.checkHealth(this, worker);
     }
 
     @Override
     public void subscribe() {
-        // The watch on discovery is kept at all times.
+        // The endpoint watch runs at all times.
     }
 
     @Override
     public void wakeAt(Moment when) {
-        if (wake != null) {
-            wake.off();
+        if (wakeUpTimer != null) {
+            wakeUpTimer.off();
         }
-        // Woken too soon, the module asked again at once, and the thread spun for most of a millisecond
-        // before each.
-        wake = IoTimer.notBefore(thread, when.since(clock.now()), () -> hear(choice::woken));
+        // Woken early, the policy asked for the same again, and the thread spun for most of a millisecond.
+        wakeUpTimer = IoTimer.notBefore(thread, when.since(clock.now()), () -> onEvent(policy::woken));
     }
 }
--- a/src/main/java/rampshift/pipeline/RequestDecoder.java
+++ b/src/main/java/rampshift/pipeline/RequestDecoder.java
@@ -5,121 +5,144 @@
 import java.util.Map;
 import java.util.regex.Pattern;
 import rampshift.clients.ClientRequest;
+import rampshift.clients.InvalidRequestException;
 import rampshift.clients.RequestHandler;
 import rampshift.counters.Counters;
 import rampshift.log.Log;
 import rampshift.policy.Settings;
 import rampshift.policy.TrafficType;
 import rampshift.settings.HostSettings;
+import rampshift.time.Moment;
 import rampshift.time.Span;
 
-/** First stage: makes a task of a client's call, or turns it down with a plain 4xx. */
+/** Makes tasks of clients' requests, and refuses requests that are none with a status of 4xx. */
 public final class RequestDecoder implements RequestHandler {
-    static final String REMAINING = "X-Remaining";
-    private static final String TENANT = "X-Org";
-    private static final Pattern ID = Pattern.compile("[!-~]{1,200}");
-    private static final Pattern NUMBER = Pattern.compile("\\d{1,12}(\\.\\d{1,12})?");
-    private static final double LONGEST_WAIT_S = 24 * 3600;
-    private static final double MOST_FIGURE = 1e6;
+    static final String REMAINING_TIME_FIELD = "X-Remaining";
+    private static final String TRANSACTION_FIELD = "X-Txn";
+    private static final String TYPE_FIELD = "X-Lane";
+    private static final String LABELS_FIELD = "X-Labels";
+    private static final String IDEMPOTENCY_KEY_FIELD = "Idempotency-Key";
+    private static final String TENANT_FIELD = "X-Org";
+    private static final Pattern TRANSACTION_ID = Pattern.compile("[!-~]{1,200}");
+    private static final double MAX_REMAINING_SECONDS = 24 * 3600;
+    private static final int BAD_REQUEST = 400;
+    private static final int METHOD_NOT_ALLOWED = 405;
+    private static final int CONFLICT = 409;
 
     private final Settings settings;
-    private final Map<String, Integer> types = new HashMap<>();
-    private final Map<String, Integer> tenants = new HashMap<>();
+    private final Map<String, Integer> types;
+    private final Map<String, Integer> tenants;
     private final Counters counters;
-    private final TaskRegistry book;
-    private final AdmissionControl next;
-    private long ids;
+    private final TaskRegistry registry;
+    private final AdmissionControl admission;
+    private long lastTaskId;
 
-    public RequestDecoder(Settings settings, HostSettings names, Counters counters, TaskRegistry book,
-            AdmissionControl next) {
+    /** Creates a decoder that passes tasks to an admission control. */
+    public RequestDecoder(Settings settings, HostSettings names, Counters counters, TaskRegistry registry,
+            AdmissionControl admission) {
         this.settings = settings;
         this.counters = counters;
-        this.book = book;
-        this.next = next;
-        inOrder(names.types(), types);
-        inOrder(names.tenants(), tenants);
+        this.registry = registry;
+        this.admission = admission;
+        types = indexes(names.types());
+        tenants = indexes(names.tenants());
     }
 
-    private static void inOrder(List<String> names, Map<String, Integer> places) {
+    private static Map<String, Integer> indexes(List<String> names) {
+        Map<String, Integer> result = new HashMap<>();
         for (int i = 0; i < names.size(); i++) {
-            places.put(names.get(i), i);
+            result.put(names.get(i), i);
         }
+        return result;
     }
 
     @Override
-    public void onRequest(ClientRequest call) {
-        if (!call.method().equals("POST")) {
-            turnDown(call, 405, "tasks come by POST");
+    public void onRequest(ClientRequest request) {
+        InFlightTask task;
+        try {
+            task = decode(request);
+        } catch (InvalidRequestException e) {
+            counters.add(Counters.Name.TURNED_DOWN);
+            Log.warn("request-refused", "status", e.status(), "why", e.getMessage());
+            request.respond(e.status(), e.getMessage());
             return;
         }
-        String txn = call.field("X-Txn");
-        if (txn == null || !ID.matcher(txn).matches()) {
-            turnDown(call, 400, "X-Txn is missing, there twice, too long, or holds blanks");
-            return;
-        }
-        if (book.knows(txn)) {
-            turnDown(call, 409, "a task with this X-Txn is in hand, or was");
-            return;
-        }
-        String lane = call.field("X-Lane");
-        Integer type = lane == null ? null : types.get(lane);
-        if (type == null) {
-            turnDown(call, 400, "X-Lane is missing or unknown");
-            return;
-        }
-        double left = number(call.field(REMAINING));
-        if (!(left > 0 && left <= LONGEST_WAIT_S)) {
-            turnDown(call, 400, "X-Remaining is missing or not a sensible number of seconds above 0");
-            return;
-        }
-        double slots = 1;
-        double memory = 0;
-        String labels = call.field("X-Labels");
-        if (labels == null && call.hasField("X-Labels")) {
-            turnDown(call, 400, "X-Labels stands there twice");
-            return;
-        }
-        TrafficType row = settings.types.get(type);
-        if (row.effect() == TrafficType.Effect.FINGERPRINTED
-                && call.field("Idempotency-Key") == null) {
-            turnDown(call, 400, "Idempotency-Key is missing or there twice");
-            return;
-        }
-        if (labels != null) {
-            for (String label : labels.split(",")) {
-                int equals = label.indexOf('=');
-                String name = equals < 0 ? "" : label.substring(0, equals).trim();
-                double value = equals < 0 ? Double.NaN : number(label.substring(equals + 1).trim());
-                boolean sensible = value >= 0 && value <= MOST_FIGURE;
-                if (name.equals("slots") && sensible) {
-                    slots = value;
-                } else if (name.equals("memory") && sensible) {
-                    memory = value;
-                } else if (name.equals("slots") || name.equals("memory")) {
-                    turnDown(call, 400, "X-Labels: " + name + " is not a number that makes sense");
-                    return;
-                }
-            }
+        admission.admit(task);
+    }
+
+    private InFlightTask decode(ClientRequest request) throws InvalidRequestException {
+        check(request.method().equals("POST"), METHOD_NOT_ALLOWED, "tasks come by POST");
+        String transactionId = transactionId(request);
+        int type = type(request);
+        TrafficType typeSettings = settings.types.get(type);
+        double remainingSeconds = remainingSeconds(request);
+        checkLabelsAreUnique(request);
+        checkIdempotencyKey(request, typeSettings);
+        TaskLabels labels = TaskLabels.parse(request.field(LABELS_FIELD));
+        TaskDescription description = new TaskDescription(transactionId, type, tenant(request),
+                typeSettings.effect() == TrafficType.Effect.SIDE_EFFECTING, deduplicationWindow(typeSettings),
+                labels.slots(), labels.memory());
+        Moment deadline = request.receivedAt().plus(waitingTime(remainingSeconds, typeSettings));
+        lastTaskId++;
+        return new InFlightTask(lastTaskId, request, description, deadline);
+    }
+
+    private static void check(boolean valid, int status, String reason) throws InvalidRequestException {
+        if (!valid) {
+            throw new InvalidRequestException(status, reason);
         }
-        // No client waits longer than its traffic type's expiry, whatever it says.
-        Span most = row.expiry();
-        Span patience = left > most.millis() / 1000 ? most : Span.ofMillis(left * 1000);
-        // Whoever the settings do not name stands after all that they do, and has no share to go beyond.
-        int tenant = tenants.getOrDefault(String.valueOf(call.field(TENANT)), tenants.size());
-        next.task(new InFlightTask(++ids, call, txn, type, tenant,
-                row.effect() == TrafficType.Effect.SIDE_EFFECTING,
-                row.effect() == TrafficType.Effect.FINGERPRINTED ? row.window() : null, slots, memory,
-                call.receivedAt().plus(patience)));
     }
 
-    /** Plain decimal digits; NaN for all else that Java would take for a number. */
-    private static double number(String text) {
-        return text != null && NUMBER.matcher(text).matches() ? Double.parseDouble(text) : Double.NaN;
+    private String transactionId(ClientRequest request) throws InvalidRequestException {
+        String id = request.field(TRANSACTION_FIELD);
+        check(id != null && TRANSACTION_ID.matcher(id).matches(), BAD_REQUEST,
+                "X-Txn is missing, there twice, too long, or holds blanks");
+        check(!registry.isKnown(id), CONFLICT, "a task with this X-Txn is in hand, or was");
+        return id;
+    }
+
+    private int type(ClientRequest request) throws InvalidRequestException {
+        String name = request.field(TYPE_FIELD);
+        Integer type = name == null ? null : types.get(name);
+        check(type != null, BAD_REQUEST, "X-Lane is missing or unknown");
+        return type;
+    }
+
+    private static double remainingSeconds(ClientRequest request) throws InvalidRequestException {
+        double seconds = TaskLabels.parseDecimal(request.field(REMAINING_TIME_FIELD));
+        check(seconds > 0 && seconds <= MAX_REMAINING_SECONDS, BAD_REQUEST,
+                "X-Remaining is missing or not a sensible number of seconds above 0");
+        return seconds;
+    }
+
+    private static void checkLabelsAreUnique(ClientRequest request) throws InvalidRequestException {
+        boolean repeated = request.field(LABELS_FIELD) == null && request.hasField(LABELS_FIELD);
+        check(!repeated, BAD_REQUEST, "X-Labels stands there twice");
+    }
+
+    private static void checkIdempotencyKey(ClientRequest request, TrafficType type)
+            throws InvalidRequestException {
+        check(!isKeyed(type) || request.field(IDEMPOTENCY_KEY_FIELD) != null, BAD_REQUEST,
+                "Idempotency-Key is missing or there twice");
+    }
+
+    private static boolean isKeyed(TrafficType type) {
+        return type.effect() == TrafficType.Effect.FINGERPRINTED;
+    }
+
+    private static Span deduplicationWindow(TrafficType type) {
+        return isKeyed(type) ? type.window() : null;
+    }
+
+    /** Tenants that are not configured share the index after all that are, and have no quota to exceed. */
+    private int tenant(ClientRequest request) {
+        return tenants.getOrDefault(String.valueOf(request.field(TENANT_FIELD)), tenants.size());
     }
 
-    private void turnDown(ClientRequest call, int status, String why) {
-        counters.add(Counters.Name.TURNED_DOWN);
-        Log.warn("request-refused", "status", status, "why", why);
-        call.respond(status, why);
+    /** No client waits longer than the deadline of its traffic type, whatever it says. */
+    private static Span waitingTime(double remainingSeconds, TrafficType type) {
+        Span longest = type.expiry();
+        boolean isLimited = remainingSeconds > longest.millis() / 1000;
+        return isLimited ? longest : Span.ofMillis(remainingSeconds * 1000);
     }
 }
--- a/src/main/java/rampshift/pipeline/Responder.java
+++ b/src/main/java/rampshift/pipeline/Responder.java
@@ -3,40 +3,46 @@
 import rampshift.counters.Counters;
 import rampshift.time.Span;
 
-/** Fifth stage: the one final answer to the client. */
+/** Sends the one final response of a task to its client, and counts how tasks end. */
 public final class Responder {
-    private static final byte[] NOTHING = {};
-    private final TaskRegistry book;
+    private static final int OK = 200;
+    private static final int SERVICE_UNAVAILABLE = 503;
+    private static final int GATEWAY_TIMEOUT = 504;
+    private static final Span MIN_RETRY_AFTER = Span.ofMillis(1);
+    private static final byte[] EMPTY = {};
 
-    public Responder(TaskRegistry book) {
-        this.book = book;
+    private final Counters counters;
+
+    /** Creates a responder that counts here. */
+    public Responder(Counters counters) {
+        this.counters = counters;
     }
 
     void finished(InFlightTask task, byte[] result) {
-        close(task, Counters.Name.FINISHED, 200, null, result);
+        respond(task, Counters.Name.FINISHED, OK, null, result);
     }
 
-    void bounced(InFlightTask task, Span comeBackAfter) {
-        String advice = comeBackAfter.micros() < 1000 ? null : comeBackAfter.seconds();
-        close(task, Counters.Name.BOUNCED, 503, advice, NOTHING);
+    /** Rejects a task of which nothing has run, with an advice after what time to retry; zero for none. */
+    void rejected(InFlightTask task, Span retryAfter) {
+        String seconds = MIN_RETRY_AFTER.longerThan(retryAfter) ? null : retryAfter.seconds();
+        respond(task, Counters.Name.BOUNCED, SERVICE_UNAVAILABLE, seconds, EMPTY);
     }
 
-    void abandoned(InFlightTask task) {
-        close(task, Counters.Name.ABANDONED, 504, null, NOTHING);
+    void failed(InFlightTask task) {
+        respond(task, Counters.Name.ABANDONED, GATEWAY_TIMEOUT, null, EMPTY);
     }
 
     void clientLeft(InFlightTask task) {
-        if (!task.closed) {
-            task.closed = true;
-            book.count(Counters.Name.CLIENT_GONE);
+        if (task.markAnswered()) {
+            counters.add(Counters.Name.CLIENT_GONE);
         }
     }
 
-    private void close(InFlightTask task, Counters.Name as, int status, String comeBackAfter, byte[] body) {
-        if (task.closed) {
-            return;
+    private void respond(InFlightTask task, Counters.Name counter, int status, String retryAfterSeconds,
+            byte[] body) {
+        if (task.markAnswered()) {
+            boolean sent = task.request().respond(status, retryAfterSeconds, body);
+            counters.add(sent ? counter : Counters.Name.CLIENT_GONE);
         }
-        task.closed = true;
-        book.count(task.call.respond(status, comeBackAfter, body) ? as : Counters.Name.CLIENT_GONE);
     }
 }
--- a/src/main/java/rampshift/pipeline/StallDetector.java
+++ b/src/main/java/rampshift/pipeline/StallDetector.java
@@ -7,55 +7,59 @@
 import rampshift.time.Span;
 
 /**
- * Notices when the I/O thread stood still: stopped, or without processor time. What is read then may have
- * lain in the
- * socket all the while, and its time counts from when it came, not from when it was read: a dispatcher
- * stopped for 3 s
- * sent tasks on 0.2 s after their expiry. One beat every 100 ms.
+ * Detects by a regular heartbeat that the I/O thread was stalled: stopped, or without processor time.
+ *
+ * <p>What is read after a stall may have been in the socket's buffer all the while, and its time counts from
+ * its arrival, not from when it was read: a dispatcher that was stopped for 3 s forwarded tasks 0.2 s after
+ * their deadline.
  */
 public final class StallDetector {
-    private static final Span BEAT = Span.ofMillis(100);
-    private static final Span LATE = Span.ofMillis(100);    // beyond that a beat tells of a stall
+    private static final Span HEARTBEAT_INTERVAL = Span.ofMillis(100);
+    /** How late a heartbeat may be before the thread counts as stalled. */
+    private static final Span MAX_LATENESS = Span.ofMillis(100);
 
     private final XnioIoThread thread;
     private final Clock clock;
-    private Moment last;
-    private Moment stoodSince;
+    private Moment lastHeartbeat;
+    /** The last heartbeat before a stall; null once a heartbeat was in time again. */
+    private Moment stalledSince;
     private IoTimer timer;
 
+    /** Starts the heartbeat. */
     public StallDetector(XnioIoThread thread, Clock clock) {
         this.thread = thread;
         this.clock = clock;
-        last = clock.now();
-        beatLater();
+        lastHeartbeat = clock.now();
+        scheduleHeartbeat();
     }
 
-    private void beatLater() {
-        timer = IoTimer.in(thread, BEAT, this::beat);
+    private void scheduleHeartbeat() {
+        timer = IoTimer.in(thread, HEARTBEAT_INTERVAL, this::heartbeat);
     }
 
-    private void beat() {
+    private void heartbeat() {
         Moment now = clock.now();
-        // Until a beat is in time again, what is read may still be of the time before.
-        stoodSince = stood(now) ? last : null;
-        last = now;
-        beatLater();
+        // Until a heartbeat is in time again, what is read may still have arrived before.
+        stalledSince = isLate(now) ? lastHeartbeat : null;
+        lastHeartbeat = now;
+        scheduleHeartbeat();
     }
 
-    private boolean stood(Moment now) {
-        return now.since(last).longerThan(BEAT.plus(LATE));
+    private boolean isLate(Moment now) {
+        return now.since(lastHeartbeat).longerThan(HEARTBEAT_INTERVAL.plus(MAX_LATENESS));
     }
 
     /**
-     * For how long, at the most, what is read now may have lain unread; ZERO where the thread was in time.
+     * Returns for how long, at most, what is read now may have been unread; zero if the thread is not
+     * stalled.
      */
     public Span maxUnreadTime() {
         Moment now = clock.now();
-        Moment since = stood(now) ? last : stoodSince;
+        Moment since = isLate(now) ? lastHeartbeat : stalledSince;
         return since == null ? Span.ZERO : now.since(since);
     }
 
-    /** Gives back the timer. */
+    /** Stops the heartbeat. */
     public void close() {
         timer.off();
     }
--- /dev/null
+++ b/src/main/java/rampshift/pipeline/TaskLabels.java
@@ -0,0 +1,55 @@
+package rampshift.pipeline;
+
+import java.util.regex.Pattern;
+import rampshift.clients.InvalidRequestException;
+
+/**
+ * What a task takes of its worker, by the labels of its request.
+ *
+ * @param slots how many slots; 1 where no label says so
+ * @param memory how much memory, in the unit of the load reports; 0 where no label says so
+ */
+record TaskLabels(double slots, double memory) {
+    private static final String SLOTS = "slots";
+    private static final String MEMORY = "memory";
+    private static final double MAX_VALUE = 1e6;
+    private static final Pattern DECIMAL = Pattern.compile("\\d{1,12}(\\.\\d{1,12})?");
+
+    /**
+     * Parses labels such as {@code slots=2,memory=0.5}; others than these two are ignored.
+     *
+     * @param text the value of the header field; null if there is none
+     * @throws InvalidRequestException if one of the two has no valid value
+     */
+    static TaskLabels parse(String text) throws InvalidRequestException {
+        double slots = 1;
+        double memory = 0;
+        if (text != null) {
+            for (String label : text.split(",", -1)) {
+                int equals = label.indexOf('=');
+                String name = equals < 0 ? "" : label.substring(0, equals).trim();
+                if (name.equals(SLOTS)) {
+                    slots = value(name, label.substring(equals + 1));
+                } else if (name.equals(MEMORY)) {
+                    memory = value(name, label.substring(equals + 1));
+                }
+            }
+        }
+        return new TaskLabels(slots, memory);
+    }
+
+    private static double value(String name, String text) throws InvalidRequestException {
+        double value = parseDecimal(text.trim());
+        if (value >= 0 && value <= MAX_VALUE) {
+            return value;
+        }
+        throw new InvalidRequestException(400, "X-Labels: " + name + " is not a number that makes sense");
+    }
+
+    /**
+     * Returns a number of plain decimal digits; NaN for null and for anything else that Java would accept.
+     */
+    static double parseDecimal(String text) {
+        return text != null && DECIMAL.matcher(text).matches() ? Double.parseDouble(text) : Double.NaN;
+    }
+}
--- a/src/main/java/rampshift/pipeline/TaskRegistry.java
+++ b/src/main/java/rampshift/pipeline/TaskRegistry.java
@@ -5,62 +5,67 @@
 import java.util.LinkedHashSet;
 import java.util.List;
 import java.util.Map;
-import rampshift.counters.Counters;
 
-/** Last stage: the tasks in hand, and the one place where they are given back. */
+/** The tasks in flight, and the one place where they are removed. */
 public final class TaskRegistry {
-    private static final int LAST = 2048;
-    private final Counters counters;
-    private final Map<Long, InFlightTask> tasks = new HashMap<>();
-    private final Map<String, InFlightTask> byTxn = new HashMap<>();
-    private final LinkedHashSet<String> lastTxns = new LinkedHashSet<>();
-    private long bytes;
-
-    public TaskRegistry(Counters counters) {
-        this.counters = counters;
-    }
+    private static final int MAX_RECENT_TRANSACTIONS = 2048;
 
-    void count(Counters.Name name) {
-        counters.add(name);
-    }
+    private final Map<Long, InFlightTask> tasks = new HashMap<>();
+    private final Map<String, InFlightTask> byTransactionId = new HashMap<>();
+    private final LinkedHashSet<String> recentTransactionIds = new LinkedHashSet<>();
+    private long byteCount;
 
-    void taken(InFlightTask task) {
-        counters.add(Counters.Name.TAKEN);
-        tasks.put(task.id, task);
-        byTxn.put(task.txn, task);
-        bytes += task.bytes();
+    void add(InFlightTask task) {
+        tasks.put(task.id(), task);
+        byTransactionId.put(task.transactionId(), task);
+        byteCount += task.byteCount();
     }
 
+    /** Returns a task in flight; null if there is none with this id. */
     InFlightTask get(long id) {
         return tasks.get(id);
     }
 
-    List<InFlightTask> inHand() {
+    /** Returns a copy, so that tasks may be removed while it is walked. */
+    List<InFlightTask> all() {
         return new ArrayList<>(tasks.values());
     }
 
-    /** Whether a task with this id is in hand, or was among the last. Each call of a client has a new one. */
-    boolean knows(String txn) {
-        return byTxn.containsKey(txn) || lastTxns.contains(txn);
+    /**
+     * Returns whether a task with this transaction id is in flight, or recently was; each request has a new
+     * one.
+     */
+    boolean isKnown(String transactionId) {
+        return byTransactionId.containsKey(transactionId) || recentTransactionIds.contains(transactionId);
+    }
+
+    /** Removes a task once it is answered and all its attempts have ended. */
+    void removeIfCompleted(InFlightTask task) {
+        if (task.isCompleted() && tasks.remove(task.id()) != null) {
+            byTransactionId.remove(task.transactionId());
+            remember(task.transactionId());
+            byteCount -= task.byteCount();
+        }
     }
 
-    /** The task was answered, or an assignment of it has ended. */
-    void settle(InFlightTask task) {
-        if (task.closed && task.out == 0 && tasks.remove(task.id) != null) {
-            byTxn.remove(task.txn);
-            // An answer and another client's call with the id of that task cross: it had reached workers.
-            if (lastTxns.add(task.txn) && lastTxns.size() > LAST) {
-                lastTxns.remove(lastTxns.iterator().next());
-            }
-            bytes -= task.bytes();
+    /**
+     * A response and another client's request with the id of that task may cross: it has reached workers
+     * already.
+     */
+    private void remember(String transactionId) {
+        boolean added = recentTransactionIds.add(transactionId);
+        if (added && recentTransactionIds.size() > MAX_RECENT_TRANSACTIONS) {
+            recentTransactionIds.remove(recentTransactionIds.iterator().next());
         }
     }
 
+    /** Returns the number of tasks in flight. */
     public int size() {
         return tasks.size();
     }
 
-    long bytes() {
-        return bytes;
+    /** Returns how many bytes the messages of the tasks in flight take. */
+    long byteCount() {
+        return byteCount;
     }
 }
--- a/src/main/java/rampshift/pipeline/WorkerIds.java
+++ b/src/main/java/rampshift/pipeline/WorkerIds.java
@@ -5,26 +5,36 @@
 import java.util.Map;
 import java.util.zip.CRC32;
 
-/** The number by which the module knows a worker: made of its uid alone, so alike at every dispatcher. */
+/**
+ * Maps the uids of workers to the numbers by which the dispatch policy knows them. A number depends on the
+ * uid alone, so that it is the same at every dispatcher, unless two numbers collide.
+ */
 final class WorkerIds {
-    private final Map<String, Long> numbers = new HashMap<>();
-    private final Map<Long, String> taken = new HashMap<>();
+    private static final int LOW_BITS = 20;
 
+    private final Map<String, Long> numbersByUid = new HashMap<>();
+    private final Map<Long, String> uidsByNumber = new HashMap<>();
+
+    /** Returns the number of a worker; always the same for the same uid. */
     long number(String uid) {
-        Long known = numbers.get(uid);
+        Long known = numbersByUid.get(uid);
         if (known != null) {
             return known;
         }
-        CRC32 crc = new CRC32();
-        crc.update(uid.getBytes(StandardCharsets.UTF_8));
-        long number = crc.getValue() << 20;
-        crc.update(uid.length());
-        number ^= crc.getValue();
-        while (taken.containsKey(number)) {
+        long number = hash(uid);
+        while (uidsByNumber.containsKey(number)) {
             number++;
         }
-        taken.put(number, uid);
-        numbers.put(uid, number);
+        uidsByNumber.put(number, uid);
+        numbersByUid.put(uid, number);
         return number;
     }
+
+    private static long hash(String uid) {
+        CRC32 crc = new CRC32();
+        crc.update(uid.getBytes(StandardCharsets.UTF_8));
+        long high = crc.getValue() << LOW_BITS;
+        crc.update(uid.length());
+        return high ^ crc.getValue();
+    }
 }
--- a/src/main/java/rampshift/serve/Dispatcher.java
+++ b/src/main/java/rampshift/serve/Dispatcher.java
@@ -9,6 +9,7 @@
 import rampshift.counters.Counters;
 import rampshift.pipeline.AdmissionControl;
 import rampshift.pipeline.AttemptSender;
+import rampshift.pipeline.EndpointListUpdater;
 import rampshift.pipeline.PolicyHost;
 import rampshift.pipeline.RequestDecoder;
 import rampshift.pipeline.Responder;
@@ -52,12 +53,14 @@
         longest = settings.types.stream().map(TrafficType::expiry).reduce(Span.ZERO, Span::orLonger);
         grace = settings.drainGrace;
         pool = new ConnectionPool(thread, dialer, clock, platform, counters, toWorkers);
-        book = new TaskRegistry(counters);
-        Responder relay = new Responder(book);
-        route = new PolicyHost(thread, clock, settings, platform, pool, book,
-                new AttemptSender(pool, clock, book), relay);
+        book = new TaskRegistry();
+        Responder relay = new Responder(counters);
+        EndpointListUpdater endpoints = new EndpointListUpdater(platform, pool);
+        route = new PolicyHost(thread, clock, settings, endpoints, book,
+                new AttemptSender(pool, clock, counters), relay);
         admit = new AdmissionControl(Math.min(platform.mostOpen(), clients - spare),
-                (long) (configuration.memoryMb * BODIES * (1 << 20)), clock, book, relay, route);
+                (long) (configuration.memoryMb * BODIES * (1 << 20)), clock, counters, book, relay,
+                route);
         pulse = new StallDetector(thread, clock);
         ClientLimits limits = new ClientLimits(clients - spare, spare,
                 (long) (configuration.memoryMb * RECEIVING * (1 << 20)), longest.times(CLIENT_IDLE));
--- a/src/test/java/rampshift/pipeline/StallDetectorTest.java
+++ b/src/test/java/rampshift/pipeline/StallDetectorTest.java
@@ -3,7 +3,11 @@
 import static org.junit.jupiter.api.Assertions.assertTrue;
 import static rampshift.TestPeers.until;
 
+import java.util.concurrent.Callable;
 import java.util.concurrent.FutureTask;
+import java.util.concurrent.TimeUnit;
+import org.junit.jupiter.api.AfterEach;
+import org.junit.jupiter.api.BeforeEach;
 import org.junit.jupiter.api.Test;
 import org.xnio.OptionMap;
 import org.xnio.Options;
@@ -13,34 +17,43 @@
 import rampshift.time.Clock;
 import rampshift.time.Span;
 
+/** How a stall of the I/O thread is detected. */
 class StallDetectorTest {
-    @Test
-    void whatIsReadAfterAStallMayHaveLainUnreadForAllOfIt() throws Exception {
-        XnioWorker xnio = Xnio.getInstance()
+    private static final int STALL_MS = 600;
+    private static final Span MIN_UNREAD_TIME = Span.ofMillis(500);
+
+    private XnioWorker worker;
+    private XnioIoThread thread;
+
+    @BeforeEach
+    void startThread() throws Exception {
+        worker = Xnio.getInstance()
                 .createWorker(OptionMap.create(Options.WORKER_IO_THREADS, 1, Options.THREAD_DAEMON, true));
-        try {
-            XnioIoThread thread = xnio.getIoThread(0);
-            StallDetector[] pulse = new StallDetector[1];
-            FutureTask<Void> made =
-                    new FutureTask<>(() -> pulse[0] = new StallDetector(thread, new Clock()), null);
-            thread.execute(made);
-            made.get();
-            FutureTask<Span> after = new FutureTask<>(() -> {
-                Thread.sleep(600);
-                return pulse[0].maxUnreadTime();
-            });
-            thread.execute(after);
-            assertTrue(after.get().longerThan(Span.ofMillis(500)), "before any beat: " + after.get());
-            FutureTask<Span> next = new FutureTask<>(() -> pulse[0].maxUnreadTime());
-            thread.executeAfter(next, 20, java.util.concurrent.TimeUnit.MILLISECONDS);
-            assertTrue(next.get().longerThan(Span.ofMillis(500)), "after the late beat: " + next.get());
-            until("it is in time again", () -> {
-                FutureTask<Span> now = new FutureTask<>(() -> pulse[0].maxUnreadTime());
-                thread.execute(now);
-                return now.get().equals(Span.ZERO);
-            });
-        } finally {
-            xnio.shutdownNow();
-        }
+        thread = worker.getIoThread(0);
+    }
+
+    @AfterEach
+    void stopThread() {
+        worker.shutdownNow();
+    }
+
+    private <T> T onThread(Callable<T> action) throws Exception {
+        FutureTask<T> task = new FutureTask<>(action);
+        thread.execute(task);
+        return task.get();
+    }
+
+    @Test
+    void inputReadAfterStallMayHaveBeenUnreadThroughoutIt() throws Exception {
+        StallDetector detector = onThread(() -> new StallDetector(thread, new Clock()));
+        Span afterStall = onThread(() -> {
+            Thread.sleep(STALL_MS);
+            return detector.maxUnreadTime();
+        });
+        assertTrue(afterStall.longerThan(MIN_UNREAD_TIME), "before any heartbeat: " + afterStall);
+        FutureTask<Span> later = new FutureTask<>(detector::maxUnreadTime);
+        thread.executeAfter(later, 20, TimeUnit.MILLISECONDS);
+        assertTrue(later.get().longerThan(MIN_UNREAD_TIME), "after the late heartbeat: " + later.get());
+        until("the heartbeat is in time again", () -> onThread(detector::maxUnreadTime).equals(Span.ZERO));
     }
 }
--- a/src/test/java/rampshift/serve/FloodTest.java
+++ b/src/test/java/rampshift/serve/FloodTest.java
@@ -168,8 +168,9 @@
     }
 
     private List<Thread> startFloods() {
-        String largeHead = String.join("\r\n", "POST /api HTTP/1.1", "Host: a", "X-Lane: look", "X-Remaining: 5",
-                "Content-Length: 65000", "", "");
+        String largeHead =
+                String.join("\r\n", "POST /api HTTP/1.1", "Host: a", "X-Lane: look", "X-Remaining: 5",
+                        "Content-Length: 65000", "", "");
         String pageRequests = "GET /counters HTTP/1.1\r\nHost: a\r\n\r\n".repeat(2000);
         String emptyLines = "\r\n".repeat(500_000);
         String incompleteRequest = largeHead + "x".repeat(60_000);
