--- a/src/main/java/rampshift/Main.java
+++ b/src/main/java/rampshift/Main.java
@@ -77,7 +77,7 @@
 
     /** Starts and stops a dispatcher without a configuration: the JVM archives the classes that it loads. */
     private static int rehearse() throws IOException {
-        DispatcherServer server = DispatcherServer.rehearsal();
+        DispatcherServer server = DispatcherServer.forClassArchive();
         server.awaitReady();
         server.stop();
         return ExitStatus.DONE;
--- a/src/main/java/rampshift/ServeCommand.java
+++ b/src/main/java/rampshift/ServeCommand.java
@@ -48,7 +48,7 @@
 
     /** Reads the file on this thread, where nothing waits for the disk. */
     private void reloadUntilEnd(DispatcherServer server) {
-        while (!server.ended()) {
+        while (!server.isStopped()) {
             hangups.acquireUninterruptibly();
             hangups.drainPermits();     // the file as it is now holds what all signals so far announced
             try {
--- a/src/main/java/rampshift/serve/Dispatcher.java
+++ b/src/main/java/rampshift/serve/Dispatcher.java
@@ -9,6 +9,7 @@
 import rampshift.counters.Counters;
 import rampshift.pipeline.AdmissionControl;
 import rampshift.pipeline.AttemptSender;
+import rampshift.pipeline.EndpointListUpdater;
 import rampshift.pipeline.PolicyHost;
 import rampshift.pipeline.RequestDecoder;
 import rampshift.pipeline.Responder;
@@ -52,12 +53,13 @@
         longestDeadline = settings.types.stream().map(TrafficType::expiry).reduce(Span.ZERO, Span::orLonger);
         drainGrace = settings.drainGrace;
         pool = new ConnectionPool(thread, dialer, clock, platform, counters, toWorkers);
-        tasks = new TaskRegistry(counters);
-        Responder responder = new Responder(tasks);
-        policyHost = new PolicyHost(thread, clock, settings, platform, pool, tasks,
-                new AttemptSender(pool, clock, tasks), responder);
+        tasks = new TaskRegistry();
+        Responder responder = new Responder(counters);
+        policyHost = new PolicyHost(thread, clock, settings, new EndpointListUpdater(platform, pool), tasks,
+                new AttemptSender(pool, clock, counters), responder);
         admission = new AdmissionControl(Math.min(platform.mostOpen(), clients - spare),
-                (long) (configuration.memoryMb() * BODIES * (1 << 20)), clock, tasks, responder, policyHost);
+                (long) (configuration.memoryMb() * BODIES * (1 << 20)), clock, counters, tasks, responder,
+                policyHost);
         stalls = new StallDetector(thread, clock);
         ClientLimits limits = new ClientLimits(clients - spare, spare,
                 (long) (configuration.memoryMb() * RECEIVING * (1 << 20)),
