--- a/src/main/java/rampshift/extensions/LeaseExtension.java
+++ b/src/main/java/rampshift/extensions/LeaseExtension.java
@@ -12,48 +12,57 @@
 import rampshift.settings.Configuration;
 import rampshift.settings.InvalidInputException;
 
-/** Leases, and the duties that are done under them. */
+/** The leases of a dispatcher, and the periodic jobs that run under them. */
 final class LeaseExtension implements MessageChannel.Guest {
+    private static final String JOBS_QUESTION = "?duties";
+    private static final String LOOPBACK = "127.0.0.1";
+
     private final LeaseHost leases;
-    private final List<PeriodicJobSettings> duties;
-    private PeriodicJobHost host;
+    private final List<PeriodicJobSettings> jobSettings;
+    private PeriodicJobHost jobs;
 
-    LeaseExtension(LeaseHost leases, List<PeriodicJobSettings> duties) {
+    LeaseExtension(LeaseHost leases, List<PeriodicJobSettings> jobSettings) {
         this.leases = leases;
-        this.duties = duties;
+        this.jobSettings = jobSettings;
     }
 
     @Override
-    public void begin(MessageChannel post) {
-        Configuration c = post.configuration();
-        List<String> types = c.settings.platform().types();
-        List<TrafficType> rows = c.settings.read(c.seed).types;
-        List<PeriodicJobSettings> known = new ArrayList<>();
-        for (PeriodicJobSettings p : duties) {
-            int type = types.indexOf(p.type());
-            if (type < 0) {
+    public void begin(MessageChannel channel) {
+        Configuration configuration = channel.configuration();
+        List<PeriodicJobSettings> resolved = resolve(configuration);
+        leases.begin(channel);
+        if (!resolved.isEmpty()) {
+            jobs = new PeriodicJobHost(resolved, leases, channel.thread(), channel.clock(),
+                    ownAddress(configuration.listen));
+        }
+    }
+
+    /** Adds what the dispatcher's configuration says of the jobs' traffic types. */
+    private List<PeriodicJobSettings> resolve(Configuration configuration) {
+        List<String> typeNames = configuration.settings.platform().types();
+        List<TrafficType> types = configuration.settings.read(configuration.seed).types;
+        List<PeriodicJobSettings> resolved = new ArrayList<>();
+        for (PeriodicJobSettings job : jobSettings) {
+            int index = typeNames.indexOf(job.trafficType());
+            if (index < 0) {
                 throw new InvalidInputException(
-                        "duty " + p.name() + ": the configuration knows no traffic type \""
-                                + p.type() + "\", only "
-                                + String.join(", ", types));
+                        "duty " + job.name() + ": the configuration knows no traffic type \""
+                                + job.trafficType() + "\", only " + String.join(", ", typeNames));
             }
-            known.add(new PeriodicJobSettings(p.name(), p.type(), p.every(), p.at(), p.after(), p.objects(),
-                    p.rate(),
-                    p.catchUp(), p.target(), p.body(),
-                    rows.get(type).effect() == TrafficType.Effect.IDEMPOTENT, rows.get(type).expiry()));
-        }
-        leases.begin(post);
-        if (!known.isEmpty()) {
-            InetSocketAddress door = c.listen.getAddress().isAnyLocalAddress()
-                    ? new InetSocketAddress("127.0.0.1", c.listen.getPort())
-                    : c.listen;
-            host = new PeriodicJobHost(known, leases, post.thread(), post.clock(), door);
+            TrafficType type = types.get(index);
+            resolved.add(job.withTrafficType(type.effect() == TrafficType.Effect.IDEMPOTENT, type.expiry()));
         }
+        return resolved;
+    }
+
+    private static InetSocketAddress ownAddress(InetSocketAddress listen) {
+        boolean isWildcard = listen.getAddress().isAnyLocalAddress();
+        return isWildcard ? new InetSocketAddress(LOOPBACK, listen.getPort()) : listen;
     }
 
     @Override
-    public void parcel(String from, byte[] parcel) {
-        leases.parcel(from, parcel);
+    public void parcel(String from, byte[] message) {
+        leases.parcel(from, message);
     }
 
     @Override
@@ -63,8 +72,10 @@
 
     @Override
     public String asked(String question) {
-        return question.equals("?duties") ? host == null ? "there are no duties\n" : host.page()
-                : leases.asked(question);
+        if (question.equals(JOBS_QUESTION)) {
+            return jobs == null ? "there are no duties\n" : jobs.statusPage();
+        }
+        return leases.asked(question);
     }
 
     @Override
@@ -74,8 +85,8 @@
 
     @Override
     public void end() {
-        if (host != null) {
-            host.end();
+        if (jobs != null) {
+            jobs.stop();
         }
         leases.end();
     }
--- a/src/main/java/rampshift/jobs/JobProgress.java
+++ b/src/main/java/rampshift/jobs/JobProgress.java
@@ -1,29 +1,38 @@
 package rampshift.jobs;
 
+import java.util.regex.Matcher;
+import java.util.regex.Pattern;
+
 /**
- * How far a duty has come, as its lease's register keeps it.
+ * How far a periodic job has come, as the register of its lease keeps it.
  *
- * @param run the number of the run it is at, or has ended
- * @param from all objects before it are settled: done, or told as not to be tried again
- * @param to objects from there on have not been handed in by anybody; those between may be out
- * @param over the run has ended
+ * @param run number of the run in progress, or of the last complete one
+ * @param settledBelow all objects below this index are settled: done, or reported as not to be tried again
+ * @param submittableBelow objects from this index on have not been submitted by anybody; those in between may
+ *         be in flight
+ * @param complete whether the run is complete
  */
-public record JobProgress(long run, int from, int to, boolean over) {
+public record JobProgress(long run, int settledBelow, int submittableBelow, boolean complete) {
 
+    /** No run was ever made. */
     public static final JobProgress NONE = new JobProgress(0, 0, 0, true);
 
-    public String text() {
-        return run + ":" + from + ":" + to + ":" + (over ? "over" : "on");
+    private static final Pattern TEXT = Pattern.compile("(\\d{1,15}):(\\d{1,9}):(\\d{1,9}):(over|on)");
+    private static final String COMPLETE = "over";
+    private static final String IN_PROGRESS = "on";
+
+    /** The progress as the note of a lease. */
+    public String encode() {
+        return run + ":" + settledBelow + ":" + submittableBelow + ":" + (complete ? COMPLETE : IN_PROGRESS);
     }
 
-    /** A text that is none counts as nothing done. */
-    public static JobProgress of(String text) {
-        String[] parts = text.split(":");
-        if (parts.length != 4 || !text.matches("\\d{1,15}:\\d{1,9}:\\d{1,9}:(over|on)")) {
+    /** The progress that {@link #encode} made this note of; {@link #NONE} for any other text. */
+    public static JobProgress parse(String note) {
+        Matcher matcher = TEXT.matcher(note);
+        if (!matcher.matches()) {
             return NONE;
         }
-        return new JobProgress(Long.parseLong(parts[0]), Integer.parseInt(parts[1]),
-                Integer.parseInt(parts[2]),
-                parts[3].equals("over"));
+        return new JobProgress(Long.parseLong(matcher.group(1)), Integer.parseInt(matcher.group(2)),
+                Integer.parseInt(matcher.group(3)), matcher.group(4).equals(COMPLETE));
     }
 }
--- a/src/main/java/rampshift/jobs/PeriodicJob.java
+++ b/src/main/java/rampshift/jobs/PeriodicJob.java
@@ -3,186 +3,219 @@
 import java.util.HashMap;
 import java.util.Map;
 import java.util.TreeMap;
+import java.util.TreeSet;
 import rampshift.time.Moment;
 import rampshift.time.Span;
 
 /**
- * One duty, at whoever holds its lease. Before a task is handed in the register says that it may be: whoever
- * comes after
- * knows which may have run. It has no clock, socket or thread.
+ * One periodic job, at the dispatcher that holds its lease. Before a task is submitted the register says that
+ * it may be, so that the next holder knows which tasks may have run. It has no clock, socket or thread.
  */
 public final class PeriodicJob {
     /** Carries out what is decided. */
-    public interface Out {
-        /** Hands in a task; its end goes to {@link PeriodicJob#ended}. */
-        void hand(int object, String id, String txn);
-
-        /** To the lease's register. */
-        void note(String text);
-
-        /** Words of its ledger: begins, done, unsure, missed, over. */
-        void tell(String what, long run, int object);
+    public interface Output {
+        /**
+         * Submits a task; how it ends is told to {@link PeriodicJob#onTaskEnded}.
+         *
+         * @param object index of its object
+         * @param id idempotency key: the same for all attempts of the task
+         * @param transactionId different for each attempt
+         */
+        void submit(int object, String id, String transactionId);
+
+        /** Writes the note of the job's lease. */
+        void writeNote(String note);
+
+        /** Reports an event of a run; the object is 0 where it is about the whole run. */
+        void emit(JobEvent event, long run, int object);
     }
 
     /** How a task ended. */
-    public enum End { DONE, NEVER_RAN, MAY_HAVE_RUN }
-
-    private static final int MOST_OUT = 200;
-    private static final int TRIES = 20;            // of a task that never ran, before it is told as given up
-
-    private final PeriodicJobSettings plan;
-    private final Span term;
-    private final Out out;
-    private final TreeMap<Integer, Moment> waiting = new TreeMap<>();       // object: not before
-    private final Map<Integer, Integer> tries = new HashMap<>();
-    // handed in, or waiting to be
-    private final java.util.TreeSet<Integer> open = new java.util.TreeSet<>();
+    public enum TaskOutcome {
+        /** It was completed. */
+        COMPLETED,
+        /** It certainly had no effect. */
+        NEVER_RAN,
+        /** It may have had its effect. */
+        MAY_HAVE_RUN
+    }
+
+    private static final int MAX_IN_FLIGHT = 200;
+    /** Attempts at a task that never runs, before it is reported as failed. */
+    private static final int MAX_ATTEMPTS = 20;
+    private static final double MILLIS_PER_SECOND = 1000;
+
+    private final PeriodicJobSettings settings;
+    private final Output out;
+    /** Tasks that may be in flight at once: as many as are submitted in half a term. */
+    private final int window;
+    private final TreeMap<Integer, Moment> retryAt = new TreeMap<>();
+    private final Map<Integer, Integer> attempts = new HashMap<>();
+    /** Objects that were submitted, or wait for a retry. */
+    private final TreeSet<Integer> unsettled = new TreeSet<>();
     private long token;
-    private JobProgress said = JobProgress.NONE;          // what is to stand in the register
-    private JobProgress stands = JobProgress.NONE;        // what does
-    // the first object that was not handed in under this token
-    private int next;
-    private Moment handAt;
+    private JobProgress written = JobProgress.NONE;
+    private JobProgress current = JobProgress.NONE;
+    private int nextObject;
+    private Moment submitAt;
     private boolean holding;
 
-    /** Term: of the lease, by which the window of tasks that may be out is sized. */
-    public PeriodicJob(PeriodicJobSettings plan, Span term, Out out) {
-        this.plan = plan;
-        this.term = term;
+    /** A job whose lease is not held; the term is that of the lease. */
+    public PeriodicJob(PeriodicJobSettings settings, Span term, Output out) {
+        this.settings = settings;
         this.out = out;
+        double tasksInHalfATerm = settings.tasksPerSecond() * term.millis() / MILLIS_PER_SECOND / 2;
+        window = (int) Math.max(1, Math.min(MAX_IN_FLIGHT, tasksInHalfATerm));
     }
 
-    public PeriodicJobSettings plan() {
-        return plan;
-    }
-
-    /** Tasks that may be out at once. */
-    private int window() {
-        return (int) Math.max(1, Math.min(MOST_OUT, plan.rate() * term.millis() / 2000));
+    /** Its settings. */
+    public PeriodicJobSettings settings() {
+        return settings;
     }
 
     /**
-     * Looked at now and then, and soon after each end.
+     * Does what is due. To be called at short intervals.
      *
      * @param now on any clock that only advances
-     * @param due the number of the run that is due, by {@link PeriodicJobSettings#due}: it decides when, never whether two
-     * act
-     * @param heldToken the token, or 0 while the lease is not held
-     * @param note what stands in the register
+     * @param dueRun number of the run that is due: it decides when a run starts, never whether two
+     *         dispatchers act
+     * @param heldToken the fencing token; 0 while the lease is not held
+     * @param note the note of the lease, as far as is known
      */
-    public void look(Moment now, long due, long heldToken, String note) {
+    public void onTimer(Moment now, long dueRun, long heldToken, String note) {
         if (heldToken == 0) {
             holding = false;
             return;
         }
-        stands = JobProgress.of(note);
+        current = JobProgress.parse(note);
         if (!holding || token != heldToken) {
-            takeUp(now, heldToken);
+            takeOver(now, heldToken);
         }
-        if (stands.over() && said.equals(stands)) {
-            begin(due);
+        if (current.complete() && written.equals(current)) {
+            startRun(dueRun);
         }
-        if (!stands.equals(said)) {
-            return;         // nothing is handed in before a majority knows that it may be
+        if (!current.equals(written)) {
+            return; // nothing is submitted before a quorum knows that it may be
+        }
+        if (!current.complete()) {
+            submitTasks(now);
+            writeProgress();
         }
-        hand(now);
-        moveOn();
     }
 
-    private void takeUp(Moment now, long heldToken) {
+    /** What the former holder may have submitted is submitted again only where that is harmless. */
+    private void takeOver(Moment now, long heldToken) {
         holding = true;
         token = heldToken;
-        waiting.clear();
-        tries.clear();
-        open.clear();
-        handAt = now;
-        said = stands;
-        next = stands.to();
-        for (int object = stands.from(); object < stands.to(); object++) {
-            if (plan.again()) {
-                open.add(object);
-                waiting.put(object, now);
+        retryAt.clear();
+        attempts.clear();
+        unsettled.clear();
+        submitAt = now;
+        written = current;
+        nextObject = current.submittableBelow();
+        for (int object = current.settledBelow(); object < current.submittableBelow(); object++) {
+            if (settings.idempotent()) {
+                unsettled.add(object);
+                retryAt.put(object, now);
             } else {
-                out.tell("unsure", stands.run(), object);   // it may have run: rule 2 forbids a second time
+                out.emit(JobEvent.TASK_UNSURE, current.run(), object);
             }
         }
     }
 
-    private void begin(long due) {
-        long run = Math.max(stands.run() + 1, due - plan.catchUp());
-        if (run > due) {
+    private void startRun(long dueRun) {
+        long run = Math.max(current.run() + 1, dueRun - settings.maxCatchUpRuns());
+        if (run > dueRun) {
             return;
         }
-        for (long missed = stands.run() + 1; stands.run() > 0 && missed < run; missed++) {
-            out.tell("missed", missed, 0);
+        for (long missed = current.run() + 1; current.run() > 0 && missed < run; missed++) {
+            out.emit(JobEvent.RUN_MISSED, missed, 0);
         }
-        next = 0;
-        say(new JobProgress(run, 0, Math.min(window(), plan.count()), false));
-        out.tell("begins", run, 0);
+        nextObject = 0;
+        write(new JobProgress(run, 0, Math.min(window, settings.objectCount()), false));
+        out.emit(JobEvent.RUN_STARTED, run, 0);
     }
 
-    private void say(JobProgress what) {
-        said = what;
-        out.note(what.text());
+    private void write(JobProgress progress) {
+        written = progress;
+        out.writeNote(progress.encode());
     }
 
-    private void hand(Moment now) {
-        if (stands.over()) {
-            return;
-        }
-        Span between = Span.ofMillis(1000 / plan.rate());
-        while (!now.before(handAt)) {
-            Integer again = waiting.entrySet().stream().filter(e -> !now.before(e.getValue()))
-                    .map(Map.Entry::getKey).findFirst()
-                    .orElse(null);
-            int object;
-            if (again != null) {
-                object = again;
-                waiting.remove(again);
-            } else if (next < stands.to()) {
-                object = next++;
-                open.add(object);
-            } else {
-                handAt = now;
+    private void submitTasks(Moment now) {
+        Span interval = Span.ofMillis(MILLIS_PER_SECOND / settings.tasksPerSecond());
+        while (!now.before(submitAt)) {
+            Integer object = nextToSubmit(now);
+            if (object == null) {
+                submitAt = now;
                 return;
             }
-            handAt = handAt.plus(between);
-            int attempt = tries.merge(object, 1, Integer::sum);
-            String id = plan.name() + "-" + stands.run() + "-" + object;
-            out.hand(object, id, id + "." + token + "." + attempt);
+            submitAt = submitAt.plus(interval);
+            int attempt = attempts.merge(object, 1, Integer::sum);
+            String id = settings.name() + "-" + current.run() + "-" + object;
+            out.submit(object, id, id + "." + token + "." + attempt);
         }
     }
 
+    /** Retries come first; null where nothing may be submitted now. */
+    private Integer nextToSubmit(Moment now) {
+        Integer retry = firstDueRetry(now);
+        if (retry != null) {
+            retryAt.remove(retry);
+            return retry;
+        }
+        if (nextObject >= current.submittableBelow()) {
+            return null;
+        }
+        unsettled.add(nextObject);
+        return nextObject++;
+    }
+
+    private Integer firstDueRetry(Moment now) {
+        return retryAt.entrySet().stream().filter(entry -> !now.before(entry.getValue()))
+                .map(Map.Entry::getKey).findFirst().orElse(null);
+    }
+
     /**
-     * A task has ended. Under: the token under which it was handed in; of another nothing is counted any
-     * more.
+     * Takes how a task ended.
+     *
+     * @param taskToken the token under which it was submitted; one of another token no longer counts
+     * @param retryAfter how long it is not submitted again, where it is
      */
-    public void ended(Moment now, long under, int object, End end, Span comeBack) {
-        if (under != token || !open.contains(object)) {
+    public void onTaskEnded(Moment now, long taskToken, int object, TaskOutcome outcome, Span retryAfter) {
+        if (taskToken != token || !unsettled.contains(object)) {
             return;
         }
-        if (end == End.DONE || end == End.MAY_HAVE_RUN && !plan.again()
-                || tries.getOrDefault(object, 0) >= TRIES) {
-            open.remove(object);
-            out.tell(end == End.DONE ? "done" : end == End.MAY_HAVE_RUN ? "unsure" : "given-up", stands.run(),
-                    object);
+        if (outcome == TaskOutcome.COMPLETED) {
+            settle(object, JobEvent.TASK_COMPLETED);
+        } else if (outcome == TaskOutcome.MAY_HAVE_RUN
+                && (!settings.idempotent() || isOutOfAttempts(object))) {
+            settle(object, JobEvent.TASK_UNSURE);
+        } else if (isOutOfAttempts(object)) {
+            settle(object, JobEvent.TASK_FAILED);
         } else {
-            waiting.put(object, now.plus(comeBack));
+            retryAt.put(object, now.plus(retryAfter));
         }
     }
 
-    /** What is settled is written down once half of the window is, or all. */
-    private void moveOn() {
-        if (stands.over()) {
-            return;
-        }
-        int settled = open.isEmpty() ? next : Math.min(next, open.first());
-        int to = Math.min(plan.count(), settled + window());
-        if (settled >= plan.count()) {
-            out.tell("over", stands.run(), 0);
-            say(new JobProgress(stands.run(), settled, settled, true));
-        } else if (settled - stands.from() >= Math.max(1, window() / 2) && to > stands.to()) {
-            say(new JobProgress(stands.run(), settled, to, false));
+    private boolean isOutOfAttempts(int object) {
+        return attempts.getOrDefault(object, 0) >= MAX_ATTEMPTS;
+    }
+
+    private void settle(int object, JobEvent event) {
+        unsettled.remove(object);
+        out.emit(event, current.run(), object);
+    }
+
+    /** Writes the progress once half of the window is settled, or all. */
+    private void writeProgress() {
+        int settled = unsettled.isEmpty() ? nextObject : Math.min(nextObject, unsettled.first());
+        int submittable = Math.min(settings.objectCount(), settled + window);
+        int newlySettled = settled - current.settledBelow();
+        if (settled >= settings.objectCount()) {
+            out.emit(JobEvent.RUN_COMPLETED, current.run(), 0);
+            write(new JobProgress(current.run(), settled, settled, true));
+        } else if (newlySettled >= Math.max(1, window / 2) && submittable > current.submittableBelow()) {
+            write(new JobProgress(current.run(), settled, submittable, false));
         }
     }
 }
--- a/src/main/java/rampshift/jobs/PeriodicJobSettings.java
+++ b/src/main/java/rampshift/jobs/PeriodicJobSettings.java
@@ -4,34 +4,59 @@
 import rampshift.time.Span;
 
 /**
- * What is to be done for the whole fleet, as the operator's file states it.
+ * A job of the whole fleet, as a section {@code [[duty]]} of the operator's file states it.
  *
- * @param name its own, and that of its lease
- * @param type the traffic type of its tasks
- * @param every between two runs' beginnings
- * @param at when in each of these, in microseconds from its begin; days begin at midnight UTC
- * @param after the duty whose run's end begins one of this; empty for none, then every and at say when
- * @param objects what {object} stands for, a task each in a run
- * @param rate tasks a second
- * @param catchUp of runs that were missed, so many are made up for
- * @param target of a task, with {object} in it
- * @param body the same
- * @param again whether a task that may have run may go again: its effect is idempotent
- * @param patience how long a task is waited for, at most
+ * @param name its name, and that of its lease
+ * @param trafficType traffic type of its tasks
+ * @param interval time between the starts of two runs
+ * @param offsetMicros when in each interval a run is due, in microseconds; intervals of a day begin at
+ *         midnight UTC
+ * @param predecessor the job whose complete run makes one of this job due; empty for none, then the interval
+ *         decides
+ * @param objects what {@code {object}} stands for; one task each in a run
+ * @param tasksPerSecond rate at which tasks are submitted
+ * @param maxCatchUpRuns how many missed runs are made up for
+ * @param targetTemplate request target of a task, with {@code {object}} in it
+ * @param bodyTemplate body of a task, with {@code {object}} in it
+ * @param idempotent whether a task that may have run may be submitted again
+ * @param taskTimeout how long a task is waited for at most
  */
-public record PeriodicJobSettings(String name, String type, Span every, long at, String after,
-        List<String> objects,
-        double rate, int catchUp, String target, String body,
-        boolean again, Span patience) {
-    /** The number of the run that is due by the wall clock, or by how far the duty before it has come. */
-    public long due(long wallMicros, JobProgress before) {
-        if (!after.isEmpty()) {
-            return before.over() ? before.run() : before.run() - 1;
+public record PeriodicJobSettings(String name, String trafficType, Span interval, long offsetMicros,
+        String predecessor, List<String> objects, double tasksPerSecond, int maxCatchUpRuns,
+        String targetTemplate, String bodyTemplate, boolean idempotent, Span taskTimeout) {
+
+    private static final String PLACEHOLDER = "{object}";
+
+    /**
+     * The number of the run that is due.
+     *
+     * @param wallMicros the wall clock, in microseconds since the epoch
+     * @param predecessorProgress how far the job before this one has come, if there is one
+     */
+    public long dueRun(long wallMicros, JobProgress predecessorProgress) {
+        if (!predecessor.isEmpty()) {
+            return predecessorProgress.complete() ? predecessorProgress.run() : predecessorProgress.run() - 1;
         }
-        return Math.floorDiv(wallMicros - at, every.micros());
+        return Math.floorDiv(wallMicros - offsetMicros, interval.micros());
+    }
+
+    /** The request target of the task for an object. */
+    public String target(int object) {
+        return targetTemplate.replace(PLACEHOLDER, objects.get(object));
     }
 
-    int count() {
+    /** The body of the task for an object. */
+    public String body(int object) {
+        return bodyTemplate.replace(PLACEHOLDER, objects.get(object));
+    }
+
+    int objectCount() {
         return objects.size();
     }
+
+    /** These settings with what the dispatcher's configuration says of the traffic type. */
+    public PeriodicJobSettings withTrafficType(boolean isIdempotent, Span timeout) {
+        return new PeriodicJobSettings(name, trafficType, interval, offsetMicros, predecessor, objects,
+                tasksPerSecond, maxCatchUpRuns, targetTemplate, bodyTemplate, isIdempotent, timeout);
+    }
 }
--- /dev/null
+++ b/src/main/java/rampshift/jobs/host/TaskExchange.java
@@ -0,0 +1,108 @@
+package rampshift.jobs.host;
+
+import java.util.regex.Pattern;
+import rampshift.connections.Dialer;
+import rampshift.connections.ExchangeListener;
+import rampshift.connections.HttpConnection;
+import rampshift.connections.ResponseHead;
+import rampshift.jobs.PeriodicJob.TaskOutcome;
+import rampshift.leases.host.LeaseHost;
+import rampshift.time.Span;
+
+/**
+ * The exchange of one task with the dispatcher. The lease is asked for as the first byte is written, which is
+ * the last moment; the token goes with the task, and the task may not outlast the lease.
+ */
+final class TaskExchange implements ExchangeListener, Dialer.Dialed {
+    /** Takes how the task ended. */
+    interface Listener {
+        /** The span is how long the task is not to be submitted again. */
+        void onEnded(TaskOutcome outcome, Span retryAfter);
+    }
+
+    /** The part of the lease's remaining time that a task may take. */
+    private static final double REMAINING_SHARE = 0.8;
+    private static final Span DEFAULT_RETRY_AFTER = Span.ofMillis(200);
+    private static final Pattern RETRY_AFTER_SECONDS = Pattern.compile("\\d{1,6}(\\.\\d{1,6})?");
+    private static final double MILLIS_PER_SECOND = 1000;
+
+    private static final int OK = 200;
+    private static final int BAD_REQUEST = 400;
+    private static final int TOO_MANY_REQUESTS = 429;
+    private static final int SERVICE_UNAVAILABLE = 503;
+
+    private final TaskRequest request;
+    private final LeaseHost leases;
+    private final TaskClient client;
+    private final Listener listener;
+    private HttpConnection connection;
+    private int status;
+    private Span retryAfter = DEFAULT_RETRY_AFTER;
+    private boolean written;
+
+    TaskExchange(TaskRequest request, LeaseHost leases, TaskClient client, Listener listener) {
+        this.request = request;
+        this.leases = leases;
+        this.client = client;
+        this.listener = listener;
+    }
+
+    private String lease() {
+        return request.settings().name();
+    }
+
+    @Override
+    public void connected(HttpConnection made) {
+        connection = made;
+        Span remaining = leases.remaining(lease()).times(REMAINING_SHARE);
+        connection.exchange(this, request.encode(remaining.orShorter(request.settings().taskTimeout())));
+    }
+
+    @Override
+    public void unreachable(String why) {
+        end(TaskOutcome.NEVER_RAN);
+    }
+
+    /** A dispatcher that was stopped since the task was submitted may not hold the lease any more. */
+    @Override
+    public boolean mayWrite() {
+        written = leases.remaining(lease()).longerThan(Span.ZERO) && leases.token(lease()) == request.token();
+        if (!written) {
+            connection.close();
+            client.execute(() -> end(TaskOutcome.NEVER_RAN));
+        }
+        return written;
+    }
+
+    @Override
+    public void head(ResponseHead head) {
+        status = head.status();
+        String field = head.field("Retry-After");
+        if (field != null && RETRY_AFTER_SECONDS.matcher(field).matches()) {
+            retryAfter = Span.ofMillis(Double.parseDouble(field) * MILLIS_PER_SECOND);
+        }
+    }
+
+    @Override
+    public void ended() {
+        client.release(connection);
+        end(outcome());
+    }
+
+    private TaskOutcome outcome() {
+        return switch (status) {
+            case OK -> TaskOutcome.COMPLETED;
+            case BAD_REQUEST, TOO_MANY_REQUESTS, SERVICE_UNAVAILABLE -> TaskOutcome.NEVER_RAN;
+            default -> TaskOutcome.MAY_HAVE_RUN;
+        };
+    }
+
+    @Override
+    public void broken(String why) {
+        end(written ? TaskOutcome.MAY_HAVE_RUN : TaskOutcome.NEVER_RAN);
+    }
+
+    private void end(TaskOutcome outcome) {
+        listener.onEnded(outcome, retryAfter);
+    }
+}
--- a/src/test/java/rampshift/extensions/OperatorFileTest.java
+++ b/src/test/java/rampshift/extensions/OperatorFileTest.java
@@ -6,27 +6,32 @@
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
 import java.nio.file.Path;
+import java.util.List;
 import org.junit.jupiter.api.Test;
 import rampshift.membership.host.MembershipSettings;
 import rampshift.toml.ConfigurationException;
 
 class OperatorFileTest {
+    private static final String MEMBERS = """
+            [members]
+            fleet = "f"
+            listen = "127.0.0.1:7946"
+            """;
+
     @Test
-    void theSampleIsGoodAndSaysWhatIsTheDefault() {
-        MembershipSettings m = OperatorFile.read(Path.of("deploy/operator.toml")).members();
-        MembershipSettings bare =
-                OperatorFile.read("f", "[members]\nfleet = \"valle\"\nlisten = \"127.0.0.1:7946\"\n")
-                        .members();
-        assertEquals(bare.rules(), m.rules());
-        assertEquals(bare.newsFor(), m.newsFor());
-        assertTrue(m.news() && bare.news());
-        assertNull(OperatorFile.read("f", "").members(), "what is not named is off");
+    void theSampleIsValidAndStatesTheDefaults() {
+        MembershipSettings sample = OperatorFile.read(Path.of("deploy/operator.toml")).membership();
+        MembershipSettings bare = OperatorFile
+                .read("f", "[members]\nfleet = \"valle\"\nlisten = \"127.0.0.1:7946\"\n").membership();
+        assertEquals(bare.rules(), sample.rules());
+        assertEquals(bare.newsFor(), sample.newsFor());
+        assertTrue(sample.news() && bare.news());
+        assertNull(OperatorFile.read("f", "").membership(), "what is not named is off");
     }
 
     @Test
-    void leasesAndDutiesAreReadAndADutyHasALeaseOfItsName() {
-        String members = "[members]\nfleet = \"f\"\nlisten = \"127.0.0.1:7946\"\n";
-        OperatorFile read = OperatorFile.read("f", members + """
+    void aPeriodicJobHasALeaseOfItsName() {
+        OperatorFile file = OperatorFile.read("f", MEMBERS + """
                 [leases]
                 keepers = ["d1", "d2", "d3"]
                 names = ["archive"]
@@ -36,27 +41,27 @@
                 type = "rederive"
                 objects = 7
                 """);
-        assertEquals(java.util.List.of("archive", "sweep"), read.leases().leases());
-        assertEquals(5000, read.leases().timings().term().millis());
-        assertEquals(7, read.duties().get(0).objects().size());
-        ConfigurationException fault =
-                assertThrows(ConfigurationException.class, () -> OperatorFile.read("op.toml", members + """
+        assertEquals(List.of("archive", "sweep"), file.leases().leases());
+        assertEquals(5000, file.leases().timings().term().millis());
+        assertEquals(7, file.periodicJobs().get(0).objects().size());
+        ConfigurationException error =
+                assertThrows(ConfigurationException.class, () -> OperatorFile.read("op.toml", MEMBERS + """
                         [leases]
                         keepers = ["d1", "d2"]
                         names = ["a,b"]
                         drift = 0.5
                         """));
-        assertEquals(
-                """
-                        op.toml:5: leases.keepers names 2, expected 1, 3, 5 or 7: a majority of them has to be there
-                        op.toml:6: leases.names holds "a,b", expected names of 1 to 40 letters without blanks, commas, colons, bars
-                        op.toml:7: leases.drift is 0.5, expected a number from 0 to 0.3""",
-                fault.getMessage());
+        assertErrors(error,
+                "op.toml:5: leases.keepers names 2, expected 1, 3, 5 or 7:"
+                        + " a majority of them has to be there",
+                "op.toml:6: leases.names holds \"a,b\", expected names of 1 to 40 letters"
+                        + " without blanks, commas, colons, bars",
+                "op.toml:7: leases.drift is 0.5, expected a number from 0 to 0.3");
     }
 
     @Test
-    void allThatIsWrongIsToldAtOnceWithItsLine() {
-        ConfigurationException fault =
+    void allErrorsAreReportedAtOnceWithTheirLines() {
+        ConfigurationException error =
                 assertThrows(ConfigurationException.class, () -> OperatorFile.read("op.toml", """
                         [members]
                         fleet = "two words"
@@ -69,16 +74,21 @@
                         address = "127.0.0.1:99999"
                         [durable]
                         """));
-        assertEquals(
-                """
-                        op.toml:3: members.listen is a wildcard, expected the address where the others reach this dispatcher
-                        op.toml:2: members.fleet is "two words", expected a name of letters, digits, '-', '_' and '.'
-                        op.toml:5: members.period is under 20 ms
-                        op.toml:4: members.seeds is "nowhere", expected an address with a port
-                        op.toml:9: members.reach[0].address is "127.0.0.1:99999", expected an address with a port
-                        op.toml:6: members.forgett is not known; the nearest key here is forget
-                        op.toml:10: durable is not known; the nearest key here is duty""",
-                fault.getMessage());
-        assertEquals(2, fault.status());
+        assertErrors(error,
+                "op.toml:3: members.listen is a wildcard,"
+                        + " expected the address where the others reach this dispatcher",
+                "op.toml:2: members.fleet is \"two words\","
+                        + " expected a name of letters, digits, '-', '_' and '.'",
+                "op.toml:5: members.period is under 20 ms",
+                "op.toml:4: members.seeds is \"nowhere\", expected an address with a port",
+                "op.toml:9: members.reach[0].address is \"127.0.0.1:99999\","
+                        + " expected an address with a port",
+                "op.toml:6: members.forgett is not known; the nearest key here is forget",
+                "op.toml:10: durable is not known; the nearest key here is duty");
+        assertEquals(2, error.status());
+    }
+
+    private static void assertErrors(ConfigurationException error, String... lines) {
+        assertEquals(List.of(lines), error.getMessage().lines().toList());
     }
 }
--- a/src/test/java/rampshift/jobs/PeriodicJobTest.java
+++ b/src/test/java/rampshift/jobs/PeriodicJobTest.java
@@ -4,197 +4,124 @@
 import static org.junit.jupiter.api.Assertions.assertFalse;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
-import java.util.ArrayList;
-import java.util.HashMap;
-import java.util.HashSet;
 import java.util.List;
-import java.util.Map;
-import java.util.Set;
-import java.util.SplittableRandom;
-import java.util.TreeMap;
 import java.util.stream.IntStream;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.ValueSource;
+import rampshift.jobs.JobSimulation.Event;
 import rampshift.time.Moment;
 import rampshift.time.Span;
 
-/**
- * A duty over changes of whoever holds its lease. Time goes in steps of 10 ms; the register is written after
- * 30.
- */
+/** A periodic job over changes of the holder of its lease. */
 class PeriodicJobTest {
     private static final int OBJECTS = 40;
+    private static final int SEEDS = 200;
+    private static final int CHANGES = 6;
 
-    private static PeriodicJobSettings plan(boolean again, int catchUp) {
-        return new PeriodicJobSettings("sweep", "t", Span.ofMillis(1000), 0, "",
-                IntStream.range(0, OBJECTS).mapToObj(String::valueOf).toList(), 100, catchUp, "/{object}", "",
-                again, Span.ofMillis(500));
+    private static PeriodicJobSettings settings(boolean idempotent, int maxCatchUpRuns) {
+        List<String> objects = IntStream.range(0, OBJECTS).mapToObj(String::valueOf).toList();
+        return new PeriodicJobSettings("sweep", "t", Span.ofMillis(1000), 0, "", objects, 100, maxCatchUpRuns,
+                "/{object}", "", idempotent, Span.ofMillis(500));
     }
 
-    /** The register, and whoever holds the lease at the time. */
-    private static final class Fleet implements PeriodicJob.Out {
-        final PeriodicJobSettings plan;
-        final Map<String, Integer> effects = new TreeMap<>();
-        final List<String> told = new ArrayList<>();
-        final Set<String> unsure = new HashSet<>();
-        private final SplittableRandom chance;
-        private final List<Runnable> later = new ArrayList<>();
-        private final Map<Runnable, Long> at = new HashMap<>();
-        String register = "";
-        PeriodicJob holder;
-        long token;
-        long ms = 5000;
-
-        Fleet(long seed, PeriodicJobSettings plan) {
-            chance = new SplittableRandom(seed);
-            this.plan = plan;
-        }
-
-        void takeOver() {
-            holder = new PeriodicJob(plan, Span.ofMillis(1000), this);
-            token++;
-        }
-
-        private void after(long after, Runnable what) {
-            later.add(what);
-            at.put(what, ms + after);
-        }
-
-        void run(long most) {
-            for (long end = ms + most; ms < end; ms += 10) {
-                for (Runnable one : List.copyOf(later)) {
-                    if (at.get(one) <= ms) {
-                        later.remove(one);
-                        one.run();
-                    }
-                }
-                if (holder != null) {
-                    holder.look(new Moment(ms * 1000), ms / 1000, token, register);
-                }
-            }
-        }
-
-        @Override
-        public void hand(int object, String id, String txn) {
-            PeriodicJob by = holder;
-            long under = token;
-            long took = chance.nextInt(60);
-            int fate = chance.nextInt(10);
-            after(took, () -> {
-                if (fate > 1) {         // else turned away
-                    effects.merge(id, 1, Integer::sum);
-                }
-                by.ended(new Moment(ms * 1000), under, object,
-                        fate > 2 ? PeriodicJob.End.DONE
-                                : fate > 1 ? PeriodicJob.End.MAY_HAVE_RUN
-                                        : PeriodicJob.End.NEVER_RAN,
-                        Span.ofMillis(50));
-            });
-        }
-
-        @Override
-        public void note(String text) {
-            PeriodicJob by = holder;
-            after(30, () -> register = holder == by ? text : register);
-        }
-
-        @Override
-        public void tell(String what, long run, int object) {
-            told.add(what + " " + run);
-            if (what.equals("unsure")) {
-                unsure.add("sweep-" + run + "-" + object);
-            }
+    /** Holders that die with what they have in flight, then one that completes what is left. */
+    private static JobSimulation playChanges(long seed, boolean idempotent) {
+        JobSimulation simulation = new JobSimulation(seed, settings(idempotent, 1));
+        for (int change = 0; change < CHANGES; change++) {
+            simulation.takeOver();
+            simulation.run(100 + simulation.random().nextInt(700));
+            simulation.kill();
+            simulation.run(simulation.random().nextInt(300));
         }
+        simulation.takeOver();
+        simulation.run(3000);
+        return simulation;
     }
 
     @ParameterizedTest
     @ValueSource(booleans = {true, false})
-    void overChangesOfHolderNothingIsLeftOutAndWhatMustNotIsNotDoneTwice(boolean again) {
+    void overChangesOfHolderEachTaskRunsOrIsReportedAndNoNonIdempotentOneRunsTwice(boolean idempotent) {
         long once = 0;
-        long more = 0;
+        long moreOften = 0;
         long never = 0;
-        for (long seed = 0; seed < 200; seed++) {
-            Fleet f = new Fleet(seed, plan(again, 1));
-            for (int change = 0; change < 6; change++) {
-                f.takeOver();
-                f.run(100 + f.chance.nextInt(700));
-                f.holder = null;        // it dies with what it has in hand
-                f.run(f.chance.nextInt(300));
-            }
-            f.takeOver();
-            f.run(3000);
-            for (String line : f.told) {
-                if (!line.startsWith("over ")) {
-                    continue;
-                }
+        for (long seed = 0; seed < SEEDS; seed++) {
+            JobSimulation simulation = playChanges(seed, idempotent);
+            for (long run : simulation.runs(JobEvent.RUN_COMPLETED)) {
                 for (int object = 0; object < OBJECTS; object++) {
-                    String id = "sweep-" + line.split(" ")[1] + "-" + object;
-                    int effects = f.effects.getOrDefault(id, 0);
+                    int effects = simulation.effects(run, object);
+                    String task = "seed " + seed + ": task " + object + " of run " + run;
+                    assertTrue(effects > 0 || simulation.isReportedUnsure(run, object),
+                            task + " was left out, and nobody was told");
+                    assertTrue(effects <= 1 || idempotent, task + " took effect " + effects + " times");
                     once += effects == 1 ? 1 : 0;
-                    more += effects > 1 ? 1 : 0;
+                    moreOften += effects > 1 ? 1 : 0;
                     never += effects == 0 ? 1 : 0;
-                    assertTrue(effects > 0 || f.unsure.contains(id),
-                            "seed " + seed + ": " + id + " was left out, and nobody was told");
-                    assertTrue(effects <= 1 || again,
-                            "seed " + seed + ": " + id + " took effect " + effects + " times");
                 }
             }
         }
-        System.out.println((again ? "idempotent" : "others") + ": once " + once + ", more " + more
+        System.out.println((idempotent ? "idempotent" : "others") + ": once " + once + ", more " + moreOften
                 + ", never, and told so " + never);
-        assertEquals(again, never == 0);
+        assertEquals(idempotent, never == 0);
         assertTrue(once > 20_000);
     }
 
     @Test
-    void nothingIsHandedInBeforeTheRegisterSaysThatItMayBe() {
-        Fleet f = new Fleet(1, plan(false, 1));
-        f.takeOver();
-        f.run(20);
-        assertTrue(f.effects.isEmpty() && f.register.isEmpty());
-        f.run(200);
-        assertFalse(f.effects.isEmpty());
+    void noTaskIsSubmittedBeforeTheRegisterSaysThatItMayBe() {
+        JobSimulation simulation = new JobSimulation(1, settings(false, 1));
+        simulation.takeOver();
+        simulation.run(20);
+        assertTrue(simulation.hasNoEffects() && simulation.register().isEmpty());
+        simulation.run(200);
+        assertFalse(simulation.hasNoEffects());
     }
 
     @Test
-    void ofRunsThatWereMissedOnlyTheStatedAreMadeUpFor() {
-        Fleet f = new Fleet(2, plan(true, 2));
-        f.takeOver();
-        while (!f.register.startsWith("5:") || !f.register.endsWith("over")) {
-            f.run(10);
+    void onlyTheStatedNumberOfMissedRunsIsMadeUpFor() {
+        JobSimulation simulation = new JobSimulation(2, settings(true, 2));
+        simulation.takeOver();
+        while (!simulation.register().startsWith("5:") || !simulation.register().endsWith("over")) {
+            simulation.run(10);
         }
-        f.holder = null;
-        f.run(11_900 - f.ms);
-        f.told.clear();
-        f.takeOver();
-        f.run(10);
-        assertEquals(List.of("missed 6", "missed 7", "missed 8", "begins 9"), f.told);
+        simulation.kill();
+        simulation.runUntil(11_900);
+        simulation.events().clear();
+        simulation.takeOver();
+        simulation.run(10);
+        assertEquals(
+                List.of(new Event(JobEvent.RUN_MISSED, 6, 0), new Event(JobEvent.RUN_MISSED, 7, 0),
+                        new Event(JobEvent.RUN_MISSED, 8, 0), new Event(JobEvent.RUN_STARTED, 9, 0)),
+                simulation.events());
     }
 
     @Test
-    void aRunIsDueAtATimeOfItsDayOrAfterAnothers() {
+    void aRunIsDueAtATimeOfDayOrAfterItsPredecessor() {
         long hour = 3_600_000_000L;
-        PeriodicJobSettings at = new PeriodicJobSettings("a", "t", new Span(24 * hour), 3 * hour, "",
-                List.of("0"), 1, 0, "/", "", true,
-                Span.ZERO);
-        assertEquals(9, at.due(10 * 24 * hour + 2 * hour, JobProgress.NONE));
-        assertEquals(10, at.due(10 * 24 * hour + 3 * hour, JobProgress.NONE));
-        PeriodicJobSettings after =
-                new PeriodicJobSettings("b", "t", new Span(24 * hour), 0, "a", List.of("0"), 1, 0, "/", "",
-                        true, Span.ZERO);
-        assertEquals(9, after.due(0, new JobProgress(10, 3, 7, false)), "that one is under way");
-        assertEquals(10, after.due(0, new JobProgress(10, 7, 7, true)));
+        Span day = new Span(24 * hour);
+        PeriodicJobSettings daily = new PeriodicJobSettings("a", "t", day, 3 * hour, "", List.of("0"), 1, 0,
+                "/", "", true, Span.ZERO);
+        assertEquals(9, daily.dueRun(10 * 24 * hour + 2 * hour, JobProgress.NONE));
+        assertEquals(10, daily.dueRun(10 * 24 * hour + 3 * hour, JobProgress.NONE));
+        PeriodicJobSettings following =
+                new PeriodicJobSettings("b", "t", day, 0, "a", List.of("0"), 1, 0, "/", "", true, Span.ZERO);
+        assertEquals(9, following.dueRun(0, new JobProgress(10, 3, 7, false)), "that one is in progress");
+        assertEquals(10, following.dueRun(0, new JobProgress(10, 7, 7, true)));
+    }
+
+    @Test
+    void aClockThatGoesBackStartsNoRunTwice() {
+        JobSimulation simulation = new JobSimulation(3, settings(true, 0));
+        simulation.takeOver();
+        simulation.run(990);
+        int runs = simulation.runs(JobEvent.RUN_STARTED).size();
+        simulation.holder().onTimer(new Moment(simulation.nowMicros() - 900_000), 2, simulation.token(),
+                simulation.register());
+        assertEquals(runs, simulation.runs(JobEvent.RUN_STARTED).size());
     }
 
     @Test
-    void aClockThatGoesBackBeginsNoRunTwice() {
-        Fleet f = new Fleet(3, plan(true, 0));
-        f.takeOver();
-        f.run(990);
-        long runs = f.told.stream().filter(t -> t.startsWith("begins")).count();
-        f.ms -= 900;
-        f.holder.look(new Moment(f.ms * 1000), 2, f.token, f.register);
-        assertEquals(runs, f.told.stream().filter(t -> t.startsWith("begins")).count());
+    void eventWordsAreThoseOfTheEventLog() {
+        List<String> words = List.of(JobEvent.values()).stream().map(JobEvent::word).toList();
+        assertEquals(List.of("begins", "missed", "over", "done", "unsure", "given-up"), words);
     }
 }
