--- a/src/main/java/rampshift/extensions/LeaseExtension.java
+++ b/src/main/java/rampshift/extensions/LeaseExtension.java
@@ -13,7 +13,7 @@
 import rampshift.settings.InvalidInputException;
 
 /** Leases, and the duties that are done under them. */
-final class LeaseExtension implements MessageChannel.Guest {
+final class LeaseExtension implements MessageChannel.Handler {
     private final LeaseHost leases;
     private final List<PeriodicJobSettings> duties;
     private PeriodicJobHost host;
@@ -52,19 +52,19 @@
     }
 
     @Override
-    public void parcel(String from, byte[] parcel) {
-        leases.parcel(from, parcel);
+    public void onMessage(String from, byte[] payload) {
+        leases.onMessage(from, payload);
     }
 
     @Override
-    public void there(Collection<String> names) {
-        leases.there(names);
+    public void onReachableMembers(Collection<String> names) {
+        leases.onReachableMembers(names);
     }
 
     @Override
-    public String asked(String question) {
+    public String answer(String question) {
         return question.equals("?duties") ? host == null ? "there are no duties\n" : host.page()
-                : leases.asked(question);
+                : leases.answer(question);
     }
 
     @Override
--- a/src/main/java/rampshift/extensions/OperatorCommands.java
+++ b/src/main/java/rampshift/extensions/OperatorCommands.java
@@ -32,7 +32,7 @@
         if (read.leases() == null) {
             throw new InvalidInputException(file + ": has no [leases]");
         }
-        return MembershipQuery.of(read.members().listen(), "?leases" + question(words));
+        return MembershipQuery.ask(read.members().listen(), "?leases" + question(words));
     }
 
     /** How far the fleet's duties have come, as text. */
@@ -41,7 +41,7 @@
         if (read.duties().isEmpty()) {
             throw new InvalidInputException(file + ": has no [[duty]]");
         }
-        return MembershipQuery.of(read.members().listen(), "?duties");
+        return MembershipQuery.ask(read.members().listen(), "?duties");
     }
 
     private static String question(String[] words) {
--- a/src/main/java/rampshift/leases/host/LeaseHost.java
+++ b/src/main/java/rampshift/leases/host/LeaseHost.java
@@ -21,7 +21,7 @@
  * The timer, clock and disk of the leases, on the dispatcher's one I/O thread. It owns the directory and the
  * ledger.
  */
-public final class LeaseHost implements MessageChannel.Guest, LeaseManager.Out {
+public final class LeaseHost implements MessageChannel.Handler, LeaseManager.Out {
     private final LeaseSettings setting;
     private final String name;
     private final BootTimeClock clock = new BootTimeClock();
@@ -103,19 +103,19 @@
     // ---- what comes in
 
     @Override
-    public void parcel(String from, byte[] parcel) {
+    public void onMessage(String from, byte[] payload) {
         if (!ended) {
-            leases.message(clock.now(), from, parcel);
+            leases.message(clock.now(), from, payload);
         }
     }
 
     @Override
-    public void there(Collection<String> names) {
+    public void onReachableMembers(Collection<String> names) {
         leases.there(names);
     }
 
     @Override
-    public String asked(String question) {
+    public String answer(String question) {
         if (!question.matches("\\?leases( give [!-~]+( [!-~]+)?| hold [!-~]+ \\d{1,16}| keepers [!-~]+)?")) {
             return null;
         }
@@ -161,7 +161,7 @@
 
     @Override
     public void send(String to, byte[] message) {
-        post.post(to, message);
+        post.send(to, message);
     }
 
     @Override
@@ -174,7 +174,7 @@
         disk.then(position -> {
             if (!ended) {
                 leases.synced(position);
-                post.post(to, message);
+                post.send(to, message);
             }
         });
     }
--- a/src/main/java/rampshift/membership/MemberRegistry.java
+++ b/src/main/java/rampshift/membership/MemberRegistry.java
@@ -96,7 +96,7 @@
     }
 
     private Moment startOf(MemberUpdate update) {
-        return context.now().minus(Span.ofMillis(update.ageMs()));
+        return context.now().minus(Span.ofMillis((double) update.ageMs()));
     }
 
     /** Drops the members that have been failed or ended for longer than they are kept. */
--- a/src/main/java/rampshift/membership/host/MembershipSettings.java
+++ b/src/main/java/rampshift/membership/host/MembershipSettings.java
@@ -8,12 +8,20 @@
 import rampshift.time.Span;
 
 /**
- * The section {@code [members]} of the operator's file. Reach: addresses of single others as they are from
- * here. News:
- * whether news of workers is taken from others; for how long it binds against the word of an own list that
- * goes on.
- * Ledger: where events are written down; null for nowhere.
+ * The section {@code [members]} of the operators' file.
+ *
+ * @param fleet               the name of the fleet
+ * @param site                where this dispatcher runs
+ * @param listen              the address, UDP and TCP, where the other members reach this one
+ * @param seeds               addresses of members that are asked for their view at the start
+ * @param addressOverrides    addresses of single members, by name, as they are reached from here
+ * @param timings             the times of the protocol
+ * @param acceptDrainNotices  whether drain notices of other members override the own endpoint list
+ * @param drainNoticeLifetime for how long a notice overrides an endpoint list that is updated but stays
+ *                            behind it
+ * @param eventLogFile        the file that events are written to, or null for none
  */
 public record MembershipSettings(String fleet, String site, InetSocketAddress listen, List<String> seeds,
-        Map<String, String> reach,
-        MembershipTimings rules, boolean news, Span newsFor, Path ledger) {}
+        Map<String, String> addressOverrides, MembershipTimings timings, boolean acceptDrainNotices,
+        Span drainNoticeLifetime, Path eventLogFile) {
+}
--- a/src/main/java/rampshift/membership/host/MembershipTransport.java
+++ b/src/main/java/rampshift/membership/host/MembershipTransport.java
@@ -45,7 +45,7 @@
     private final MembershipSettings settings;
     private final String name;
     private final String build;
-    private final MessageChannel.Guest handler; // null for none
+    private final MessageChannel.Handler handler; // null for none
     private final MembershipEventLog eventLog;
     private XnioIoThread thread;
     private Clock clock;
@@ -66,13 +66,13 @@
      * @throws IOException if the event log can't be opened
      */
     public MembershipTransport(MembershipSettings settings, String name, String build,
-            MessageChannel.Guest handler)
+            MessageChannel.Handler handler)
             throws IOException {
         this.settings = settings;
         this.name = name;
         this.build = build.replaceAll(NOT_PRINTABLE, "");
         this.handler = handler;
-        eventLog = new MembershipEventLog(settings.ledger(), name);
+        eventLog = new MembershipEventLog(settings.eventLogFile(), name);
     }
 
     @Override
@@ -97,7 +97,8 @@
         }
         String address = MemberAddresses.format(settings.listen());
         openSockets(worker, address);
-        drainOverrides = new DrainOverrides(settings.news(), settings.newsFor(), bound, name);
+        drainOverrides = new DrainOverrides(settings.acceptDrainNotices(), settings.drainNoticeLifetime(),
+                bound, name);
         membership = new SwimMembership(options(address), this);
         datagrams.resumeReceives();
         streams.resumeAccepts();
@@ -129,8 +130,8 @@
         MemberIdentity self =
                 new MemberIdentity(name, incarnation, processId, address, settings.site(), build,
                         System.currentTimeMillis(), MemberIdentity.Phase.JOINING);
-        return new MembershipOptions(settings.fleet(), self, settings.seeds(), settings.reach(),
-                settings.rules(), processId);
+        return new MembershipOptions(settings.fleet(), self, settings.seeds(), settings.addressOverrides(),
+                settings.timings(), processId);
     }
 
     private void notifyHandler() {
@@ -138,7 +139,7 @@
         reachable.add(name);
         membership.others().stream().filter(other -> other.status().isReachable())
                 .forEach(other -> reachable.add(other.member().name()));
-        handler.there(reachable);
+        handler.onReachableMembers(reachable);
     }
 
     // ---- What the dispatcher tells
@@ -250,7 +251,7 @@
     private void onDatagram(String fromAddress, byte[] bytes, int count) {
         if (handler != null && Envelope.isEnvelope(bytes, count)) {
             Envelope.decode(settings.fleet(), bytes, count)
-                    .ifPresent(envelope -> handler.parcel(envelope.from(), envelope.payload()));
+                    .ifPresent(envelope -> handler.onMessage(envelope.from(), envelope.payload()));
         } else {
             membership.onDatagram(clock.now(), fromAddress, bytes, count);
         }
@@ -269,17 +270,17 @@
         if (question.equals(MembershipQuery.MEMBERS)) {
             return new MembershipReport(settings.fleet(), membership, drainOverrides.count()).text();
         }
-        return handler == null ? null : handler.asked(question);
+        return handler == null ? null : handler.answer(question);
     }
 
     // ---- Messages of other modules
 
     @Override
-    public void post(String to, byte[] payload) {
+    public void send(String to, byte[] payload) {
         if (to.equals(name)) {
             thread.execute(() -> {
                 if (!ended) {
-                    handler.parcel(name, payload);
+                    handler.onMessage(name, payload);
                 }
             });
             return;
--- a/src/main/java/rampshift/membership/host/MessageChannel.java
+++ b/src/main/java/rampshift/membership/host/MessageChannel.java
@@ -6,34 +6,43 @@
 import rampshift.time.Clock;
 
 /**
- * How others than the members use their address: parcels by name, over the same datagrams. All on the I/O
- * thread.
+ * Sends messages of other modules to members by name, over the address and the datagrams of the membership.
+ * All methods must be called on the I/O thread.
  */
 public interface MessageChannel {
-    /** Lost where that name has no address here, or on the way. Its own name: to itself. */
-    void post(String to, byte[] parcel);
+    /**
+     * Sends a payload to the member of that name, which may be this one. It is lost where the name has no
+     * known address, or on the way.
+     */
+    void send(String to, byte[] payload);
 
+    /** The I/O thread. */
     XnioIoThread thread();
 
+    /** The clock of the I/O thread. */
     Clock clock();
 
+    /** The configuration of the dispatcher. */
     Configuration configuration();
 
-    /** Whoever sends and gets parcels. */
-    interface Guest {
-        void begin(MessageChannel post);
+    /** A module that uses the channel. It is called on the I/O thread. */
+    interface Handler {
+        /** The channel is open. */
+        void begin(MessageChannel channel);
 
-        void parcel(String from, byte[] parcel);
+        /** A payload came from the member of that name. */
+        void onMessage(String from, byte[] payload);
 
-        /** Who is there by now; this one among them. */
-        void there(Collection<String> names);
+        /** The names of the members that are alive or suspect, this one among them, after each event. */
+        void onReachableMembers(Collection<String> names);
 
-        /** Asked by a person's command; null where the question is none of its own. */
-        String asked(String question);
+        /** The answer to a question from the command line, or null if the question is not for this module. */
+        String answer(String question);
 
-        /** It is about to end: what it holds is given back. */
+        /** The dispatcher begins to shut down: what is held for the fleet is given back. */
         void stopping();
 
+        /** The channel is about to be closed. */
         void end();
     }
 }
--- a/src/test/java/rampshift/extensions/OperatorFileTest.java
+++ b/src/test/java/rampshift/extensions/OperatorFileTest.java
@@ -17,9 +17,9 @@
         MembershipSettings bare =
                 OperatorFile.read("f", "[members]\nfleet = \"valle\"\nlisten = \"127.0.0.1:7946\"\n")
                         .members();
-        assertEquals(bare.rules(), m.rules());
-        assertEquals(bare.newsFor(), m.newsFor());
-        assertTrue(m.news() && bare.news());
+        assertEquals(bare.timings(), m.timings());
+        assertEquals(bare.drainNoticeLifetime(), m.drainNoticeLifetime());
+        assertTrue(m.acceptDrainNotices() && bare.acceptDrainNotices());
         assertNull(OperatorFile.read("f", "").members(), "what is not named is off");
     }
 
