--- a/src/main/java/rampshift/membership/FailureDetector.java
+++ b/src/main/java/rampshift/membership/FailureDetector.java
@@ -135,7 +135,7 @@
         gossip.send(target, new MessageBody.Ping(sequence), gossip.doubtsAbout(target));
     }
 
-    /** This process stood still: answers may lie unread, so the probe under way is dropped. */
+    /** This process stood still: answers may lie unread, so the current probe is dropped. */
     void onStall() {
         probe = null;
         relayedProbes.onStall();
--- a/src/main/java/rampshift/membership/Gossip.java
+++ b/src/main/java/rampshift/membership/Gossip.java
@@ -5,7 +5,7 @@
 import rampshift.membership.MemberUpdate.Status;
 import rampshift.membership.MembershipMetrics.Counter;
 
-/** Sends datagrams and piggybacks updates and drain notices on them until each has been told often enough. */
+/** Sends datagrams and piggybacks updates and drain notices on them, each a limited number of times. */
 final class Gossip {
     private final MembershipContext context;
     private final Codec codec;
@@ -25,7 +25,7 @@
         drainNotices.put(notice.worker(), notice);
     }
 
-    /** What the member of that name should hear first of all: what is believed of it, unless it is alive. */
+    /** The update that a member has to see to be able to refute it: its own status, unless that is alive. */
     List<MemberUpdate> doubtsAbout(String name) {
         Member member = context.members().get(name);
         if (member == null || member.status() == Status.ALIVE) {
@@ -46,18 +46,18 @@
             return;
         }
         String self = context.self().name();
-        List<MemberUpdate> toldUpdates = new ArrayList<>(first);
+        List<MemberUpdate> sentUpdates = new ArrayList<>(first);
         int capacity = Codec.piggybackCapacity(self, to, body);
         for (MemberUpdate update : first) {
             capacity -= Codec.sizeOf(update);
         }
         int transmissions = context.timings().transmissions(context.members().reachableCount());
-        List<DrainNotice> toldNotices = drainNotices.take(capacity, transmissions, Codec::sizeOf);
-        for (DrainNotice notice : toldNotices) {
+        List<DrainNotice> sentNotices = drainNotices.take(capacity, transmissions, Codec::sizeOf);
+        for (DrainNotice notice : sentNotices) {
             capacity -= Codec.sizeOf(notice);
         }
-        toldUpdates.addAll(updates.take(capacity, transmissions, Codec::sizeOf));
-        sendTo(context.members().addressOf(member), new Message(self, to, body, toldUpdates, toldNotices));
+        sentUpdates.addAll(updates.take(capacity, transmissions, Codec::sizeOf));
+        sendTo(context.members().addressOf(member), new Message(self, to, body, sentUpdates, sentNotices));
     }
 
     /** Sends a message to an address as it is. */
--- a/src/main/java/rampshift/membership/Member.java
+++ b/src/main/java/rampshift/membership/Member.java
@@ -57,7 +57,7 @@
         return update.status().isReachable();
     }
 
-    /** The suspicion under way, or null if there is none. */
+    /** The current suspicion, or null if there is none. */
     Suspicion suspicion() {
         return suspicion;
     }
--- a/src/main/java/rampshift/membership/MembershipEvent.java
+++ b/src/main/java/rampshift/membership/MembershipEvent.java
@@ -6,7 +6,7 @@
  * @param kind        what happened
  * @param member      the name of the member that it happened to
  * @param incarnation the incarnation of that member
- * @param detail      more words for people
+ * @param detail      a short text with more
  */
 public record MembershipEvent(Kind kind, String member, long incarnation, String detail) {
     /** What happened. */
--- a/src/main/java/rampshift/membership/ProbeOrder.java
+++ b/src/main/java/rampshift/membership/ProbeOrder.java
@@ -13,7 +13,7 @@
         this.context = context;
     }
 
-    /** Adds a new member at a random place of the pass under way. */
+    /** Adds a new member at a random place of the current pass. */
     void add(Member member) {
         if (member.isReachable() && !remaining.isEmpty()) {
             insert(member);
--- a/src/main/java/rampshift/membership/SwimMembership.java
+++ b/src/main/java/rampshift/membership/SwimMembership.java
@@ -17,7 +17,7 @@
 public final class SwimMembership {
     /** A wake that is late by more than this part of a period is a stall of this process. */
     private static final double STALL_PERIODS = 0.5;
-    /** Members that are told at once that this one leaves. */
+    /** Members that get the update at once that this one leaves. */
     private static final int LEAVE_FANOUT = 8;
 
     private final InputTime time = new InputTime();
