--- a/src/main/java/rampshift/extensions/LeaseExtension.java
+++ b/src/main/java/rampshift/extensions/LeaseExtension.java
@@ -13,7 +13,7 @@
 import rampshift.settings.InvalidInputException;
 
 /** The leases of a dispatcher, and the periodic jobs that run under them. */
-final class LeaseExtension implements MessageChannel.Guest {
+final class LeaseExtension implements MessageChannel.Handler {
     private static final String JOBS_QUESTION = "?duties";
     private static final String LOOPBACK = "127.0.0.1";
 
@@ -61,21 +61,21 @@
     }
 
     @Override
-    public void parcel(String from, byte[] message) {
-        leases.parcel(from, message);
+    public void onMessage(String from, byte[] message) {
+        leases.onMessage(from, message);
     }
 
     @Override
-    public void there(Collection<String> names) {
-        leases.there(names);
+    public void onReachableMembers(Collection<String> names) {
+        leases.onReachableMembers(names);
     }
 
     @Override
-    public String asked(String question) {
+    public String answer(String question) {
         if (question.equals(JOBS_QUESTION)) {
             return jobs == null ? "there are no duties\n" : jobs.statusPage();
         }
-        return leases.asked(question);
+        return leases.answer(question);
     }
 
     @Override
--- a/src/main/java/rampshift/extensions/OperatorCommands.java
+++ b/src/main/java/rampshift/extensions/OperatorCommands.java
@@ -52,7 +52,7 @@
         if (settings.leases() == null) {
             throw new InvalidInputException(file + ": has no [leases]");
         }
-        return MembershipQuery.of(settings.membership().listen(), "?leases" + question(words));
+        return MembershipQuery.ask(settings.membership().listen(), "?leases" + question(words));
     }
 
     /**
@@ -65,7 +65,7 @@
         if (settings.periodicJobs().isEmpty()) {
             throw new InvalidInputException(file + ": has no [[duty]]");
         }
-        return MembershipQuery.of(settings.membership().listen(), "?duties");
+        return MembershipQuery.ask(settings.membership().listen(), "?duties");
     }
 
     /**
--- a/src/test/java/rampshift/extensions/OperatorFileTest.java
+++ b/src/test/java/rampshift/extensions/OperatorFileTest.java
@@ -25,9 +25,9 @@
         MembershipSettings sample = OperatorFile.read(Path.of("deploy/operator.toml")).membership();
         MembershipSettings bare = OperatorFile
                 .read("f", "[members]\nfleet = \"valle\"\nlisten = \"127.0.0.1:7946\"\n").membership();
-        assertEquals(bare.rules(), sample.rules());
-        assertEquals(bare.newsFor(), sample.newsFor());
-        assertTrue(sample.news() && bare.news());
+        assertEquals(bare.timings(), sample.timings());
+        assertEquals(bare.drainNoticeLifetime(), sample.drainNoticeLifetime());
+        assertTrue(sample.acceptDrainNotices() && bare.acceptDrainNotices());
         assertNull(OperatorFile.read("f", "").membership(), "what is not named is off");
     }
 
