--- a/src/main/java/rampshift/simulator/EndpointEntry.java
+++ b/src/main/java/rampshift/simulator/EndpointEntry.java
@@ -6,11 +6,12 @@
 import rampshift.settings.InvalidInputException;
 
 /**
- * One worker as a list tells it. Lists are most of what comes, so each field is read to its place, not kept
- * by name.
+ * One worker of an endpoint list. Lists are most of the input, so that each field is read into a Java field
+ * and the object is used again for the next list.
  */
 final class EndpointEntry {
-    private static final String WHAT = "Fleet: an entry";
+    private static final String DESCRIPTION = "Fleet: an entry";
+    private static final int MISSING = -1;
 
     long worker;
     int site;
@@ -20,42 +21,55 @@
     double bornMs;
     double weight;
 
-    /** Reads it anew; the parser stands at its start. */
+    /** Reads the object at whose start the parser stands; fields that it lacks are 0. */
     void read(JsonParser in) throws IOException {
-        MessageFields.open(in, WHAT);
-        worker = -1;
-        site = pod = machine = 0;
-        state = null;
-        bornMs = weight = 0;
+        MessageFields.open(in, DESCRIPTION);
+        clear();
         for (String name = in.nextFieldName(); name != null; name = in.nextFieldName()) {
             JsonToken value = in.nextToken();
-            if (value == JsonToken.VALUE_NULL) {
-                continue;
-            }
-            switch (name) {
-                case "Worker" -> worker = whole(in, name, value);
-                case "Site" -> site = (int) whole(in, name, value);
-                case "Pod" -> pod = (int) whole(in, name, value);
-                case "Machine" -> machine = (int) whole(in, name, value);
-                case "BornMs" -> bornMs = MessageFields.number(in, name);
-                case "Nominal" -> weight = MessageFields.number(in, name);
-                case "Availability" -> {
-                    if (value != JsonToken.VALUE_STRING) {
-                        throw new InvalidInputException(WHAT + ": Availability is not text");
-                    }
-                    state = in.getText();
-                }
-                default -> in.skipChildren();
+            if (value != JsonToken.VALUE_NULL) {
+                readField(in, name, value);
             }
         }
         if (worker < 0 || state == null) {
-            throw new InvalidInputException(WHAT + " without " + (state == null ? "Availability" : "Worker"));
+            throw new InvalidInputException(
+                    DESCRIPTION + " without " + (state == null ? "Availability" : "Worker"));
+        }
+    }
+
+    private void clear() {
+        worker = MISSING;
+        site = 0;
+        pod = 0;
+        machine = 0;
+        state = null;
+        bornMs = 0;
+        weight = 0;
+    }
+
+    private void readField(JsonParser in, String name, JsonToken value) throws IOException {
+        switch (name) {
+            case "Worker" -> worker = whole(in, name, value);
+            case "Site" -> site = (int) whole(in, name, value);
+            case "Pod" -> pod = (int) whole(in, name, value);
+            case "Machine" -> machine = (int) whole(in, name, value);
+            case "BornMs" -> bornMs = MessageFields.number(in, name);
+            case "Nominal" -> weight = MessageFields.number(in, name);
+            case "Availability" -> state = text(in, name, value);
+            default -> in.skipChildren();
+        }
+    }
+
+    private static String text(JsonParser in, String name, JsonToken value) throws IOException {
+        if (value != JsonToken.VALUE_STRING) {
+            throw new InvalidInputException(DESCRIPTION + ": " + name + " is not text");
         }
+        return in.getText();
     }
 
     private static long whole(JsonParser in, String name, JsonToken value) throws IOException {
         if (value != JsonToken.VALUE_NUMBER_INT) {
-            throw new InvalidInputException(WHAT + ": " + name + " is not a whole number");
+            throw new InvalidInputException(DESCRIPTION + ": " + name + " is not a whole number");
         }
         return in.getLongValue();
     }
--- a/src/main/java/rampshift/simulator/LineReader.java
+++ b/src/main/java/rampshift/simulator/LineReader.java
@@ -5,47 +5,63 @@
 import java.nio.ByteBuffer;
 import java.util.Arrays;
 
-/** Lines of bytes, whole, as they come: to make text of them first took a fifth of the time of a batch. */
+/** Reads lines as bytes: decoding them to text first took a fifth of the time of a batch. */
 final class LineReader {
-    private final InputStream in;
-    private byte[] bytes = new byte[1 << 16];
-    private int from;
-    private int to;
+    private static final int INITIAL_BUFFER_BYTES = 1 << 16;
 
-    LineReader(InputStream in) {
-        this.in = in;
+    private final InputStream input;
+    private byte[] buffer = new byte[INITIAL_BUFFER_BYTES];
+    private int lineStart;
+    private int end;
+
+    LineReader(InputStream input) {
+        this.input = input;
     }
 
-    /** The next line without its end, good until the next call; null where the input has ended. Blocks. */
+    /** The next line without its end, valid until the next call; null at the end of the input. It blocks. */
     ByteBuffer next() throws IOException {
-        int at = from;
+        int scanned = lineStart;
         while (true) {
-            for (; at < to; at++) {
-                if (bytes[at] == '\n') {
-                    ByteBuffer line = ByteBuffer.wrap(bytes, from, at - from).slice();
-                    from = at + 1;
+            for (; scanned < end; scanned++) {
+                if (buffer[scanned] == '\n') {
+                    ByteBuffer line = slice(scanned);
+                    lineStart = scanned + 1;
                     return line;
                 }
             }
-            at -= from;
-            if (from > 0) {
-                System.arraycopy(bytes, from, bytes, 0, to - from);
-                to -= from;
-                from = 0;
-            }
-            if (to == bytes.length) {
-                bytes = Arrays.copyOf(bytes, 2 * to);
-            }
-            int count = in.read(bytes, to, bytes.length - to);
+            scanned -= lineStart;
+            makeRoom();
+            int count = input.read(buffer, end, buffer.length - end);
             if (count < 0) {
-                if (to == 0) {
-                    return null;
-                }
-                ByteBuffer line = ByteBuffer.wrap(bytes, 0, to).slice();
-                from = to;
-                return line;
+                return lastLine();
             }
-            to += count;
+            end += count;
+        }
+    }
+
+    private ByteBuffer slice(int lineEnd) {
+        return ByteBuffer.wrap(buffer, lineStart, lineEnd - lineStart).slice();
+    }
+
+    /** Moves the line begun to the start of the buffer and doubles a buffer that it fills. */
+    private void makeRoom() {
+        if (lineStart > 0) {
+            System.arraycopy(buffer, lineStart, buffer, 0, end - lineStart);
+            end -= lineStart;
+            lineStart = 0;
+        }
+        if (end == buffer.length) {
+            buffer = Arrays.copyOf(buffer, 2 * end);
+        }
+    }
+
+    /** A line without an end after it; null where the input ended with the line before. */
+    private ByteBuffer lastLine() {
+        if (end == 0) {
+            return null;
         }
+        ByteBuffer line = slice(end);
+        lineStart = end;
+        return line;
     }
 }
--- a/src/main/java/rampshift/simulator/ReplyWriter.java
+++ b/src/main/java/rampshift/simulator/ReplyWriter.java
@@ -9,16 +9,20 @@
 import rampshift.time.Moment;
 import rampshift.time.Span;
 
-/** Writes a reply straight from the module's answers. */
+/** Writes a reply directly from the policy's decisions. */
 final class ReplyWriter implements Decisions {
-    private final ByteArrayOutputStream bytes = new ByteArrayOutputStream(1024);
+    private static final int INITIAL_BUFFER_BYTES = 1024;
+
+    private final ByteArrayOutputStream bytes = new ByteArrayOutputStream(INITIAL_BUFFER_BYTES);
     final JsonGenerator out;
+    /** The instance whose decisions come next. */
     String who;
 
     ReplyWriter(JsonFactory json) throws IOException {
         out = json.createGenerator(bytes);
     }
 
+    /** The whole reply with its line end. */
     byte[] finish() throws IOException {
         out.writeEndArray();
         out.writeEndObject();
@@ -27,6 +31,7 @@
         return bytes.toByteArray();
     }
 
+    /** Writes the fields of one message. */
     private interface Body {
         void write() throws IOException;
     }
@@ -53,18 +58,18 @@
     }
 
     @Override
-    public void cancel(long task, int assignment) {
+    public void cancel(long task, int attempt) {
         message("StopAttempt", () -> {
             out.writeNumberField("Ref", task);
-            out.writeNumberField("Try", assignment);
+            out.writeNumberField("Try", attempt);
         });
     }
 
     @Override
-    public void bounce(long task, Span comeBackAfter) {
+    public void bounce(long task, Span retryAfter) {
         message("OverloadReply", () -> {
             out.writeNumberField("Ref", task);
-            out.writeNumberField("RetryAfterMs", comeBackAfter.millis());
+            out.writeNumberField("RetryAfterMs", retryAfter.millis());
         });
     }
 
@@ -91,7 +96,8 @@
         });
     }
 
-    void bailOut(String words) {
-        message("BailOut", () -> out.writeStringField("Words", words));
+    /** Tells that the instance has failed and decides nothing more. */
+    void bailOut(String reason) {
+        message("BailOut", () -> out.writeStringField("Words", reason));
     }
 }
--- a/src/main/java/rampshift/simulator/SimulatorHost.java
+++ b/src/main/java/rampshift/simulator/SimulatorHost.java
@@ -17,122 +17,148 @@
 import rampshift.settings.InvalidInputException;
 import rampshift.time.Moment;
 
-/** Hosts many instances of the decision module on the simulator's wire; they share nothing. */
+/**
+ * Hosts instances of the dispatch policy for a simulator: reads batches of events, one JSON object a line,
+ * and answers each with one line of commands. The instances share nothing.
+ */
 public final class SimulatorHost {
+    private static final int EXIT_DONE = 0;
+    private static final int EXIT_INVALID_INPUT = 1;
+    private static final String TIME_FIELD = "SimTimeMs";
+    private static final String EVENTS_FIELD = "news";
+    private static final String INCOMPLETE_BATCH = "a batch needs SimTimeMs and news";
+
     private final JsonFactory json =
             JsonFactory.builder().enable(StreamReadFeature.USE_FAST_DOUBLE_PARSER).build();
     private final Map<String, PolicyInstance> instances = new HashMap<>();
     private final MessageFields fields = new MessageFields();
 
-    /** Plays the whole input; the result is the exit status. */
+    /**
+     * Answers the whole input; the result is the exit status. Input of a wrong form is named on one line
+     * and ends it.
+     */
     public static int run(InputStream in, OutputStream out, PrintStream err) throws IOException {
-        SimulatorWarmUp.play();
-        SimulatorHost drill = new SimulatorHost();
+        SimulatorWarmUp.run();
+        SimulatorHost host = new SimulatorHost();
         LineReader lines = new LineReader(in);
         int number = 0;
         for (ByteBuffer line = lines.next(); line != null; line = lines.next()) {
             number++;
             try {
-                out.write(drill.reply(line));
+                out.write(host.reply(line));
                 out.flush();
-            } catch (JsonProcessingException | InvalidInputException e) {
-                String what = e instanceof JsonProcessingException j
-                        ? j.getOriginalMessage()
-                        : e.getMessage();
-                err.println("rampshift drill: line " + number + ": " + what.replace('\n', ' '));
-                return 1;
+            } catch (JsonProcessingException e) {
+                return invalid(number, e.getOriginalMessage(), err);
+            } catch (InvalidInputException e) {
+                return invalid(number, e.getMessage(), err);
             }
         }
-        return 0;
+        return EXIT_DONE;
+    }
+
+    private static int invalid(int lineNumber, String description, PrintStream err) {
+        err.println("rampshift drill: line " + lineNumber + ": " + description.replace('\n', ' '));
+        return EXIT_INVALID_INPUT;
     }
 
-    /** One batch in, one whole reply out. */
+    /** Takes in one batch; the result is the whole reply with its line end. */
     byte[] reply(ByteBuffer line) throws IOException {
-        List<PolicyInstance> heard = new ArrayList<>();
-        Moment now = null;
-        try (JsonParser in = json.createParser(line.array(), line.arrayOffset(), line.remaining())) {
+        List<PolicyInstance> addressed = new ArrayList<>();
+        readBatch(line, addressed);
+        ReplyWriter reply = new ReplyWriter(json);
+        JsonGenerator out = reply.out;
+        out.writeStartObject();
+        out.writeArrayFieldStart("cmds");
+        for (PolicyInstance instance : addressed) {
+            instance.heard = false;
+            if (!instance.retired) {
+                instance.answer(reply);
+            }
+        }
+        return reply.finish();
+    }
+
+    /** Hands the batch's events to the instances; notes which they are, in the order of their first event. */
+    private void readBatch(ByteBuffer line, List<PolicyInstance> addressed) throws IOException {
+        try (JsonParser in = parser(line)) {
             MessageFields.open(in, "a batch");
-            boolean news = false;
+            Moment now = null;
+            boolean hasEvents = false;
             while (in.nextToken() != null && in.currentName() != null && !in.currentToken().isStructEnd()) {
                 String name = in.currentName();
                 in.nextToken();
-                if (name.equals("SimTimeMs")) {
+                if (name.equals(TIME_FIELD)) {
                     now = Moment.ofMillis(MessageFields.number(in, name));
-                } else if (name.equals("news")) {
-                    if (now == null) {
-                        now = laterClock(line);
-                    }
-                    news = true;
-                    events(in, now, heard);
+                } else if (name.equals(EVENTS_FIELD)) {
+                    now = now == null ? timeAfterEvents(line) : now;
+                    hasEvents = true;
+                    readEvents(in, now, addressed);
                 } else {
                     in.skipChildren();
                 }
             }
-            if (now == null || !news) {
-                throw new InvalidInputException("a batch needs SimTimeMs and news");
+            if (now == null || !hasEvents) {
+                throw new InvalidInputException(INCOMPLETE_BATCH);
             }
             if (in.nextToken() != null) {
                 throw new InvalidInputException("more than one value on the line");
             }
         }
-        ReplyWriter reply = new ReplyWriter(json);
-        JsonGenerator out = reply.out;
-        out.writeStartObject();
-        out.writeArrayFieldStart("cmds");
-        for (PolicyInstance instance : heard) {
-            instance.heard = false;
-            if (!instance.retired) {
-                instance.answer(reply);
-            }
-        }
-        return reply.finish();
     }
 
-    /** The clock, where it stands behind the news. */
-    private Moment laterClock(ByteBuffer line) throws IOException {
-        try (JsonParser in = json.createParser(line.array(), line.arrayOffset(), line.remaining())) {
+    private JsonParser parser(ByteBuffer line) throws IOException {
+        return json.createParser(line.array(), line.arrayOffset(), line.remaining());
+    }
+
+    /** The time, where it stands behind the events: the line is read a second time for it. */
+    private Moment timeAfterEvents(ByteBuffer line) throws IOException {
+        try (JsonParser in = parser(line)) {
             in.nextToken();
             while (in.nextToken() != null && !in.currentToken().isStructEnd()) {
                 String name = in.currentName();
                 in.nextToken();
-                if (name.equals("SimTimeMs")) {
+                if (name.equals(TIME_FIELD)) {
                     return Moment.ofMillis(MessageFields.number(in, name));
                 }
                 in.skipChildren();
             }
         }
-        throw new InvalidInputException("a batch needs SimTimeMs and news");
+        throw new InvalidInputException(INCOMPLETE_BATCH);
     }
 
-    private void events(JsonParser in, Moment now, List<PolicyInstance> heard) throws IOException {
-        MessageFields.array(in, "news");
-
+    private void readEvents(JsonParser in, Moment now, List<PolicyInstance> addressed) throws IOException {
+        MessageFields.array(in, EVENTS_FIELD);
         while (!in.nextToken().isStructEnd()) {
             fields.read(in);
-            String who = fields.text("Who");
-            String what = fields.text("t");
-            if (what.equals("Attach")) {
-                PolicyInstance instance = new PolicyInstance(who, fields.settings, fields.whole("Seed"), now);
-                PolicyInstance former = instances.put(who, instance);
-                if (former != null) {
-                    former.retired = true;
-                }
+            String name = fields.text("Who");
+            String type = fields.text("t");
+            if (type.equals("Attach")) {
+                attach(name, now);
             }
-            PolicyInstance instance = instances.get(who);
+            PolicyInstance instance = instances.get(name);
             if (instance == null) {
-                throw new InvalidInputException(what + " for the unknown instance " + who);
+                throw new InvalidInputException(type + " for the unknown instance " + name);
             }
-            if (what.equals("Retire")) {
+            if (type.equals("Retire")) {
                 instance.retired = true;
-                instances.remove(who);
+                instances.remove(name);
                 continue;
             }
             if (!instance.heard) {
                 instance.heard = true;
-                heard.add(instance);
+                addressed.add(instance);
                 instance.clock(now);
             }
-            instance.event(what, fields);
+            instance.event(type, fields);
+        }
+    }
+
+    /** Starts an instance; one of that name that is there already is retired. */
+    private void attach(String name, Moment now) {
+        PolicyInstance instance = new PolicyInstance(name, fields.settings, fields.whole("Seed"), now);
+        PolicyInstance former = instances.put(name, instance);
+        if (former != null) {
+            former.retired = true;
         }
     }
 }
--- a/src/main/java/rampshift/simulator/SimulatorWarmUp.java
+++ b/src/main/java/rampshift/simulator/SimulatorWarmUp.java
@@ -5,85 +5,116 @@
 import java.nio.charset.StandardCharsets;
 
 /**
- * Before the first batch is read, plays some tasks through a drill of its own, which is thrown away: as
- * {@code serve} does
- * before it is ready. The first few thousand tasks otherwise paid for classes that were not loaded and code
- * that was not compiled
- * yet, half of all that a short day with several processes took.
+ * Handles some tasks in a host of its own, which is thrown away, before the first batch is read: as {@code
+ * serve} does before it is ready. Otherwise the first few thousand tasks pay for classes that are not
+ * loaded and code that is not compiled yet: half of all that a short day with several processes took.
  */
 final class SimulatorWarmUp {
     private static final int ROUNDS = 120;
-    private static final int TASKS = 6;         // a round
+    private static final int TASKS_PER_ROUND = 6;
     private static final int WORKERS = 24;
+    private static final int RESPONSE_DELAY_TASKS = 20;
+    private static final int CHANGED_PER_ROUND = 6;
+    private static final double START_MS = 1e6;
+    private static final double ROUND_MS = 20;
+    private static final String[] INSTANCES = {"r/0", "r/1", "r/2"};
     private static final String ATTACH =
             """
-                    {"t":"Attach","Who":"%s","Seed":7,"Setup":{"Zones":["a","b"],"Kinds":["k","l"],"Zone":0,"GranularityMs":2.0,"Tenants":
-                    [{"Name":"t","QuotaPerS":9.5}],"FamilyInfo":{"ReportX0":"free slots","TellsStart":%s,"ProgressMs":2000.0},"LoadInfo":{"How":"%s"},
-                    "WeightSource":"%s","Costs":{"CrossZone":0.1,"Handshake":%s},"Rules":{"ColdFrom":0.2,"ColdMs":9000.0,"TipMultiple":3.0,
-                    "StopSendingWithinMs":500.0,"ExtraFloor":5,"RepeatRatio":0.1,"RatioSpanMs":10000.0},"Limits":{"Cancel":true,"SecondCopies":true,
-                    "MayProbe":%s,"RetryAfter":true,"MaxRetryAfterMs":2000.0,"MostAssignments":4,"ConnIdleMs":5000.0},"TrafficTypes":[
+                    {"t":"Attach","Who":"%s","Seed":7,
+                    "Setup":{"Zones":["a","b"],"Kinds":["k","l"],"Zone":0,"GranularityMs":2.0,
+                    "Tenants":[{"Name":"t","QuotaPerS":9.5}],
+                    "FamilyInfo":{"ReportX0":"free slots","TellsStart":%s,"ProgressMs":2000.0},
+                    "LoadInfo":{"How":"%s"},
+                    "WeightSource":"%s","Costs":{"CrossZone":0.1,"Handshake":%s},
+                    "Rules":{"ColdFrom":0.2,"ColdMs":9000.0,"TipMultiple":3.0,"StopSendingWithinMs":500.0,
+                    "ExtraFloor":5,"RepeatRatio":0.1,"RatioSpanMs":10000.0},
+                    "Limits":{"Cancel":true,"SecondCopies":true,"MayProbe":%s,"RetryAfter":true,
+                    "MaxRetryAfterMs":2000.0,"MostAssignments":4,"ConnIdleMs":5000.0},"TrafficTypes":[
                     {"DueTimeMs":300.0,"ExpiryMs":5000.0,"Effect":"safe","Earnings":3.0},
-                    {"DueTimeMs":300.0,"ExpiryMs":5000.0,"Effect":"keyed","DedupScope":"zone","WindowMs":4000.0,"AllowedOn":[1]},
+                    {"DueTimeMs":300.0,"ExpiryMs":5000.0,"Effect":"keyed","DedupScope":"zone",
+                    "WindowMs":4000.0,
+                    "AllowedOn":[1]},
                     {"DueTimeMs":300.0,"ExpiryMs":5000.0,"Effect":"unsafe","RunsIn":[0]}]}}"""
                     .replace("\n", "");
 
     private SimulatorWarmUp() {}
 
-    static void play() throws IOException {
-        SimulatorHost drill = new SimulatorHost();
-        String[] whos = {"r/0", "r/1", "r/2"};
-        reply(drill, 0,
-                ATTACH.formatted(whos[0], "false", "inline", "live", "0.0", "true") + ','
-                        + list(whos[0], "cached", WORKERS, 0) + ','
-                        + ATTACH.formatted(whos[1], "true", "inline", "nominal", "0.1", "false") + ','
-                        + list(whos[1], "cached", WORKERS, 0) + ','
-                        + ATTACH.formatted(whos[2], "true", "off", "rough", "0.0", "true") + ','
-                        + list(whos[2], "cached", WORKERS, 0));
+    /** Runs it; returns once the code that a batch takes has been loaded and mostly compiled. */
+    static void run() throws IOException {
+        SimulatorHost host = new SimulatorHost();
+        reply(host, 0, String.join(",", attach(INSTANCES[0], false, "inline", "live", 0.0, true),
+                attach(INSTANCES[1], true, "inline", "nominal", 0.1, false),
+                attach(INSTANCES[2], true, "off", "rough", 0.0, true)));
         for (int round = 1; round <= ROUNDS; round++) {
-            StringBuilder news = new StringBuilder(list(whos[round % 3], "delta", 6, round));
-            for (String who : whos) {
-                for (int i = 0; i < TASKS; i++) {
-                    long task = round * 10L + i;
-                    news.append(",{\"t\":\"Arrival\",\"Who\":\"").append(who).append("\",\"Ref\":")
-                            .append(task).append(",\"Object\":\"o")
-                            .append(i).append("\",\"ExpectedMs\":").append(40.25 + i)
-                            .append(",\"Owner\":0,\"Priority\":").append(i % 3)
-                            .append(",\"StateBits\":1,\"Width\":1,\"PatienceLeftMs\":5000.0}");
-                    of(news, "Note", who, task - 20, ",\"What\":1");
-                    of(news, "Note", who, task - 40, ",\"What\":2,\"Value\":0.5");
-                    String end = (i + round) % 9 == 8 ? "E" : (i + round) % 7 == 6 ? "F" : "S";
-                    of(news, "Ended", who, task - (i % 2 == 0 ? 40 : 60),
-                            ",\"DurationMs\":80.5,\"Disposition\":\"" + end
-                                    + "\",\"Terminal\":" + end.equals("S")
-                                    + ",\"Load\":{\"x0\":1.5,\"concurrent\":3}");
+            StringBuilder events = new StringBuilder(
+                    endpointList(INSTANCES[round % INSTANCES.length], "delta", CHANGED_PER_ROUND, round));
+            for (String instance : INSTANCES) {
+                for (int i = 0; i < TASKS_PER_ROUND; i++) {
+                    appendTaskEvents(events, instance, round, i);
                 }
-                news.append(",{\"t\":\"Wakeup\",\"Who\":\"").append(who).append("\",\"Name\":0}");
+                events.append(",{\"t\":\"Wakeup\",\"Who\":\"").append(instance).append("\",\"Name\":0}");
             }
-            reply(drill, round * 20, news.toString());
+            reply(host, round * ROUND_MS, events.toString());
         }
     }
 
-    private static StringBuilder of(StringBuilder news, String what, String who, long task, String more) {
-        return news.append(",{\"t\":\"").append(what).append("\",\"Who\":\"").append(who)
-                .append("\",\"Ref\":").append(task)
-                .append(",\"Try\":0,\"Worker\":").append(task % WORKERS).append(more).append('}');
+    /** An instance's start with its first endpoint list. */
+    private static String attach(String instance, boolean tellsStart, String reports, String weights,
+            double handshakeCost, boolean mayProbe) {
+        return ATTACH.formatted(instance, tellsStart, reports, weights, handshakeCost, mayProbe) + ','
+                + endpointList(instance, "cached", WORKERS, 0);
     }
 
-    private static String list(String who, String how, int count, int from) {
-        StringBuilder list = new StringBuilder("{\"t\":\"Fleet\",\"Who\":\"" + who + "\",\"Serial\":" + from
-                + ",\"How\":\"" + how + "\",\"Entries\":[");
+    /** A new task, and what workers report of tasks of earlier rounds. */
+    private static void appendTaskEvents(StringBuilder events, String instance, int round, int index) {
+        long task = round * 10L + index;
+        events.append(",{\"t\":\"Arrival\",\"Who\":\"").append(instance).append("\",\"Ref\":").append(task)
+                .append(",\"Object\":\"o").append(index).append("\",\"ExpectedMs\":").append(40.25 + index)
+                .append(",\"Owner\":0,\"Priority\":").append(index % 3)
+                .append(",\"StateBits\":1,\"Width\":1,\"PatienceLeftMs\":5000.0}");
+        appendAttemptEvent(events, "Note", instance, task - RESPONSE_DELAY_TASKS, ",\"What\":1");
+        appendAttemptEvent(events, "Note", instance, task - 2 * RESPONSE_DELAY_TASKS,
+                ",\"What\":2,\"Value\":0.5");
+        String outcome = outcome(round, index);
+        int age = (index % 2 == 0 ? 2 : 3) * RESPONSE_DELAY_TASKS;
+        appendAttemptEvent(events, "Ended", instance, task - age,
+                ",\"DurationMs\":80.5,\"Disposition\":\"" + outcome + "\",\"Terminal\":" + outcome.equals("S")
+                        + ",\"Load\":{\"x0\":1.5,\"concurrent\":3}");
+    }
+
+    /** Mostly finished, now and then an error or a full worker. */
+    private static String outcome(int round, int index) {
+        if ((index + round) % 9 == 8) {
+            return "E";
+        }
+        return (index + round) % 7 == 6 ? "F" : "S";
+    }
+
+    private static void appendAttemptEvent(StringBuilder events, String type, String instance, long task,
+            String more) {
+        events.append(",{\"t\":\"").append(type).append("\",\"Who\":\"").append(instance)
+                .append("\",\"Ref\":")
+                .append(task).append(",\"Try\":0,\"Worker\":").append(task % WORKERS).append(more)
+                .append('}');
+    }
+
+    private static String endpointList(String instance, String how, int count, int from) {
+        StringBuilder list = new StringBuilder("{\"t\":\"Fleet\",\"Who\":\"").append(instance)
+                .append("\",\"Serial\":").append(from).append(",\"How\":\"").append(how)
+                .append("\",\"Entries\":[");
         for (int i = 0; i < count; i++) {
-            int w = (from + i) % WORKERS;
-            list.append(i == 0 ? "" : ",").append("{\"Worker\":").append(w).append(",\"Site\":").append(w % 2)
-                    .append(",\"Availability\":\"IN\",\"Pod\":").append(w / 4).append(",\"Nominal\":")
-                    .append(1.5 + from % 4)
-                    .append(",\"Machine\":").append(w / 2 % 2).append('}');
+            int worker = (from + i) % WORKERS;
+            list.append(i == 0 ? "" : ",").append("{\"Worker\":").append(worker).append(",\"Site\":")
+                    .append(worker % 2).append(",\"Availability\":\"IN\",\"Pod\":").append(worker / 4)
+                    .append(",\"Nominal\":").append(1.5 + from % 4).append(",\"Machine\":")
+                    .append(worker / 2 % 2)
+                    .append('}');
         }
         return list.append("]}").toString();
     }
 
-    private static void reply(SimulatorHost drill, double ms, String news) throws IOException {
-        drill.reply(ByteBuffer.wrap(("{\"SimTimeMs\":" + (1e6 + ms) + ",\"news\":[" + news + "]}")
-                .getBytes(StandardCharsets.UTF_8)));
+    private static void reply(SimulatorHost host, double millis, String events) throws IOException {
+        String batch = "{\"SimTimeMs\":" + (START_MS + millis) + ",\"news\":[" + events + "]}";
+        host.reply(ByteBuffer.wrap(batch.getBytes(StandardCharsets.UTF_8)));
     }
 }
--- a/src/test/java/rampshift/simulator/SimulatorHostTest.java
+++ b/src/test/java/rampshift/simulator/SimulatorHostTest.java
@@ -16,18 +16,20 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.ValueSource;
 
-/** A few lines of wire through the adapter. */
+/** Batches in, replies out. */
 class SimulatorHostTest {
     private static final String ATTACH =
             "{\"SimTimeMs\":1000,\"news\":[{\"t\":\"Attach\",\"Who\":\"dispatcher/0\","
-                    + "\"Seed\":5,\"Setup\":{\"Odd\":[1,{\"x\":null}],\"Limits\":{\"MostAssignments\":3},\"TrafficTypes\":"
+                    + "\"Seed\":5,\"Setup\":{\"Odd\":[1,{\"x\":null}],"
+                    + "\"Limits\":{\"MostAssignments\":3},\"TrafficTypes\":"
                     + "[{\"DueTimeMs\":100,\"ExpiryMs\":1000,\"Effect\":\"unsafe\",\"Earnings\":1}]}},"
                     + "{\"t\":\"Fleet\",\"Who\":\"dispatcher/0\",\"Serial\":1,\"How\":\"cached\",\"Entries\":"
-                    + "[{\"Worker\":9,\"Site\":0,\"Availability\":\"IN\",\"Pod\":0,\"Nominal\":1,\"Machine\":0}]}]}\n";
+                    + "[{\"Worker\":9,\"Site\":0,\"Availability\":\"IN\",\"Pod\":0,\"Nominal\":1,"
+                    + "\"Machine\":0}]}]}\n";
     private final ByteArrayOutputStream out = new ByteArrayOutputStream();
     private final ByteArrayOutputStream err = new ByteArrayOutputStream();
 
-    private int play(String lines) throws IOException {
+    private int run(String lines) throws IOException {
         return SimulatorHost.run(new ByteArrayInputStream(lines.getBytes(StandardCharsets.UTF_8)), out,
                 new PrintStream(err));
     }
@@ -37,9 +39,10 @@
     }
 
     @Test
-    void aTaskIsPlacedAndAnEmptyBatchGetsAnEmptyReply() throws IOException {
-        int status = play(ATTACH + batch("") + batch("{\"t\":\"Arrival\",\"Who\":\"dispatcher/0\","
-                + "\"Ref\":2337017823924676,\"Priority\":0,\"Width\":1,\"PatienceLeftMs\":1000.5,\"New\":true}"));
+    void forwardsATaskAndAnswersAnEmptyBatchWithAnEmptyReply() throws IOException {
+        int status = run(ATTACH + batch("") + batch("{\"t\":\"Arrival\",\"Who\":\"dispatcher/0\","
+                + "\"Ref\":2337017823924676,\"Priority\":0,\"Width\":1,\"PatienceLeftMs\":1000.5,"
+                + "\"New\":true}"));
         String[] replies = out.toString(StandardCharsets.UTF_8).split("\n");
         assertEquals(0, status);
         assertEquals("{\"cmds\":[]}", replies[1]);
@@ -56,71 +59,73 @@
             "{\"SimTimeMs\":1,\"news\":[{\"t\":\"Wakeup\",\"Who\":\"dispatcher/4\",\"Name\":1}]}",
             "{\"SimTimeMs\":1,\"news\":[{\"t\":\"Arrival\",\"Who\":\"dispatcher/0\",\"Ref\":\"a\"}]}",
             "{\"SimTimeMs\":1,\"news\":[{\"t\":\"Hangup\",\"Who\":\"dispatcher/0\"}]}",
-            "{\"SimTimeMs\":1,\"news\":[{\"t\":\"Attach\",\"Who\":\"dispatcher/1\",\"Seed\":1,\"Setup\":{}}]}",
-            "{\"SimTimeMs\":1,\"news\":[{\"t\":\"Fleet\",\"Who\":\"dispatcher/0\",\"How\":\"full\",\"Entries\":[{\"Worker\":9}]}]}",
-            "{\"SimTimeMs\":1,\"news\":[{\"t\":\"Fleet\",\"Who\":\"dispatcher/0\",\"How\":\"full\",\"Entries\":[{\"Worker\":\"x\"}]}]}",
+            "{\"SimTimeMs\":1,\"news\":[{\"t\":\"Attach\",\"Who\":\"dispatcher/1\",\"Seed\":1,"
+                    + "\"Setup\":{}}]}",
+            "{\"SimTimeMs\":1,\"news\":[{\"t\":\"Fleet\",\"Who\":\"dispatcher/0\",\"How\":\"full\","
+                    + "\"Entries\":[{\"Worker\":9}]}]}",
+            "{\"SimTimeMs\":1,\"news\":[{\"t\":\"Fleet\",\"Who\":\"dispatcher/0\",\"How\":\"full\","
+                    + "\"Entries\":[{\"Worker\":\"x\"}]}]}",
             "{\"SimTimeMs\":1,\"news\":[", "{\"SimTimeMs\":1,\"news\":[7]}",
     })
-    void badInputIsNamedOnOneLineAndEndsTheRun(String line) throws IOException {
-        assertEquals(1, play(ATTACH + line + "\n"));
-        String said = err.toString(StandardCharsets.UTF_8);
-        assertTrue(said.startsWith("rampshift drill: line 2: "), said);
-        assertEquals(said.length() - 1, said.indexOf('\n'), "one plain line");
+    void reportsInvalidInputOnOneLineAndStops(String line) throws IOException {
+        assertEquals(1, run(ATTACH + line + "\n"));
+        String output = err.toString(StandardCharsets.UTF_8);
+        assertTrue(output.startsWith("rampshift drill: line 2: "), output);
+        assertEquals(output.length() - 1, output.indexOf('\n'), "one plain line");
         assertEquals(1, out.toString(StandardCharsets.UTF_8).split("\n").length, "no half reply");
     }
 
-    /** Each instance has its own zone as the only one, and the same list. */
+    /** Both instances have the same endpoint list, and tasks that may run in the own zone only. */
     @Test
-    void twoInstancesWithUnlikePlacesEachKeepToTheirOwn() throws IOException {
+    void instancesForwardToTheirOwnZonesOnly() throws IOException {
         StringBuilder lines = new StringBuilder();
         for (int zone = 0; zone < 2; zone++) {
             lines.append(ATTACH.replace("\"Earnings\":1", "\"Earnings\":1,\"RunsIn\":[" + zone + "]")
                     .replace("dispatcher/0", "dispatcher/" + zone)
                     .replace("\"Setup\":{", "\"Setup\":{\"Zones\":[\"a\",\"b\"],\"Zone\":" + zone + ",")
                     .replace("\"Machine\":0}",
-                            "\"Machine\":0},{\"Worker\":7,\"Site\":1,\"Availability\":\"IN\",\"Pod\":1,\"Nominal\":1,\"Machine\":0}"));
+                            "\"Machine\":0},{\"Worker\":7,\"Site\":1,\"Availability\":\"IN\",\"Pod\":1,"
+                                    + "\"Nominal\":1,\"Machine\":0}"));
         }
         for (int i = 0; i < 20; i++) {
             lines.append(batch("{\"t\":\"Arrival\",\"Who\":\"dispatcher/" + i % 2 + "\",\"Ref\":" + (100 + i)
                     + ",\"PatienceLeftMs\":1000}"));
         }
-        assertEquals(0, play(lines.toString()), err.toString(StandardCharsets.UTF_8));
-        String said = out.toString(StandardCharsets.UTF_8);
+        assertEquals(0, run(lines.toString()), err.toString(StandardCharsets.UTF_8));
+        String output = out.toString(StandardCharsets.UTF_8);
         assertEquals(Set.of("0 9", "1 7"),
-                Pattern.compile("dispatcher/(\\d)\",\"Ref\":\\d+,\"Worker\":(\\d+)").matcher(said).results()
+                Pattern.compile("dispatcher/(\\d)\",\"Ref\":\\d+,\"Worker\":(\\d+)").matcher(output).results()
                         .map(m -> m.group(1) + " " + m.group(2)).collect(Collectors.toSet()));
     }
 
-    /**
-     * Bytes come as they come; a batch longer than any buffer, and a last line that does not end, are batches
-     * like others.
-     */
+    /** A batch longer than any buffer and a last line without an end are batches like others. */
     @Test
-    void linesAreReadWholeHoweverTheyCome() throws IOException {
+    void readsWholeLinesFromPartialReads() throws IOException {
         String batch = batch("{\"t\":\"Wakeup\",\"Who\":\"dispatcher/0\",\"Name\":0,\"Odd\":\""
                 + "x".repeat(200_000) + "\"}");
         byte[] all = (ATTACH + batch + batch("").replace("\n", "\r\n") + batch("").trim())
                 .getBytes(StandardCharsets.UTF_8);
-        InputStream dribbles = new ByteArrayInputStream(all) {
+        InputStream partialReads = new ByteArrayInputStream(all) {
             @Override
             public int read(byte[] to, int from, int count) {
                 return super.read(to, from, Math.min(count, 777));
             }
         };
-        assertEquals(0, SimulatorHost.run(dribbles, out, new PrintStream(err)),
+        assertEquals(0, SimulatorHost.run(partialReads, out, new PrintStream(err)),
                 err.toString(StandardCharsets.UTF_8));
         assertEquals(4, out.toString(StandardCharsets.UTF_8).lines().count());
     }
 
     @Test
-    void aMissingSettingIsNamed() throws IOException {
-        play("{\"SimTimeMs\":1,\"news\":[{\"t\":\"Attach\",\"Who\":\"dispatcher/1\",\"Seed\":1,\"Setup\":{}}]}\n");
+    void namesAMissingSetting() throws IOException {
+        run("{\"SimTimeMs\":1,\"news\":[{\"t\":\"Attach\",\"Who\":\"dispatcher/1\",\"Seed\":1,"
+                + "\"Setup\":{}}]}\n");
         assertTrue(err.toString(StandardCharsets.UTF_8).contains("the settings lack Limits.MostAssignments"));
     }
 
     @Test
-    void aRetiredInstanceIsForgottenAndOthersGoOn() throws IOException {
-        assertEquals(0, play(ATTACH + batch("{\"t\":\"Wakeup\",\"Who\":\"dispatcher/0\",\"Name\":0},"
+    void forgetsARetiredInstance() throws IOException {
+        assertEquals(0, run(ATTACH + batch("{\"t\":\"Wakeup\",\"Who\":\"dispatcher/0\",\"Name\":0},"
                 + "{\"t\":\"Retire\",\"Who\":\"dispatcher/0\"}")));
         assertEquals("{\"cmds\":[]}", out.toString(StandardCharsets.UTF_8).split("\n")[1]);
     }
