--- a/src/main/java/rampshift/jobs/host/PeriodicJobHost.java
+++ b/src/main/java/rampshift/jobs/host/PeriodicJobHost.java
@@ -84,7 +84,7 @@
             text.append(String.format("  %-24s run %d %s, %d of %d settled, %d may be out, held %s%n",
                     plan.name(), p.run(),
                     p.over() ? "over" : "under way", p.from(), plan.objects().size(), p.to() - p.from(),
-                    leases.mayAct(plan.name()).longerThan(Span.ZERO) ? "here" : "elsewhere or by nobody"));
+                    leases.remaining(plan.name()).longerThan(Span.ZERO) ? "here" : "elsewhere or by nobody"));
         }
         return text.toString();
     }
@@ -116,17 +116,17 @@
 
         @Override
         public void note(String text) {
-            leases.note(plan.name(), text);
+            leases.writeNote(plan.name(), text);
         }
 
         @Override
         public void tell(String what, long run, int object) {
-            leases.write("duty-" + what, plan.name(), leases.token(plan.name()), run + "/" + object);
+            leases.logEvent("duty-" + what, plan.name(), leases.token(plan.name()), run + "/" + object);
         }
     }
 
     /** One task at the door, from its dial to its answer. */
-    private final class Task implements ExchangeListener, Dialer.Dialed {
+    private final class Task implements ExchangeListener, Dialer.DialListener {
         private final PeriodicJobSettings plan;
         private final int object;
         private final String id;
@@ -146,7 +146,7 @@
         }
 
         void start() {
-            for (connection = idle.poll(); connection != null && !connection.usable(); connection =
+            for (connection = idle.poll(); connection != null && !connection.isReusable(); connection =
                     idle.poll()) {
                 connection.close();
             }
@@ -158,18 +158,18 @@
         }
 
         @Override
-        public void connected(HttpConnection made) {
+        public void onConnected(HttpConnection made) {
             connection = made;
             connection.exchange(this, message());
         }
 
         @Override
-        public void unreachable(String why) {
+        public void onUnreachable(String why) {
             over(PeriodicJob.End.NEVER_RAN);
         }
 
         private ByteBuffer message() {
-            Span left = leases.mayAct(plan.name()).times(SAFE).orShorter(plan.patience());
+            Span left = leases.remaining(plan.name()).times(SAFE).orShorter(plan.patience());
             byte[] body = plan.body().replace("{object}", plan.objects().get(object))
                     .getBytes(StandardCharsets.UTF_8);
             String head = "POST " + plan.target().replace("{object}", plan.objects().get(object))
@@ -185,8 +185,9 @@
 
         /** The last moment: what was stopped between the asking and here does not act. */
         @Override
-        public boolean mayWrite() {
-            written = leases.mayAct(plan.name()).longerThan(Span.ZERO) && leases.token(plan.name()) == token;
+        public boolean mayWriteFirstByte() {
+            written =
+                    leases.remaining(plan.name()).longerThan(Span.ZERO) && leases.token(plan.name()) == token;
             if (!written) {
                 connection.close();
                 thread.execute(() -> over(PeriodicJob.End.NEVER_RAN));
@@ -195,7 +196,7 @@
         }
 
         @Override
-        public void head(ResponseHead head) {
+        public void onHead(ResponseHead head) {
             status = head.status();
             String after = head.field("Retry-After");
             if (after != null && after.matches("\\d{1,6}(\\.\\d{1,6})?")) {
@@ -204,8 +205,8 @@
         }
 
         @Override
-        public void ended() {
-            if (connection.usable() && !ended) {
+        public void onComplete() {
+            if (connection.isReusable() && !ended) {
                 idle.push(connection);
             } else {
                 connection.close();
@@ -216,7 +217,7 @@
         }
 
         @Override
-        public void broken(String why) {
+        public void onFailure(String why) {
             over(written ? PeriodicJob.End.MAY_HAVE_RUN : PeriodicJob.End.NEVER_RAN);
         }
 
--- /dev/null
+++ b/src/main/java/rampshift/pipeline/EndpointListUpdater.java
@@ -0,0 +1,69 @@
+package rampshift.pipeline;
+
+import java.util.List;
+import rampshift.discovery.Endpoint;
+import rampshift.discovery.EndpointList;
+import rampshift.policy.DispatchPolicy;
+import rampshift.policy.EndpointListKind;
+import rampshift.policy.EndpointState;
+import rampshift.policy.ListedWorker;
+import rampshift.settings.HostSettings;
+import rampshift.time.Moment;
+import rampshift.workers.ConnectionPool;
+
+/** Applies endpoint lists to the connection pool and to the dispatch policy. */
+public final class EndpointListUpdater {
+    private final HostSettings settings;
+    private final ConnectionPool pool;
+    private final WorkerIds workerIds = new WorkerIds();
+
+    /** Creates an updater of a pool; the settings name the zones and kinds that the policy knows. */
+    public EndpointListUpdater(HostSettings settings, ConnectionPool pool) {
+        this.settings = settings;
+        this.pool = pool;
+    }
+
+    /** Applies a list to the pool; a complete one also removes the workers that it does not name. */
+    void updatePool(EndpointList list, boolean complete) {
+        if (complete) {
+            pool.beginFullList();
+        }
+        for (Endpoint endpoint : list.endpoints()) {
+            pool.updateWorker(workerIds.number(endpoint.uid()), endpoint.uid(), endpoint.address(),
+                    endpoint.zone() + '/' + endpoint.kind(), endpoint.startedAtMillis(),
+                    endpoint.state() == Endpoint.State.READY);
+        }
+        if (complete) {
+            pool.endFullList();
+        }
+    }
+
+    /** Applies a list to the policy. */
+    void updatePolicy(DispatchPolicy policy, EndpointList list, EndpointListKind kind) {
+        policy.onEndpointListBegin(kind);
+        for (Endpoint endpoint : list.endpoints()) {
+            policy.onEndpoint(listedWorker(endpoint));
+        }
+        policy.onEndpointListEnd();
+    }
+
+    private ListedWorker listedWorker(Endpoint endpoint) {
+        return new ListedWorker(workerIds.number(endpoint.uid()), index(settings.zones(), endpoint.zone()),
+                endpoint.cell(), index(settings.kinds(), endpoint.kind()), policyState(endpoint.state()),
+                Moment.ofMillis(endpoint.startedAtMillis()), endpoint.weight());
+    }
+
+    private static EndpointState policyState(Endpoint.State state) {
+        return switch (state) {
+            case READY -> EndpointState.READY;
+            case DRAINING -> EndpointState.DRAINING;
+            case REMOVED -> EndpointState.GONE;
+        };
+    }
+
+    /** Returns the index of a name; names that are not configured share the index after all that are. */
+    private static int index(List<String> names, String name) {
+        int index = names.indexOf(name);
+        return index < 0 ? names.size() : index;
+    }
+}
--- a/src/main/java/rampshift/serve/DispatcherServer.java
+++ b/src/main/java/rampshift/serve/DispatcherServer.java
@@ -14,7 +14,7 @@
 import org.xnio.Xnio;
 import org.xnio.XnioIoThread;
 import org.xnio.XnioWorker;
-import rampshift.clients.ClientListener;
+import rampshift.clients.StatusPage;
 import rampshift.connections.Dialer;
 import rampshift.counters.Counters;
 import rampshift.discovery.EndpointList;
@@ -53,7 +53,7 @@
     private final CountDownLatch ended = new CountDownLatch(1);
     private final XnioWorker worker;
     final XnioIoThread thread;
-    Dispatcher parts;
+    Dispatcher dispatcher;
     private EndpointWatch watch;
     private boolean haveList;
     private boolean rehearsed;
@@ -96,53 +96,55 @@
     }
 
     /** One that serves nobody: for the archive of the classes that a start loads. */
-    public static DispatcherServer rehearsal() throws IOException {
+    public static DispatcherServer forClassArchive() throws IOException {
         return new DispatcherServer(WarmUp.configuration());
     }
 
     private void begin() throws IOException {
         ByteBufferPool buffers = new DefaultByteBufferPool(true, BUFFER, BUFFERS_KEPT, 0);
         Dialer dialer = new Dialer(thread);
-        parts = new Dispatcher(thread, buffers, dialer, clock, counters, configuration,
-                beside == null ? 0 : beside.descriptors(configuration));
+        dispatcher = new Dispatcher(thread, buffers, dialer, clock, counters, configuration,
+                beside == null ? 0 : beside.maxDescriptors(configuration));
         if (configuration.knownEndpoints() != null) {
             EndpointList known =
                     EndpointList.read(configuration.knownEndpoints(), configuration.knownEndpoints().length);
-            parts.route.listed(known, true);
-            haveList = !known.targets().isEmpty();
-            parts.route.listAwaited(true);
+            dispatcher.policyHost.onEndpointList(known, true);
+            haveList = !known.endpoints().isEmpty();
+            dispatcher.policyHost.onEndpointListAwaited(true);
         }
-        parts.door.page("/ready", this::ready);
-        parts.door.page("/counters", () -> new ClientListener.Page(200, counters.text()));
-        parts.door.open(worker, configuration.listen());
-        watch = new EndpointWatch(thread, dialer, clock, configuration.discovery(), parts.grace, counters,
+        dispatcher.clientListener.addPage("/ready", this::ready);
+        dispatcher.clientListener.addPage("/counters", () -> new StatusPage(200, counters.text()));
+        dispatcher.clientListener.listen(worker, configuration.listen());
+        watch = new EndpointWatch(thread, dialer, clock, configuration.discovery(), dispatcher.drainGrace,
+                counters,
                 list -> {
                     haveList = true;
-                    parts.route.listed(beside == null ? list : beside.listed(list), false);
-                }, () -> parts.route.listFailed());
-        parts.beforeFirstByte(beforeFirstByte());
+                    dispatcher.policyHost.onEndpointList(beside == null ? list : beside.adjust(list), false);
+                }, () -> dispatcher.policyHost.onEndpointListFailed());
+        dispatcher.beforeFirstByte(beforeFirstByte());
         if (beside != null) {
-            beside.begin(worker, thread, clock, configuration, changes -> parts.route.listed(changes, false));
+            beside.start(worker, thread, clock, configuration,
+                    changes -> dispatcher.policyHost.onEndpointList(changes, false));
         }
         watch.start();
         Log.info("started", "name", configuration.name(), "listen", configuration.listen());
-        new WarmUp(thread, buffers, clock, () -> counters.get(Counters.Name.TAKEN) == 0, () -> {
+        new WarmUp(thread, buffers, clock, () -> counters.get(Counters.Name.TASKS_ADMITTED) == 0, () -> {
             rehearsed = true;
             if (beside != null) {
-                beside.serving();
+                beside.onReady();
             }
             Log.info("ready", "list", haveList);
             ready.countDown();
         }).start();
     }
 
-    private ClientListener.Page ready() {
+    private StatusPage ready() {
         if (stopping) {
-            return new ClientListener.Page(503, "stopping\n");
+            return new StatusPage(503, "stopping\n");
         }
-        return !haveList ? new ClientListener.Page(503, "no list of workers yet\n")
-                : !rehearsed ? new ClientListener.Page(503, "warming up\n")
-                        : new ClientListener.Page(200, "ready\n");
+        return !haveList ? new StatusPage(503, "no list of workers yet\n")
+                : !rehearsed ? new StatusPage(503, "warming up\n")
+                        : new StatusPage(200, "ready\n");
     }
 
     /**
@@ -152,17 +154,19 @@
      */
     public void stop() {
         thread.execute(() -> {
-            Log.info("stopping", "tasks", parts.book.tasks(), "connections", parts.door.connections());
+            Log.info("stopping", "tasks", dispatcher.tasks.size(), "connections",
+                    dispatcher.clientListener.connectionCount());
             stopping = true;
             if (beside != null) {
-                beside.stopping();
+                beside.onStopping();
             }
-            Moment kill = clock.now().plus(parts.longest.orShorter(LONGEST_STOP)).plus(KILL_AFTER);
-            parts.admit.endAt(kill.minus(SHORT), kill.minus(GIVE_UP));
-            parts.door.beginStop();
+            Moment kill =
+                    clock.now().plus(dispatcher.longestDeadline.orShorter(LONGEST_STOP)).plus(KILL_AFTER);
+            dispatcher.admission.limitDeadlines(kill.minus(SHORT), kill.minus(GIVE_UP));
+            dispatcher.clientListener.beginShutdown();
             lookForEnd(clock.now().plus(STOP_LEAST), kill.minus(LAST_CALL), kill.minus(GIVE_UP));
         });
-        awaitEnd();
+        awaitStopped();
         Log.info("ended", counters.pairs());
         Log.flush();
         worker.shutdownNow();   // its threads ran on in a process that did more than serve
@@ -177,10 +181,10 @@
         thread.execute(() -> {
             counters.add(Counters.Name.RELOADS);
             Log.info("reload", "discovery", next.discovery(), "wait_for_restart", atStart);
-            if (watch.move(next.discovery())) {
-                parts.route.listAwaited(false);
+            if (watch.switchTo(next.discovery())) {
+                dispatcher.policyHost.onEndpointListAwaited(false);
                 if (beside != null) {
-                    beside.moved();
+                    beside.onDiscoveryChanged();
                 }
             }
         });
@@ -188,23 +192,24 @@
 
     private void lookForEnd(Moment least, Moment lastCall, Moment giveUp) {
         if (clock.now().before(lastCall)) {
-            if (!clock.now().before(least) && parts.door.connections() == 0
-                    && parts.door.quietFor(NOBODY_NEW)) {
+            if (!clock.now().before(least) && dispatcher.clientListener.connectionCount() == 0
+                    && dispatcher.clientListener.isUnchangedFor(NOBODY_NEW)) {
                 lookForEnd(least, clock.now(), giveUp);
                 return;
             }
         } else {
-            parts.lastCall();
+            dispatcher.closeToRequests();
             if (!clock.now().before(giveUp)) {
-                parts.route.giveUp();
+                dispatcher.policyHost.endAllTasks();
             }
-            boolean quiet = parts.door.empty() && parts.door.quietFor(CROSSED);
-            if (parts.book.tasks() == 0
+            boolean quiet =
+                    dispatcher.clientListener.isEmpty() && dispatcher.clientListener.isUnchangedFor(CROSSED);
+            if (dispatcher.tasks.size() == 0
                     && (quiet || !clock.now().before(giveUp.plus(GIVE_UP).minus(HANG_ON)))) {
                 watch.stop();
-                parts.close();
+                dispatcher.close();
                 if (beside != null) {
-                    beside.end();
+                    beside.close();
                 }
                 ended.countDown();
                 return;
@@ -215,12 +220,12 @@
 
     /** What is done before each first byte to a worker. */
     Runnable beforeFirstByte() {
-        return watch::look;
+        return watch::readPending;
     }
 
     /** Where clients connect. */
     public InetSocketAddress address() {
-        return parts.door.address();
+        return dispatcher.clientListener.address();
     }
 
     /** Waits until it is warmed up. */
@@ -228,12 +233,12 @@
         await(ready);
     }
 
-    public boolean ended() {
+    public boolean isStopped() {
         return ended.getCount() == 0;
     }
 
     /** Waits until it has stopped. */
-    public void awaitEnd() {
+    public void awaitStopped() {
         await(ended);
     }
 
--- a/src/main/java/rampshift/serve/WarmUp.java
+++ b/src/main/java/rampshift/serve/WarmUp.java
@@ -44,7 +44,7 @@
 
     private final XnioIoThread thread;
     private final Clock clock;
-    private final Dispatcher parts;
+    private final Dispatcher dispatcher;
     private final List<String> types;
     private final BooleanSupplier alone;
     private final Runnable done;
@@ -62,10 +62,11 @@
         this.thread = thread;
         this.clock = clock;
         this.done = done;
-        parts = new Dispatcher(thread, buffers, new Dialer(thread, this::toWorker), clock, new Counters(),
-                configuration, 0);
+        dispatcher =
+                new Dispatcher(thread, buffers, new Dialer(thread, this::toWorker), clock, new Counters(),
+                        configuration, 0);
         types = configuration.settings().hostSettings().types();
-        parts.route.listed(
+        dispatcher.policyHost.onEndpointList(
                 EndpointList.read(configuration.knownEndpoints(), configuration.knownEndpoints().length),
                 false);
     }
@@ -100,15 +101,15 @@
     void start() {
         began = clock.now();
         timer = IoTimer.in(thread, MOST, () -> finish("time"));
-        new Dialer(thread, this::toDoor).dial(null, MOST, new Dialer.Dialed() {
+        new Dialer(thread, this::toDoor).dial(null, MOST, new Dialer.DialListener() {
             @Override
-            public void connected(HttpConnection connection) {
+            public void onConnected(HttpConnection connection) {
                 client = connection;
                 next();
             }
 
             @Override
-            public void unreachable(String why) {
+            public void onUnreachable(String why) {
                 finish(why);
             }
         });
@@ -116,7 +117,7 @@
 
     private IoFuture<StreamConnection> toDoor(InetSocketAddress to,
             ChannelListener<StreamConnection> opened) {
-        return pipe(opened, parts.door::accepted);
+        return pipe(opened, dispatcher.clientListener::serve);
     }
 
     private IoFuture<StreamConnection> toWorker(InetSocketAddress to,
@@ -179,19 +180,19 @@
                 + BODY.length + "\r\n\r\n";
         client.exchange(new ExchangeListener() {
             @Override
-            public void head(ResponseHead head) {
+            public void onHead(ResponseHead head) {
                 if (head.status() != 200) {
                     finish("status " + head.status());
                 }
             }
 
             @Override
-            public void ended() {
+            public void onComplete() {
                 thread.execute(WarmUp.this::next);
             }
 
             @Override
-            public void broken(String why) {
+            public void onFailure(String why) {
                 finish(why);
             }
         }, ByteBuffer.wrap(ascii(head)), ByteBuffer.wrap(BODY));
@@ -202,11 +203,11 @@
             return;
         }
         over = true;
-        timer.off();
+        timer.cancel();
         if (client != null) {
             client.close();
         }
-        parts.close();
+        dispatcher.close();
         ready();
         long ms = Math.round(clock.now().since(began).millis());
         Log.info("rehearsed", "tasks", played, "ms", ms, "end", why);
--- a/src/main/java/rampshift/simulator/ReplyWriter.java
+++ b/src/main/java/rampshift/simulator/ReplyWriter.java
@@ -49,7 +49,7 @@
     }
 
     @Override
-    public void assign(long task, long worker, Span timeout) {
+    public void forward(long task, long worker, Span timeout) {
         message("Place", () -> {
             out.writeNumberField("Ref", task);
             out.writeNumberField("Worker", worker);
@@ -66,7 +66,7 @@
     }
 
     @Override
-    public void bounce(long task, Span retryAfter) {
+    public void reject(long task, Span retryAfter) {
         message("OverloadReply", () -> {
             out.writeNumberField("Ref", task);
             out.writeNumberField("RetryAfterMs", retryAfter.millis());
@@ -74,7 +74,7 @@
     }
 
     @Override
-    public void abandon(long task) {
+    public void fail(long task) {
         message("Error", () -> out.writeNumberField("Ref", task));
     }
 
--- a/src/test/java/rampshift/FileCompatibilityTest.java
+++ b/src/test/java/rampshift/FileCompatibilityTest.java
@@ -39,8 +39,8 @@
         OperatorFile file = OperatorFile.read(FILES.resolve("operator-leases.toml"));
         assertEquals(2, file.members().seeds().size());
         assertEquals(4, file.members().reach().size());
-        assertEquals(List.of("sweep", "charge"), file.leases().names());
-        assertEquals(1000, file.leases().rules().term().millis());
+        assertEquals(List.of("sweep", "charge"), file.leases().leases());
+        assertEquals(1000, file.leases().timings().term().millis());
         assertEquals(Path.of("/var/lib/rampshift/keeper-d1"), file.leases().directory());
         assertEquals(60, file.duties().get(1).objects().size());
         assertEquals(2000, file.duties().get(1).every().millis());
@@ -58,7 +58,7 @@
         assertEquals(List.of("one", "two"), configuration.settings().hostSettings().zones());
         assertTrue(configuration.settings().read(configuration.seed()).tellsStart);
         byte[] known = configuration.knownEndpoints();
-        assertEquals(8, EndpointList.read(known, known.length).targets().size());
+        assertEquals(8, EndpointList.read(known, known.length).endpoints().size());
         assertArrayEquals("{\"rev\":1,".getBytes(StandardCharsets.UTF_8), Arrays.copyOf(known, 9));
     }
 
--- a/src/test/java/rampshift/discovery/EndpointWatchTest.java
+++ b/src/test/java/rampshift/discovery/EndpointWatchTest.java
@@ -90,7 +90,7 @@
             versions.add(list(false));
             busy(300);
             assertEquals(List.of(1L), told);
-            watch.look();
+            watch.readPending();
             assertEquals(List.of(1L, 2L), told, "and the thread has not left what it does");
         });
     }
@@ -103,13 +103,13 @@
             if (told.size() == 1) {
                 versions.add(list(false));
                 busy(300);
-                watch.look();
+                watch.readPending();
                 meanwhile.addAll(told);
             }
         });
         until("both are told", () -> told.size() >= 2);
         assertEquals(List.of(1L, 2L), meanwhile);
-        assertEquals(0, counters.get(Counters.Name.WATCH_BROKEN));
+        assertEquals(0, counters.get(Counters.Name.WATCH_FAILURES));
     }
 
     /**
@@ -121,7 +121,7 @@
         until("the call for changes is open", () -> agent.received.size() == 2);
         on(() -> busy(1800));
         until("it is watched on", () -> agent.received.size() > 2);
-        assertEquals(0, counters.get(Counters.Name.WATCH_BROKEN));
+        assertEquals(0, counters.get(Counters.Name.WATCH_FAILURES));
     }
 
     /**
@@ -134,11 +134,11 @@
         watch(2000, () -> {});
         until("the call for changes is open", () -> agent.received.size() == 2);
         on(() -> {
-            thread.executeAfter(() -> watch.look(), 1, TimeUnit.MILLISECONDS);
+            thread.executeAfter(() -> watch.readPending(), 1, TimeUnit.MILLISECONDS);
             busy(1800);      // its answer, that nothing changed, came after 800; its time is over after 1400
         });
         until("it is watched on", () -> agent.received.size() > 2);
-        assertEquals(0, counters.get(Counters.Name.WATCH_BROKEN));
+        assertEquals(0, counters.get(Counters.Name.WATCH_FAILURES));
     }
 
     /**
@@ -154,14 +154,14 @@
                         new InetSocketAddress("127.0.0.1", agent.port()),
                         Span.ofMillis(2000), counters, l -> told.add(l.version()), () -> {});
                 watch.start();
-                watch.move(new InetSocketAddress("127.0.0.1", second.port()));
-                watch.move(new InetSocketAddress("127.0.0.1", third.port()));
+                watch.switchTo(new InetSocketAddress("127.0.0.1", second.port()));
+                watch.switchTo(new InetSocketAddress("127.0.0.1", third.port()));
             });
             until("the last one is watched", () -> third.received.size() > 1);
             on(() -> {});
             assertEquals(List.of(30L), told);
             assertEquals(0, agent.received.size() + second.received.size());
-            assertEquals(0, counters.get(Counters.Name.WATCH_BROKEN));
+            assertEquals(0, counters.get(Counters.Name.WATCH_FAILURES));
         }
     }
 
@@ -187,7 +187,7 @@
             });
             until("it is told", () -> !told.isEmpty());
             assertEquals(List.of(7L), told);
-            assertEquals(1, counters.get(Counters.Name.WATCH_BROKEN));
+            assertEquals(1, counters.get(Counters.Name.WATCH_FAILURES));
         }
     }
 
@@ -213,7 +213,7 @@
             listen(slow, 2000);
             until("it is told", () -> !told.isEmpty());
             assertEquals(List.of(7L), told);
-            assertEquals(0, counters.get(Counters.Name.WATCH_BROKEN));
+            assertEquals(0, counters.get(Counters.Name.WATCH_FAILURES));
         }
     }
 
@@ -269,7 +269,7 @@
         })) {
             listen(large, 2000);
             until("it is told", () -> !told.isEmpty());
-            assertEquals(0, counters.get(Counters.Name.WATCH_BROKEN));
+            assertEquals(0, counters.get(Counters.Name.WATCH_FAILURES));
         }
     }
 
@@ -344,7 +344,7 @@
                 until("it goes wrong", () -> asked.get() >= 3);
                 wrong[0] = System.nanoTime();
                 if (moves) {
-                    on(() -> watch.move(new InetSocketAddress("127.0.0.1", two.port())));
+                    on(() -> watch.switchTo(new InetSocketAddress("127.0.0.1", two.port())));
                 }
                 until("the news is told", () -> told.contains(9L));
                 long ms = (System.nanoTime() - wrong[0]) / 1_000_000;
@@ -375,7 +375,7 @@
                     }, () -> {});
             watch.start();
         });
-        until("two tries have failed", () -> counters.get(Counters.Name.WATCH_BROKEN) >= 2);
+        until("two tries have failed", () -> counters.get(Counters.Name.WATCH_FAILURES) >= 2);
         long from = System.nanoTime();
         for (Socket s : waiting) {
             s.close();
