--- a/src/main/java/rampshift/simulator/PolicyInstance.java
+++ b/src/main/java/rampshift/simulator/PolicyInstance.java
@@ -1,5 +1,6 @@
 package rampshift.simulator;
 
+import java.io.UncheckedIOException;
 import rampshift.policy.AttemptOutcome;
 import rampshift.policy.DispatchPolicy;
 import rampshift.policy.EndpointListKind;
@@ -11,53 +12,61 @@
 import rampshift.time.Moment;
 import rampshift.time.Span;
 
-/** One dispatcher's decision module, and the turning of its messages into calls. */
+/** One simulated dispatcher: hands the events of messages to a dispatch policy and writes its decisions. */
 final class PolicyInstance {
-    private static final int JOB_BEGUN = 1;
-    private static final int HINTED = 1;        // of StateBits
-    private final String who;
+    /** What a note tells: the attempt has started. */
+    private static final int NOTE_STARTED = 1;
+    /** The bit of StateBits that says that ExpectedMs is valid. */
+    private static final int EXPECTED_TIME_VALID = 1;
+
+    private final String name;
     private final DispatchPolicy policy;
-    private final int types;
+    private final int typeCount;
     private final String freeSlots;
     private final String freeMemory;
-    boolean heard;
+    /** Whether the batch being read holds an event for it. */
+    boolean addressed;
+    /** Whether the simulator has ended it, or started another of its name. */
     boolean retired;
-    private String fault;
+    /** Why it decides nothing more; null while it does. */
+    private String failure;
 
-    PolicyInstance(String who, SettingsReader settings, long seed, Moment now) {
+    PolicyInstance(String name, SettingsReader settings, long seed, Moment now) {
         if (settings == null) {
             throw new InvalidInputException("Attach without Setup");
         }
-        this.who = who;
+        this.name = name;
         var read = settings.read(seed);
-        types = read.types.size();
+        typeCount = read.types.size();
         policy = new DispatchPolicy(read, now);
         freeSlots = settings.reportField("free slots");
         freeMemory = settings.reportField("free memory");
     }
 
+    /** Sets the time of the events that follow. */
     void clock(Moment now) {
         policy.setNow(now);
     }
 
-    void event(String what, MessageFields f) {
-        if (!known(what)) {
-            throw new InvalidInputException("a message with the unknown t " + what);
+    /** Takes in one event; a failure of the policy is kept and reported in the reply. */
+    void event(String type, MessageFields fields) {
+        if (!known(type)) {
+            throw new InvalidInputException("a message with the unknown t " + type);
         }
-        if (fault != null) {
+        if (failure != null) {
             return;
         }
         try {
-            hear(what, f);
+            onEvent(type, fields);
         } catch (InvalidInputException e) {
             throw e;
         } catch (RuntimeException e) {
-            fault = what + ": " + e;
+            failure = type + ": " + e;
         }
     }
 
-    private static boolean known(String what) {
-        return switch (what) {
+    private static boolean known(String type) {
+        return switch (type) {
             case "Attach", "Fleet", "Arrival", "UnderWay", "Note", "Ended", "Hangup", "Wakeup", "Echo",
                     "NoteFrom" ->
                 true;
@@ -65,36 +74,38 @@
         };
     }
 
-    private void hear(String what, MessageFields f) {
-        switch (what) {
-            case "Fleet" -> fleet(f);
-            case "Arrival" -> arrival(f);
+    private void onEvent(String type, MessageFields fields) {
+        switch (type) {
+            case "Fleet" -> onEndpointList(fields);
+            case "Arrival" -> onArrival(fields);
             case "Note" -> {
-                int number = (int) f.whole("Try");
-                if (f.whole("What") == JOB_BEGUN) {
-                    policy.onAttemptStarted(f.whole("Ref"), number);
+                int number = (int) fields.whole("Try");
+                if (fields.whole("What") == NOTE_STARTED) {
+                    policy.onAttemptStarted(fields.whole("Ref"), number);
                 } else {
-                    policy.onAttemptProgress(f.whole("Ref"), number, f.number("Value", 0));
+                    policy.onAttemptProgress(fields.whole("Ref"), number, fields.number("Value", 0));
                 }
             }
             case "Ended" -> {
-                load(f);
-                policy.onAttemptFinished(f.whole("Ref"), (int) f.whole("Try"), outcome(f.text("Disposition")),
-                        f.flag("Terminal"));
+                reportLoad(fields);
+                policy.onAttemptFinished(fields.whole("Ref"), (int) fields.whole("Try"),
+                        outcome(fields.text("Disposition")),
+                        fields.flag("Terminal"));
             }
-            case "Hangup" -> policy.onClientGone(f.whole("Ref"));
+            case "Hangup" -> policy.onClientGone(fields.whole("Ref"));
             case "Echo" -> {
-                load(f);
-                policy.onProbeResult(f.whole("Worker"), f.text("Disposition").equals("S"));
+                reportLoad(fields);
+                policy.onProbeResult(fields.whole("Worker"), fields.text("Disposition").equals("S"));
             }
             case "Wakeup" -> policy.onTimer();
             default -> {
-            }   // Attach is done; a stream's start and peers' messages tell this module nothing
+                // Attach is done; a stream's start and messages of other dispatchers are not used.
+            }
         }
     }
 
-    private void fleet(MessageFields f) {
-        String how = f.text("How");
+    private void onEndpointList(MessageFields fields) {
+        String how = fields.text("How");
         policy.onEndpointListBegin(switch (how) {
             case "failed" -> EndpointListKind.FAILED;
             case "delta" -> EndpointListKind.CHANGES;
@@ -102,39 +113,45 @@
             case "cached" -> EndpointListKind.CACHED;
             default -> throw new InvalidInputException("Fleet: unknown How " + how);
         });
-        for (int i = 0; i < f.count; i++) {
-            EndpointEntry e = f.entries.get(i);
-            policy.onEndpoint(new ListedWorker(
-                    e.worker, e.site, e.pod, e.machine, e.state.equals("IN") ? EndpointState.READY
-                            : e.state.equals("LAME") ? EndpointState.DRAINING
-                                    : EndpointState.GONE,
-                    Moment.ofMillis(e.bornMs), e.weight));
+        for (int i = 0; i < fields.count; i++) {
+            EndpointEntry entry = fields.entries.get(i);
+            policy.onEndpoint(new ListedWorker(entry.worker, entry.site, entry.pod, entry.machine,
+                    state(entry.state), Moment.ofMillis(entry.bornMs), entry.weight));
         }
         policy.onEndpointListEnd();
     }
 
-    private void arrival(MessageFields f) {
-        int type = f.index("Priority");
-        if (type < 0 || type >= types) {
-            throw new InvalidInputException("Arrival: no traffic type " + type);
+    private static EndpointState state(String code) {
+        return switch (code) {
+            case "IN" -> EndpointState.READY;
+            case "LAME" -> EndpointState.DRAINING;
+            default -> EndpointState.GONE;
+        };
+    }
+
+    private void onArrival(MessageFields fields) {
+        int trafficType = fields.index("Priority");
+        if (trafficType < 0 || trafficType >= typeCount) {
+            throw new InvalidInputException("Arrival: no traffic type " + trafficType);
         }
-        policy.onTaskArrived(f.whole("Ref"),
-                new TaskRequest(type, f.index("Owner"), hint(f), f.number("Width", 1),
-                        f.number("RamUnits", 0),
-                        Span.ofMillis(f.number("PatienceLeftMs", 0))));
+        policy.onTaskArrived(fields.whole("Ref"),
+                new TaskRequest(trafficType, fields.index("Owner"), expectedTime(fields),
+                        fields.number("Width", 1),
+                        fields.number("RamUnits", 0),
+                        Span.ofMillis(fields.number("PatienceLeftMs", 0))));
     }
 
-    private static Span hint(MessageFields f) {
-        boolean valid = (f.index("StateBits") & HINTED) != 0;
-        return valid ? Span.ofMillis(Math.max(0, f.number("ExpectedMs", 0))) : Span.ZERO;
+    private static Span expectedTime(MessageFields fields) {
+        boolean valid = (fields.index("StateBits") & EXPECTED_TIME_VALID) != 0;
+        return valid ? Span.ofMillis(Math.max(0, fields.number("ExpectedMs", 0))) : Span.ZERO;
     }
 
-    private void load(MessageFields f) {
-        if (f.load != null) {
-            policy.onLoadReport(f.whole("Worker"),
-                    freeSlots == null ? Double.NaN : f.load.number(freeSlots, Double.NaN),
-                    f.load.number("depth", Double.NaN), f.load.number("concurrent", Double.NaN),
-                    freeMemory == null ? Double.NaN : f.load.number(freeMemory, Double.NaN));
+    private void reportLoad(MessageFields fields) {
+        if (fields.load != null) {
+            policy.onLoadReport(fields.whole("Worker"),
+                    freeSlots == null ? Double.NaN : fields.load.number(freeSlots, Double.NaN),
+                    fields.load.number("depth", Double.NaN), fields.load.number("concurrent", Double.NaN),
+                    freeMemory == null ? Double.NaN : fields.load.number(freeMemory, Double.NaN));
         }
     }
 
@@ -152,22 +169,22 @@
         };
     }
 
-    /** Pulls the decisions one by one; a fault of the module becomes one whole message. */
+    /** Writes the decisions one by one; where the policy has failed, one message that says so. */
     void answer(ReplyWriter out) {
-        out.who = who;
-        if (fault == null) {
+        out.instance = name;
+        if (failure == null) {
             try {
                 while (policy.decideNext(out)) {
                     continue;
                 }
-            } catch (java.io.UncheckedIOException e) {
+            } catch (UncheckedIOException e) {
                 throw e;
             } catch (RuntimeException e) {
-                fault = "deciding: " + e;
+                failure = "deciding: " + e;
             }
         }
-        if (fault != null) {
-            out.bailOut(fault);
+        if (failure != null) {
+            out.bailOut(failure);
         }
     }
 }
--- a/src/main/java/rampshift/simulator/ReplyWriter.java
+++ b/src/main/java/rampshift/simulator/ReplyWriter.java
@@ -16,7 +16,7 @@
     private final ByteArrayOutputStream bytes = new ByteArrayOutputStream(INITIAL_BUFFER_BYTES);
     final JsonGenerator out;
     /** The instance whose decisions come next. */
-    String who;
+    String instance;
 
     ReplyWriter(JsonFactory json) throws IOException {
         out = json.createGenerator(bytes);
@@ -40,7 +40,7 @@
         try {
             out.writeStartObject();
             out.writeStringField("t", type);
-            out.writeStringField("Who", who);
+            out.writeStringField("Who", instance);
             body.write();
             out.writeEndObject();
         } catch (IOException e) {
--- a/src/main/java/rampshift/simulator/SimulatorHost.java
+++ b/src/main/java/rampshift/simulator/SimulatorHost.java
@@ -70,7 +70,7 @@
         out.writeStartObject();
         out.writeArrayFieldStart("cmds");
         for (PolicyInstance instance : addressed) {
-            instance.heard = false;
+            instance.addressed = false;
             if (!instance.retired) {
                 instance.answer(reply);
             }
@@ -144,8 +144,8 @@
                 instances.remove(name);
                 continue;
             }
-            if (!instance.heard) {
-                instance.heard = true;
+            if (!instance.addressed) {
+                instance.addressed = true;
                 addressed.add(instance);
                 instance.clock(now);
             }
