--- a/src/main/java/rampshift/extensions/OperatorFile.java
+++ b/src/main/java/rampshift/extensions/OperatorFile.java
@@ -27,7 +27,7 @@
     /**
      * Reads a file.
      *
-     * @throws rampshift.toml.ConfigurationException with all that is wrong with it
+     * @throws rampshift.settings.ConfigurationException with all that is wrong with it
      */
     public static OperatorFile read(Path file) {
         return read(file.toString(), TomlFile.text(file));
@@ -36,7 +36,7 @@
     /**
      * Reads the text of a file of that name.
      *
-     * @throws rampshift.toml.ConfigurationException with all that is wrong with it
+     * @throws rampshift.settings.ConfigurationException with all that is wrong with it
      */
     public static OperatorFile read(String name, String text) {
         TomlFile file = TomlFile.read(name, text);
--- a/src/test/java/rampshift/FileCompatibilityTest.java
+++ b/src/test/java/rampshift/FileCompatibilityTest.java
@@ -27,23 +27,23 @@
     @Test
     void readsTheShippedOperatorFile() {
         OperatorFile file = OperatorFile.read(FILES.resolve("operator.toml"));
-        assertEquals("valle", file.members().fleet());
-        assertEquals(new InetSocketAddress("127.0.0.1", 7946), file.members().listen());
-        assertEquals(List.of("127.0.0.1:7947"), file.members().seeds());
+        assertEquals("valle", file.membership().fleet());
+        assertEquals(new InetSocketAddress("127.0.0.1", 7946), file.membership().listen());
+        assertEquals(List.of("127.0.0.1:7947"), file.membership().seeds());
         assertNull(file.leases(), "its section is a comment");
-        assertEquals(List.of(), file.duties());
+        assertEquals(List.of(), file.periodicJobs());
     }
 
     @Test
     void readsAnOperatorFileWithLeasesAndPeriodicJobs() {
         OperatorFile file = OperatorFile.read(FILES.resolve("operator-leases.toml"));
-        assertEquals(2, file.members().seeds().size());
-        assertEquals(4, file.members().reach().size());
+        assertEquals(2, file.membership().seeds().size());
+        assertEquals(4, file.membership().addressOverrides().size());
         assertEquals(List.of("sweep", "charge"), file.leases().leases());
         assertEquals(1000, file.leases().timings().term().millis());
         assertEquals(Path.of("/var/lib/rampshift/keeper-d1"), file.leases().directory());
-        assertEquals(60, file.duties().get(1).objects().size());
-        assertEquals(2000, file.duties().get(1).every().millis());
+        assertEquals(60, file.periodicJobs().get(1).objects().size());
+        assertEquals(2000, file.periodicJobs().get(1).interval().millis());
     }
 
     @Test
