--- a/src/main/java/rampshift/connections/Dialer.java
+++ b/src/main/java/rampshift/connections/Dialer.java
@@ -13,105 +13,134 @@
 import rampshift.time.IoTimer;
 import rampshift.time.Span;
 
-/** Opens connections on the I/O thread. All of them read through its one buffer. */
+/** Opens connections on the I/O thread and owns the buffers through which all of them read. */
 public final class Dialer {
-    private static final int BUFFER = 16 * 1024;
-    private static final int LOOK_BUFFER = 4 * 1024;
+    private static final int READ_BUFFER_BYTES = 16 * 1024;
+    private static final int POLL_BUFFER_BYTES = 4 * 1024;
     private static final OptionMap OPTIONS = OptionMap.create(Options.TCP_NODELAY, true);
 
     final XnioIoThread thread;
+    final ByteBuffer readBuffer = ByteBuffer.allocateDirect(READ_BUFFER_BYTES);
+    final byte[] readBytes = new byte[READ_BUFFER_BYTES];
+    /** For reads that may happen while another connection is reading through {@link #readBuffer}. */
+    final ByteBuffer pollBuffer = ByteBuffer.allocateDirect(POLL_BUFFER_BYTES);
     private final ChannelOpener opener;
-    final ByteBuffer buffer = ByteBuffer.allocateDirect(BUFFER);
-    final byte[] bytes = new byte[BUFFER];
-    final ByteBuffer lookBuffer = ByteBuffer.allocateDirect(LOOK_BUFFER);
-    int open;
+    private int openCount;
 
-    /** Opens a channel to an address, and hands it to the listener on the I/O thread. */
+    /** Opens a channel to an address and passes it to the listener on the I/O thread. */
     public interface ChannelOpener {
-        IoFuture<StreamConnection> open(InetSocketAddress to, ChannelListener<StreamConnection> opened);
+        /**
+         * Starts to open a channel.
+         *
+         * @param address where to connect to
+         * @param listener called on the I/O thread with the open channel
+         * @return the attempt, which can be cancelled
+         */
+        IoFuture<StreamConnection> open(InetSocketAddress address,
+                ChannelListener<StreamConnection> listener);
     }
 
-    /** Tells how a dial ended, once, unless it was called off. */
+    /** Receives the result of a dial: one call, unless the dial was cancelled. */
     public interface DialListener {
+        /** The connection is open; it belongs to the listener from now on. */
         void onConnected(HttpConnection connection);
 
-        void onUnreachable(String why);
+        /**
+         * No connection could be made in time.
+         *
+         * @param reason what went wrong, for the log
+         */
+        void onUnreachable(String reason);
     }
 
-    /** A dial under way: one timer and one half-open socket, both given back in {@link #over}. */
+    /** A dial in progress. It owns a timer and a half-open socket, and releases both when it ends. */
     public final class Dial {
-        private final DialListener told;
-        private IoFuture<StreamConnection> coming;
+        private final DialListener listener;
+        private IoFuture<StreamConnection> channelFuture;
         private IoTimer timer;
-        private boolean over;
+        private boolean ended;
 
-        private Dial(DialListener told) {
-            this.told = told;
+        private Dial(DialListener listener) {
+            this.listener = listener;
         }
 
-        private void start(InetSocketAddress to, Span timeout) {
-            open++;
-            coming = opener.open(to, this::opened);
-            timer = IoTimer.in(thread, timeout, () -> fail("no connection in time"));
-            coming.addNotifier((future, nothing) -> {
+        private void start(InetSocketAddress address, Span timeout) {
+            openCount++;
+            channelFuture = opener.open(address, this::onOpened);
+            timer = IoTimer.in(thread, timeout, () -> fail("connect timed out"));
+            channelFuture.addNotifier((future, attachment) -> {
                 if (future.getStatus() == IoFuture.Status.FAILED) {
-                    IOException e = future.getException();
-                    thread.execute(() -> fail(String.valueOf(e.getMessage())));
+                    IOException cause = future.getException();
+                    thread.execute(() -> fail(String.valueOf(cause.getMessage())));
                 }
             }, null);
         }
 
-        private void opened(StreamConnection channel) {
-            if (over) {
+        private void onOpened(StreamConnection channel) {
+            if (ended) {
                 IoUtils.safeClose(channel);
                 return;
             }
-            over();
-            told.onConnected(new HttpConnection(Dialer.this, channel));
+            end();
+            listener.onConnected(new HttpConnection(Dialer.this, channel));
         }
 
-        private void fail(String why) {
-            if (!over) {
+        private void fail(String reason) {
+            if (!ended) {
                 cancel();
-                told.onUnreachable(why);
+                listener.onUnreachable(reason);
             }
         }
 
-        /** Stops waiting; nothing is told. */
+        /** Ends the dial without a call to its listener. Has no effect once the dial has ended. */
         public void cancel() {
-            if (!over) {
-                over();
-                open--;
-                coming.cancel();
+            if (!ended) {
+                end();
+                openCount--;
+                channelFuture.cancel();
             }
         }
 
-        private void over() {
-            over = true;
+        private void end() {
+            ended = true;
             if (timer != null) {
                 timer.off();
             }
         }
     }
 
+    /** Creates a dialer that opens TCP connections. */
     public Dialer(XnioIoThread thread) {
-        this(thread, (to, opened) -> thread.openStreamConnection(to, opened, OPTIONS));
+        this(thread, (address, listener) -> thread.openStreamConnection(address, listener, OPTIONS));
     }
 
+    /** Creates a dialer that opens channels in another way. */
     public Dialer(XnioIoThread thread, ChannelOpener opener) {
         this.thread = thread;
         this.opener = opener;
     }
 
-    /** Connections and dials under way. */
+    /** The number of open connections and of dials in progress. */
     public int openCount() {
-        return open;
+        return openCount;
     }
 
-    /** Never tells before it returns. */
-    public Dial dial(InetSocketAddress to, Span timeout, DialListener told) {
-        Dial dial = new Dial(told);
-        dial.start(to, timeout);
+    /** Called once by each connection that is closed. */
+    void onClosed() {
+        openCount--;
+    }
+
+    /**
+     * Starts to open a connection. The listener is never called before this method returns.
+     *
+     * @param address where to connect to
+     * @param timeout when to give up
+     * @param listener receives the result
+     * @return the dial, which can be cancelled
+     */
+    public Dial dial(InetSocketAddress address, Span timeout, DialListener listener) {
+        Dial dial = new Dial(listener);
+        dial.start(address, timeout);
         return dial;
     }
 }
--- a/src/main/java/rampshift/connections/HttpConnection.java
+++ b/src/main/java/rampshift/connections/HttpConnection.java
@@ -3,169 +3,135 @@
 import java.io.IOException;
 import java.nio.ByteBuffer;
 import java.util.function.Supplier;
-import org.xnio.Buffers;
 import org.xnio.IoUtils;
 import org.xnio.StreamConnection;
-import rampshift.time.IoTimer;
-import rampshift.time.Moment;
 import rampshift.time.Span;
 
 /**
- * One connection to a worker or to discovery: HTTP/1.1, one exchange at a time, never resent. It is owned
- * by whoever dialed it, and given back by {@link #close()} alone.
+ * A client connection to a worker or to the discovery service: HTTP/1.1, one exchange at a time, without
+ * retries. It is used on the I/O thread alone. Whoever dialed it owns it and releases it with {@link
+ * #close()}.
  *
- * Undertow's client is not used here: it cannot call a connect off, and does not tell when the last byte of
- * an exchange was written, which decides whether a task may have run (docs/design.md).
+ * <p>Undertow's client is not used here: it can't cancel a connect, and it doesn't report when the last
+ * byte of a request was written, which decides whether a task may have run (docs/design.md).
  */
 public final class HttpConnection {
+    private static final int NANOS_PER_MICRO = 1000;
+
     private final Dialer dialer;
     private final StreamConnection channel;
+    private final RequestWriter writer;
     private final ResponseReader reader = new ResponseReader();
-    private ByteBuffer[] toWrite;
-    private boolean written;
-    private ByteBuffer lastByte;
-    private Span hold;
-    private IoTimer timer;
-    private long writtenAt;
-    private long readAt;
-    private Span answeredAfter = Span.ZERO;
-    private ExchangeListener heard;
-    private boolean lasting = true;
+    /** The listener of the exchange in progress; null while idle. */
+    private ExchangeListener listener;
+    private boolean requestWritten;
+    private long requestWrittenNanos;
+    private long lastReadNanos;
+    private boolean responseStarted;
+    private Span timeToFirstByte = Span.ZERO;
+    private boolean persistent = true;
     private boolean closed;
-    /** Since when it has been idle; kept for its owner. */
-    public Moment idleSince;
-    /** Called once if it ends while no exchange is on. */
-    Runnable onEnd;
+    private Runnable idleCloseHandler;
 
     HttpConnection(Dialer dialer, StreamConnection channel) {
         this.dialer = dialer;
         this.channel = channel;
-        channel.getSourceChannel().setReadListener(c -> readable());
-        channel.getSinkChannel().setWriteListener(c -> writable());
+        channel.getSourceChannel().setReadListener(ignored -> read());
+        writer = new RequestWriter(dialer.thread, channel, new WriteEvents());
         channel.getSourceChannel().resumeReads();
     }
 
-    public void onIdleClose(Runnable told) {
-        onEnd = told;
+    /** Sets what is run once if the connection ends while it is idle, unless this side closes it. */
+    public void onIdleClose(Runnable handler) {
+        idleCloseHandler = handler;
     }
 
-    /** Whether another exchange may be tried on it. */
+    /** Whether another exchange may be started: the connection is open, persistent and idle. */
     public boolean isReusable() {
-        return !closed && lasting && heard == null;
+        return !closed && persistent && listener == null;
     }
 
     /**
-     * Whether it is still open, by what lies unread: its end, or bytes that nobody asked for, may have come
-     * while the
-     * thread was at something else. To be asked while no exchange is on.
+     * Reads what has arrived on an idle connection, and closes it if that is its end or bytes that belong
+     * to no request: either may lie unread while the I/O thread is busy. Must not be called during an
+     * exchange.
+     *
+     * @return whether the connection is still open and may be reused
      */
     public boolean verifyOpen() {
         if (!isReusable()) {
             return false;
         }
         try {
-            int count = channel.getSourceChannel().read(dialer.lookBuffer.clear());
+            int count = channel.getSourceChannel().read(dialer.pollBuffer.clear());
             if (count != 0) {
-                broken(count < 0 ? "ended by the other side" : "bytes that nobody asked for");
+                fail(count < 0 ? "closed by the peer" : "unrequested bytes");
             }
         } catch (IOException e) {
-            broken("reading: " + e.getMessage());
+            fail("reading: " + e.getMessage());
         }
         return !closed;
     }
 
-    /** Writes it all and reads one answer. */
-    public void exchange(ExchangeListener heard, ByteBuffer... message) {
-        exchange(heard, Span.ZERO, () -> message);
+    /** Starts an exchange: writes the whole request at once and reads one response. */
+    public void exchange(ExchangeListener exchangeListener, ByteBuffer... request) {
+        exchange(exchangeListener, Span.ZERO, () -> request);
     }
 
     /**
-     * The same, but the last byte waits for so long after the others. A connection that the other side no
-     * longer wants is reset by then, and it is known that nothing ran. The message is asked for once it may
-     * be written, since it tells how much time is left.
+     * Starts an exchange in which the last byte of the request is written later than the others. A
+     * connection that the peer no longer wants is reset by then, and it is known that the request was not
+     * acted on.
+     *
+     * @param exchangeListener receives the events of the exchange
+     * @param lastByteDelay how much later the last byte is written; zero to write it with the others
+     * @param request called once the request may be written, since the request contains the time that is
+     *     left
      */
-    public void exchange(ExchangeListener heard, Span hold, Supplier<ByteBuffer[]> message) {
-        this.heard = heard;
-        if (!heard.mayWriteFirstByte()) {
-            this.heard = null;
+    public void exchange(ExchangeListener exchangeListener, Span lastByteDelay,
+            Supplier<ByteBuffer[]> request) {
+        listener = exchangeListener;
+        if (!listener.mayWriteFirstByte()) {
+            listener = null;
             return;
         }
-        toWrite = message.get();
-        written = false;
-        answeredAfter = Span.ZERO;
+        ByteBuffer[] buffers = request.get();
+        requestWritten = false;
+        responseStarted = false;
+        timeToFirstByte = Span.ZERO;
         reader.begin();
-        if (hold.micros() > 0) {
-            ByteBuffer end = toWrite[toWrite.length - 1];
-            for (int i = toWrite.length - 1; !end.hasRemaining(); i--) {
-                end = toWrite[i];
-            }
-            lastByte = ByteBuffer.wrap(new byte[]{end.get(end.limit() - 1)});
-            end.limit(end.limit() - 1);
-            this.hold = hold;
-        }
-        writable();
+        writer.start(buffers, lastByteDelay);
     }
 
-    /** From the last byte written to the first of the answer; ZERO before. */
+    /** The time from the last byte of the request to the first of the response; zero before that. */
     public Span timeToFirstByte() {
-        return answeredAfter;
+        return timeToFirstByte;
     }
 
-    private void writable() {
-        if (toWrite == null) {
-            channel.getSinkChannel().suspendWrites();
-            return;
-        }
-        try {
-            // All of them are looked at: with the last one alone, tasks without a body were never written.
-            while (Buffers.hasRemaining(toWrite)) {
-                if (channel.getSinkChannel().write(toWrite, 0, toWrite.length) == 0) {
-                    channel.getSinkChannel().resumeWrites();
-                    return;
-                }
-            }
-        } catch (IOException e) {
-            broken("writing: " + e.getMessage());
-            return;
-        }
-        toWrite = null;
-        channel.getSinkChannel().suspendWrites();
-        if (lastByte != null) {
-            timer = IoTimer.notBefore(dialer.thread, hold, this::release);
-            return;
-        }
-        written = true;
-        writtenAt = System.nanoTime();
-        readAt = writtenAt;
-        heard.onRequestWritten();
+    /** The time since the last bytes of the response were read, or since the request was written. */
+    public Span timeSinceLastRead() {
+        return microsSince(lastReadNanos);
     }
 
-    private void release() {
-        timer = null;
-        if (!heard.mayWriteLastByte()) {
-            return;     // it has given this connection back
-        }
-        toWrite = new ByteBuffer[]{lastByte};
-        lastByte = null;
-        writable();
+    private static Span microsSince(long nanos) {
+        return new Span((System.nanoTime() - nanos) / NANOS_PER_MICRO);
     }
 
     /**
-     * Reads what has come of an answer now, instead of when the thread finds the time. May be called while
-     * another
-     * connection is being read: it has a buffer of its own.
+     * Reads what has arrived of a response now, instead of when the I/O thread gets to it. May be called
+     * while another connection is being read, since it uses a buffer of its own.
      */
     public void poll() {
-        if (heard != null && written) {
-            readable(dialer.lookBuffer, new byte[dialer.lookBuffer.capacity()]);
+        if (listener != null && requestWritten) {
+            read(dialer.pollBuffer, new byte[dialer.pollBuffer.capacity()]);
         }
     }
 
-    private void readable() {
-        readable(dialer.buffer, dialer.bytes);
+    private void read() {
+        read(dialer.readBuffer, dialer.readBytes);
     }
 
-    private void readable(ByteBuffer buffer, byte[] bytes) {
+    private void read(ByteBuffer buffer, byte[] bytes) {
         try {
             while (!closed) {
                 buffer.clear();
@@ -174,100 +140,108 @@
                     return;
                 }
                 if (count < 0) {
-                    endOfStream();
+                    onEndOfStream();
                     return;
                 }
                 buffer.flip().get(bytes, 0, count);
-                took(bytes, count);
+                onBytes(bytes, count);
             }
         } catch (IOException e) {
-            broken("reading: " + e.getMessage());
+            fail("reading: " + e.getMessage());
         }
     }
 
-    /** How long ago the last bytes were read of the answer that is coming, or its request was written. */
-    public Span timeSinceLastRead() {
-        return new Span((System.nanoTime() - readAt) / 1000);
-    }
-
-    private void took(byte[] bytes, int count) {
-        readAt = System.nanoTime();
-        if (answeredAfter == Span.ZERO && written) {
-            answeredAfter = new Span((System.nanoTime() - writtenAt) / 1000);
+    private void onBytes(byte[] bytes, int count) {
+        lastReadNanos = System.nanoTime();
+        if (!responseStarted && requestWritten) {
+            responseStarted = true;
+            timeToFirstByte = microsSince(requestWrittenNanos);
         }
-        if (heard == null) {
-            broken("bytes that nobody asked for");
+        if (listener == null) {
+            fail("unrequested bytes");
             return;
         }
-        if (!written) {
-            broken("answered before the whole request was written");
+        if (!requestWritten) {
+            fail("a response before the whole request was written");
             return;
         }
         try {
-            int used = reader.read(bytes, 0, count, heard);
-            if (closed || !reader.done()) {
+            int consumed = reader.read(bytes, 0, count, listener);
+            if (closed || !reader.isComplete()) {
                 return;
             }
-            // More than one answer leaves it in no known state.
-            lasting = used == count && reader.lasting();
-            ended();
-        } catch (ResponseReader.Odd e) {
-            broken("answered with " + e.getMessage());
+            // Bytes after the response leave the connection in an unknown state.
+            persistent = consumed == count && reader.isPersistent();
+            complete();
+        } catch (MalformedResponseException e) {
+            fail("malformed response: " + e.getMessage());
         }
     }
 
-    private void endOfStream() {
-        if (heard != null && reader.endOfStream()) {
-            lasting = false;
-            ended();
+    private void onEndOfStream() {
+        if (listener != null && reader.isCompleteAtClose()) {
+            persistent = false;
+            complete();
         } else {
-            broken("ended by the other side");
+            fail("closed by the peer");
         }
     }
 
-    private void ended() {
-        ExchangeListener told = heard;
-        heard = null;
-        toWrite = null;
-        dropTimer();
-        if (!lasting) {
+    private void complete() {
+        ExchangeListener completed = listener;
+        listener = null;
+        writer.cancel();
+        if (!persistent) {
             close();
         }
-        told.onComplete();
+        completed.onComplete();
     }
 
-    private void broken(String why) {
+    private void fail(String reason) {
         if (closed) {
             return;
         }
-        ExchangeListener told = heard;
+        ExchangeListener failed = listener;
         close();
-        if (told != null) {
-            told.onFailure(why);
-        } else if (onEnd != null) {
-            onEnd.run();
+        if (failed != null) {
+            failed.onFailure(reason);
+        } else if (idleCloseHandler != null) {
+            idleCloseHandler.run();
         }
     }
 
-    /** Ends it, with whatever is on it. Nothing more is told. */
+    /** Closes the connection and drops the exchange in progress, if any, without further events. */
     public void close() {
-        if (!closed) {
-            closed = true;
-            reader.stop();
-            lasting = false;
-            heard = null;
-            toWrite = null;
-            dropTimer();
-            dialer.open--;
-            IoUtils.safeClose(channel);
+        if (closed) {
+            return;
         }
+        closed = true;
+        persistent = false;
+        reader.stop();
+        listener = null;
+        writer.cancel();
+        dialer.onClosed();
+        IoUtils.safeClose(channel);
     }
 
-    private void dropTimer() {
-        lastByte = null;
-        if (timer != null) {
-            timer.off();
-            timer = null;
+    /** Connects the writer with the exchange in progress. */
+    private final class WriteEvents implements RequestWriter.Listener {
+        @Override
+        public boolean mayWriteLastByte() {
+            return listener.mayWriteLastByte();
+        }
+
+        @Override
+        public void onRequestWritten() {
+            requestWritten = true;
+            requestWrittenNanos = System.nanoTime();
+            lastReadNanos = requestWrittenNanos;
+            listener.onRequestWritten();
+        }
+
+        @Override
+        public void onWriteFailure(IOException cause) {
+            fail("writing: " + cause.getMessage());
         }
     }
 }
--- a/src/main/java/rampshift/connections/ResponseHead.java
+++ b/src/main/java/rampshift/connections/ResponseHead.java
@@ -3,40 +3,61 @@
 import java.util.ArrayList;
 import java.util.List;
 
-/** The status and the header fields of an answer. */
+/** The status and the header fields of a response. */
 public final class ResponseHead {
-    final int minor;
+    private final int minorVersion;
     private final int status;
-    private final List<String> fields = new ArrayList<>();
+    private final List<HeaderField> fields = new ArrayList<>();
 
-    ResponseHead(int minor, int status) {
-        this.minor = minor;
+    private record HeaderField(String name, String value) {
+    }
+
+    /**
+     * Creates a head without fields.
+     *
+     * @param minorVersion the minor version of HTTP/1 that the peer speaks, 0 to 9
+     * @param status the status code, 100 to 999
+     */
+    ResponseHead(int minorVersion, int status) {
+        this.minorVersion = minorVersion;
         this.status = status;
     }
 
     void add(String name, String value) {
-        fields.add(name);
-        fields.add(value);
+        fields.add(new HeaderField(name, value));
     }
 
+    int minorVersion() {
+        return minorVersion;
+    }
+
+    /** The status code, 100 to 999. */
     public int status() {
         return status;
     }
 
-    /** The first field with this name, or null. */
+    /**
+     * Looks a header field up.
+     *
+     * @param name the name of the field, in any case
+     * @return the value of the first field with this name, or null if there is none
+     */
     public String field(String name) {
-        for (int i = 0; i < fields.size(); i += 2) {
-            if (fields.get(i).equalsIgnoreCase(name)) {
-                return fields.get(i + 1);
+        for (HeaderField field : fields) {
+            if (field.name.equalsIgnoreCase(name)) {
+                return field.value;
             }
         }
         return null;
     }
 
-    int count(String name) {
+    /** The number of fields with this name, in any case. */
+    int fieldCount(String name) {
         int count = 0;
-        for (int i = 0; i < fields.size(); i += 2) {
-            count += fields.get(i).equalsIgnoreCase(name) ? 1 : 0;
+        for (HeaderField field : fields) {
+            if (field.name.equalsIgnoreCase(name)) {
+                count++;
+            }
         }
         return count;
     }
--- a/src/main/java/rampshift/connections/ResponseReader.java
+++ b/src/main/java/rampshift/connections/ResponseReader.java
@@ -1,206 +1,254 @@
 package rampshift.connections;
 
+import io.undertow.util.StatusCodes;
 import java.nio.charset.StandardCharsets;
-import java.util.Arrays;
 import java.util.Locale;
 
-/** Takes an HTTP/1.1 answer apart, byte by byte as it comes. One object serves one connection. */
+/**
+ * An incremental parser of HTTP/1.1 responses. One instance serves one connection, one response after
+ * another.
+ */
 final class ResponseReader {
-    static final int LONGEST_LINE = 8192;
-    static final int MOST_FIELDS = 64;
-
-    /** What was wrong with an answer. */
-    static final class Odd extends Exception {
-        private static final long serialVersionUID = 1L;
-
-        Odd(String what) {
-            super(what, null, false, false);
-        }
+    static final int MAX_LINE_BYTES = 8192;
+    static final int MAX_HEADER_FIELDS = 64;
+    private static final int INITIAL_LINE_BYTES = 256;
+    private static final String VERSION_PREFIX = "HTTP/1.";
+    private static final int STATUS_START = VERSION_PREFIX.length() + 2;
+    private static final int STATUS_END = STATUS_START + 3;
+    private static final int MIN_STATUS = 100;
+    private static final int MIN_FINAL_STATUS = 200;
+    private static final int MAX_LENGTH_DIGITS = 15;
+    private static final int DECIMAL = 10;
+    private static final int HEXADECIMAL = 16;
+
+    /** What the next byte belongs to. */
+    private enum State {
+        STATUS_LINE, HEADER_FIELDS,
+        /** A body of a length that the head states. */
+        FIXED_BODY,
+        /** The line that states the length of a chunk, the chunk, and the line feed after it. */
+        CHUNK_SIZE, CHUNK_DATA, CHUNK_END,
+        /** The fields after the last chunk. */
+        TRAILER,
+        /** A body that ends with the connection. */
+        BODY_UNTIL_CLOSE,
+        /** Nothing: the response is complete. */
+        COMPLETE
     }
 
-    private enum At { STATUS, FIELDS, FIXED, SIZE, CHUNK, CHUNK_END, TRAILER, TO_THE_END, DONE }
-
-    private At at = At.STATUS;
+    private final BoundedBuffer line = new BoundedBuffer(INITIAL_LINE_BYTES, MAX_LINE_BYTES);
+    private State state = State.STATUS_LINE;
     private ResponseHead head;
-    private int fields;
-    private long left;
-    private byte[] line = new byte[256];
-    private int length;
+    /** Header fields, trailer fields and interim responses so far. */
+    private int fieldCount;
+    /** Bytes of the fixed-length body, or of the current chunk, that are still to come. */
+    private long remainingBytes;
     private boolean stopped;
 
-    /** Nothing more is told, also of bytes that are already here. */
+    /** Makes {@link #read} return at once, even if bytes that it was given are left. */
     void stop() {
         stopped = true;
     }
 
+    /** Prepares for the next response. */
     void begin() {
         stopped = false;
-        at = At.STATUS;
+        state = State.STATUS_LINE;
         head = null;
-        fields = 0;
-        length = 0;
+        fieldCount = 0;
+        line.clear();
     }
 
-    boolean done() {
-        return at == At.DONE;
+    /** Whether the whole response has been read. */
+    boolean isComplete() {
+        return state == State.COMPLETE;
     }
 
-    /** Whether the other side leaves the connection open after this answer. */
-    boolean lasting() {
-        String told = head.field("Connection");
-        return at == At.DONE && head.minor >= 1 && (told == null || !told.equalsIgnoreCase("close"));
+    /** Whether the response is complete and the peer leaves the connection open after it. */
+    boolean isPersistent() {
+        if (state != State.COMPLETE || head.minorVersion() < 1) {
+            return false;
+        }
+        String connection = head.field("Connection");
+        return connection == null || !connection.equalsIgnoreCase("close");
     }
 
-    /** The connection was ended by the other side; true if that ends the answer as it should. */
-    boolean endOfStream() {
-        return at == At.TO_THE_END;
+    /** Whether the response is complete if the peer closes the connection now. */
+    boolean isCompleteAtClose() {
+        return state == State.BODY_UNTIL_CLOSE;
     }
 
-    /** Reads on; the result is how many bytes were used: fewer than given only at the answer's end. */
-    int read(byte[] bytes, int from, int to, ExchangeListener heard) throws Odd {
-        int i = from;
-        while (i < to && at != At.DONE && !stopped) {
-            switch (at) {
-                case FIXED, CHUNK, TO_THE_END -> {
-                    int piece = at == At.TO_THE_END ? to - i : (int) Math.min(left, to - i);
-                    left -= piece;
-                    if (left == 0 && at != At.TO_THE_END) {
-                        at = at == At.FIXED ? At.DONE : At.CHUNK_END;
-                    }
-                    heard.onBody(bytes, i, piece);
-                    i += piece;
-                }
-                default -> {
-                    byte b = bytes[i++];
-                    if (b != '\n') {
-                        keep(b);
-                    } else {
-                        if (length > 0 && line[length - 1] == '\r') {
-                            length--;
-                        }
-                        String text = new String(line, 0, length, StandardCharsets.ISO_8859_1);
-                        length = 0;
-                        line(text, heard);
-                    }
-                }
+    /**
+     * Parses the next bytes and passes what they contain to the listener.
+     *
+     * @param bytes the array that holds the bytes
+     * @param from the index of the first byte
+     * @param to the index after the last byte
+     * @return the number of bytes consumed; fewer than given only at the end of the response or after
+     *     {@link #stop}
+     * @throws MalformedResponseException if the bytes are not a valid response
+     */
+    int read(byte[] bytes, int from, int to, ExchangeListener listener) throws MalformedResponseException {
+        int position = from;
+        while (position < to && state != State.COMPLETE && !stopped) {
+            switch (state) {
+                case FIXED_BODY, CHUNK_DATA, BODY_UNTIL_CLOSE ->
+                    position += readBody(bytes, position, to - position, listener);
+                default -> readLineByte(bytes[position++], listener);
             }
         }
-        return i - from;
+        return position - from;
     }
 
-    private void keep(byte b) throws Odd {
-        if (length == line.length) {
-            if (length >= LONGEST_LINE) {
-                throw new Odd("a line over " + LONGEST_LINE + " bytes");
+    private int readBody(byte[] bytes, int offset, int available, ExchangeListener listener) {
+        if (state == State.BODY_UNTIL_CLOSE) {
+            listener.onBody(bytes, offset, available);
+            return available;
+        }
+        int count = (int) Math.min(remainingBytes, available);
+        remainingBytes -= count;
+        if (remainingBytes == 0) {
+            state = state == State.FIXED_BODY ? State.COMPLETE : State.CHUNK_END;
+        }
+        listener.onBody(bytes, offset, count);
+        return count;
+    }
+
+    private void readLineByte(byte value, ExchangeListener listener) throws MalformedResponseException {
+        if (value == '\n') {
+            if (line.endsWith((byte) '\r')) {
+                line.removeLast();
             }
-            line = Arrays.copyOf(line, length * 2);
+            String text = line.text(StandardCharsets.ISO_8859_1);
+            line.clear();
+            readLine(text, listener);
+        } else if (!line.append(value)) {
+            throw new MalformedResponseException("a line over " + MAX_LINE_BYTES + " bytes");
         }
-        line[length++] = b;
     }
 
-    private void line(String text, ExchangeListener heard) throws Odd {
-        switch (at) {
-            case STATUS -> status(text);
-            case FIELDS -> {
+    private void readLine(String text, ExchangeListener listener) throws MalformedResponseException {
+        switch (state) {
+            case STATUS_LINE -> readStatusLine(text);
+            case HEADER_FIELDS -> {
                 if (text.isEmpty()) {
-                    headEnds(heard);
+                    endHead(listener);
                 } else {
-                    field(text);
+                    readHeaderField(text);
                 }
             }
-            case SIZE -> size(text);
+            case CHUNK_SIZE -> readChunkSize(text);
             case CHUNK_END -> {
                 if (!text.isEmpty()) {
-                    throw new Odd("a chunk longer than it said");
+                    throw new MalformedResponseException("a chunk longer than its size");
                 }
-                at = At.SIZE;
+                state = State.CHUNK_SIZE;
             }
             case TRAILER -> {
                 if (text.isEmpty()) {
-                    at = At.DONE;
-                } else if (++fields > MOST_FIELDS) {
-                    throw new Odd("over " + MOST_FIELDS + " header fields");
+                    state = State.COMPLETE;
+                } else {
+                    countField("header fields");
                 }
             }
-            default -> throw new IllegalStateException("no line is read at " + at);
+            default -> throw new IllegalStateException("no line is read in state " + state);
         }
     }
 
-    private void status(String text) throws Odd {
-        if (text.length() < 12 || !text.startsWith("HTTP/1.") || text.charAt(8) != ' ') {
-            throw new Odd("no HTTP/1.1 status line");
+    private void readStatusLine(String text) throws MalformedResponseException {
+        boolean valid = text.length() >= STATUS_END && text.startsWith(VERSION_PREFIX)
+                && text.charAt(STATUS_START - 1) == ' ';
+        int status = valid ? parseStatus(text) : 0;
+        if (status < MIN_STATUS) {
+            throw new MalformedResponseException("no HTTP/1.1 status line");
         }
+        head = new ResponseHead(text.charAt(VERSION_PREFIX.length()) - '0', status);
+        state = State.HEADER_FIELDS;
+    }
+
+    /** The status code of a status line, or 0 if it is no number. */
+    private static int parseStatus(String statusLine) {
         try {
-            int status = Integer.parseInt(text, 9, 12, 10);
-            if (status < 100) {
-                throw new Odd("no HTTP/1.1 status line");
-            }
-            head = new ResponseHead(text.charAt(7) - '0', status);
+            return Integer.parseInt(statusLine, STATUS_START, STATUS_END, DECIMAL);
         } catch (NumberFormatException e) {
-            throw new Odd("no HTTP/1.1 status line");
+            return 0;
         }
-        at = At.FIELDS;
     }
 
-    private void field(String text) throws Odd {
+    private void readHeaderField(String text) throws MalformedResponseException {
         int colon = text.indexOf(':');
         if (colon <= 0 || text.charAt(0) == ' ' || text.charAt(0) == '\t') {
-            throw new Odd("a header field without a name");
-        }
-        if (++fields > MOST_FIELDS) {
-            throw new Odd("over " + MOST_FIELDS + " header fields");
+            throw new MalformedResponseException("a header field without a name");
         }
+        countField("header fields");
         head.add(text.substring(0, colon).trim(), text.substring(colon + 1).trim());
     }
 
-    private void headEnds(ExchangeListener heard) throws Odd {
-        int status = head.status();
-        if (status < 200) {
-            if (status == 101) {
-                throw new Odd("a change of protocols that nobody asked for");
-            }
-            if (++fields > MOST_FIELDS) {
-                throw new Odd("over " + MOST_FIELDS + " interim answers and header fields");
-            }
-            at = At.STATUS;
-            head = null;
+    private void countField(String counted) throws MalformedResponseException {
+        fieldCount++;
+        if (fieldCount > MAX_HEADER_FIELDS) {
+            throw new MalformedResponseException("over " + MAX_HEADER_FIELDS + " " + counted);
+        }
+    }
+
+    private void endHead(ExchangeListener listener) throws MalformedResponseException {
+        if (head.status() < MIN_FINAL_STATUS) {
+            endInterimResponse();
             return;
         }
-        String coding = head.field("Transfer-Encoding");
-        String size = head.field("Content-Length");
-        if (status == 204 || status == 304) {
-            at = At.DONE;
-        } else if (coding != null) {
-            if (!coding.toLowerCase(Locale.ROOT).equals("chunked") || size != null) {
-                throw new Odd("a body of unknown coding or of two lengths");
-            }
-            at = At.SIZE;
-        } else if (size != null) {
-            if (head.count("Content-Length") > 1) {
-                throw new Odd("a body of two lengths");
+        state = bodyState();
+        listener.onHead(head);
+    }
+
+    private void endInterimResponse() throws MalformedResponseException {
+        if (head.status() == StatusCodes.SWITCHING_PROTOCOLS) {
+            throw new MalformedResponseException("a protocol switch that was not requested");
+        }
+        countField("interim responses and header fields");
+        state = State.STATUS_LINE;
+        head = null;
+    }
+
+    /** Determines how the end of the body is found, and with it the state after the head. */
+    private State bodyState() throws MalformedResponseException {
+        String transferEncoding = head.field("Transfer-Encoding");
+        String contentLength = head.field("Content-Length");
+        if (head.status() == StatusCodes.NO_CONTENT || head.status() == StatusCodes.NOT_MODIFIED) {
+            return State.COMPLETE;
+        }
+        if (transferEncoding != null) {
+            if (!transferEncoding.toLowerCase(Locale.ROOT).equals("chunked") || contentLength != null) {
+                throw new MalformedResponseException("an unknown transfer encoding or two body lengths");
             }
-            left = number(size, 10);
-            at = left == 0 ? At.DONE : At.FIXED;
-        } else {
-            at = At.TO_THE_END;
+            return State.CHUNK_SIZE;
         }
-        heard.onHead(head);
+        if (contentLength == null) {
+            return State.BODY_UNTIL_CLOSE;
+        }
+        if (head.fieldCount("Content-Length") > 1) {
+            throw new MalformedResponseException("two body lengths");
+        }
+        remainingBytes = parseLength(contentLength, DECIMAL);
+        return remainingBytes == 0 ? State.COMPLETE : State.FIXED_BODY;
     }
 
-    private void size(String text) throws Odd {
-        int end = text.indexOf(';');
-        left = number((end < 0 ? text : text.substring(0, end)).trim(), 16);
-        at = left == 0 ? At.TRAILER : At.CHUNK;
+    private void readChunkSize(String text) throws MalformedResponseException {
+        int extension = text.indexOf(';');
+        String size = extension < 0 ? text : text.substring(0, extension);
+        remainingBytes = parseLength(size.trim(), HEXADECIMAL);
+        state = remainingBytes == 0 ? State.TRAILER : State.CHUNK_DATA;
     }
 
-    private static long number(String text, int radix) throws Odd {
-        try {
-            if (!text.isEmpty() && text.length() < 16 && Character.digit(text.charAt(0), radix) >= 0) {
+    private static long parseLength(String text, int radix) throws MalformedResponseException {
+        // Long.parseLong alone would accept a sign.
+        boolean startsWithDigit = !text.isEmpty() && Character.digit(text.charAt(0), radix) >= 0;
+        if (startsWithDigit && text.length() <= MAX_LENGTH_DIGITS) {
+            try {
                 return Long.parseLong(text, radix);
+            } catch (NumberFormatException e) {
+                // Reported below, as for any other text that is no length.
             }
-        } catch (NumberFormatException e) {
-            // Said below.
         }
-        throw new Odd("a length that is no number");
+        throw new MalformedResponseException("a length that is no number");
     }
 }
--- a/src/main/java/rampshift/pipeline/AttemptSender.java
+++ b/src/main/java/rampshift/pipeline/AttemptSender.java
@@ -6,6 +6,8 @@
 import rampshift.time.Moment;
 import rampshift.time.Span;
 import rampshift.workers.AttemptExchange;
+import rampshift.workers.AttemptListener;
+import rampshift.workers.AttemptRequest;
 import rampshift.workers.ConnectionPool;
 import rampshift.workers.LoadReport;
 
@@ -29,41 +31,42 @@
         task.out++;
         book.count(Counters.Name.ASSIGNED);
         boolean[] ended = {false};
+        AttemptRequest request =
+                new AttemptRequest(task.txn, task.once, sendBy, () -> task.message(clock.now()), timeout);
         AttemptExchange a =
-                pool.startAttempt(worker, task.txn, task.once, sendBy, () -> task.message(clock.now()),
-                        timeout, new AttemptExchange.Told() {
-                            @Override
-                            public boolean isStillWanted() {
-                                return task.call.waits();
-                            }
+                pool.startAttempt(worker, request, new AttemptListener() {
+                    @Override
+                    public boolean isStillWanted() {
+                        return task.call.waits();
+                    }
 
-                            @Override
-                            public void onStarted() {
-                                route.begun(task, number);
-                            }
+                    @Override
+                    public void onStarted() {
+                        route.begun(task, number);
+                    }
 
-                            @Override
-                            public void onProgress(double share) {
-                                route.progressed(task, number, share);
-                            }
+                    @Override
+                    public void onProgress(double share) {
+                        route.progressed(task, number, share);
+                    }
 
-                            @Override
-                            public void onLoadReport(long from, LoadReport load) {
-                                route.reported(from, load);
-                            }
+                    @Override
+                    public void onLoadReport(long from, LoadReport load) {
+                        route.reported(from, load);
+                    }
 
-                            @Override
-                            public void onOutcome(AttemptOutcome outcome, byte[] result) {
-                                ended[0] = true;
-                                task.assignments.set(number, null);
-                                if (outcome.neverRan) {
-                                    task.sentAt.set(number, null);
-                                }
-                                task.out--;
-                                book.count(Counters.Name.valueOf("OUTCOME_" + outcome));
-                                route.ended(task, number, outcome, result);
-                            }
-                        });
+                    @Override
+                    public void onOutcome(AttemptOutcome outcome, byte[] result) {
+                        ended[0] = true;
+                        task.assignments.set(number, null);
+                        if (outcome.neverRan) {
+                            task.sentAt.set(number, null);
+                        }
+                        task.out--;
+                        book.count(Counters.Name.valueOf("OUTCOME_" + outcome));
+                        route.ended(task, number, outcome, result);
+                    }
+                });
         if (!ended[0]) {
             task.assignments.set(number, a);
         }
--- a/src/main/java/rampshift/pipeline/PolicyHost.java
+++ b/src/main/java/rampshift/pipeline/PolicyHost.java
@@ -18,6 +18,7 @@
 import rampshift.time.Span;
 import rampshift.workers.ConnectionPool;
 import rampshift.workers.LoadReport;
+import rampshift.workers.WorkerListing;
 
 /**
  * Third stage: the host of the decision module. Whatever is heard goes straight into a call on it, then its
@@ -95,9 +96,8 @@
             pool.beginFullList();
         }
         for (Endpoint t : list.targets()) {
-            pool.updateWorker(uids.number(t.uid()), t.uid(), t.address(), t.zone() + '/' + t.kind(),
-                    t.bootMs(),
-                    t.state() == Endpoint.State.READY);
+            pool.updateWorker(new WorkerListing(uids.number(t.uid()), t.uid(), t.address(),
+                    t.zone() + '/' + t.kind(), t.bootMs(), t.state() == Endpoint.State.READY));
         }
         if (whole) {
             pool.endFullList();
--- a/src/main/java/rampshift/workers/AttemptExchange.java
+++ b/src/main/java/rampshift/workers/AttemptExchange.java
@@ -1,291 +1,277 @@
 package rampshift.workers;
 
-import com.fasterxml.jackson.core.JsonFactory;
-import com.fasterxml.jackson.core.JsonParser;
+import io.undertow.util.StatusCodes;
 import java.io.IOException;
 import java.nio.ByteBuffer;
-import java.util.Arrays;
-import java.util.function.Supplier;
 import rampshift.connections.ResponseHead;
 import rampshift.counters.Counters;
-import rampshift.log.Log;
 import rampshift.policy.AttemptOutcome;
 import rampshift.time.IoTimer;
-import rampshift.time.Moment;
 import rampshift.time.Span;
 
 /**
- * One sending of a task to a worker, until its outcome is known. Whether the last byte was written decides
- * between "never ran" and "may have run".
+ * One attempt at a task: its request to a worker and the response, until the outcome is known. Whether
+ * the last byte of the request was written decides between "never ran" and "may have run".
  */
 public final class AttemptExchange extends WorkerExchange {
-    private static final int LONGEST = 64 * 1024;
-    private static final double LEAST_HOLD = 0.02;     // of the time that a dial may take
-    private static final double MOST_HOLD = 0.1;
-    private static final JsonFactory JSON = new JsonFactory();
-
-    /** Who is told; {@code ended} comes once, and last. */
-    public interface Told {
-        /**
-         * Whether its client still waits: asked before the first byte goes out, and before a last one that
-         * was held back.
-         */
-        boolean isStillWanted();
-
-        void onStarted();
-
-        void onProgress(double share);
+    /** The bounds of the delay of a last byte, as shares of the dial timeout. */
+    private static final double MIN_LAST_BYTE_DELAY_SHARE = 0.02;
+    private static final double MAX_LAST_BYTE_DELAY_SHARE = 0.1;
+    /**
+     * How long a connection must have been idle for a non-idempotent task, as a share of the dial
+     * timeout.
+     */
+    private static final double MIN_IDLE_SHARE = 0.1;
 
-        void onLoadReport(long worker, LoadReport load);
+    private final AttemptRequest request;
+    private final AttemptListener listener;
+    private final ProgressReader progressReader;
+    private final IoTimer timeoutTimer;
+    private boolean requestWritten;
+    private int status;
 
-        /** The result is null unless it finished. */
-        void onOutcome(AttemptOutcome outcome, byte[] result);
+    AttemptExchange(ConnectionPool pool, WorkerEndpoint endpoint, AttemptRequest request,
+            AttemptListener listener) {
+        super(pool, endpoint);
+        this.request = request;
+        this.listener = listener;
+        progressReader = new ProgressReader(request.taskId(), pool.loadReportReader());
+        timeoutTimer = request.timeout().micros() <= 0 ? null
+                : IoTimer.in(pool.thread(), request.timeout(), () -> cancel(AttemptOutcome.TIMED_OUT));
     }
 
-    private final String txn;
-    /** It must not run twice, so it should be known as often as can be that it did not. */
-    private final boolean once;
-    /** Nothing of it goes out from then on. */
-    private final Moment expiry;
-    private final Supplier<ByteBuffer[]> message;
-    private final Told out;
-    private final IoTimer timeout;
-    private boolean written;
-    private int status;
-    private byte[] line = new byte[1024];
-    private int length;
+    /** Cancels the attempt and closes its connection. The outcome is reported, unless one was before. */
+    public void cancel() {
+        cancel(AttemptOutcome.CALLED_OFF);
+    }
 
-    AttemptExchange(ConnectionPool pool, WorkerEndpoint place, String txn, boolean once, Moment expiry,
-            Supplier<ByteBuffer[]> message,
-            Span timeout, Told out) {
-        super(pool, place);
-        this.once = once;
-        this.expiry = expiry;
-        this.txn = txn;
-        this.message = message;
-        this.out = out;
-        this.timeout = timeout.micros() <= 0 ? null
-                : IoTimer.in(pool.thread, timeout,
-                        () -> callOff(written ? AttemptOutcome.TIMED_OUT : AttemptOutcome.NOT_SENT));
+    private void cancel(AttemptOutcome outcomeIfWritten) {
+        if (!isResultReported()) {
+            pool().counters().add(Counters.Name.CALLED_OFF);
+            finish(requestWritten ? outcomeIfWritten : AttemptOutcome.NOT_SENT);
+        }
     }
 
     @Override
     ByteBuffer[] message() {
-        return message.get();
+        return request.message().get();
     }
 
     @Override
-    boolean wantsNew() {
-        return once && pool.staleOnes();
+    boolean requiresNewConnection() {
+        return request.nonIdempotent() && pool().hasRecentStaleConnection();
     }
 
-    /** "Turned away", said twice of the task before, would be taken for a word on this one, which runs. */
+    /**
+     * A worker may repeat its rejection of an earlier task late. On a connection that is reused at once
+     * the repetition would be taken for the response to this request, while the task runs.
+     */
     @Override
-    Span quiet() {
-        return once ? pool.platform.dialTimeout().times(MOST_HOLD) : Span.ZERO;
+    Span minIdleTime() {
+        return request.nonIdempotent() ? pool().dialTimeout().times(MIN_IDLE_SHARE) : Span.ZERO;
     }
 
-    /** A reset takes as long as an answer at the least. Kept connections that were reset cost a task each. */
+    /**
+     * A reset takes at least as long as a response to arrive. Without the delay, an idle connection that
+     * had been reset cost a non-idempotent task each time.
+     */
     @Override
-    Span hold() {
-        return once ? place.quickest.orLonger(pool.platform.dialTimeout().times(LEAST_HOLD))
-                .orShorter(pool.platform.dialTimeout().times(MOST_HOLD)) : Span.ZERO;
-    }
-
-    /** Closes its connection; the outcome is told if none was before. */
-    public void cancel() {
-        callOff(written ? AttemptOutcome.CALLED_OFF : AttemptOutcome.NOT_SENT);
-    }
-
-    private void callOff(AttemptOutcome outcome) {
-        if (!told()) {
-            pool.counters.add(Counters.Name.CALLED_OFF);
-            end(outcome, null);
+    Span lastByteDelay() {
+        if (!request.nonIdempotent()) {
+            return Span.ZERO;
         }
+        Span dialTimeout = pool().dialTimeout();
+        return endpoint().shortestResponseTime().orLonger(dialTimeout.times(MIN_LAST_BYTE_DELAY_SHARE))
+                .orShorter(dialTimeout.times(MAX_LAST_BYTE_DELAY_SHARE));
     }
 
     /**
-     * A drain or another address may have been told while the connection was made, or its client have left.
+     * While the connection was made, the worker may have begun to drain or have moved, and the client
+     * have left.
      */
     @Override
     public boolean mayWriteFirstByte() {
-        pool.beforeFirstByte.run();
-        boolean may = place.ready && current() && inTime() && out.isStillWanted();
-        if (!may) {
-            pool.counters.add(Counters.Name.FIRST_BYTE_HELD_BACK);
-            end(AttemptOutcome.NOT_SENT, null);
+        pool().runFirstByteHook();
+        boolean allowed =
+                endpoint().isReady() && isCurrent() && isBeforeDeadline() && listener.isStillWanted();
+        if (!allowed) {
+            pool().counters().add(Counters.Name.FIRST_BYTE_HELD_BACK);
+            finish(AttemptOutcome.NOT_SENT);
         }
-        return may;
-    }
-
-    /** This process may have stood still while the connection was made, or while the last byte was held. */
-    private boolean inTime() {
-        return pool.now().before(expiry);
+        return allowed;
     }
 
     @Override
     public boolean mayWriteLastByte() {
-        boolean may = inTime() && out.isStillWanted();
-        if (!may) {
-            end(AttemptOutcome.NOT_SENT, null);
+        boolean allowed = isBeforeDeadline() && listener.isStillWanted();
+        if (!allowed) {
+            finish(AttemptOutcome.NOT_SENT);
         }
-        return may;
+        return allowed;
+    }
+
+    /**
+     * The deadline may pass while the connection is made or the last byte is delayed, if this process is
+     * paused.
+     */
+    private boolean isBeforeDeadline() {
+        return pool().now().before(request.deadline());
     }
 
     @Override
     public void onRequestWritten() {
-        written = true;
+        requestWritten = true;
     }
 
     @Override
-    void noRoom() {
-        end(AttemptOutcome.NOT_SENT, null);
+    void onNoConnectionAvailable() {
+        finish(AttemptOutcome.NOT_SENT);
     }
 
     @Override
-    public void onUnreachable(String why) {
-        pool.counters.add(Counters.Name.DIAL_FAILED);
-        end(AttemptOutcome.NO_CONNECTION, null);
+    public void onUnreachable(String reason) {
+        pool().counters().add(Counters.Name.DIAL_FAILED);
+        finish(AttemptOutcome.NO_CONNECTION);
     }
 
     @Override
     public void onHead(ResponseHead head) {
         status = head.status();
-        Span after = answeredAfter();
-        place.quickest = place.quickest.micros() == 0 ? after : place.quickest.orShorter(after);
-        if (status == 200) {
+        endpoint().recordResponseTime(timeToFirstByte());
+        if (status == StatusCodes.OK) {
             return;
         }
-        String load = head.field("X-Pressure");
-        if (load != null) {
-            headerLoad(load);
-        }
-        boolean away = (status == 503 || status == 504) && "1".equals(head.field("X-Turned-Away"));
-        if (!away && status != 500) {
-            odd("status " + status);
+        reportLoad(head.field("X-Pressure"));
+        boolean rejected = isRejection(head);
+        if (!rejected && status != StatusCodes.INTERNAL_SERVER_ERROR) {
+            reportMalformedResponse("status " + status);
         }
-        tell(away ? AttemptOutcome.FULL : AttemptOutcome.ERRED, null);
+        reportOutcome(rejected ? AttemptOutcome.FULL : AttemptOutcome.ERRED, null);
     }
 
-    private void headerLoad(String text) {
-        try (JsonParser in = JSON.createParser(text)) {
-            in.nextToken();
-            LoadReport load = LoadReport.read(in, pool.platform.freeSlots(), pool.platform.freeMemory());
-            if (load != null) {
-                out.onLoadReport(place.number, load);
-            }
+    private static boolean isRejection(ResponseHead head) {
+        boolean unavailable = head.status() == StatusCodes.SERVICE_UNAVAILABLE
+                || head.status() == StatusCodes.GATEWAY_TIME_OUT;
+        return unavailable && "1".equals(head.field("X-Turned-Away"));
+    }
+
+    private void reportLoad(String headerValue) {
+        if (headerValue == null) {
+            return;
+        }
+        try {
+            reportLoad(pool().loadReportReader().read(headerValue));
         } catch (IOException e) {
-            odd("a load report that is no JSON");
+            reportMalformedResponse("a load report that is no JSON");
+        }
+    }
+
+    private void reportLoad(LoadReport load) {
+        if (load != null) {
+            listener.onLoadReport(endpoint().number(), load);
         }
     }
 
     @Override
-    public void onBody(byte[] bytes, int from, int count) {
-        if (status != 200 || told()) {
+    public void onBody(byte[] bytes, int offset, int length) {
+        if (status != StatusCodes.OK) {
             return;
         }
-        for (int i = from; i < from + count && !told(); i++) {
-            if (bytes[i] == '\n') {
-                line();
-            } else if (length == LONGEST) {
-                odd("a line over " + LONGEST + " bytes");
-                end(AttemptOutcome.ERRED, null);
-            } else {
-                if (length == line.length) {
-                    line = Arrays.copyOf(line, length * 2);
-                }
-                line[length++] = bytes[i];
+        try {
+            for (int i = offset; i < offset + length && !isResultReported(); i++) {
+                handle(progressReader.read(bytes[i]));
             }
+        } catch (MalformedProgressException e) {
+            finishMalformed(e);
         }
     }
 
-    private void line() {
-        int size = length;
-        length = 0;
-        if (size == 0 || size == 1 && line[0] == '\r') {
-            return;
-        }
-        ProgressMessage note;
-        try {
-            note = ProgressMessage.read(line, size, pool.platform.freeSlots(), pool.platform.freeMemory());
-        } catch (IOException e) {
-            odd("a line that is no JSON object");
-            end(AttemptOutcome.BROKEN, null);
-            return;
+    @Override
+    public void onComplete() {
+        if (!isResultReported()) {
+            try {
+                handle(progressReader.endLine());
+            } catch (MalformedProgressException e) {
+                finishMalformed(e);
+            }
         }
-        boolean tells = "done".equals(note.state) || "returned".equals(note.state);
-        if (note.id == null ? tells : !note.id.equals(txn)) {
-            odd("a line for another task");
-            end(AttemptOutcome.BROKEN, null);
+        finish(AttemptOutcome.BROKEN);
+    }
+
+    private void handle(ProgressMessage message) {
+        if (message == null) {
             return;
         }
-        if (note.from != null && !note.from.equals(place.uid)) {
-            odd("a line from " + note.from);
+        if (message.workerUid() != null && !message.workerUid().equals(endpoint().uid())) {
+            reportMalformedResponse("a line from " + message.workerUid());
         }
-        if (note.load != null) {
-            out.onLoadReport(place.number, note.load);
+        reportLoad(message.load());
+        switch (message.state()) {
+            case STARTED -> listener.onStarted();
+            case RUNNING -> reportProgress(message.progressShare());
+            case DONE -> reportOutcome(AttemptOutcome.FINISHED, message.result());
+            case FAILED -> reportOutcome(AttemptOutcome.ERRED, null);
+            case RETURNED -> reportOutcome(AttemptOutcome.FULL, null);
+            case LOST -> reportOutcome(AttemptOutcome.BROKEN, null);
+            default -> reportMalformedResponse("the unknown state " + message.stateWord());
         }
-        state(note);
     }
 
-    private void state(ProgressMessage note) {
-        switch (note.state == null ? "" : note.state) {
-            case "started" -> out.onStarted();
-            case "running" -> {
-                if (note.share > 0 && note.share <= 1) {
-                    out.onProgress(note.share);
-                }
-            }
-            case "done" -> tell(AttemptOutcome.FINISHED, note.result);
-            case "failed" -> tell(AttemptOutcome.ERRED, null);
-            case "returned" -> tell(AttemptOutcome.FULL, null);
-            case "lost" -> tell(AttemptOutcome.BROKEN, null);
-            default -> odd("the unknown state " + note.state);
+    private void reportProgress(double share) {
+        if (share > 0 && share <= 1) {
+            listener.onProgress(share);
         }
     }
 
     @Override
-    public void onComplete() {
-        if (!told() && length > 0) {
-            line();
+    public void onFailure(String reason) {
+        boolean stale = status == 0 && reportIfStale();
+        finish(failureOutcome(stale));
+    }
+
+    /**
+     * The failure of a stale connection has an outcome of its own once the request was written, since it
+     * says nothing about the worker: the best workers were ejected for it.
+     */
+    private AttemptOutcome failureOutcome(boolean stale) {
+        if (requestWritten) {
+            return stale ? AttemptOutcome.STALE : AttemptOutcome.BROKEN;
         }
-        end(AttemptOutcome.BROKEN, null);
+        return stale ? AttemptOutcome.NOT_SENT : AttemptOutcome.NO_CONNECTION;
     }
 
-    @Override
-    public void onFailure(String why) {
-        boolean stale = status == 0 && stale();
-        // What befalls a kept connection tells nothing of its worker: the best ones were set aside for it.
-        end(written ? stale ? AttemptOutcome.STALE : AttemptOutcome.BROKEN
-                : stale ? AttemptOutcome.NOT_SENT : AttemptOutcome.NO_CONNECTION, null);
+    private void reportMalformedResponse(String what) {
+        pool().counters().add(Counters.Name.ODD_ANSWERS);
+        logMalformedResponse(what);
     }
 
-    private void odd(String what) {
-        pool.counters.add(Counters.Name.ODD_ANSWERS);
-        Log.warn("malformed-response", "worker", place.uid, "what", what);
+    private void finishMalformed(MalformedProgressException cause) {
+        reportMalformedResponse(cause.getMessage());
+        finish(cause.outcome());
     }
 
-    /** Tells the outcome while the rest of the answer is still to come. */
-    private void tell(AttemptOutcome outcome, byte[] result) {
-        if (tell()) {
-            giveTimerBack();
+    /** Reports the outcome while the rest of the response is still to come. */
+    private void reportOutcome(AttemptOutcome outcome, byte[] result) {
+        if (markResultReported()) {
+            stopTimer();
             linger();
-            out.onOutcome(outcome, result);
+            listener.onOutcome(outcome, result);
         }
     }
 
-    private void end(AttemptOutcome outcome, byte[] result) {
-        boolean first = tell();
-        over();
+    /** Releases the connection, and reports the outcome unless one was reported before. */
+    private void finish(AttemptOutcome outcome) {
+        boolean first = markResultReported();
+        release();
         if (first) {
-            giveTimerBack();
-            out.onOutcome(outcome, result);
+            stopTimer();
+            listener.onOutcome(outcome, null);
         }
     }
 
-    private void giveTimerBack() {
-        if (timeout != null) {
-            timeout.off();
+    private void stopTimer() {
+        if (timeoutTimer != null) {
+            timeoutTimer.off();
         }
     }
 }
--- a/src/main/java/rampshift/workers/ConnectionPool.java
+++ b/src/main/java/rampshift/workers/ConnectionPool.java
@@ -1,15 +1,7 @@
 package rampshift.workers;
 
-import java.net.InetSocketAddress;
-import java.nio.ByteBuffer;
-import java.util.ArrayList;
 import java.util.HashMap;
-import java.util.Iterator;
-import java.util.LinkedHashSet;
-import java.util.List;
 import java.util.Map;
-import java.util.Set;
-import java.util.function.Supplier;
 import org.xnio.XnioIoThread;
 import rampshift.connections.Dialer;
 import rampshift.connections.HttpConnection;
@@ -20,241 +12,210 @@
 import rampshift.time.Moment;
 import rampshift.time.Span;
 
-/** All connections to workers: it owns the idle ones, and lends them to assignments and probes. */
+/**
+ * All connections to workers. It owns the idle ones, and lends them to attempts and health checks. To be
+ * used on the I/O thread alone.
+ */
 public final class ConnectionPool {
-    private static final double IDLE_SHARE = 0.5;      // of the time after which a worker may close it
-    // of that time, tasks that must not run twice avoid kept ones
+    /** The share of a worker's idle timeout after which an idle connection is not reused any more. */
+    private static final double MAX_IDLE_SHARE = 0.5;
+    /**
+     * The share of a worker's idle timeout for which non-idempotent tasks avoid idle connections after a
+     * stale one.
+     */
     private static final double STALE_SHARE = 0.5;
-    private static final Span LINGER = Span.ofMillis(1000);
-    private static final Span SWEEP = Span.ofMillis(500);
+    private static final Span CLEANUP_INTERVAL = Span.ofMillis(500);
 
-    final XnioIoThread thread;
-    final HostSettings platform;
-    final Counters counters;
+    private final XnioIoThread thread;
+    private final HostSettings settings;
+    private final Counters counters;
     private final Clock clock;
     private final Dialer dialer;
-    private final int most;
-    private final Map<Long, WorkerEndpoint> places = new HashMap<>();
-    private final Set<WorkerExchange> lingering = new LinkedHashSet<>();
-    private int idle;
-    private Moment lastStale;
+    private final int maxConnections;
+    private final LoadReportReader loadReportReader;
+    private final Map<Long, WorkerEndpoint> endpoints = new HashMap<>();
+    private final IdleConnectionCache idleConnections;
+    private final LingeringExchanges lingeringExchanges;
+    private Moment lastStaleAt;
     private boolean closed;
-    private IoTimer sweep;
-    /** Has it read what the list service has written, before a first byte goes by an old list. */
-    Runnable beforeFirstByte = () -> {};
+    private IoTimer cleanupTimer;
+    private Runnable firstByteHook = () -> {};
 
-    public ConnectionPool(XnioIoThread thread, Dialer dialer, Clock clock, HostSettings platform,
+    /**
+     * Creates a pool that knows no workers yet.
+     *
+     * @param maxConnections the largest number of connections to workers, idle ones and dials included
+     */
+    public ConnectionPool(XnioIoThread thread, Dialer dialer, Clock clock, HostSettings settings,
             Counters counters,
-            int most) {
+            int maxConnections) {
         this.thread = thread;
         this.dialer = dialer;
         this.clock = clock;
-        this.platform = platform;
+        this.settings = settings;
         this.counters = counters;
-        this.most = most;
-        sweepLater();
+        this.maxConnections = maxConnections;
+        loadReportReader = new LoadReportReader(settings.freeSlots(), settings.freeMemory());
+        idleConnections = new IdleConnectionCache(endpoints.values(), clock, counters,
+                settings.connectionIdle().times(MAX_IDLE_SHARE));
+        lingeringExchanges = new LingeringExchanges(clock);
+        scheduleCleanup();
     }
 
-    /** Called before each first byte of an assignment. */
-    public void beforeFirstByte(Runnable look) {
-        beforeFirstByte = look;
+    /**
+     * Sets what runs before the first byte of each attempt is written. It reads what the discovery
+     * service has sent, so that no attempt starts by an outdated endpoint list.
+     */
+    public void beforeFirstByte(Runnable hook) {
+        firstByteHook = hook;
     }
 
     /**
-     * What a list tells of a worker; with no address it can't be sent to. Where: its zone and kind. In
-     * another one it is not what tasks were decided for: those that are not out yet are told as never sent.
+     * Applies an entry of the endpoint list. A worker with another placement is not the one that tasks
+     * were assigned to: attempts that have not been written yet are reported as not sent.
      */
-    public void updateWorker(long number, String uid, InetSocketAddress address, String where, long bootMs,
-            boolean ready) {
-        WorkerEndpoint place = places.computeIfAbsent(number, n -> new WorkerEndpoint(n, uid));
-        boolean other = address != null && !address.equals(place.address) || bootMs != place.bootMs
-                || !where.equals(place.where);
-        place.life += other ? 1 : 0;
-        place.address = address == null ? place.address : address;
-        place.where = where;
-        place.bootMs = bootMs;
-        place.ready = ready;
-        if (other || !ready) {
-            dropIdle(place);
+    public void updateWorker(WorkerListing listing) {
+        WorkerEndpoint endpoint = endpoints.computeIfAbsent(listing.number(),
+                number -> new WorkerEndpoint(number, listing.uid()));
+        if (endpoint.update(listing)) {
+            idleConnections.closeAll(endpoint);
         }
     }
 
-    /** A whole list follows: what it does not name is gone. */
+    /** A full endpoint list follows: workers that it doesn't name are removed. */
     public void beginFullList() {
-        for (WorkerEndpoint place : places.values()) {
-            place.ready = false;
-        }
+        endpoints.values().forEach(WorkerEndpoint::markNotReady);
     }
 
+    /** The full endpoint list is complete. */
     public void endFullList() {
-        for (WorkerEndpoint place : places.values()) {
-            if (!place.ready) {
-                dropIdle(place);
+        for (WorkerEndpoint endpoint : endpoints.values()) {
+            if (!endpoint.isReady()) {
+                idleConnections.closeAll(endpoint);
             }
         }
     }
 
-    public boolean isReady(long number) {
-        WorkerEndpoint place = places.get(number);
-        return place != null && place.ready;
+    /** Whether the worker takes new tasks, by the latest endpoint list. */
+    public boolean isReady(long workerNumber) {
+        WorkerEndpoint endpoint = endpoints.get(workerNumber);
+        return endpoint != null && endpoint.isReady();
     }
 
-    /** May tell before it returns. */
-    public AttemptExchange startAttempt(long number, String txn, boolean once, Moment expiry,
-            Supplier<ByteBuffer[]> message,
-            Span timeout, AttemptExchange.Told told) {
-        AttemptExchange a =
-                new AttemptExchange(this, places.get(number), txn, once, expiry, message, timeout, told);
-        a.start();
-        return a;
+    /**
+     * Sends a task to a worker that has been listed. The listener may be called before this method returns.
+     *
+     * @return the attempt, which can be cancelled
+     */
+    public AttemptExchange startAttempt(long workerNumber, AttemptRequest request, AttemptListener listener) {
+        AttemptExchange attempt = new AttemptExchange(this, endpoints.get(workerNumber), request, listener);
+        attempt.start();
+        return attempt;
     }
 
-    /** May tell before it returns. */
-    public void checkHealth(long number, Probed told) {
-        new HealthCheck(this, places.get(number), told::echoed).start();
+    /**
+     * Checks the health of a worker that has been listed. The listener may be called before this method
+     * returns.
+     */
+    public void checkHealth(long workerNumber, HealthCheckListener listener) {
+        new HealthCheck(this, endpoints.get(workerNumber), listener).start();
     }
 
-    /** Who is told of a probe's end. */
-    public interface Probed {
-        void echoed(long worker, boolean answered, LoadReport load);
+    /**
+     * Closes the idle connections and stops the timer. Connections that are lent are closed when they are
+     * returned.
+     */
+    public void close() {
+        closed = true;
+        cleanupTimer.off();
+        idleConnections.closeAll();
     }
 
-    // ---- for errands
-
-    Moment now() {
-        return clock.now();
+    XnioIoThread thread() {
+        return thread;
     }
 
-    /**
-     * One that was kept, is not older than they are kept, and has not been ended meanwhile; null where there
-     * is none. With
-     * {@code quiet} it has been idle for that long: an answer that comes twice, the second time late, is not
-     * taken for the
-     * next one's.
-     */
-    HttpConnection idle(WorkerEndpoint place, Span quiet) {
-        Moment now = clock.now();
-        while (!place.idle.isEmpty()) {
-            boolean oldest = quiet.micros() > 0;
-            HttpConnection c = oldest ? place.idle.peekLast() : place.idle.peek();
-            Span been = now.since(c.idleSince);
-            if (!been.longerThan(mostIdle()) && quiet.longerThan(been)) {
-                return null;
-            }
-            place.idle.remove(c);
-            idle--;
-            if (!been.longerThan(mostIdle()) && c.verifyOpen()) {
-                counters.add(Counters.Name.REUSED);
-                return c;
-            }
-            counters.add(Counters.Name.IDLE_DROPPED);
-            c.close();
-        }
-        return null;
+    Counters counters() {
+        return counters;
     }
 
-    private Span mostIdle() {
-        return platform.connectionIdle().times(IDLE_SHARE);
+    LoadReportReader loadReportReader() {
+        return loadReportReader;
     }
 
-    /** Whether one more may be opened; the connection that idled longest makes room. */
-    boolean room() {
-        if (dialer.openCount() >= most && idle > 0) {
-            WorkerEndpoint with = null;
-            for (WorkerEndpoint p : places.values()) {
-                if (!p.idle.isEmpty() && (with == null
-                        || p.idle.peekLast().idleSince.before(with.idle.peekLast().idleSince))) {
-                    with = p;
-                }
-            }
-            dropOldest(with);
-        }
-        return dialer.openCount() < most;
+    LingeringExchanges lingeringExchanges() {
+        return lingeringExchanges;
     }
 
-    Dialer.Dial dial(WorkerEndpoint place, WorkerExchange errand) {
-        counters.add(Counters.Name.DIALED);
-        return dialer.dial(place.address, platform.dialTimeout(), errand);
+    Span dialTimeout() {
+        return settings.dialTimeout();
     }
 
-    void giveBack(WorkerEndpoint place, int life, HttpConnection connection) {
-        // One that was out while its worker moved is to the old address: kept, it was used on and on.
-        if (closed || !connection.isReusable() || !place.ready || life != place.life) {
-            connection.close();
-            return;
-        }
-        connection.idleSince = clock.now();
-        connection.onIdleClose(() -> {
-            if (place.idle.remove(connection)) {
-                idle--;
-            }
-        });
-        place.idle.push(connection);
-        idle++;
+    Moment now() {
+        return clock.now();
     }
 
-    /** Whether kept connections have turned out stale of late. */
-    boolean staleOnes() {
-        return lastStale != null
-                && !clock.now().since(lastStale).longerThan(platform.connectionIdle().times(STALE_SHARE));
+    void runFirstByteHook() {
+        firstByteHook.run();
     }
 
-    /** Those kept to that worker may be reset too: they are not used any more. */
-    void suspect(WorkerEndpoint place) {
-        lastStale = clock.now();
-        dropIdle(place);
+    /** Lends an idle connection, see {@link IdleConnectionCache#take}; null if there is none. */
+    HttpConnection takeIdle(WorkerEndpoint endpoint, Span minIdleTime) {
+        return idleConnections.take(endpoint, minIdleTime);
     }
 
-    void linger(WorkerExchange errand) {
-        errand.lingersSince = clock.now();
-        lingering.add(errand);
+    /**
+     * Whether one more connection may be opened. The connection that has been idle for longest is closed
+     * for it.
+     */
+    boolean makeRoom() {
+        if (dialer.openCount() >= maxConnections && !idleConnections.isEmpty()) {
+            idleConnections.closeOldest();
+        }
+        return dialer.openCount() < maxConnections;
     }
 
-    void lingerEnds(WorkerExchange errand) {
-        lingering.remove(errand);
+    Dialer.Dial dial(WorkerEndpoint endpoint, Dialer.DialListener listener) {
+        counters.add(Counters.Name.DIALED);
+        return dialer.dial(endpoint.address(), settings.dialTimeout(), listener);
     }
 
-    // ---- the idle ones
-
-    private void dropIdle(WorkerEndpoint place) {
-        while (!place.idle.isEmpty()) {
-            dropOldest(place);
+    /**
+     * Takes a lent connection back, and keeps it if it can be reused.
+     *
+     * @param incarnation that of the worker when the connection was lent; a connection that was lent
+     *     while its worker moved leads to the old address
+     */
+    void giveBack(WorkerEndpoint endpoint, int incarnation, HttpConnection connection) {
+        boolean reusable = !closed && connection.isReusable() && endpoint.isReady()
+                && incarnation == endpoint.incarnation();
+        if (reusable) {
+            idleConnections.add(endpoint, connection);
+        } else {
+            connection.close();
         }
     }
 
-    private void dropOldest(WorkerEndpoint place) {
-        idle--;
-        counters.add(Counters.Name.IDLE_DROPPED);
-        place.idle.pollLast().close();
+    /** Whether an idle connection has turned out to be stale lately. */
+    boolean hasRecentStaleConnection() {
+        return lastStaleAt != null
+                && !clock.now().since(lastStaleAt).longerThan(settings.connectionIdle().times(STALE_SHARE));
     }
 
-    /** Gives back the idle connections and the timer. */
-    public void close() {
-        closed = true;
-        sweep.off();
-        places.values().forEach(this::dropIdle);
+    /** An idle connection to the worker was stale: the others may have been reset too and are closed. */
+    void onStaleConnection(WorkerEndpoint endpoint) {
+        lastStaleAt = clock.now();
+        idleConnections.closeAll(endpoint);
     }
 
-    private void sweepLater() {
-        sweep = IoTimer.in(thread, SWEEP, this::sweep);
+    private void scheduleCleanup() {
+        cleanupTimer = IoTimer.in(thread, CLEANUP_INTERVAL, this::cleanUp);
     }
 
-    private void sweep() {
+    private void cleanUp() {
         Moment now = clock.now();
-        for (WorkerEndpoint place : places.values()) {
-            while (!place.idle.isEmpty()
-                    && now.since(place.idle.peekLast().idleSince).longerThan(mostIdle())) {
-                dropOldest(place);
-            }
-        }
-        List<WorkerExchange> late = new ArrayList<>();
-        for (Iterator<WorkerExchange> i = lingering.iterator(); i.hasNext();) {
-            WorkerExchange e = i.next();
-            if (now.since(e.lingersSince).longerThan(LINGER)) {
-                late.add(e);
-            }
-        }
-        late.forEach(WorkerExchange::over);
-        sweepLater();
+        idleConnections.closeExpired(now);
+        lingeringExchanges.releaseExpired(now);
+        scheduleCleanup();
     }
 }
--- a/src/main/java/rampshift/workers/HealthCheck.java
+++ b/src/main/java/rampshift/workers/HealthCheck.java
@@ -1,52 +1,46 @@
 package rampshift.workers;
 
-import com.fasterxml.jackson.core.JsonFactory;
-import com.fasterxml.jackson.core.JsonParser;
+import io.undertow.util.StatusCodes;
 import java.io.IOException;
 import java.nio.ByteBuffer;
 import java.nio.charset.StandardCharsets;
-import java.util.Arrays;
+import rampshift.connections.BoundedBuffer;
 import rampshift.connections.ResponseHead;
-import rampshift.log.Log;
 import rampshift.time.IoTimer;
-import rampshift.time.Span;
 
-/** Asks a worker how it is. Its answer, or that there is none in time, is told once. */
+/** Asks a worker for its load. The response, or that there is none in time, is reported once. */
 final class HealthCheck extends WorkerExchange {
-    private static final int LONGEST = 4096;
-    private static final JsonFactory JSON = new JsonFactory();
+    private static final int INITIAL_BODY_BYTES = 256;
+    private static final int MAX_BODY_BYTES = 4096;
+    /** The timeout as a multiple of the dial timeout. */
+    private static final double TIMEOUT_FACTOR = 2;
 
-    interface Told {
-        void echoed(long worker, boolean answered, LoadReport load);
-    }
-
-    private final Told out;
+    private final HealthCheckListener listener;
     private final IoTimer timer;
+    private final BoundedBuffer body = new BoundedBuffer(INITIAL_BODY_BYTES, MAX_BODY_BYTES);
     private int status;
-    private byte[] bytes = new byte[256];
-    private int length;
 
-    HealthCheck(ConnectionPool pool, WorkerEndpoint place, Told out) {
-        super(pool, place);
-        this.out = out;
-        Span most = pool.platform.dialTimeout().times(2);
-        timer = IoTimer.in(pool.thread, most, () -> end(false, null));
+    HealthCheck(ConnectionPool pool, WorkerEndpoint endpoint, HealthCheckListener listener) {
+        super(pool, endpoint);
+        this.listener = listener;
+        timer = IoTimer.in(pool.thread(), pool.dialTimeout().times(TIMEOUT_FACTOR), this::finishUnhealthy);
     }
 
     @Override
     ByteBuffer[] message() {
-        String text = "GET /status/load HTTP/1.1\r\nHost: " + place.address.getHostString() + "\r\n\r\n";
+        String text =
+                "GET /status/load HTTP/1.1\r\nHost: " + endpoint().address().getHostString() + "\r\n\r\n";
         return new ByteBuffer[]{ByteBuffer.wrap(text.getBytes(StandardCharsets.ISO_8859_1))};
     }
 
     @Override
-    void noRoom() {
-        end(false, null);
+    void onNoConnectionAvailable() {
+        finishUnhealthy();
     }
 
     @Override
-    public void onUnreachable(String why) {
-        end(false, null);
+    public void onUnreachable(String reason) {
+        finishUnhealthy();
     }
 
     @Override
@@ -55,36 +49,36 @@
     }
 
     @Override
-    public void onBody(byte[] piece, int from, int count) {
-        int kept = Math.min(count, LONGEST - length);
-        bytes = length + kept > bytes.length ? Arrays.copyOf(bytes, LONGEST) : bytes;
-        System.arraycopy(piece, from, bytes, length, kept);
-        length += kept;
+    public void onBody(byte[] bytes, int offset, int length) {
+        body.appendTruncated(bytes, offset, length);
     }
 
     @Override
     public void onComplete() {
         LoadReport load = null;
-        try (JsonParser in = JSON.createParser(bytes, 0, length)) {
-            load = in.nextToken() == null ? null
-                    : LoadReport.read(in, pool.platform.freeSlots(), pool.platform.freeMemory());
+        try {
+            load = pool().loadReportReader().read(body.array(), body.length());
         } catch (IOException e) {
-            Log.warn("malformed-response", "worker", place.uid, "what", "a probe's answer that is no JSON");
+            logMalformedResponse("a health check response that is no JSON");
         }
-        end(status == 200, load);
+        finish(status == StatusCodes.OK, load);
     }
 
     @Override
-    public void onFailure(String why) {
-        end(false, null);
+    public void onFailure(String reason) {
+        finishUnhealthy();
+    }
+
+    private void finishUnhealthy() {
+        finish(false, null);
     }
 
-    private void end(boolean answered, LoadReport load) {
-        boolean first = tell();
-        over();
+    private void finish(boolean healthy, LoadReport load) {
+        boolean first = markResultReported();
+        release();
         timer.off();
         if (first) {
-            out.echoed(place.number, answered, load);
+            listener.onHealthCheck(endpoint().number(), healthy, load);
         }
     }
 }
--- a/src/main/java/rampshift/workers/WorkerExchange.java
+++ b/src/main/java/rampshift/workers/WorkerExchange.java
@@ -4,114 +4,142 @@
 import rampshift.connections.Dialer;
 import rampshift.connections.ExchangeListener;
 import rampshift.connections.HttpConnection;
-import rampshift.time.Moment;
+import rampshift.log.Log;
 import rampshift.time.Span;
 
-/** Something carried to a worker and back: it gets a connection, and gives it back once, in {@link #over}. */
+/**
+ * A request to a worker and its response. It takes a connection from the pool, or dials one, and gives it
+ * back once, in {@link #release}. Its result is reported once; what arrives of the response after that is
+ * only read and dropped.
+ */
 abstract class WorkerExchange implements ExchangeListener, Dialer.DialListener {
-    final ConnectionPool pool;
-    final WorkerEndpoint place;
+    private final ConnectionPool pool;
+    private final WorkerEndpoint endpoint;
     private Dialer.Dial dial;
     private HttpConnection connection;
-    /** Its connection has served another before. */
-    private boolean reused;
-    private int life;
-    private boolean told;
-    /** When it was told of as ended while its answer had not wholly come. */
-    Moment lingersSince;
-
-    WorkerExchange(ConnectionPool pool, WorkerEndpoint place) {
+    private boolean connectionReused;
+    private int incarnation;
+    private boolean resultReported;
+
+    WorkerExchange(ConnectionPool pool, WorkerEndpoint endpoint) {
         this.pool = pool;
-        this.place = place;
+        this.endpoint = endpoint;
     }
 
+    /** Makes the whole HTTP request; called just before it is written. */
     abstract ByteBuffer[] message();
 
-    /** Not over a connection that was kept. */
-    boolean wantsNew() {
+    /** Called if the pool has reached its limit of connections, or if the worker has no address. */
+    abstract void onNoConnectionAvailable();
+
+    /** Whether the request must not be sent over a connection that was idle. */
+    boolean requiresNewConnection() {
         return false;
     }
 
-    /** How long a kept connection must have been idle. */
-    Span quiet() {
+    /** How long a connection must have been idle to be reused. */
+    Span minIdleTime() {
         return Span.ZERO;
     }
 
-    /** How long the last byte is held back. */
-    Span hold() {
+    /** How much later than the other bytes the last one is written. */
+    Span lastByteDelay() {
         return Span.ZERO;
     }
 
-    /** It broke without a word on a connection that had been kept: the others kept may be as stale. */
-    final boolean stale() {
-        if (reused) {
-            pool.suspect(place);
-        }
-        return reused;
+    final ConnectionPool pool() {
+        return pool;
     }
 
-    /** How soon the answer began. */
-    final Span answeredAfter() {
-        return connection.timeToFirstByte();
+    final WorkerEndpoint endpoint() {
+        return endpoint;
     }
 
-    /** No connection can be had, for want of room here. */
-    abstract void noRoom();
-
-    void start() {
-        life = place.life;
-        connection = wantsNew() ? null : pool.idle(place, quiet());
+    final void start() {
+        incarnation = endpoint.incarnation();
+        connection = requiresNewConnection() ? null : pool.takeIdle(endpoint, minIdleTime());
         if (connection != null) {
-            reused = true;
-            connection.exchange(this, hold(), this::message);
-        } else if (place.address == null || !pool.room()) {
-            noRoom();
+            connectionReused = true;
+            sendRequest();
+        } else if (endpoint.address() == null || !pool.makeRoom()) {
+            onNoConnectionAvailable();
         } else {
-            dial = pool.dial(place, this);
+            dial = pool.dial(endpoint, this);
         }
     }
 
     @Override
-    public final void onConnected(HttpConnection made) {
+    public final void onConnected(HttpConnection newConnection) {
         dial = null;
-        connection = made;
-        connection.exchange(this, hold(), this::message);
+        connection = newConnection;
+        sendRequest();
+    }
+
+    private void sendRequest() {
+        connection.exchange(this, lastByteDelay(), this::message);
     }
 
-    /** Whether its connection is still one to this worker, which has not moved or restarted meanwhile. */
-    final boolean current() {
-        return life == place.life;
+    /** Whether the connection leads to the worker that is listed now: it has not moved or restarted since. */
+    final boolean isCurrent() {
+        return incarnation == endpoint.incarnation();
     }
 
-    /** Marks the end as told; false if it was before. What still comes of the answer is only read off. */
-    final boolean tell() {
-        boolean first = !told;
-        told = true;
+    /** The time from the last byte of the request to the first of the response. */
+    final Span timeToFirstByte() {
+        return connection.timeToFirstByte();
+    }
+
+    /**
+     * To be called if the connection failed before the response began. If it had been idle before, it was
+     * stale, and the pool closes the other idle connections to the worker.
+     *
+     * @return whether the connection was stale
+     */
+    final boolean reportIfStale() {
+        if (connectionReused) {
+            pool.onStaleConnection(endpoint);
+        }
+        return connectionReused;
+    }
+
+    /**
+     * Notes that the result is being reported.
+     *
+     * @return false if a result was reported before
+     */
+    final boolean markResultReported() {
+        boolean first = !resultReported;
+        resultReported = true;
         return first;
     }
 
-    final boolean told() {
-        return told;
+    final boolean isResultReported() {
+        return resultReported;
     }
 
-    /** The connection stays for the rest of the answer, but not for long. */
+    /** Keeps the connection for a limited time to read the rest of the response. */
     final void linger() {
         if (connection != null) {
-            pool.linger(this);
+            pool.lingeringExchanges().add(this);
         }
     }
 
-    /** The one place where dial and connection are given back: for reuse, if they are in a known state. */
-    final void over() {
+    /** Ends the exchange: cancels its dial, and gives its connection back. May be called more than once. */
+    final void release() {
         if (dial != null) {
             dial.cancel();
             dial = null;
         }
         if (connection != null) {
-            HttpConnection given = connection;
+            HttpConnection released = connection;
             connection = null;
-            pool.lingerEnds(this);
-            pool.giveBack(place, life, given);
+            pool.lingeringExchanges().remove(this);
+            pool.giveBack(endpoint, incarnation, released);
         }
     }
+
+    /** Logs that the worker sent a response that makes no sense. */
+    final void logMalformedResponse(String what) {
+        Log.warn("malformed-response", "worker", endpoint.uid(), "what", what);
+    }
 }
--- a/src/test/java/rampshift/serve/ResponseDeliveryTest.java
+++ b/src/test/java/rampshift/serve/ResponseDeliveryTest.java
@@ -262,9 +262,9 @@
             List<StreamConnection> all = new ArrayList<>();
             ((Map<?, ?>) field(node.parts.door, "open")).keySet().forEach(c -> all.add((StreamConnection) c));
             assertEquals(1, all.size(), "of clients");
-            for (Object place : ((Map<?, ?>) field(field(node.parts, "pool"), "places")).values()) {
-                for (Object kept : (Collection<?>) field(place, "idle")) {
-                    all.add((StreamConnection) field(kept, "channel"));
+            for (Object place : ((Map<?, ?>) field(field(node.parts, "pool"), "endpoints")).values()) {
+                for (Object kept : (Collection<?>) field(place, "idleConnections")) {
+                    all.add((StreamConnection) field(field(kept, "connection"), "channel"));
                 }
             }
             assertEquals(2, all.size(), "with that to the worker");
