--- a/src/main/java/rampshift/pipeline/EndpointListUpdater.java
+++ b/src/main/java/rampshift/pipeline/EndpointListUpdater.java
@@ -10,6 +10,7 @@
 import rampshift.settings.HostSettings;
 import rampshift.time.Moment;
 import rampshift.workers.ConnectionPool;
+import rampshift.workers.WorkerListing;
 
 /** Applies endpoint lists to the connection pool and to the dispatch policy. */
 public final class EndpointListUpdater {
@@ -29,9 +30,9 @@
             pool.beginFullList();
         }
         for (Endpoint endpoint : list.endpoints()) {
-            pool.updateWorker(workerIds.number(endpoint.uid()), endpoint.uid(), endpoint.address(),
-                    endpoint.zone() + '/' + endpoint.kind(), endpoint.startedAtMillis(),
-                    endpoint.state() == Endpoint.State.READY);
+            pool.updateWorker(new WorkerListing(workerIds.number(endpoint.uid()), endpoint.uid(),
+                    endpoint.address(), endpoint.zone() + '/' + endpoint.kind(), endpoint.startedAtMillis(),
+                    endpoint.state() == Endpoint.State.READY));
         }
         if (complete) {
             pool.endFullList();
--- a/src/main/java/rampshift/testbed/experiment/CpuProfile.java
+++ b/src/main/java/rampshift/testbed/experiment/CpuProfile.java
@@ -66,10 +66,10 @@
         methods.merge(method == null ? first : method, 1, Integer::sum);
     }
 
-    /** The package; of the stages the one. */
+    /** The package; of the pipeline the stage. */
     private static String part(String type) {
         String[] names = type.substring(OWN.length()).split("[.$]");
-        return names[0].equals("stages") && names.length > 1 ? "stages." + names[1] : names[0];
+        return names[0].equals("pipeline") && names.length > 1 ? "pipeline." + names[1] : names[0];
     }
 
     void print(PrintStream out) {
--- a/src/test/java/rampshift/serve/ResponseDeliveryTest.java
+++ b/src/test/java/rampshift/serve/ResponseDeliveryTest.java
@@ -264,9 +264,9 @@
             ((Map<?, ?>) field(field(node.dispatcher.clientListener, "table"), "connections")).keySet()
                     .forEach(c -> all.add((StreamConnection) c));
             assertEquals(1, all.size(), "of clients");
-            for (Object place : ((Map<?, ?>) field(field(node.dispatcher, "pool"), "places")).values()) {
-                for (Object kept : (Collection<?>) field(place, "idle")) {
-                    all.add((StreamConnection) field(kept, "channel"));
+            for (Object place : ((Map<?, ?>) field(field(node.dispatcher, "pool"), "endpoints")).values()) {
+                for (Object kept : (Collection<?>) field(place, "idleConnections")) {
+                    all.add((StreamConnection) field(field(kept, "connection"), "channel"));
                 }
             }
             assertEquals(2, all.size(), "with that to the worker");
