--- a/src/main/java/rampshift/time/IoTimer.java
+++ b/src/main/java/rampshift/time/IoTimer.java
@@ -4,46 +4,50 @@
 import org.xnio.XnioExecutor;
 
 /**
- * A timer on an I/O thread that surely does not ring once it is off, nor twice. XNIO hands all timers that
- * are due to its
- * queue in one go, and one that another of them removes runs all the same: a watch was broken off for the
- * time of a call
- * that had just been answered, and the last byte of an assignment was looked after that had been called off.
+ * A timer on an I/O thread that never fires once it is canceled, nor twice. XNIO hands all timers that are
+ * due to its queue in one go, and one that another of them removes runs all the same: a watch was failed
+ * for the timeout of a poll that had just been answered, and the last byte of an attempt was looked after
+ * that had been canceled.
  */
 public final class IoTimer {
+    private static final long MICROS_PER_MILLI = 1000;
+
     private final XnioExecutor.Key key;
-    private Runnable rings;
+    private Runnable action;
 
-    private IoTimer(XnioExecutor thread, long time, TimeUnit unit, Runnable rings) {
-        this.rings = rings;
-        key = thread.executeAfter(this::ring, time, unit);
+    private IoTimer(XnioExecutor thread, long delay, TimeUnit unit, Runnable action) {
+        this.action = action;
+        key = thread.executeAfter(this::fire, delay, unit);
     }
 
-    /** To be called, as {@link #cancel} is, on that thread. */
-    public static IoTimer in(XnioExecutor thread, Span span, Runnable rings) {
-        return new IoTimer(thread, span.micros(), TimeUnit.MICROSECONDS, rings);
+    /**
+     * Runs an action on the thread after a delay, up to a millisecond early. To be called, as
+     * {@link #cancel} is, on that thread.
+     */
+    public static IoTimer in(XnioExecutor thread, Span delay, Runnable action) {
+        return new IoTimer(thread, delay.micros(), TimeUnit.MICROSECONDS, action);
     }
 
-    /** Never early: XNIO drops what is left of a millisecond. */
-    public static IoTimer notBefore(XnioExecutor thread, Span span, Runnable rings) {
-        return new IoTimer(thread, wholeMillis(span), TimeUnit.MILLISECONDS, rings);
+    /** The same, but never early: XNIO drops what is left of a millisecond. */
+    public static IoTimer notBefore(XnioExecutor thread, Span delay, Runnable action) {
+        return new IoTimer(thread, ceilMillis(delay), TimeUnit.MILLISECONDS, action);
     }
 
-    static long wholeMillis(Span span) {
-        return (Math.max(0, span.micros()) + 999) / 1000;
+    static long ceilMillis(Span span) {
+        return (Math.max(0, span.micros()) + MICROS_PER_MILLI - 1) / MICROS_PER_MILLI;
     }
 
-    private void ring() {
-        Runnable now = rings;
-        rings = null;
-        if (now != null) {
-            now.run();
+    private void fire() {
+        Runnable current = action;
+        action = null;
+        if (current != null) {
+            current.run();
         }
     }
 
-    /** May be called again, and after it has rung. */
+    /** Keeps the action from running. May be called again, and after the timer has fired. */
     public void cancel() {
-        rings = null;
+        action = null;
         key.remove();
     }
 }
--- a/src/main/java/rampshift/time/NextTick.java
+++ b/src/main/java/rampshift/time/NextTick.java
@@ -9,52 +9,59 @@
 import org.xnio.channels.StreamSourceChannel;
 
 /**
- * Runs something once an I/O thread has looked at its sockets. XNIO runs all tasks and timers that are due,
- * and those that
- * become due meanwhile, before it looks: what hands itself on as either keeps every socket waiting. So it is
- * told by a
- * pipe to itself, which takes two descriptors.
+ * Runs an action once an I/O thread has looked at its sockets. XNIO runs all tasks and timers that are due,
+ * and those that become due meanwhile, before it looks: an action that reschedules itself as either keeps
+ * every socket waiting. So the action is triggered by a pipe from the thread to itself, which takes two
+ * descriptors.
  */
 public final class NextTick {
-    private final ByteBuffer one = ByteBuffer.allocateDirect(1);
+    private final ByteBuffer signal = ByteBuffer.allocateDirect(1);
     private final ChannelPipe<StreamSourceChannel, StreamSinkChannel> pipe;
-    private Runnable next;
+    private Runnable pending;
 
-    /** To be called, as all else here is, on that thread. */
+    /**
+     * Opens the pipe. To be called, as all other methods are, on that thread.
+     *
+     * @throws IOException where no pipe can be opened
+     */
     public NextTick(XnioIoThread thread) throws IOException {
         pipe = thread.createHalfDuplexPipe();
-        pipe.getLeftSide().getReadSetter().set(c -> come());
+        pipe.getLeftSide().getReadSetter().set(source -> onSignal());
         pipe.getLeftSide().resumeReads();
     }
 
-    /** In place of what was to run then before. */
-    public void run(Runnable what) {
-        boolean asked = next != null;
-        next = what;
-        if (!asked) {
+    /** Runs an action at the next tick, in place of the one that was to run then before. */
+    public void run(Runnable action) {
+        boolean signaled = pending != null;
+        pending = action;
+        if (!signaled) {
             try {
-                pipe.getRightSide().write(one.clear());
+                pipe.getRightSide().write(signal.clear());
             } catch (IOException e) {
-                throw new IllegalStateException("a pipe of this process broke", e);
+                throw brokenPipe(e);
             }
         }
     }
 
-    private void come() {
+    private void onSignal() {
         try {
-            if (pipe.getLeftSide().read(one.clear()) > 0) {
-                Runnable now = next;
-                next = null;
-                now.run();
+            if (pipe.getLeftSide().read(signal.clear()) > 0) {
+                Runnable current = pending;
+                pending = null;
+                current.run();
             }
         } catch (IOException e) {
-            throw new IllegalStateException("a pipe of this process broke", e);
+            throw brokenPipe(e);
         }
     }
 
-    /** Gives back the pipe; what was to run does not. */
+    private static IllegalStateException brokenPipe(IOException cause) {
+        return new IllegalStateException("a pipe of this process broke", cause);
+    }
+
+    /** Gives back the pipe; a pending action does not run. */
     public void close() {
-        next = null;
+        pending = null;
         IoUtils.safeClose(pipe.getLeftSide());
         IoUtils.safeClose(pipe.getRightSide());
     }
--- a/src/test/java/rampshift/time/IoTimerTest.java
+++ b/src/test/java/rampshift/time/IoTimerTest.java
@@ -6,6 +6,7 @@
 import java.util.Collections;
 import java.util.List;
 import java.util.concurrent.FutureTask;
+import java.util.concurrent.TimeUnit;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
@@ -18,40 +19,40 @@
 class IoTimerTest {
     /** The thread was at something else while both became due, so that they are in its queue together. */
     @Test
-    void oneOfTwoThatAreDueTogetherTurnsTheOtherOff() throws Exception {
-        XnioWorker xnio = Xnio.getInstance()
-                .createWorker(OptionMap.create(Options.WORKER_IO_THREADS, 1, Options.THREAD_DAEMON, true));
+    void timerThatIsCanceledByAnotherDueWithItDoesNotFire() throws Exception {
+        XnioWorker worker = Xnio.getInstance().createWorker(
+                OptionMap.create(Options.WORKER_IO_THREADS, 1, Options.THREAD_DAEMON, true));
         try {
-            XnioIoThread thread = xnio.getIoThread(0);
-            List<String> rang = Collections.synchronizedList(new ArrayList<>());
+            XnioIoThread thread = worker.getIoThread(0);
+            List<String> fired = Collections.synchronizedList(new ArrayList<>());
             IoTimer[] second = new IoTimer[1];
             FutureTask<Void> work = new FutureTask<>(() -> {
                 IoTimer.in(thread, Span.ofMillis(1), () -> {
-                    rang.add("first");
+                    fired.add("first");
                     second[0].cancel();
                 });
-                second[0] = IoTimer.in(thread, Span.ofMillis(2), () -> rang.add("second"));
+                second[0] = IoTimer.in(thread, Span.ofMillis(2), () -> fired.add("second"));
                 Thread.sleep(20);
                 return null;
             });
             thread.execute(work);
             work.get();
-            FutureTask<Void> after = new FutureTask<>(() -> null);
-            thread.executeAfter(after, 20, java.util.concurrent.TimeUnit.MILLISECONDS);
-            after.get();
-            assertEquals(List.of("first"), rang);
+            FutureTask<Void> afterBoth = new FutureTask<>(() -> null);
+            thread.executeAfter(afterBoth, 20, TimeUnit.MILLISECONDS);
+            afterBoth.get();
+            assertEquals(List.of("first"), fired);
         } finally {
-            xnio.shutdownNow();
+            worker.shutdownNow();
         }
     }
 
     /**
-     * Met as half of all CPU time: timers that came a part of a millisecond early were asked for again at
+     * Took half of all CPU time: timers that fired a part of a millisecond early were scheduled again at
      * once.
      */
     @ParameterizedTest
     @CsvSource({"-500,0", "0,0", "1,1", "300,1", "1000,1", "1001,2", "1700,2"})
-    void oneThatIsNotToBeEarlyIsNot(long micros, long millis) {
-        assertEquals(millis, IoTimer.wholeMillis(new Span(micros)));
+    void delayIsRoundedUpToWholeMilliseconds(long micros, long millis) {
+        assertEquals(millis, IoTimer.ceilMillis(new Span(micros)));
     }
 }
