--- a/src/main/java/rampshift/log/LibraryLogs.java
+++ b/src/main/java/rampshift/log/LibraryLogs.java
@@ -6,56 +6,61 @@
 import org.jboss.logging.LoggerProvider;
 
 /**
- * JBoss Logging finds it as its provider: what Undertow and XNIO say from WARN up goes through {@link Log}.
+ * The provider that JBoss Logging finds as a service: what Undertow and XNIO log at WARN and above goes
+ * through {@link Log}. No diagnostic context is kept.
  */
 public final class LibraryLogs implements LoggerProvider {
-    private static final class Lines extends Logger {
+    /** One library logger. */
+    private static final class LibraryLogger extends Logger {
         private static final long serialVersionUID = 1L;
 
-        Lines(String name) {
+        LibraryLogger(String name) {
             super(name);
         }
 
         @Override
         protected void doLog(Level level, String caller, Object message, Object[] values, Throwable thrown) {
             if (isEnabled(level)) {
-                boolean bare = values == null || values.length == 0;
-                String text = String.valueOf(message);
-                said(level, bare ? text : MessageFormat.format(text, values), thrown);
+                String pattern = String.valueOf(message);
+                boolean hasValues = values != null && values.length > 0;
+                forward(level, hasValues ? MessageFormat.format(pattern, values) : pattern, thrown);
             }
         }
 
         @Override
         protected void doLogf(Level level, String caller, String format, Object[] values, Throwable thrown) {
             if (isEnabled(level)) {
-                said(level, values == null ? format : String.format(format, values), thrown);
+                forward(level, values == null ? format : String.format(format, values), thrown);
             }
         }
 
-        private void said(Level level, String text, Throwable thrown) {
-            Log.line(level == Level.WARN ? "WARN" : "ERROR", "library", "from", getName(), "said", text,
-                    "thrown", thrown == null ? "-" : thrown + where(thrown));
+        private void forward(Level level, String text, Throwable thrown) {
+            LogLevel ownLevel = level == Level.WARN ? LogLevel.WARN : LogLevel.ERROR;
+            Log.line(ownLevel, "library", "from", getName(), "said", text, "thrown", describe(thrown));
         }
 
-        private static String where(Throwable thrown) {
+        private static String describe(Throwable thrown) {
+            if (thrown == null) {
+                return "-";
+            }
             StackTraceElement[] trace = thrown.getStackTrace();
-            return trace.length == 0 ? "" : " at " + trace[0];
+            return trace.length == 0 ? thrown.toString() : thrown + " at " + trace[0];
         }
 
         @Override
         public boolean isEnabled(Level level) {
-            return level.ordinal() <= Level.WARN.ordinal();
+            return level.compareTo(Level.WARN) <= 0;
         }
     }
 
     @Override
     public Logger getLogger(String name) {
-        return new Lines(name);
+        return new LibraryLogger(name);
     }
 
     @Override
     public void clearMdc() {
-        // No context is kept.
+        // no context is kept
     }
 
     @Override
@@ -70,7 +75,7 @@
 
     @Override
     public void removeMdc(String key) {
-        // No context is kept.
+        // no context is kept
     }
 
     @Override
@@ -80,7 +85,7 @@
 
     @Override
     public void clearNdc() {
-        // No context is kept.
+        // no context is kept
     }
 
     @Override
@@ -105,11 +110,11 @@
 
     @Override
     public void pushNdc(String message) {
-        // No context is kept.
+        // no context is kept
     }
 
     @Override
     public void setNdcMaxDepth(int maxDepth) {
-        // No context is kept.
+        // no context is kept
     }
 }
