--- a/src/main/java/rampshift/discovery/EndpointWatch.java
+++ b/src/main/java/rampshift/discovery/EndpointWatch.java
@@ -1,277 +1,201 @@
 package rampshift.discovery;
 
 import java.net.InetSocketAddress;
-import java.nio.ByteBuffer;
-import java.nio.charset.StandardCharsets;
-import java.util.Arrays;
-import java.util.function.Consumer;
 import org.xnio.XnioIoThread;
 import rampshift.connections.Dialer;
-import rampshift.connections.ExchangeListener;
 import rampshift.connections.HttpConnection;
-import rampshift.connections.ResponseHead;
 import rampshift.counters.Counters;
 import rampshift.log.Log;
-import rampshift.settings.InvalidInputException;
 import rampshift.time.Clock;
-import rampshift.time.IoTimer;
 import rampshift.time.Moment;
 import rampshift.time.Span;
 
 /**
- * Keeps watching discovery: the whole list once, then changes, call upon call, through outages. It owns one
- * connection, or one dial, and one timer.
+ * Watches the discovery agent's list of workers: the complete list once, then its changes, poll after poll,
+ * through outages. It owns one connection, or one dial, and the timers of the poll and the retry. All on
+ * the I/O thread.
  */
 public final class EndpointWatch {
-    /** How long a call may wait for changes. With 20 s a watch that fell silent was noticed after 21. */
-    private static final Span WAIT = Span.ofMillis(1000);
-    // until a connection or a first list has to be there
-    private static final Span FIRST = Span.ofMillis(500);
-    /**
-     * Of the grace on drains: how long a call may wait, how late its answer may be, and the pause after a
-     * break. An agent
-     * that was silent while a call was open and is back with news is heard within nine tenths of the grace.
-     */
-    private static final double WAIT_SHARE = 0.4;
-    private static final double LATE_SHARE = 0.3;
-    private static final double AGAIN_SHARE = 0.2;
-    private static final double LOOK_SHARE = 0.1;            // of the grace, that what came may lie unread
-    private static final Span LEAST = Span.ofMillis(10);
-    private static final Span AGAIN = Span.ofMillis(100);    // after a break; 200 ms keep the watch going
-    /**
-     * Of an answer that comes in pieces, beyond the time until its first: less than the 2 s after which its
-     * news counts.
-     */
-    private static final Span PIECES = Span.ofMillis(1500);
-    /**
-     * Bytes: 1,024 workers, an entry of a name of 200 and all else that can be long, indented, being under 2
-     * KB.
-     */
-    private static final int LONGEST = 1024 * 2048;
-    /** Tries in a row that failed before it is told: one may have lost its answer to a busy start. */
-    private static final int FAILURES = 2;
+    private static final Span CONNECT_TIMEOUT = Span.ofMillis(500);
+    private static final Span COMPLETE_LIST_TIMEOUT = Span.ofMillis(500);
+    private static final long NO_VERSION = -1;
+
+    /** Receives what the watch observes. */
+    public interface Listener {
+        /** The agent has sent the complete list or what changed in it. */
+        void onList(EndpointList list);
+
+        /** The agent is unavailable; called once an outage. */
+        void onUnavailable();
+    }
 
     private final XnioIoThread thread;
     private final Dialer dialer;
     private final Clock clock;
-    private final Span wait;
-    private final Span late;
-    private final Span again;
-    private final Span lookEvery;
-    private InetSocketAddress address;
     private final Counters counters;
-    private final Consumer<EndpointList> told;
-    private final Runnable failed;
+    private final Listener listener;
+    private final WatchTimings timings;
+    private final WatchBackoff backoff;
+    private InetSocketAddress agent;
     private HttpConnection connection;
     private Dialer.Dial dial;
-    private IoTimer timer;
-    private Answer answer;
-    private long version = -1;
-    private boolean calling;
-    private boolean broken;
-    private int failures;
-    private Moment lookedAt;
+    /** The poll that is open; null where there is none. */
+    private LongPoll poll;
+    private long version = NO_VERSION;
+    private Moment lastReadAt;
     private boolean stopped;
 
     /**
-     * Lists go to {@code told}; that none is to be had, once an outage, to {@code failed}. Grace: on drains;
-     * ZERO where
-     * none is stated.
+     * A watch that {@link #start()} begins.
+     *
+     * @param agent the address of the discovery agent
+     * @param drainGrace how soon after a worker began to drain no task may be sent to it any more; ZERO
+     *     where no grace is stated
      */
-    public EndpointWatch(XnioIoThread thread, Dialer dialer, Clock clock, InetSocketAddress address,
-            Span grace,
-            Counters counters, Consumer<EndpointList> told, Runnable failed) {
+    public EndpointWatch(XnioIoThread thread, Dialer dialer, Clock clock, InetSocketAddress agent,
+            Span drainGrace,
+            Counters counters, Listener listener) {
         this.thread = thread;
         this.dialer = dialer;
         this.clock = clock;
-        boolean stated = grace.micros() > 0;
-        wait = stated ? grace.times(WAIT_SHARE).orLonger(LEAST).orShorter(WAIT) : WAIT;
-        late = stated ? grace.times(LATE_SHARE).orLonger(LEAST).orShorter(FIRST) : FIRST;
-        again = stated ? grace.times(AGAIN_SHARE).orLonger(LEAST).orShorter(AGAIN) : AGAIN;
-        lookEvery = grace.times(LOOK_SHARE);
-        lookedAt = clock.now();
-        this.address = address;
+        this.agent = agent;
         this.counters = counters;
-        this.told = told;
-        this.failed = failed;
+        this.listener = listener;
+        timings = WatchTimings.forDrainGrace(drainGrace);
+        backoff = new WatchBackoff(thread, timings.retryDelay());
+        lastReadAt = clock.now();
     }
 
+    /** Connects where there is no connection and polls, unless it does so already or was stopped. */
     public void start() {
-        if (stopped || calling || dial != null) {
-            return;     // a break that crossed the next call has begun it already
+        if (stopped || poll != null || dial != null) {
+            return; // a failure that crossed the next poll has started it already
         }
         if (connection == null) {
-            dial = dialer.dial(address, FIRST, new Dialer.Dialed() {
-                @Override
-                public void connected(HttpConnection made) {
-                    dial = null;
-                    connection = made;
-                    connection.onEnd(() -> retry("the idle connection ended"));
-                    call();
-                }
-
-                @Override
-                public void unreachable(String why) {
-                    dial = null;
-                    retry(why);
-                }
-            });
+            dial = dialer.dial(agent, CONNECT_TIMEOUT, new DialListener());
         } else {
-            call();
+            sendPoll();
         }
     }
 
     /**
-     * Goes on at another address, at once; false where it is there already. What the old one counted as its
-     * version
-     * says nothing there.
+     * Continues with another agent at once. The version that the former one counted means nothing there.
+     *
+     * @return false where it is that agent already, or was stopped
      */
-    public boolean switchTo(InetSocketAddress to) {
-        if (stopped || to.equals(address)) {
+    public boolean switchTo(InetSocketAddress newAgent) {
+        if (stopped || newAgent.equals(agent)) {
             return false;
         }
-        address = to;
-        version = -1;
-        failures = 0;
-        drop();
+        agent = newAgent;
+        version = NO_VERSION;
+        backoff.resetCount();
+        release();
         start();
         return true;
     }
 
     /**
-     * Has what lies unread read, if nobody looked lately: a thread with much to do finds news that binds only
-     * after all
-     * else that came with it, and 40 tasks were sent meanwhile by a list that was 0.4 s old.
+     * Reads what the agent has sent and lies unread, if nothing was read lately. A thread with much to do
+     * would find an update only after all else that came with it: 40 tasks were sent by a list that was 0.4
+     * s old.
      */
     public void readPending() {
         Moment now = clock.now();
-        if (connection != null && now.since(lookedAt).longerThan(lookEvery)) {
-            lookedAt = now;
+        if (connection != null && now.since(lastReadAt).longerThan(timings.readInterval())) {
+            lastReadAt = now;
             connection.look();
         }
     }
 
+    /** Ends the watch for good and gives back all that it owns. */
     public void stop() {
         stopped = true;
-        drop();
-    }
-
-    private void call() {
-        String path = version < 0 ? "/v1/endpoints"
-                : "/v1/endpoints?index=" + version + "&wait="
-                        + Math.round(wait.millis());
-        String text =
-                "GET " + path + " HTTP/1.1\r\nHost: " + address.getHostString() + ":" + address.getPort()
-                        + "\r\n\r\n";
-        // Once it has been told that no list is to be had the old one is gone by, and the agent may be back
-        // any time.
-        Span most = version >= 0 ? wait.plus(late) : failures < FAILURES ? FIRST : late;
-        calling = true;
-        Moment end = clock.now().plus(most).plus(PIECES);
-        timer = IoTimer.in(thread, most, () -> overdue(end));
-        answer = new Answer();
-        connection.exchange(answer, ByteBuffer.wrap(text.getBytes(StandardCharsets.ISO_8859_1)));
+        release();
     }
 
-    /**
-     * The answer may have come and lie unread, where this thread is what is late; or be coming in pieces. A
-     * long list on a
-     * slow way was dropped and asked for anew, for ever.
-     */
-    private void overdue(Moment end) {
-        Answer mine = answer;
-        connection.look();
-        if (!calling || answer != mine) {
-            return;
-        }
-        Span left = late.minus(connection.quietFor()).orShorter(end.since(clock.now()));
-        if (left.micros() > 0) {
-            timer = IoTimer.notBefore(thread, left, () -> overdue(end));
-        } else {
-            retry("no answer");
+    private final class DialListener implements Dialer.Dialed {
+        @Override
+        public void connected(HttpConnection opened) {
+            dial = null;
+            connection = opened;
+            connection.onEnd(() -> retry("the idle connection was closed"));
+            sendPoll();
         }
-    }
-
-    private final class Answer implements ExchangeListener {
-        private int status;
-        private byte[] bytes = new byte[4096];
-        private int length;
 
         @Override
-        public void head(ResponseHead head) {
-            status = head.status();
+        public void unreachable(String reason) {
+            dial = null;
+            retry(reason);
         }
+    }
 
-        @Override
-        public void body(byte[] piece, int from, int count) {
-            if (length + count > LONGEST) {
-                retry("a list over " + LONGEST + " bytes");
-                return;
-            }
-            if (length + count > bytes.length) {
-                bytes = Arrays.copyOf(bytes, Math.max(length + count, bytes.length * 2));
-            }
-            System.arraycopy(piece, from, bytes, length, count);
-            length += count;
+    private void sendPoll() {
+        byte[] request;
+        Span timeout;
+        if (version == NO_VERSION) {
+            request = LongPoll.completeListRequest(agent);
+            // In an outage nobody waits for the list any more, and the agent may be back at any time.
+            timeout = backoff.isOutage() ? timings.responseSlack() : COMPLETE_LIST_TIMEOUT;
+        } else {
+            request = LongPoll.changesRequest(agent, version, timings.pollWait());
+            timeout = timings.pollWait().plus(timings.responseSlack());
         }
+        poll = new LongPoll(thread, clock, connection, timings.responseSlack(), new PollListener());
+        poll.start(request, timeout);
+    }
 
+    private final class PollListener implements LongPoll.Listener {
         @Override
-        public void ended() {
-            if (status != 200) {
-                retry("status " + status);
-                return;
-            }
-            EndpointList listing;
-            try {
-                listing = EndpointList.read(bytes, length);
-            } catch (InvalidInputException e) {
-                version = -1;
-                retry(e.getMessage());
-                return;
+        public void onList(EndpointList list) {
+            poll = null;
+            if (backoff.isFailing() || version == NO_VERSION) {
+                Log.info("endpoint-list", "rev", list.version(), "workers", list.endpoints().size());
             }
-            timer.cancel();
-            calling = false;
-            if (broken || version < 0) {
-                Log.info("list", "rev", listing.version(), "workers", listing.endpoints().size());
-            }
-            broken = false;
-            failures = 0;
-            version = listing.version();
-            counters.add(listing.complete() ? Counters.Name.COMPLETE_LISTS : Counters.Name.LIST_CHANGES);
+            backoff.recordSuccess();
+            version = list.version();
+            counters.add(list.complete() ? Counters.Name.COMPLETE_LISTS : Counters.Name.LIST_CHANGES);
             if (connection != null && !connection.usable()) {
                 connection = null;
             }
-            start();    // before the tasks that waited for the list go out: more news may come meanwhile
-            told.accept(listing);
+            // Before the tasks that waited for the list are sent: another update may come meanwhile.
+            start();
+            listener.onList(list);
+        }
+
+        @Override
+        public void onInvalidList(String reason) {
+            version = NO_VERSION;
+            retry(reason);
         }
 
         @Override
-        public void broken(String why) {
-            retry(why);
+        public void onFailure(String reason) {
+            retry(reason);
         }
     }
 
-    private void retry(String why) {
-        drop();
+    private void retry(String reason) {
+        release();
         if (stopped) {
             return;
         }
         counters.add(Counters.Name.WATCH_FAILURES);
-        if (!broken) {
-            Log.warn("list-watch", "broken", why, "kept", "the list as it was");
+        if (!backoff.isFailing()) {
+            Log.warn("endpoint-watch", "broken", reason, "kept", "the list as it was");
         }
-        broken = true;
-        if (++failures == FAILURES) {
-            failed.run();
+        if (backoff.recordFailure()) {
+            listener.onUnavailable();
         }
-        timer = IoTimer.in(thread, again, this::start);
+        backoff.schedule(this::start);
     }
 
-    /** The one place where connection, dial and timer are given back. */
-    private void drop() {
-        calling = false;
-        if (timer != null) {
-            timer.cancel();
+    /** The one place where connection, dial and timers are given back. */
+    private void release() {
+        backoff.cancel();
+        if (poll != null) {
+            poll.cancel();
+            poll = null;
         }
         if (dial != null) {
             dial.callOff();
--- a/src/main/java/rampshift/membership/host/DrainOverrides.java
+++ b/src/main/java/rampshift/membership/host/DrainOverrides.java
@@ -99,7 +99,8 @@
         if (!first) {
             before.values()
                     .forEach(t -> learnt
-                            .accept(new DrainNotice(t.uid(), t.startedAtMillis(), version, DrainNotice.Kind.GONE)));
+                            .accept(new DrainNotice(t.uid(), t.startedAtMillis(), version,
+                                    DrainNotice.Kind.GONE)));
         }
         for (Map.Entry<String, Held> e : List.copyOf(held.entrySet())) {
             Endpoint t = own.get(e.getKey());
--- a/src/main/java/rampshift/pipeline/PolicyHost.java
+++ b/src/main/java/rampshift/pipeline/PolicyHost.java
@@ -95,7 +95,8 @@
             pool.beginWhole();
         }
         for (Endpoint t : list.endpoints()) {
-            pool.listed(uids.number(t.uid()), t.uid(), t.address(), t.zone() + '/' + t.kind(), t.startedAtMillis(),
+            pool.listed(uids.number(t.uid()), t.uid(), t.address(), t.zone() + '/' + t.kind(),
+                    t.startedAtMillis(),
                     t.state() == Endpoint.State.READY);
         }
         if (whole) {
--- a/src/main/java/rampshift/serve/Dispatcher.java
+++ b/src/main/java/rampshift/serve/Dispatcher.java
@@ -21,59 +21,60 @@
 import rampshift.time.Span;
 import rampshift.workers.ConnectionPool;
 
-/** One set of the parts between clients and workers, and how the limits are shared out among them. */
+/** One set of the parts between clients and workers: builds them, connects them and gives them back. */
 final class Dispatcher {
-    private static final int RESERVED = 64;            // descriptors of the JVM, its files and discovery
-    private static final int LEAST = 8;                // that a file of few descriptors still serves with
-    private static final double TO_WORKERS = 0.4;      // of the descriptors left
-    private static final double SPARE = 0.1;           // of the clients' part: taken in only to be bounced
-    private static final double BODIES = 0.08;         // of the memory: what tasks in hand may hold
-    private static final double RECEIVING = 0.08;      // of the memory: bodies that are coming in
-    private static final double CLIENT_IDLE = 4;       // longest expiries until a silent client is dropped
+    /** A client that has been silent for so many times the longest deadline is dropped. */
+    private static final double CLIENT_IDLE_DEADLINES = 4;
 
     final ClientListener clientListener;
     final TaskRegistry tasks;
     final PolicyHost policyHost;
+    final AdmissionControl admission;
+    /** The longest deadline of all traffic types. */
     final Span longestDeadline;
+    /** How soon after a worker began to drain no task may be sent to it any more. */
     final Span drainGrace;
-    final AdmissionControl admission;
     private final ConnectionPool pool;
     private final StallDetector stalls;
 
+    /** All parts on one I/O thread, with the descriptors that an extension uses taken off their limits. */
     Dispatcher(XnioIoThread thread, ByteBufferPool buffers, Dialer dialer, Clock clock, Counters counters,
-            Configuration configuration, int beside) throws IOException {
+            Configuration configuration, int extensionDescriptors) throws IOException {
         Settings settings = configuration.settings.read(configuration.seed);
-        HostSettings platform = configuration.settings.platform();
-        int sockets = Math.max(LEAST, configuration.sockets - RESERVED - beside);
-        int toWorkers = (int) (sockets * TO_WORKERS);
-        int clients = sockets - toWorkers;
-        int spare = (int) (clients * SPARE);
+        HostSettings host = configuration.settings.platform();
+        ResourceLimits limits = ResourceLimits.of(configuration, host, extensionDescriptors);
         longestDeadline = settings.types.stream().map(TrafficType::expiry).reduce(Span.ZERO, Span::orLonger);
         drainGrace = settings.drainGrace;
-        pool = new ConnectionPool(thread, dialer, clock, platform, counters, toWorkers);
+        pool = new ConnectionPool(thread, dialer, clock, host, counters, limits.workerConnections());
         tasks = new TaskRegistry(counters);
         Responder responder = new Responder(tasks);
-        policyHost = new PolicyHost(thread, clock, settings, platform, pool, tasks,
-                new AttemptSender(pool, clock, tasks), responder);
-        admission = new AdmissionControl(Math.min(platform.mostOpen(), clients - spare),
-                (long) (configuration.memoryMb * BODIES * (1 << 20)), clock, tasks, responder, policyHost);
+        AttemptSender sender = new AttemptSender(pool, clock, tasks);
+        policyHost = new PolicyHost(thread, clock, settings, host, pool, tasks, sender, responder);
+        admission =
+                new AdmissionControl(limits.inFlightTasks(), limits.inFlightBytes(), clock, tasks, responder,
+                        policyHost);
         stalls = new StallDetector(thread, clock);
-        clientListener = new ClientListener(thread, buffers, clock, counters, clients - spare, spare,
-                (long) (configuration.memoryMb * RECEIVING * (1 << 20)), longestDeadline.times(CLIENT_IDLE),
-                new RequestDecoder(settings, platform, counters, tasks, admission), stalls::unread);
+        RequestDecoder decoder = new RequestDecoder(settings, host, counters, tasks, admission);
+        clientListener = new ClientListener(thread, buffers, clock, counters, limits.clientConnections(),
+                limits.spareClientConnections(), limits.receivingBytes(),
+                longestDeadline.times(CLIENT_IDLE_DEADLINES), decoder, stalls::unread);
     }
 
-    /** Called before each first byte to a worker. */
-    void beforeFirstByte(Runnable look) {
-        pool.beforeFirstByte(look);
+    /** Sets what is called before each first byte to a worker. */
+    void beforeFirstByte(Runnable action) {
+        pool.beforeFirstByte(action);
     }
 
-    /** The stop is near: what still comes is bounced, connections end. */
+    /**
+     * Rejects whatever still comes and closes connections between requests; called again until all are
+     * closed.
+     */
     void closeToRequests() {
         admission.close();
         clientListener.lastCall();
     }
 
+    /** Gives back timers, sockets and connections. */
     void close() {
         stalls.close();
         clientListener.close();
--- a/src/main/java/rampshift/serve/DispatcherServer.java
+++ b/src/main/java/rampshift/serve/DispatcherServer.java
@@ -8,76 +8,64 @@
 import java.util.concurrent.CountDownLatch;
 import java.util.concurrent.ExecutionException;
 import java.util.concurrent.FutureTask;
-import java.util.concurrent.TimeUnit;
-import org.xnio.OptionMap;
-import org.xnio.Options;
-import org.xnio.Xnio;
 import org.xnio.XnioIoThread;
 import org.xnio.XnioWorker;
 import rampshift.clients.ClientListener;
 import rampshift.connections.Dialer;
 import rampshift.counters.Counters;
 import rampshift.discovery.EndpointList;
+import rampshift.discovery.EndpointListParser;
 import rampshift.discovery.EndpointWatch;
 import rampshift.log.Log;
 import rampshift.settings.Configuration;
 import rampshift.settings.InvalidInputException;
 import rampshift.time.Clock;
-import rampshift.time.Moment;
-import rampshift.time.Span;
 
-/** A dispatcher on sockets, from its start to its end. What happens between happens on one I/O thread. */
+/**
+ * A dispatcher on sockets, from its start to its end. Its work is done on one I/O thread; the public
+ * methods may be called on any other.
+ */
 public final class DispatcherServer {
-    private static final int BUFFER = 16 * 1024;
-    private static final int BUFFERS_KEPT = 256;
-    private static final Span STOP_LEAST = Span.ofMillis(600);  // after the stop began new clients still come
-    // and the longest expiry, after SIGTERM: SIGKILL
-    private static final Span KILL_AFTER = Span.ofMillis(700);
-    private static final Span LONGEST_STOP = Span.ofMillis(3000);   // counted of that expiry
-    // before that, tasks must promise to end sooner
-    private static final Span SHORT = Span.ofMillis(1200);
-    private static final Span LAST_CALL = Span.ofMillis(350);   // before that, no more is taken
-    private static final Span GIVE_UP = Span.ofMillis(250);     // before that, what is in hand is given up
-    private static final Span NOBODY_NEW = Span.ofMillis(250);  // for this long: then it may end
-    // so long after an end between calls the call may come anew
-    private static final Span CROSSED = Span.ofMillis(150);
-    // before that, it ends once nothing is in hand
-    private static final Span HANG_ON = Span.ofMillis(120);
-    private static final Span LOOK = Span.ofMillis(20);
+    private static final int BUFFER_BYTES = 16 * 1024;
+    private static final int MAX_POOLED_BUFFERS = 256;
+    private static final int STATUS_OK = 200;
 
     private final Configuration configuration;
-    private final ServerExtension beside;        // null where no operator's file asks for one
+    private final ServerExtension extension;
     private final Clock clock = new Clock();
     private final Counters counters = new Counters();
+    private final Readiness readiness = new Readiness();
     private final CountDownLatch ready = new CountDownLatch(1);
-    private final CountDownLatch ended = new CountDownLatch(1);
+    private final CountDownLatch stopped = new CountDownLatch(1);
     private final XnioWorker worker;
     final XnioIoThread thread;
     Dispatcher dispatcher;
     private EndpointWatch watch;
-    private boolean haveList;
-    private boolean rehearsed;
-    private boolean stopping;
 
-    /** Starts it, or throws with one line that says why not. */
+    /**
+     * Starts a dispatcher without an extension.
+     *
+     * @throws IOException where it cannot listen on its address
+     * @throws InvalidInputException where the configuration cannot be used, with one line that says why
+     */
     public DispatcherServer(Configuration configuration) throws IOException {
         this(configuration, null);
     }
 
-    /** The same with what an operator's file asks for; null for nothing. */
-    public DispatcherServer(Configuration configuration, ServerExtension beside) throws IOException {
+    /**
+     * Starts a dispatcher.
+     *
+     * @param extension runs beside it; null for none
+     * @throws IOException where it or its extension cannot listen on an address
+     * @throws InvalidInputException where the configuration cannot be used, with one line that says why
+     */
+    public DispatcherServer(Configuration configuration, ServerExtension extension) throws IOException {
         this.configuration = configuration;
-        this.beside = beside;
-        // XNIO would put beans into the platform's JMX server, which takes 0.15 s of CPU to start. With no
-        // such server it goes on without; nobody here reads them, the counters are for that.
-        System.setProperty("javax.management.builder.initial", "none");
-        worker = Xnio.getInstance(DispatcherServer.class.getClassLoader()).createWorker(OptionMap.builder()
-                .set(Options.WORKER_NAME, "io").set(Options.WORKER_IO_THREADS, 1)
-                .set(Options.WORKER_TASK_CORE_THREADS, 1).set(Options.WORKER_TASK_MAX_THREADS, 1)
-                .set(Options.THREAD_DAEMON, true).getMap());
+        this.extension = extension == null ? new NoExtension() : extension;
+        worker = IoThreads.create();
         thread = worker.getIoThread(0);
         FutureTask<Void> start = new FutureTask<>(() -> {
-            begin();
+            startParts();
             return null;
         });
         thread.execute(start);
@@ -85,139 +73,125 @@
             start.get();
         } catch (ExecutionException e) {
             worker.shutdownNow();
-            if (e.getCause() instanceof IOException io) {
-                throw io;
-            }
-            throw e.getCause() instanceof InvalidInputException m ? m
-                    : new IllegalStateException(e.getCause());
+            throw startFailure(e.getCause());
         } catch (InterruptedException e) {
             throw new IOException("interrupted");
         }
     }
 
-    /** One that serves nobody: for the archive of the classes that a start loads. */
+    /** A dispatcher that serves nobody: it records which classes a start loads. */
     public static DispatcherServer forClassArchive() throws IOException {
-        return new DispatcherServer(WarmUp.configuration());
+        return new DispatcherServer(WarmUpMessages.configuration());
     }
 
-    private void begin() throws IOException {
-        ByteBufferPool buffers = new DefaultByteBufferPool(true, BUFFER, BUFFERS_KEPT, 0);
+    private static RuntimeException startFailure(Throwable cause) throws IOException {
+        if (cause instanceof IOException failure) {
+            throw failure;
+        }
+        return cause instanceof InvalidInputException invalid ? invalid : new IllegalStateException(cause);
+    }
+
+    private void startParts() throws IOException {
+        ByteBufferPool buffers = new DefaultByteBufferPool(true, BUFFER_BYTES, MAX_POOLED_BUFFERS, 0);
         Dialer dialer = new Dialer(thread);
         dispatcher = new Dispatcher(thread, buffers, dialer, clock, counters, configuration,
-                beside == null ? 0 : beside.maxDescriptors(configuration));
+                extension.maxDescriptors(configuration));
         if (configuration.known != null) {
-            EndpointList known = EndpointList.read(configuration.known, configuration.known.length);
-            dispatcher.policyHost.listed(known, true);
-            haveList = !known.endpoints().isEmpty();
-            dispatcher.policyHost.listAwaited(true);
+            useKnownEndpoints();
         }
-        dispatcher.clientListener.page("/ready", this::ready);
-        dispatcher.clientListener.page("/counters", () -> new ClientListener.Page(200, counters.text()));
+        dispatcher.clientListener.page("/ready", readiness::page);
+        dispatcher.clientListener.page("/counters",
+                () -> new ClientListener.Page(STATUS_OK, counters.text()));
         dispatcher.clientListener.open(worker, configuration.listen);
-        watch = new EndpointWatch(thread, dialer, clock, configuration.discovery, dispatcher.drainGrace, counters,
-                list -> {
-                    haveList = true;
-                    dispatcher.policyHost.listed(beside == null ? list : beside.adjust(list), false);
-                }, () -> dispatcher.policyHost.listFailed());
+        watch = new EndpointWatch(thread, dialer, clock, configuration.discovery, dispatcher.drainGrace,
+                counters,
+                new WatchListener());
         dispatcher.beforeFirstByte(beforeFirstByte());
-        if (beside != null) {
-            beside.start(worker, thread, clock, configuration, changes -> dispatcher.policyHost.listed(changes, false));
-        }
+        extension.start(worker, thread, clock, configuration,
+                changes -> dispatcher.policyHost.listed(changes, false));
         watch.start();
         Log.info("started", "name", configuration.name, "listen", configuration.listen);
-        new WarmUp(thread, buffers, clock, () -> counters.get(Counters.Name.TASKS_ADMITTED) == 0, () -> {
-            rehearsed = true;
-            if (beside != null) {
-                beside.onReady();
-            }
-            Log.info("ready", "list", haveList);
-            ready.countDown();
-        }).start();
+        new WarmUp(thread, buffers, clock, () -> counters.get(Counters.Name.TASKS_ADMITTED) == 0,
+                this::onWarmedUp).start();
+    }
+
+    /** Starts with the list that an earlier process had, until the discovery agent answers. */
+    private void useKnownEndpoints() {
+        EndpointList known = EndpointListParser.parse(configuration.known, configuration.known.length);
+        dispatcher.policyHost.listed(known, true);
+        if (!known.endpoints().isEmpty()) {
+            readiness.endpointsKnown();
+        }
+        dispatcher.policyHost.listAwaited(true);
     }
 
-    private ClientListener.Page ready() {
-        if (stopping) {
-            return new ClientListener.Page(503, "stopping\n");
+    private void onWarmedUp() {
+        readiness.warmedUp();
+        extension.onReady();
+        Log.info("ready", "list", readiness.haveEndpoints());
+        ready.countDown();
+    }
+
+    private final class WatchListener implements EndpointWatch.Listener {
+        @Override
+        public void onList(EndpointList list) {
+            readiness.endpointsKnown();
+            dispatcher.policyHost.listed(extension.adjust(list), false);
+        }
+
+        @Override
+        public void onUnavailable() {
+            dispatcher.policyHost.listFailed();
         }
-        return !haveList ? new ClientListener.Page(503, "no list of workers yet\n")
-                : !rehearsed ? new ClientListener.Page(503, "warming up\n")
-                        : new ClientListener.Page(200, "ready\n");
     }
 
     /**
-     * SIGTERM: goes on taking in and answering on the connections there are for as long as SIGKILL leaves
-     * time,
-     * since clients that lose them may find no other dispatcher; then ends between tasks.
+     * Stops it as SIGTERM asks, and waits until it has: it serves on the connections there are for as long
+     * as SIGKILL leaves time, and then ends between tasks.
      */
     public void stop() {
         thread.execute(() -> {
-            Log.info("stopping", "tasks", dispatcher.tasks.tasks(), "connections", dispatcher.clientListener.connections());
-            stopping = true;
-            if (beside != null) {
-                beside.onStopping();
-            }
-            Moment kill = clock.now().plus(dispatcher.longestDeadline.orShorter(LONGEST_STOP)).plus(KILL_AFTER);
-            dispatcher.admission.endAt(kill.minus(SHORT), kill.minus(GIVE_UP));
-            dispatcher.clientListener.beginStop();
-            lookForEnd(clock.now().plus(STOP_LEAST), kill.minus(LAST_CALL), kill.minus(GIVE_UP));
+            Log.info("stopping", "tasks", dispatcher.tasks.tasks(), "connections",
+                    dispatcher.clientListener.connections());
+            readiness.stopping();
+            extension.onStopping();
+            new GracefulShutdown(thread, clock, dispatcher, this::release).start();
         });
         awaitStopped();
-        Log.info("ended", counters.pairs());
+        Log.info("stopped", counters.pairs());
         Log.flush();
-        worker.shutdownNow();   // its threads ran on in a process that did more than serve
+        worker.shutdownNow(); // its threads ran on in a process that did more than serve
+    }
+
+    private void release() {
+        watch.stop();
+        dispatcher.close();
+        extension.close();
+        stopped.countDown();
     }
 
     /**
-     * SIGHUP: goes on with the list service that the new configuration names. The rest of it holds from the
-     * next start on; no task, client or worker notices.
+     * Continues with the discovery agent that a new configuration names, as SIGHUP asks. The rest of that
+     * configuration takes effect at the next start; no task, client or worker notices.
      */
     public void reload(Configuration next) {
-        List<String> atStart = configuration.restartFor(next);
+        List<String> atRestart = configuration.restartFor(next);
         thread.execute(() -> {
             counters.add(Counters.Name.RELOADS);
-            Log.info("reload", "discovery", next.discovery, "wait_for_restart", atStart);
+            Log.info("reload", "discovery", next.discovery, "wait_for_restart", atRestart);
             if (watch.switchTo(next.discovery)) {
                 dispatcher.policyHost.listAwaited(false);
-                if (beside != null) {
-                    beside.onDiscoveryChanged();
-                }
+                extension.onDiscoveryChanged();
             }
         });
     }
 
-    private void lookForEnd(Moment least, Moment lastCall, Moment giveUp) {
-        if (clock.now().before(lastCall)) {
-            if (!clock.now().before(least) && dispatcher.clientListener.connections() == 0
-                    && dispatcher.clientListener.quietFor(NOBODY_NEW)) {
-                lookForEnd(least, clock.now(), giveUp);
-                return;
-            }
-        } else {
-            dispatcher.closeToRequests();
-            if (!clock.now().before(giveUp)) {
-                dispatcher.policyHost.giveUp();
-            }
-            boolean quiet = dispatcher.clientListener.empty() && dispatcher.clientListener.quietFor(CROSSED);
-            if (dispatcher.tasks.tasks() == 0
-                    && (quiet || !clock.now().before(giveUp.plus(GIVE_UP).minus(HANG_ON)))) {
-                watch.stop();
-                dispatcher.close();
-                if (beside != null) {
-                    beside.close();
-                }
-                ended.countDown();
-                return;
-            }
-        }
-        thread.executeAfter(() -> lookForEnd(least, lastCall, giveUp), LOOK.micros(), TimeUnit.MICROSECONDS);
-    }
-
     /** What is done before each first byte to a worker. */
     Runnable beforeFirstByte() {
         return watch::readPending;
     }
 
-    /** Where clients connect. */
+    /** The address on which it listens for clients. */
     public InetSocketAddress address() {
         return dispatcher.clientListener.address();
     }
@@ -227,13 +201,14 @@
         await(ready);
     }
 
+    /** Whether it has stopped. */
     public boolean isStopped() {
-        return ended.getCount() == 0;
+        return stopped.getCount() == 0;
     }
 
     /** Waits until it has stopped. */
     public void awaitStopped() {
-        await(ended);
+        await(stopped);
     }
 
     private static void await(CountDownLatch latch) {
--- /dev/null
+++ b/src/main/java/rampshift/serve/Readiness.java
@@ -0,0 +1,43 @@
+package rampshift.serve;
+
+import rampshift.clients.ClientListener;
+
+/** Whether a dispatcher is ready for clients, as its page {@code /ready} says. */
+final class Readiness {
+    private static final int STATUS_OK = 200;
+    private static final int STATUS_UNAVAILABLE = 503;
+
+    private boolean haveEndpoints;
+    private boolean warmedUp;
+    private boolean stopping;
+
+    /** A list of workers is there. */
+    void endpointsKnown() {
+        haveEndpoints = true;
+    }
+
+    boolean haveEndpoints() {
+        return haveEndpoints;
+    }
+
+    void warmedUp() {
+        warmedUp = true;
+    }
+
+    void stopping() {
+        stopping = true;
+    }
+
+    ClientListener.Page page() {
+        if (stopping) {
+            return new ClientListener.Page(STATUS_UNAVAILABLE, "stopping\n");
+        }
+        if (!haveEndpoints) {
+            return new ClientListener.Page(STATUS_UNAVAILABLE, "no list of workers yet\n");
+        }
+        if (!warmedUp) {
+            return new ClientListener.Page(STATUS_UNAVAILABLE, "warming up\n");
+        }
+        return new ClientListener.Page(STATUS_OK, "ready\n");
+    }
+}
--- a/src/main/java/rampshift/serve/ServerExtension.java
+++ b/src/main/java/rampshift/serve/ServerExtension.java
@@ -7,32 +7,48 @@
 import rampshift.settings.Configuration;
 import rampshift.time.Clock;
 
-/** What runs beside a dispatcher by the operator's file. All of it is called on the I/O thread. */
+/**
+ * What runs beside a dispatcher where an operator's file asks for it. All of it is called on the I/O
+ * thread.
+ */
 public interface ServerExtension {
-    /** How many descriptors it takes at the most: the dispatcher does with so many fewer. */
+    /** How many file descriptors it uses at most; the dispatcher makes do with that many fewer. */
     int maxDescriptors(Configuration configuration);
 
-    /** Begins; throws where an address can't be had. */
-    void start(XnioWorker worker, XnioIoThread thread, Clock clock, Configuration configuration, EndpointListener listener)
-            throws IOException;
-
-    /** The dispatcher's own list service has told this; what is to be gone by. */
+    /**
+     * Starts it.
+     *
+     * @param listener is told of workers that accept nothing new, as far as others than the own discovery
+     *     agent know
+     * @throws IOException where it cannot listen on its address
+     */
+    void start(XnioWorker worker, XnioIoThread thread, Clock clock, Configuration configuration,
+            EndpointListener listener) throws IOException;
+
+    /**
+     * The dispatcher's own discovery agent has sent a list.
+     *
+     * @return the list that the dispatcher is to use in its place
+     */
     EndpointList adjust(EndpointList ownList);
 
-    /** The list service is another from now on: what it counts as versions says nothing of the former's. */
+    /**
+     * The discovery agent is another from now on; its versions do not compare with those of the former one.
+     */
     void onDiscoveryChanged();
 
-    /** Warmed up. */
+    /** The dispatcher is warmed up. */
     void onReady();
 
-    /** It is about to end. */
+    /** The dispatcher has begun to stop. */
     void onStopping();
 
-    /** It ends: sockets and timers are given back. */
+    /** The dispatcher stops: gives back sockets and timers. */
     void close();
 
-    /** Told of workers that take nothing new, by others than the own list service. */
+    /** Receives changes of workers that others than the own discovery agent have observed. */
     interface EndpointListener {
+        /** These workers accept nothing new. */
         void onEndpoints(EndpointList changes);
     }
 }
--- a/src/main/java/rampshift/serve/WarmUp.java
+++ b/src/main/java/rampshift/serve/WarmUp.java
@@ -1,28 +1,17 @@
 package rampshift.serve;
 
 import io.undertow.connector.ByteBufferPool;
-import java.io.ByteArrayOutputStream;
 import java.io.IOException;
-import java.io.UncheckedIOException;
-import java.net.InetSocketAddress;
 import java.nio.ByteBuffer;
-import java.nio.charset.StandardCharsets;
 import java.util.List;
 import java.util.function.BooleanSupplier;
-import org.xnio.ChannelListener;
-import org.xnio.ChannelPipe;
-import org.xnio.FailedIoFuture;
-import org.xnio.FinishedIoFuture;
-import org.xnio.IoFuture;
-import org.xnio.IoUtils;
-import org.xnio.StreamConnection;
 import org.xnio.XnioIoThread;
 import rampshift.connections.Dialer;
 import rampshift.connections.ExchangeListener;
 import rampshift.connections.HttpConnection;
 import rampshift.connections.ResponseHead;
 import rampshift.counters.Counters;
-import rampshift.discovery.EndpointList;
+import rampshift.discovery.EndpointListParser;
 import rampshift.log.Log;
 import rampshift.settings.Configuration;
 import rampshift.time.Clock;
@@ -31,74 +20,65 @@
 import rampshift.time.Span;
 
 /**
- * Before the dispatcher is ready, plays some tasks through a second set of all its parts, over pipes inside
+ * Before the dispatcher is ready, sends some tasks through a second set of all its parts, over pipes inside
  * the process: on a quarter of a core the first real tasks otherwise took up to 185 ms to their first
- * assignment, for classes that were not loaded and code that was not compiled yet.
+ * attempt, for classes that were not loaded and code that was not compiled yet. It owns that set, one
+ * connection and one timer.
  */
 final class WarmUp {
-    private static final int ENOUGH = 10;      // to be ready: more would keep clients waiting after a restart
-    private static final int TASKS = 60;       // in all, while no real one has come
-    private static final Span MOST = Span.ofMillis(1500);
-    private static final String TXN = "rehearsal";
-    private static final byte[] BODY = "the whole task".getBytes(StandardCharsets.ISO_8859_1);
+    /** Tasks until the dispatcher is ready: more would keep clients waiting after a restart. */
+    private static final int TASKS_UNTIL_READY = 10;
+    /** Tasks in all, while no real one has come. */
+    private static final int MAX_TASKS = 60;
+    private static final Span MAX_DURATION = Span.ofMillis(1500);
+    private static final int STATUS_OK = 200;
 
     private final XnioIoThread thread;
     private final Clock clock;
     private final Dispatcher dispatcher;
-    private final List<String> types;
-    private final BooleanSupplier alone;
-    private final Runnable done;
+    private final List<String> trafficTypes;
+    private final BooleanSupplier noRealTasks;
+    private final Runnable onReady;
     private HttpConnection client;
     private IoTimer timer;
-    private Moment began;
-    private int played;
+    private Moment startedAt;
+    private int tasksSent;
     private boolean ready;
     private boolean over;
 
-    WarmUp(XnioIoThread thread, ByteBufferPool buffers, Clock clock, BooleanSupplier alone,
-            Runnable done) throws IOException {
-        Configuration configuration = configuration();
-        this.alone = alone;
+    /**
+     * A warm-up that {@link #start()} begins.
+     *
+     * @param noRealTasks whether the real dispatcher has had no task yet
+     * @param onReady run once, when enough tasks were sent, or when the warm-up has ended before
+     */
+    WarmUp(XnioIoThread thread, ByteBufferPool buffers, Clock clock, BooleanSupplier noRealTasks,
+            Runnable onReady)
+            throws IOException {
         this.thread = thread;
         this.clock = clock;
-        this.done = done;
-        dispatcher = new Dispatcher(thread, buffers, new Dialer(thread, this::toWorker), clock, new Counters(),
-                configuration, 0);
-        types = configuration.settings.platform().types();
-        dispatcher.policyHost.listed(EndpointList.read(configuration.known, configuration.known.length), false);
+        this.noRealTasks = noRealTasks;
+        this.onReady = onReady;
+        Configuration configuration = WarmUpMessages.configuration();
+        Dialer toWorkers =
+                new Dialer(thread, new InProcessOpener(thread, WarmUpWorker.acceptor(this::response)));
+        dispatcher = new Dispatcher(thread, buffers, toWorkers, clock, new Counters(), configuration, 0);
+        trafficTypes = configuration.settings.platform().types();
+        dispatcher.policyHost
+                .listed(EndpointListParser.parse(configuration.known, configuration.known.length), false);
     }
 
-    /** What a worker says to the task that is being played. */
-    private byte[] answer() {
-        ByteArrayOutputStream out = new ByteArrayOutputStream();
-        out.writeBytes(ascii("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n"));
-        for (String rest : new String[]{"\"started\"", "\"running\",\"share\":0.5",
-                "\"done\",\"load\":{\"x0\":1,\"depth\":0,\"x1\":2.5},\"result\":\"" + "abc ".repeat(100)
-                        + '"'}) {
-            String line = "{\"id\":\"" + TXN + played + "\",\"state\":" + rest + "}\n";
-            out.writeBytes(ascii(Integer.toHexString(line.length()) + "\r\n" + line + "\r\n"));
-        }
-        out.writeBytes(ascii("0\r\n\r\n"));
-        return out.toByteArray();
-    }
-
-    /** Always the same one: a rehearsal does not hang on the deployment. */
-    static Configuration configuration() {
-        try (var in = WarmUp.class.getResourceAsStream("/rampshift/rehearsal.json")) {
-            return Configuration.read(in.readAllBytes());
-        } catch (IOException e) {
-            throw new UncheckedIOException(e);
-        }
-    }
-
-    private static byte[] ascii(String text) {
-        return text.getBytes(StandardCharsets.ISO_8859_1);
+    private byte[] response() {
+        return WarmUpMessages.response(tasksSent);
     }
 
+    /** Connects and sends the first task. */
     void start() {
-        began = clock.now();
-        timer = IoTimer.in(thread, MOST, () -> finish("time"));
-        new Dialer(thread, this::toDoor).dial(null, MOST, new Dialer.Dialed() {
+        startedAt = clock.now();
+        timer = IoTimer.in(thread, MAX_DURATION, () -> finish("time"));
+        Dialer toDispatcher = new Dialer(thread,
+                new InProcessOpener(thread, dispatcher.clientListener::accepted));
+        toDispatcher.dial(null, MAX_DURATION, new Dialer.Dialed() {
             @Override
             public void connected(HttpConnection connection) {
                 client = connection;
@@ -106,96 +86,55 @@
             }
 
             @Override
-            public void unreachable(String why) {
-                finish(why);
-            }
-        });
-    }
-
-    private IoFuture<StreamConnection> toDoor(InetSocketAddress to,
-            ChannelListener<StreamConnection> opened) {
-        return pipe(opened, dispatcher.clientListener::accepted);
-    }
-
-    private IoFuture<StreamConnection> toWorker(InetSocketAddress to,
-            ChannelListener<StreamConnection> opened) {
-        return pipe(opened, this::worker);
-    }
-
-    private IoFuture<StreamConnection> pipe(ChannelListener<StreamConnection> here,
-            ChannelListener<StreamConnection> there) {
-        try {
-            ChannelPipe<StreamConnection, StreamConnection> pipe = thread.createFullDuplexPipeConnection();
-            thread.execute(() -> {
-                there.handleEvent(pipe.getRightSide());
-                here.handleEvent(pipe.getLeftSide());
-            });
-            return new FinishedIoFuture<>(pipe.getLeftSide());
-        } catch (IOException e) {
-            return new FailedIoFuture<>(e);
-        }
-    }
-
-    /** A stand-in for a worker: once the whole task has come, the whole answer goes. */
-    private void worker(StreamConnection end) {
-        ByteBuffer in = ByteBuffer.allocate(4096);
-        end.getSourceChannel().setReadListener(source -> {
-            try {
-                while (source.read(in) > 0) {
-                    continue;
-                }
-                boolean whole = in.position() >= BODY.length && ByteBuffer.wrap(BODY).equals(
-                        in.duplicate().flip().position(in.position() - BODY.length));
-                if (whole) {
-                    in.clear();
-                    end.getSinkChannel().write(ByteBuffer.wrap(answer()));
-                } else if (source.read(in) < 0) {
-                    IoUtils.safeClose(end);
-                }
-            } catch (IOException e) {
-                IoUtils.safeClose(end);
+            public void unreachable(String reason) {
+                finish(reason);
             }
         });
-        end.getSourceChannel().resumeReads();
     }
 
     private void next() {
         if (over) {
             return;
         }
-        if (played == ENOUGH) {
-            ready();
+        if (tasksSent == TASKS_UNTIL_READY) {
+            becomeReady();
         }
-        if (played == TASKS || played >= ENOUGH && !alone.getAsBoolean()) {
-            finish(played == TASKS ? "all played" : "a real one came");
-            return;
+        if (tasksSent == MAX_TASKS) {
+            finish("all sent");
+        } else if (tasksSent >= TASKS_UNTIL_READY && !noRealTasks.getAsBoolean()) {
+            finish("a real task came");
+        } else {
+            sendTask();
         }
-        played++;
-        String head = "POST /api/" + played % 7 + " HTTP/1.1\r\nHost: rehearsal\r\nX-Txn: " + TXN + played
-                + "\r\nX-Lane: " + types.get(played % types.size()) + "\r\nX-Remaining: 5.000\r\n"
-                + "X-Labels: slots=1,memory=0.5\r\nIdempotency-Key: " + played + "\r\nContent-Length: "
-                + BODY.length + "\r\n\r\n";
-        client.exchange(new ExchangeListener() {
-            @Override
-            public void head(ResponseHead head) {
-                if (head.status() != 200) {
-                    finish("status " + head.status());
-                }
-            }
+    }
 
-            @Override
-            public void ended() {
-                thread.execute(WarmUp.this::next);
-            }
+    private void sendTask() {
+        tasksSent++;
+        String trafficType = trafficTypes.get(tasksSent % trafficTypes.size());
+        ByteBuffer head = ByteBuffer.wrap(WarmUpMessages.requestHead(tasksSent, trafficType));
+        client.exchange(new Response(), head, ByteBuffer.wrap(WarmUpMessages.requestBody()));
+    }
 
-            @Override
-            public void broken(String why) {
-                finish(why);
+    private final class Response implements ExchangeListener {
+        @Override
+        public void head(ResponseHead head) {
+            if (head.status() != STATUS_OK) {
+                finish("status " + head.status());
             }
-        }, ByteBuffer.wrap(ascii(head)), ByteBuffer.wrap(BODY));
+        }
+
+        @Override
+        public void ended() {
+            thread.execute(WarmUp.this::next);
+        }
+
+        @Override
+        public void broken(String reason) {
+            finish(reason);
+        }
     }
 
-    private void finish(String why) {
+    private void finish(String reason) {
         if (over) {
             return;
         }
@@ -205,15 +144,15 @@
             client.close();
         }
         dispatcher.close();
-        ready();
-        long ms = Math.round(clock.now().since(began).millis());
-        Log.info("rehearsed", "tasks", played, "ms", ms, "end", why);
+        becomeReady();
+        long millis = Math.round(clock.now().since(startedAt).millis());
+        Log.info("warmed-up", "tasks", tasksSent, "ms", millis, "end", reason);
     }
 
-    private void ready() {
+    private void becomeReady() {
         if (!ready) {
             ready = true;
-            done.run();
+            onReady.run();
         }
     }
 }
--- a/src/test/java/rampshift/MainTest.java
+++ b/src/test/java/rampshift/MainTest.java
@@ -36,9 +36,9 @@
             Process process = builder.start();
             try {
                 TestPeers.until("it watches", () -> one.received.size() > 0);
-                TestPeers.until("warmed up", () -> Files.readString(log).contains(" INFO rehearsed "));
+                TestPeers.until("warmed up", () -> Files.readString(log).contains(" INFO warmed-up "));
                 assertTrue(Files.readString(log).indexOf(" INFO ready ") < Files.readString(log)
-                        .indexOf(" INFO rehearsed "), "ready sooner");
+                        .indexOf(" INFO warmed-up "), "ready sooner");
                 assertTrue(Files.readString(log).contains(" INFO ready "));
                 Files.writeString(file, "{half");
                 signal("HUP", process);
@@ -50,7 +50,7 @@
                 signal("TERM", process);
                 signal("HUP", process);
                 assertEquals(143, process.waitFor(), "it ends by SIGTERM alone");
-                assertTrue(Files.readString(log).contains(" INFO ended "), "and in good order");
+                assertTrue(Files.readString(log).contains(" INFO stopped "), "and in good order");
                 assertFalse(Files.readString(log).contains("Exception"));
             } finally {
                 process.destroyForcibly();
--- /dev/null
+++ b/src/test/java/rampshift/discovery/EndpointWatchFaultTest.java
@@ -0,0 +1,248 @@
+package rampshift.discovery;
+
+import static org.junit.jupiter.api.Assertions.assertEquals;
+import static org.junit.jupiter.api.Assertions.assertTrue;
+import static rampshift.TestPeers.list;
+import static rampshift.TestPeers.until;
+
+import java.io.IOException;
+import java.net.InetAddress;
+import java.net.ServerSocket;
+import java.net.Socket;
+import java.util.ArrayList;
+import java.util.List;
+import java.util.concurrent.TimeUnit;
+import java.util.concurrent.atomic.AtomicInteger;
+import org.junit.jupiter.api.Test;
+import org.junit.jupiter.params.ParameterizedTest;
+import org.junit.jupiter.params.provider.CsvSource;
+import org.junit.jupiter.params.provider.ValueSource;
+import rampshift.TestPeers.Line;
+import rampshift.TestPeers.Peer;
+import rampshift.TestPeers.Script;
+
+/** The watch on an agent that is slow, sends too much, misbehaves or is not there. */
+class EndpointWatchFaultTest extends EndpointWatchTestBase {
+    private static final String CHUNKED = "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n";
+    private static final String LAST_CHUNK = "0\r\n\r\n";
+    /** A change counts as overdue so long after the agent had it and could be reached. */
+    private static final long OVERDUE_MILLIS = 6000;
+
+    EndpointWatchFaultTest() throws IOException {}
+
+    /** A watch that stops with the list of a version; to be called on the I/O thread. */
+    private void startWatchUntil(long version, int port, int drainGraceMillis) {
+        startWatch(port, drainGraceMillis, () -> {
+            if (observed.contains(version)) {
+                watch.stop();
+            }
+        });
+    }
+
+    /** A watch that stops with the first list. */
+    private void watchOnce(Peer agent, int drainGraceMillis) throws Exception {
+        onThread(() -> startWatch(agent.port(), drainGraceMillis, () -> watch.stop()));
+    }
+
+    private static String version(int version) {
+        return list(true).replace("REV", String.valueOf(version));
+    }
+
+    private static long millisSince(long nanos) {
+        return TimeUnit.NANOSECONDS.toMillis(System.nanoTime() - nanos);
+    }
+
+    private static void writeInSingleBytes(Line line, String body, int pauseMillis) throws Exception {
+        line.write(CHUNKED);
+        for (int i = 0; i < body.length(); i++) {
+            Thread.sleep(pauseMillis);
+            line.write("1\r\n" + body.charAt(i) + "\r\n");
+        }
+        line.write(LAST_CHUNK);
+    }
+
+    /**
+     * The bound is met while bytes of the response are handed out: nothing more of it counts, and the next
+     * one does.
+     */
+    @Test
+    void responseOverTheBoundIsDroppedAndTheNextOneIsRead() throws Exception {
+        AtomicInteger polls = new AtomicInteger();
+        try (Peer agent = new Peer(
+                (message, line) -> respond(line,
+                        polls.getAndIncrement() == 0 ? " ".repeat(3 << 20) : version(7)))) {
+            watchOnce(agent, 2000);
+            until("a list is observed", () -> !observed.isEmpty());
+            assertEquals(List.of(7L), observed);
+            assertEquals(1, failures());
+        }
+    }
+
+    /**
+     * One timeout spanned the whole response, so a list on a slow link was dropped and requested again,
+     * forever.
+     */
+    @Test
+    void listThatComesInPiecesIsReadHoweverLongItTakes() throws Exception {
+        AtomicInteger polls = new AtomicInteger();
+        try (Peer agent = new Peer((message, line) -> {
+            if (polls.getAndIncrement() == 0) {
+                // With a grace of 2 s a response may be 0.6 s late; all of this one takes 0.8 s.
+                writeInSingleBytes(line, version(7), 25);
+            }
+        })) {
+            watchOnce(agent, 2000);
+            until("the list is observed", () -> !observed.isEmpty());
+            assertEquals(List.of(7L), observed);
+            assertEquals(0, failures());
+        }
+    }
+
+    /**
+     * Pieces without end are no list: the next response is waited for no longer than an update may be late.
+     */
+    @Test
+    void responseThatNeverEndsIsDropped() throws Exception {
+        AtomicInteger polls = new AtomicInteger();
+        try (Peer agent = new Peer((message, line) -> {
+            if (polls.getAndIncrement() > 0) {
+                respond(line, version(8));
+                return;
+            }
+            line.write(CHUNKED);
+            while (true) {
+                Thread.sleep(10);
+                line.write("1\r\n \r\n");
+            }
+        })) {
+            long startedAt = System.nanoTime();
+            watchOnce(agent, 2000);
+            until("the next one is observed", () -> !observed.isEmpty());
+            assertEquals(List.of(8L), observed);
+            long millis = millisSince(startedAt);
+            assertTrue(millis < OVERDUE_MILLIS, "the list came after " + millis + " ms");
+        }
+    }
+
+    /** A list over 1 MiB was refused, forever. */
+    @Test
+    void listOfThousandWorkersWithTheLongestEntriesIndentedIsRead() throws Exception {
+        String body = longestList();
+        assertTrue(body.length() > 1 << 20, "it is over the former bound: " + body.length());
+        try (Peer agent = new Peer((message, line) -> {
+            if (!message.first().contains("index=")) {
+                respond(line, body);
+            }
+        })) {
+            watchOnce(agent, 2000);
+            until("the list is observed", () -> !observed.isEmpty());
+            assertEquals(0, failures());
+        }
+    }
+
+    private static String longestList() {
+        StringBuilder body =
+                new StringBuilder("{\n        \"rev\": 7,\n        \"all\": true,\n        \"targets\": [\n");
+        String indent = " ".repeat(32);
+        for (int i = 0; i < 1024; i++) {
+            String name = String.format("%04d", i).repeat(50);
+            List<String> fields = List.of("\"uid\": \"" + name + '"',
+                    "\"endpoint\": \"255.255.255.255:65535\"",
+                    "\"az\": \"" + name + '"', "\"model\": \"" + name + '"', "\"pod_group\": 2147483647",
+                    "\"state\": \"in_service\"", "\"capacity_hint\": 1.2345678901234567",
+                    "\"boot_ms\": 1764640000000");
+            body.append(i == 0 ? "" : ",\n").append("                {\n").append(indent);
+            body.append(String.join(",\n" + indent, fields)).append("\n                }");
+        }
+        return body.append("\n        ]\n}\n").toString();
+    }
+
+    /** What an agent does to a poll before it has the update. */
+    private static void misbehave(String how, Line line) throws Exception {
+        String head = "HTTP/1.1 200 OK\r\nContent-Length: ";
+        switch (how) {
+            case "silent" -> {
+                // the poll stays open
+            }
+            case "503" -> line.status(503, "");
+            case "ended" -> line.close();
+            case "reset" -> line.leave("rst");
+            case "cut in the head" -> line.write("HTTP/1.1 200 O").close();
+            case "cut in the body" -> line.write(head + "500\r\n\r\n{\"rev\":5,\"all\":true,\"targ").close();
+            case "stuck in the body" -> line.write(head + "500\r\n\r\n{\"rev\":5,\"all\":true,\"targ");
+            case "no json" -> line.write(head + "3\r\n\r\n{]}");
+            case "no list" -> line.write(head + "2\r\n\r\n{}");
+            case "two lengths" -> line
+                    .write("HTTP/1.1 200 OK\r\nContent-Length: 2\r\nContent-Length: 3\r\n\r\n{}");
+            case "no http" -> line.write("no such thing\r\n\r\n");
+            case "single bytes" -> writeInSingleBytes(line, list(false).replace("REV", "1"), 0);
+            default -> throw new IllegalArgumentException(how);
+        }
+    }
+
+    /**
+     * A change counts as overdue 6 s after discovery had it and could be reached, whatever failed before.
+     * Here the agent misbehaves through four polls, has the update from then on, and the watch is switched
+     * to another address (as at SIGHUP) in the midst of the misbehavior, or not.
+     */
+    @ParameterizedTest
+    @CsvSource({"silent", "503", "ended", "reset", "cut in the head", "cut in the body", "stuck in the body",
+            "no json", "no list", "two lengths", "no http", "single bytes"})
+    void updateIsObservedInTimeWhateverFailedBefore(String how) throws Exception {
+        for (boolean switches : new boolean[]{false, true}) {
+            observed.clear();
+            AtomicInteger polls = new AtomicInteger();
+            Script script = (message, line) -> {
+                int number = polls.incrementAndGet();
+                if (number > 1 && number <= 5) {
+                    misbehave(how, line);
+                } else {
+                    respond(line, version(number == 1 ? 1 : 9));
+                }
+            };
+            try (Peer first = new Peer(script); Peer second = new Peer(script)) {
+                onThread(() -> startWatchUntil(9, first.port(), 250));
+                until("it fails", () -> polls.get() >= 3);
+                long failingSince = System.nanoTime();
+                if (switches) {
+                    onThread(() -> watch.switchTo(local(second.port())));
+                }
+                until("the update is observed", () -> observed.contains(9L));
+                long millis = millisSince(failingSince);
+                assertTrue(millis < OVERDUE_MILLIS,
+                        "three more polls failed, and the update came after " + millis + " ms");
+            }
+        }
+    }
+
+    /** Nobody listens there, or connections hang: the outage ends between two attempts. */
+    @ParameterizedTest
+    @ValueSource(booleans = {false, true})
+    void updateIsObservedInTimeAfterDialsHadFailed(boolean hangs) throws Exception {
+        InetAddress loopback = InetAddress.getByName("127.0.0.1");
+        int port;
+        try (ServerSocket free = new ServerSocket(0, 1, loopback)) {
+            port = free.getLocalPort();
+        }
+        List<Socket> waiting = new ArrayList<>();
+        ServerSocket full = hangs ? new ServerSocket(port, 1, loopback) : null;
+        for (int i = 0; hangs && i < 2; i++) {
+            waiting.add(new Socket("127.0.0.1", port)); // its backlog is full: the next dial hangs
+        }
+        onThread(() -> startWatch(port, 250, () -> watch.stop()));
+        until("two attempts have failed", () -> failures() >= 2);
+        long outageEndedAt = System.nanoTime();
+        for (Socket socket : waiting) {
+            socket.close();
+        }
+        if (hangs) {
+            full.close();
+        }
+        try (Peer back = Peer.at(port, (message, line) -> respond(line, version(9)))) {
+            until("the update is observed", () -> observed.contains(9L));
+            long millis = millisSince(outageEndedAt);
+            assertTrue(millis < OVERDUE_MILLIS,
+                    "the outage was over, and the update came after " + millis + " ms");
+        }
+    }
+}
--- /dev/null
+++ b/src/test/java/rampshift/discovery/EndpointWatchTestBase.java
@@ -0,0 +1,94 @@
+package rampshift.discovery;
+
+import java.io.IOException;
+import java.net.InetSocketAddress;
+import java.util.ArrayList;
+import java.util.Collections;
+import java.util.List;
+import java.util.concurrent.FutureTask;
+import org.junit.jupiter.api.AfterEach;
+import org.xnio.OptionMap;
+import org.xnio.Options;
+import org.xnio.Xnio;
+import org.xnio.XnioIoThread;
+import org.xnio.XnioWorker;
+import rampshift.TestPeers.Line;
+import rampshift.connections.Dialer;
+import rampshift.counters.Counters;
+import rampshift.time.Clock;
+import rampshift.time.Span;
+
+/**
+ * What the tests of the watch share: an I/O thread, a watch on it, and the versions of the lists it has
+ * observed.
+ */
+abstract class EndpointWatchTestBase {
+    final XnioIoThread thread;
+    final Counters counters = new Counters();
+    final List<Long> observed = Collections.synchronizedList(new ArrayList<>());
+    EndpointWatch watch;
+    private final XnioWorker worker;
+
+    EndpointWatchTestBase() throws IOException {
+        worker = Xnio.getInstance().createWorker(
+                OptionMap.create(Options.WORKER_IO_THREADS, 1, Options.THREAD_DAEMON, true));
+        thread = worker.getIoThread(0);
+    }
+
+    @AfterEach
+    void endThread() {
+        worker.shutdownNow();
+    }
+
+    /** Runs an action on the I/O thread and waits for it. */
+    void onThread(Runnable action) throws Exception {
+        FutureTask<Void> task = new FutureTask<>(action, null);
+        thread.execute(task);
+        task.get();
+    }
+
+    /** Keeps the calling thread from all else. */
+    static void stall(int millis) {
+        try {
+            Thread.sleep(millis);
+        } catch (InterruptedException e) {
+            throw new IllegalStateException(e);
+        }
+    }
+
+    /** The action of a test that only looks at what was observed. */
+    static void doNothing() {
+        // nothing to do
+    }
+
+    static InetSocketAddress local(int port) {
+        return new InetSocketAddress("127.0.0.1", port);
+    }
+
+    /** A watch that runs the action with each list; to be called on the I/O thread. */
+    void startWatch(int port, int drainGraceMillis, Runnable onList) {
+        EndpointWatch.Listener listener = new EndpointWatch.Listener() {
+            @Override
+            public void onList(EndpointList list) {
+                observed.add(list.version());
+                onList.run();
+            }
+
+            @Override
+            public void onUnavailable() {
+                // looked at through the counters
+            }
+        };
+        watch = new EndpointWatch(thread, new Dialer(thread), new Clock(), local(port),
+                Span.ofMillis(drainGraceMillis), counters, listener);
+        watch.start();
+    }
+
+    long failures() {
+        return counters.get(Counters.Name.WATCH_FAILURES);
+    }
+
+    static void respond(Line line, String body) throws IOException {
+        line.write("HTTP/1.1 200 OK\r\nContent-Length: " + body.length() + "\r\n\r\n" + body);
+    }
+}
--- a/src/test/java/rampshift/serve/FloodTest.java
+++ b/src/test/java/rampshift/serve/FloodTest.java
@@ -9,6 +9,7 @@
 import java.lang.management.ManagementFactory;
 import java.lang.management.ThreadMXBean;
 import java.nio.ByteBuffer;
+import java.nio.charset.StandardCharsets;
 import java.util.ArrayList;
 import java.util.Arrays;
 import java.util.List;
@@ -51,7 +52,7 @@
             }
             int before = to.remaining();
             while (to.remaining() >= repeated.length()) {
-                to.put(repeated.getBytes());
+                to.put(repeated.getBytes(StandardCharsets.ISO_8859_1));
             }
             return before - to.remaining();
         }
@@ -80,7 +81,8 @@
         int[] counts = new int[3];      // answered, answered at the last look, most between two looks
         Line client = client();
         NextTick turn = onThread(() -> {
-            node.dispatcher.clientListener.page("/count", () -> new ClientListener.Page(200, ++counts[0] + "\n"));
+            node.dispatcher.clientListener.page("/count",
+                    () -> new ClientListener.Page(200, ++counts[0] + "\n"));
             NextTick t = new NextTick(node.thread);
             look(t, counts);
             client.write("GET /count HTTP/1.1\r\nHost: a\r\n\r\n".repeat(GETS));
@@ -148,7 +150,7 @@
                 try (Line line = new Line(node)) {
                     line.write(sent).leave(how);
                 } catch (IOException e) {
-                    continue;       // its connection was ended: it comes again
+                    // its connection was ended: it comes again
                 }
             }
         });
--- /dev/null
+++ b/src/test/java/rampshift/serve/GracefulShutdownTest.java
@@ -0,0 +1,59 @@
+package rampshift.serve;
+
+import static org.junit.jupiter.api.Assertions.assertEquals;
+import static org.junit.jupiter.api.Assertions.assertNull;
+import static org.junit.jupiter.api.Assertions.assertTrue;
+import static rampshift.TestPeers.until;
+
+import java.util.concurrent.CountDownLatch;
+import java.util.concurrent.TimeUnit;
+import org.junit.jupiter.api.Test;
+import rampshift.TestPeers.Line;
+import rampshift.TestPeers.Message;
+import rampshift.TestPeers.Peer;
+
+/** The end of a whole dispatcher. */
+class GracefulShutdownTest extends ServerTestBase {
+    private static final String CHUNKED_HEAD = "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n";
+
+    /** On planned restarts clients that lost their connections at once found no other dispatcher. */
+    @Test
+    void stopServesOpenConnectionsThenClosesThemAndLeavesNobodyWithoutAnAnswer() throws Exception {
+        CountDownLatch finish = new CountDownLatch(1);
+        Peer worker = worker((task, line) -> {
+            if (task.field("X-Txn").equals("late")) {
+                line.write(CHUNKED_HEAD + "20\r\n{\"id\":\"late\",\"state\":\"started\"}\n\r\n");
+            } else {
+                finish.await();
+                line.done(task, "ok");
+            }
+        });
+        startServer(worker.entry("s-1", "in_service"));
+        Line idle = client();
+        Line before = client().task("a", "sell", "x");
+        until("it is sent", () -> worker.received.size() == 1);
+        long startedAt = System.nanoTime();
+        Thread stop = new Thread(node::stop);
+        stop.start();
+        until("it stops", () -> readyStatus(idle) == 503);
+        assertEquals(503, readyStatus(client()), "new clients are accepted");
+        Line late = client().task("late", "sell", "x");
+        idle.task("b", "look", "x");
+        until("they are sent too", () -> worker.received.size() == 3);
+        finish.countDown();
+        Message answer = before.read();
+        assertEquals(200, answer.status());
+        assertNull(answer.field("Connection"), "the connection stays for now");
+        assertEquals(200, idle.read().status());
+        assertEquals(200, before.task("c", "look", "x").read().status());
+        assertEquals(504, late.read().status(), "answered before the kill");
+        assertTrue(idle.ended(), "a connection is closed between tasks");
+        assertTrue(millisSince(startedAt) > 3000, "not sooner than it must");
+        stop.join(20_000);
+        assertTrue(millisSince(startedAt) < 3700, "stopped before the kill");
+    }
+
+    private static long millisSince(long nanos) {
+        return TimeUnit.NANOSECONDS.toMillis(System.nanoTime() - nanos);
+    }
+}
--- a/src/test/java/rampshift/serve/ResponseDeliveryTest.java
+++ b/src/test/java/rampshift/serve/ResponseDeliveryTest.java
@@ -109,11 +109,11 @@
                 "POST /api HTTP/1.1\r\nHost: a\r\nX-Txn: t\r\nX-Lane: sell\r\nX-Remaining: 5.0\r\nConnection: close\r\n"
                         + "Content-Length: 1\r\n\r\nx");
         until("it is out", () -> worker.received.size() == 1);
-        List<Line> others = new ArrayList<>();
         for (int i = 0; i < 21; i++) {
-            others.add(client());
+            client();
         }
-        until("all places are taken", () -> onThread(() -> node.dispatcher.clientListener.connections()) == 22);
+        until("all places are taken",
+                () -> onThread(() -> node.dispatcher.clientListener.connections()) == 22);
         go.countDown();
         until("its answer is written", () -> onThread(() -> node.dispatcher.tasks.tasks()) == 0);
         Slow last = slow();
@@ -260,7 +260,8 @@
         until("its watch is open", () -> onThread(() -> field(field(node, "watch"), "connection")) != null);
         List<StreamConnection> sockets = onThread(() -> {
             List<StreamConnection> all = new ArrayList<>();
-            ((Map<?, ?>) field(node.dispatcher.clientListener, "open")).keySet().forEach(c -> all.add((StreamConnection) c));
+            ((Map<?, ?>) field(node.dispatcher.clientListener, "open")).keySet()
+                    .forEach(c -> all.add((StreamConnection) c));
             assertEquals(1, all.size(), "of clients");
             for (Object place : ((Map<?, ?>) field(field(node.dispatcher, "pool"), "places")).values()) {
                 for (Object kept : (Collection<?>) field(place, "idle")) {
--- /dev/null
+++ b/src/test/java/rampshift/serve/ServerEndpointListTest.java
@@ -0,0 +1,278 @@
+package rampshift.serve;
+
+import static org.junit.jupiter.api.Assertions.assertEquals;
+import static org.junit.jupiter.api.Assertions.assertTrue;
+import static rampshift.TestPeers.list;
+import static rampshift.TestPeers.node;
+import static rampshift.TestPeers.until;
+
+import java.io.IOException;
+import java.util.ArrayList;
+import java.util.Collections;
+import java.util.List;
+import java.util.concurrent.CountDownLatch;
+import java.util.concurrent.TimeUnit;
+import java.util.concurrent.atomic.AtomicBoolean;
+import java.util.concurrent.atomic.AtomicInteger;
+import org.junit.jupiter.api.Test;
+import org.junit.jupiter.params.ParameterizedTest;
+import org.junit.jupiter.params.provider.CsvSource;
+import rampshift.TestPeers;
+import rampshift.TestPeers.Line;
+import rampshift.TestPeers.Message;
+import rampshift.TestPeers.Peer;
+import rampshift.TestPeers.Script;
+import rampshift.settings.Configuration;
+
+/** A whole dispatcher, and the endpoint lists that it starts with and is sent. */
+class ServerEndpointListTest extends ServerTestBase {
+    private static final String IN_SERVICE = "in_service";
+    private static final String TERMINATING = "terminating";
+
+    private static Configuration configuration(Peer agent, String known) throws IOException {
+        return parse(TestPeers.configuration(agent, known, SMALL_LIMITS));
+    }
+
+    // ---- the first list
+
+    @Test
+    void afterRestartNoTaskIsSentByTheKnownList() throws Exception {
+        Peer drained = finishingWorker();
+        Peer staying = finishingWorker();
+        Peer slowAgent = worker((message, line) -> {
+            Thread.sleep(message.first().contains("index=") ? 900 : 400);
+            respond(line, list(true, drained.entry("s-1", TERMINATING), staying.entry("s-2", IN_SERVICE))
+                    .replace("REV", "9"));
+        });
+        node = new DispatcherServer(configuration(slowAgent,
+                list(true, drained.entry("s-1", IN_SERVICE), staying.entry("s-2", IN_SERVICE))));
+        for (int i = 0; i < 8; i++) {
+            client().task("t" + i, "look", "x");
+        }
+        until("all were sent", () -> staying.received.size() >= 8);
+        assertEquals(0, drained.received.size());
+    }
+
+    @Test
+    void knownListIsUsedWhereNoAgentAnswers() throws Exception {
+        Peer worker = finishingWorker();
+        Peer silentAgent = worker((message, line) -> {});
+        node = new DispatcherServer(configuration(silentAgent, list(true, worker.entry("s-1", IN_SERVICE))));
+        Line client = client();
+        assertEquals(200, client.task("t", "look", "x").read().status());
+        assertTrue(silentAgent.received.size() >= 2, "one failure may be a slow start's");
+    }
+
+    /**
+     * What the agent was sent while it was silent counts as observed, and it never answers the poll that
+     * was open.
+     */
+    @ParameterizedTest
+    @CsvSource({"start,400", "middle,1000", "reload,400"})
+    void agentThatWasSilentIsHeardWithinTheDrainGrace(String when, int graceMillis) throws Exception {
+        Peer drained = finishingWorker();
+        Peer staying = finishingWorker();
+        AtomicBoolean silent = new AtomicBoolean(!when.equals("middle"));
+        AtomicInteger version = new AtomicInteger(1);
+        Peer agent = worker(agentWithDrain(drained, staying, silent, version));
+        Peer otherAgent = worker((message, line) -> {});
+        String known = list(true, drained.entry("s-1", IN_SERVICE), staying.entry("s-2", IN_SERVICE));
+        node = new DispatcherServer(
+                withDrainGrace(when.equals("reload") ? otherAgent : agent, known, graceMillis));
+        assertEquals(200, client().task("a", "look", "x").read().status(), "the known list is used");
+        if (when.equals("reload")) {
+            node.reload(withDrainGrace(agent, known, graceMillis));
+        }
+        until("the agent is polled", () -> agent.received.size() > 0);
+        if (when.equals("middle")) {
+            until("a poll for changes is open", () -> agent.received.size() > 1);
+            silent.set(true);
+            Thread.sleep(20);
+        } else {
+            assertEquals(200, client().task("b", "look", "x").read().status());
+            until("a poll is open", () -> agent.received.size() > 2);
+        }
+        version.set(2);
+        silent.set(false);
+        Thread.sleep(graceMillis + 50);
+        int before = drained.received.size();
+        for (int i = 0; i < 8; i++) {
+            assertEquals(200, client().task("c" + i, "look", "x").read().status());
+        }
+        assertEquals(before, drained.received.size());
+    }
+
+    /**
+     * An agent that lists one of two workers as draining from version 2 on, and answers nothing while it is
+     * silent.
+     */
+    private static Script agentWithDrain(Peer drained, Peer staying, AtomicBoolean silent,
+            AtomicInteger version) {
+        return (message, line) -> {
+            String request = message.first();
+            boolean forChanges = request.contains("index=");
+            int known = forChanges ? Integer.parseInt(request.replaceAll(".*index=(\\d+).*", "$1")) : 0;
+            String waitMillis = forChanges ? request.replaceAll(".*wait=(\\d+).*", "$1") : "0";
+            long end = System.nanoTime() + TimeUnit.MILLISECONDS.toNanos(Long.parseLong(waitMillis));
+            while (!silent.get() && version.get() <= known && System.nanoTime() < end) {
+                Thread.sleep(2);
+            }
+            if (silent.get()) {
+                return;
+            }
+            String state = version.get() == 1 ? IN_SERVICE : TERMINATING;
+            respond(line,
+                    list(true, drained.entry("s-1", state), staying.entry("s-2", IN_SERVICE)).replace("REV",
+                            version.toString()));
+        };
+    }
+
+    private static Configuration withDrainGrace(Peer agent, String known, int graceMillis)
+            throws IOException {
+        return parse(TestPeers.configuration(agent, known, SMALL_LIMITS).replace("\"WeightSource\"",
+                "\"Rules\":{\"StopSendingWithinMs\":" + graceMillis + "},\"WeightSource\""));
+    }
+
+    @Test
+    void serverWithoutAListIsNotReady() throws Exception {
+        node = node(null, list(true), SMALL_LIMITS);
+        assertEquals(503, readyStatus(client()));
+    }
+
+    // ---- further lists
+
+    @Test
+    void changesAreFollowedThroughFailuresAndAcrossAddresses() throws Exception {
+        Peer old = finishingWorker();
+        Peer moved = finishingWorker();
+        List<String> versions = Collections.synchronizedList(new ArrayList<>());
+        versions.add(list(true, old.entry("s-1", IN_SERVICE)));
+        Peer agent = Peer.discovery(versions);
+        open.add(agent);
+        node = node(agent, list(true), SMALL_LIMITS);
+        until("ready", () -> readyStatus(client()) == 200);
+        assertEquals(200, client().task("a", "look", "x").read().status());
+        versions.add(list(false, moved.entry("s-1", IN_SERVICE)));
+        until("the other address is used",
+                () -> client().task("b" + System.nanoTime(), "look", "x").read().status() == 200
+                        && !moved.received.isEmpty());
+        agent.lines.get(agent.lines.size() - 1).close();
+        versions.add(list(false, moved.entry("s-1", TERMINATING), old.entry("s-2", IN_SERVICE)));
+        int before = old.received.size();
+        until("the new worker is used after a failure",
+                () -> client().task("c" + System.nanoTime(), "look", "x").read().status() == 200
+                        && old.received.size() > before);
+        versions.add(list(true));
+        until("no worker is left",
+                () -> client().task("d" + System.nanoTime(), "look", "x").read().status() == 503);
+    }
+
+    /** The version that the old agent counted is far above the new one's, where it would hide all changes. */
+    @Test
+    void reloadSwitchesTheWatchAndNoTaskNotices() throws Exception {
+        CountDownLatch finish = new CountDownLatch(1);
+        Peer first = worker((task, line) -> {
+            finish.await();
+            line.done(task, "ok");
+        });
+        Peer second = finishingWorker();
+        String oldList = list(true, first.entry("s-1", IN_SERVICE)).replace("REV", "5");
+        List<String> versions = Collections
+                .synchronizedList(new ArrayList<>(List.of(list(true, first.entry("s-1", IN_SERVICE)))));
+        Peer oldAgent = worker((message, line) -> {
+            if (!message.first().contains("index=")) {
+                respond(line, oldList);
+            }
+        });
+        Peer newAgent = Peer.discovery(versions);
+        open.add(newAgent);
+        node = node(oldAgent, list(true), SMALL_LIMITS);
+        until("the list", () -> readyStatus(client()) == 200);
+        Line waiting = client().task("a", "sell", "x");
+        until("it is sent", () -> first.received.size() == 1);
+        for (int i = 0; i < 3; i++) {
+            node.reload(configuration(newAgent, list(true)));
+        }
+        until("the old watch has ended, the new one begun",
+                () -> oldAgent.ended.size() == 1 && newAgent.received.size() >= 2);
+        versions.add(list(false, first.entry("s-1", TERMINATING), second.entry("s-2", IN_SERVICE)));
+        until("the new agent is followed", () -> hasReceived(newAgent, "index=2"));
+        assertEquals(200, client().task("b", "sell", "x").read().status());
+        assertEquals(1, second.received.size());
+        finish.countDown();
+        assertEquals(200, waiting.read().status());
+        assertEquals(3, count("reloads"));
+    }
+
+    /** Whether a request line that holds the text has come; further ones may come meanwhile. */
+    private static boolean hasReceived(Peer agent, String text) {
+        synchronized (agent.received) {
+            return agent.received.stream().anyMatch(message -> message.first().contains(text));
+        }
+    }
+
+    @Test
+    void agentThatSendsNonsenseIsPolledAgainAndTheListStays() throws Exception {
+        Peer known = finishingWorker();
+        Peer later = finishingWorker();
+        String badAddress = known.entry("s-1", IN_SERVICE).replace("127.0.0.1", "nowhere");
+        List<String> responses = List.of("{\"rev\":", "[]", "{\"rev\":1}",
+                list(true, "7", "{}", known.entry("s-1", IN_SERVICE)),
+                list(true, later.entry("s-2", IN_SERVICE), later.entry("s-3", "what"), badAddress));
+        AtomicInteger polls = new AtomicInteger();
+        Peer agent = worker((message, line) -> {
+            int number = polls.getAndIncrement();
+            if (number < responses.size()) {
+                respond(line, responses.get(number).replace("REV", "1"));
+            }
+        });
+        node = node(agent, list(true, known.entry("s-1", IN_SERVICE)), SMALL_LIMITS);
+        assertEquals(200, client().task("a", "sell", "x").read().status());
+        until("the good list is used",
+                () -> client().task("b" + System.nanoTime(), "sell", "x").read().status() == 200
+                        && !later.received.isEmpty());
+        until("it is watched on", () -> polls.get() > responses.size());
+    }
+
+    /**
+     * Placement on real connections: the one allowed worker is listed in another zone, while the other zone
+     * has capacity.
+     */
+    @Test
+    void typeBoundToAZoneIsSentOnlyThereAlsoWhenItsOnlyWorkerIsListedElsewhere() throws Exception {
+        // Starts are not reported: runs of a tenth of a millisecond count as half a tick, each worker would
+        // look five times too slow, and a type that has never run would be rejected.
+        Peer here = resultWorker("here");
+        Peer there = resultWorker("there");
+        String first = list(true, here.entry("s-1", IN_SERVICE),
+                there.entry("s-2", IN_SERVICE).replace("\"az\":\"a\"", "\"az\":\"b\""));
+        List<String> versions = Collections.synchronizedList(new ArrayList<>(List.of(first)));
+        Peer agent = Peer.discovery(versions);
+        open.add(agent);
+        node = new DispatcherServer(
+                parse(TestPeers.configuration(agent, first, "{\"memory_mb\":192,\"sockets\":1024}")
+                        .replace("\"Zones\":[\"a\"]", "\"Zones\":[\"a\",\"b\"]")
+                        .replace("{\"Name\":\"look\"", "{\"RunsIn\":[1],\"Name\":\"look\"")));
+        node.awaitReady();
+        for (int i = 0; i < 10; i++) {
+            assertEquals("there", client().task("t" + i, "look", "x").read().text());
+        }
+        versions.add(list(false, there.entry("s-2", IN_SERVICE)));
+        int[] rejected = {0};
+        until("rejected at once, where no worker is left", () -> {
+            String id = "v" + there.received.size() + "-" + rejected[0];
+            Message answer = client().task(id, "look", "x").read();
+            rejected[0] += answer.status() == 503 ? 1 : 0;
+            boolean stillThere = rejected[0] == 0 && answer.text().equals("there");
+            assertTrue(answer.status() == 503 || stillThere, answer.status() + " " + answer.text());
+            return rejected[0] == 10;
+        });
+        assertEquals(200, client().task("u", "sell", "x").read().status(), "others go anywhere");
+        assertEquals(0, here.received.stream().filter(task -> "look".equals(task.field("X-Lane"))).count());
+    }
+
+    private Peer resultWorker(String result) throws IOException {
+        return worker((task, line) -> line.lines("{\"id\":\"" + task.field("X-Txn")
+                + "\",\"state\":\"done\",\"result\":\"" + result + "\"}"));
+    }
+}
--- a/src/test/java/rampshift/serve/ServerTestBase.java
+++ b/src/test/java/rampshift/serve/ServerTestBase.java
@@ -1,10 +1,14 @@
 package rampshift.serve;
 
+import static rampshift.TestPeers.list;
+import static rampshift.TestPeers.node;
+
 import java.io.Closeable;
 import java.io.IOException;
 import java.net.InetAddress;
 import java.net.InetSocketAddress;
 import java.net.Socket;
+import java.nio.charset.StandardCharsets;
 import java.util.ArrayList;
 import java.util.List;
 import java.util.concurrent.Callable;
@@ -18,41 +22,69 @@
 import rampshift.TestPeers.Line;
 import rampshift.TestPeers.Peer;
 import rampshift.TestPeers.Script;
+import rampshift.settings.Configuration;
 
-/** What stories of a whole dispatcher share: one dispatcher, and stand-ins that end with the story. */
+/** What the tests of a whole dispatcher share: one dispatcher, and peers that end with the test. */
 abstract class ServerTestBase {
+    static final String SMALL_LIMITS = "{\"memory_mb\":192,\"sockets\":256}";
+
     final List<Closeable> open = new ArrayList<>();
     DispatcherServer node;
-    /** Connections of clients that were accepted and wait for the story to hand them to the dispatcher. */
+    /** Connections of clients that were accepted and wait for the test to hand them to the dispatcher. */
     private final LinkedBlockingQueue<StreamConnection> accepted = new LinkedBlockingQueue<>();
 
     @AfterEach
     void end() throws IOException {
-        for (Closeable c : open) {
-            c.close();
+        for (Closeable closeable : open) {
+            closeable.close();
         }
         if (node != null) {
             new Thread(node::stop).start();
         }
     }
 
+    /** Starts a dispatcher that has these workers and no discovery agent, and waits until it is ready. */
+    void startServer(String... entries) throws Exception {
+        node = node(null, list(true, entries), SMALL_LIMITS);
+    }
+
+    static Configuration parse(String json) throws IOException {
+        return Configuration.read(json.getBytes(StandardCharsets.UTF_8));
+    }
+
     Peer worker(Script script) throws IOException {
         Peer peer = new Peer(script);
         open.add(peer);
         return peer;
     }
 
+    /** A worker that finishes each task at once. */
+    Peer finishingWorker() throws IOException {
+        return worker((task, line) -> line.done(task, "ok"));
+    }
+
+    static void respond(Line line, String body) throws IOException {
+        line.write("HTTP/1.1 200 OK\r\nContent-Length: " + body.length() + "\r\n\r\n" + body);
+    }
+
     Line client() throws IOException {
         Line line = new Line(node);
         open.add(line);
         return line;
     }
 
+    /** The status of the page that says whether the dispatcher is ready. */
+    int readyStatus(Line client) throws IOException {
+        return client.write("GET /ready HTTP/1.1\r\nHost: a\r\n\r\n").read().status();
+    }
+
+    /** The count under a key of the page of counters; -1 where it has none. */
     long count(String name) throws IOException {
         try (Line line = new Line(node)) {
             String text = line.write("GET /counters HTTP/1.1\r\nHost: a\r\n\r\n").read().text();
-            return text.lines().filter(l -> l.startsWith(name + " "))
-                    .mapToLong(l -> Long.parseLong(l.split(" ")[1])).findFirst().orElse(-1);
+            String prefix = name + " ";
+            return text.lines().filter(row -> row.startsWith(prefix))
+                    .mapToLong(row -> Long.parseLong(row.substring(prefix.length()))).findFirst().orElse(-1);
         }
     }
 
@@ -64,8 +96,8 @@
     }
 
     /** Keeps the calling thread busy for so long. */
-    static void stand(int ms) {
-        for (long end = System.nanoTime() + ms * 1_000_000L; System.nanoTime() < end;) {
+    static void stand(int millis) {
+        for (long end = System.nanoTime() + millis * 1_000_000L; System.nanoTime() < end;) {
             Thread.onSpinWait();
         }
     }
