--- a/src/main/java/rampshift/membership/host/DrainOverrides.java
+++ b/src/main/java/rampshift/membership/host/DrainOverrides.java
@@ -108,7 +108,8 @@
         }
         if (!isFirst) {
             unlisted.values()
-                    .forEach(endpoint -> announce.accept(notice(endpoint, DrainNotice.Kind.REMOVED)));
+                    .forEach(endpoint -> announce.accept(notice(endpoint,
+                            DrainNotice.Kind.REMOVED)));
         }
         endOverrides(now, effective);
         return new EndpointList(list.version(), list.complete(), effective);
--- a/src/test/java/rampshift/FileCompatibilityTest.java
+++ b/src/test/java/rampshift/FileCompatibilityTest.java
@@ -14,7 +14,7 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
-import rampshift.discovery.EndpointList;
+import rampshift.discovery.EndpointListParser;
 import rampshift.extensions.OperatorFile;
 import rampshift.settings.Configuration;
 import rampshift.testbed.plan.FleetPlan;
@@ -58,7 +58,7 @@
         assertEquals(List.of("one", "two"), configuration.settings().hostSettings().zones());
         assertTrue(configuration.settings().read(configuration.seed()).tellsStart);
         byte[] known = configuration.knownEndpoints();
-        assertEquals(8, EndpointList.read(known, known.length).endpoints().size());
+        assertEquals(8, EndpointListParser.parse(known, known.length).endpoints().size());
         assertArrayEquals("{\"rev\":1,".getBytes(StandardCharsets.UTF_8), Arrays.copyOf(known, 9));
     }
 
--- a/src/test/java/rampshift/serve/ResponseDeliveryTest.java
+++ b/src/test/java/rampshift/serve/ResponseDeliveryTest.java
@@ -109,9 +109,8 @@
                 "POST /api HTTP/1.1\r\nHost: a\r\nX-Txn: t\r\nX-Lane: sell\r\nX-Remaining: 5.0\r\nConnection: close\r\n"
                         + "Content-Length: 1\r\n\r\nx");
         until("it is out", () -> worker.received.size() == 1);
-        List<Line> others = new ArrayList<>();
         for (int i = 0; i < 21; i++) {
-            others.add(client());
+            client();
         }
         until("all places are taken",
                 () -> onThread(() -> node.dispatcher.clientListener.connectionCount()) == 22);
