--- a/src/test/java/rampshift/serve/ConnectionRaceTest.java
+++ b/src/test/java/rampshift/serve/ConnectionRaceTest.java
@@ -60,7 +60,7 @@
      */
     @ParameterizedTest
     @CsvSource({"fin,none", "rst,none", "fin,half", "fin,whole", "rst,whole", "fin,many", "rst,many"})
-    void aClientThatLeavesIsNoticedWhateverItSentBehindItsTask(String how, String behind) throws Exception {
+    void leavingClientIsNoticedWhateverItPipelined(String how, String behind) throws Exception {
         Peer worker = holder();
         node = node(null, list(true, worker.entry("s-1", "in_service")), LIMITS);
         Line client = client().task("t", "sell", "x");
@@ -87,7 +87,7 @@
      * answer in hand.
      */
     @Test
-    void aClientThatSendsOnWithoutEndIsNeitherKeptInMemoryNorDoesItsTaskSuffer() throws Exception {
+    void endlessPipeliningIsBoundedAndTheTaskInFlightIsAnswered() throws Exception {
         CountDownLatch go = new CountDownLatch(1);
         Peer worker = worker((task, line) -> {
             go.await();
@@ -115,7 +115,7 @@
      * as if never sent.
      */
     @Test
-    void aTaskThatMayHaveRunIsNotBouncedForWhatItsClientSentBehindIt() throws Exception {
+    void taskThatMayHaveRunIsNotRejectedForPipelinedInput() throws Exception {
         CountDownLatch go = new CountDownLatch(1);
         Peer worker = worker((task, line) -> {
             go.await();
@@ -141,7 +141,7 @@
      * for it in vain.
      */
     @Test
-    void aCallThatWaitsForAWordGetsItWhenItsTurnComes() throws Exception {
+    void pipelinedRequestGetsItsContinueWhenItsTurnComes() throws Exception {
         CountDownLatch go = new CountDownLatch(1);
         Peer worker = worker((task, line) -> {
             go.await();
@@ -159,7 +159,7 @@
     }
 
     @Test
-    void aTaskWhoseClientLeftWhileItWaitedForAListIsNotSent() throws Exception {
+    void parkedTaskWhoseClientLeftIsNotSent() throws Exception {
         CountDownLatch tell = new CountDownLatch(1);
         Peer worker = holder();
         Peer agent = worker((message, line) -> {
@@ -185,7 +185,7 @@
      * The worker's backlog is full, so the connection comes up only once the worker takes what waits there.
      */
     @Test
-    void aTaskWhoseClientLeftWhileItsConnectionWasComingUpIsNotSent() throws Exception {
+    void taskWhoseClientLeftDuringTheDialIsNotSent() throws Exception {
         try (ServerSocket busy = new ServerSocket(0, 1, InetAddress.getByName("127.0.0.1"))) {
             for (int i = 0; i < 2; i++) {
                 open.add(new Socket(busy.getInetAddress(), busy.getLocalPort()));
@@ -207,7 +207,7 @@
     }
 
     @Test
-    void clientsThatLeaveByTheHundredAreAllNoticedAtOnceAlsoWhileItStops() throws Exception {
+    void hundredsOfLeavingClientsAreNoticedAtOnceAlsoDuringShutdown() throws Exception {
         Peer worker = holder();
         node = node(null, list(true, IntStream.range(0, 300)
                 .mapToObj(i -> worker.entry("s-" + i, "in_service")).toArray(String[]::new)), LIMITS);
@@ -280,7 +280,7 @@
      * something else.
      */
     @Test
-    void aTaskWhoseClientLeavesIsDroppedInAMoment() throws Exception {
+    void taskWhoseClientLeavesIsDroppedPromptly() throws Exception {
         Peer worker = holder();
         node = node(null, list(true, IntStream.range(0, 200)
                 .mapToObj(i -> worker.entry("s-" + i, "in_service")).toArray(String[]::new)), LIMITS);
@@ -321,7 +321,7 @@
      * in a reset.
      */
     @Test
-    void aCallThatLiesUnreadAtTheLastCallIsAnswered() throws Exception {
+    void unreadRequestIsAnsweredWhenConnectionsAreClosed() throws Exception {
         Peer worker = worker((task, line) -> line.done(task, "ok"));
         node = node(null, list(true, worker.entry("s-1", "in_service")), LIMITS);
         Line client = client();
@@ -336,7 +336,7 @@
      * meantime.
      */
     @Test
-    void aCallThatLiesUnreadWhenItsClientHasIdledTooLongIsAnswered() throws Exception {
+    void unreadRequestOfAClientThatIdledTooLongIsAnswered() throws Exception {
         Peer worker = worker((task, line) -> line.done(task, "ok"));
         node = node(null, list(true, worker.entry("s-1", "in_service")), LIMITS);
         Line client = client();
@@ -354,7 +354,7 @@
      * calls.
      */
     @Test
-    void aCallThatCrossedTheEndOfItsConnectionIsTakenOnTheNextOne() throws Exception {
+    void requestThatCrossedAConnectionCloseIsAnsweredOnTheNextOne() throws Exception {
         Peer worker = worker((task, line) -> line.done(task, "ok"));
         node = new DispatcherServer(Configuration.read(TestPeers
                 .configuration(null, list(true, worker.entry("s-1", "in_service")), LIMITS)
@@ -375,7 +375,7 @@
      * it stood.
      */
     @Test
-    void aStopThatComesBeforeTheStartIsOverEndsItInGoodOrder() throws Exception {
+    void stopDuringTheStartEndsInOrder() throws Exception {
         Peer worker = worker((task, line) -> line.done(task, "ok"));
         FutureTask<DispatcherServer> start =
                 new FutureTask<>(() -> node(null, list(true, worker.entry("s-1", "in_service")), LIMITS));
@@ -393,7 +393,7 @@
     }
 
     @Test
-    void whatMayRunAgainIsBouncedAtTheEndAndWhatMayHaveRunIsNot() throws Exception {
+    void idempotentTaskIsRejectedAtTheEndAndNonIdempotentOneIsFailed() throws Exception {
         Peer worker = holder();
         node = new DispatcherServer(Configuration.read(TestPeers
                 .configuration(null, list(true, worker.entry("s-1", "in_service")), LIMITS)
@@ -412,7 +412,7 @@
 
     /** Half of its worker's last line lies unread when a sale is given up, and the rest comes after that. */
     @Test
-    void halfALineFromAWorkerAtTheEndChangesNothing() throws Exception {
+    void halfAProgressLineAtTheEndChangesNothing() throws Exception {
         CountDownLatch half = new CountDownLatch(1);
         CountDownLatch rest = new CountDownLatch(1);
         Peer worker = worker((task, line) -> {
@@ -444,7 +444,7 @@
     // ---- lists
 
     @Test
-    void aListMayComeIndented() throws Exception {
+    void indentedListIsRead() throws Exception {
         Peer worker = worker((task, line) -> line.done(task, "ok"));
         String body = list(true, worker.entry("s-1", "in_service")).replace("REV", "3")
                 .replace("{", "{\r\n  ").replace(",", " ,\n\t").replace(":", " : ")
@@ -464,7 +464,7 @@
      * and later.
      */
     @Test
-    void aListReadInTheMidstOfWhatAnOlderOneSetsOffWins() throws Exception {
+    void listReadWhileAnOlderOneIsAppliedWins() throws Exception {
         Peer worker = worker((task, line) -> line.done(task, "ok"));
         CountDownLatch tell = new CountDownLatch(1);
         Peer agent = worker((message, line) -> {
@@ -506,7 +506,7 @@
      * nowhere else.
      */
     @Test
-    void oneCustomersSettingsLeaveNoTraceAtAnother() throws Exception {
+    void settingsOfTwoServersInOneProcessDoNotMix() throws Exception {
         Script errs = (task, line) -> line.status(500, "");
         Peer one = worker(errs);
         Peer two = worker(errs);
--- a/src/test/java/rampshift/serve/FloodTest.java
+++ b/src/test/java/rampshift/serve/FloodTest.java
@@ -30,9 +30,11 @@
 class FloodTest extends ServerTestBase {
     private static final String LIMITS = "{\"memory_mb\":192,\"sockets\":1024}";
     private static final ThreadMXBean THREADS = ManagementFactory.getThreadMXBean();
-    private static final int READS = 2000;
-    private static final int GETS = 1000;
+    private static final int MAX_READS = 2000;
+    private static final int REQUESTS = 1000;
     private static final int TASKS = 200;
+    /** Processor time of the I/O thread between an answer that is ready and its last byte, at most. */
+    private static final double MAX_CPU_MILLIS = 100;
 
     /** A source that does not run dry within one turn. It does after so many reads, so that the test ends. */
     private static final class Endless extends AbstractStreamSourceConduit<StreamSourceConduit> {
@@ -47,7 +49,7 @@
 
         @Override
         public int read(ByteBuffer to) throws IOException {
-            if (reads.incrementAndGet() > READS) {
+            if (reads.incrementAndGet() > MAX_READS) {
                 return next.read(to);
             }
             int before = to.remaining();
@@ -58,10 +60,10 @@
         }
     }
 
-    /** Empty lines before a call were skipped without a bound, and read for as long as they came. */
+    /** Empty lines before a request were skipped without a bound, and read for as long as they came. */
     @ParameterizedTest
     @ValueSource(strings = {"\r\n", "x", "GET / HTTP/1.1\r\n\r\n"})
-    void oneClientIsReadOnlySoOftenAtATime(String repeated) throws Exception {
+    void readsOfOneClientInOneTurnAreBounded(String repeated) throws Exception {
         node = node(null, list(true), LIMITS);
         AtomicInteger reads = new AtomicInteger();
         Slow client = slow();
@@ -74,40 +76,49 @@
         assertTrue(once <= 20, once + " reads before any other socket was looked at");
     }
 
-    /** Calls sent at once were all answered in one turn of the thread: each woke the reading of the next. */
+    /**
+     * Pipelined requests were all answered in one turn of the thread: each resumed the reading of the next.
+     */
     @Test
-    void manyCallsSentAtOnceLeaveTheSocketsTheirTurn() throws Exception {
+    void manyPipelinedRequestsLeaveTheSocketsTheirTurn() throws Exception {
         node = node(null, list(true), LIMITS);
-        int[] counts = new int[3];      // answered, answered at the last look, most between two looks
+        TurnCounts counts = new TurnCounts();
         Line client = client();
-        NextTick turn = onThread(() -> {
+        NextTick tick = onThread(() -> {
             node.dispatcher.clientListener.page("/count",
-                    () -> new ClientListener.Page(200, ++counts[0] + "\n"));
-            NextTick t = new NextTick(node.thread);
-            look(t, counts);
-            client.write("GET /count HTTP/1.1\r\nHost: a\r\n\r\n".repeat(GETS));
-            return t;
+                    () -> new ClientListener.Page(200, ++counts.answered + "\n"));
+            NextTick created = new NextTick(node.thread);
+            countTurns(created, counts);
+            client.write("GET /count HTTP/1.1\r\nHost: a\r\n\r\n".repeat(REQUESTS));
+            return created;
         });
-        for (int i = 1; i <= GETS; i++) {
+        for (int i = 1; i <= REQUESTS; i++) {
             assertEquals(i + "\n", client.read().text());
         }
         onThread(() -> {
-            turn.close();
+            tick.close();
             return null;
         });
-        assertTrue(counts[2] <= 4, counts[2] + " calls were answered between two looks at the sockets");
+        assertTrue(counts.maxPerTurn <= 4,
+                counts.maxPerTurn + " requests were answered between two looks at the sockets");
     }
 
-    private static void look(NextTick turn, int[] counts) {
-        turn.run(() -> {
-            counts[2] = Math.max(counts[2], counts[0] - counts[1]);
-            counts[1] = counts[0];
-            look(turn, counts);
-        });
+    /**
+     * How many requests were answered in all, up to the last look at the sockets, and between two, at most.
+     */
+    private static final class TurnCounts {
+        private int answered;
+        private int answeredAtLastTurn;
+        private int maxPerTurn;
     }
 
-    /** What the I/O thread may be at between an answer that is ready and its last byte. */
-    private static final double MOST_MS = 100;
+    private static void countTurns(NextTick tick, TurnCounts counts) {
+        tick.run(() -> {
+            counts.maxPerTurn = Math.max(counts.maxPerTurn, counts.answered - counts.answeredAtLastTurn);
+            counts.answeredAtLastTurn = counts.answered;
+            countTurns(tick, counts);
+        });
+    }
 
     /** When an answer was ready, and the processor time of the I/O thread until then. */
     private record Ready(long nanos, long cpu) {}
@@ -118,17 +129,18 @@
      * load.
      */
     @Test
-    void othersAnswersKeepTheirTimeBesideClientsThatSendMuchAndGo() throws Exception {
+    void answersOfOthersAreInTimeBesideAFlood() throws Exception {
         Map<String, Ready> ready = new ConcurrentHashMap<>();
-        long[] io = new long[1];
+        long[] ioThreadId = new long[1];
         Peer worker = worker((task, line) -> {
-            ready.put(task.field("X-Txn"), new Ready(System.nanoTime(), THREADS.getThreadCpuTime(io[0])));
+            ready.put(task.field("X-Txn"),
+                    new Ready(System.nanoTime(), THREADS.getThreadCpuTime(ioThreadId[0])));
             line.done(task, "ok");
         });
         node = node(null, list(true, worker.entry("s-1", "in_service")), LIMITS);
-        io[0] = onThread(() -> Thread.currentThread().getId());
-        p99("warm-up", ready, io[0]);
-        double[] before = p99("before", ready, io[0]);
+        ioThreadId[0] = onThread(() -> Thread.currentThread().getId());
+        percentile99("warm-up", ready, ioThreadId[0]);
+        double[] before = percentile99("before", ready, ioThreadId[0]);
         String large = "POST /api HTTP/1.1\r\nHost: a\r\nX-Lane: look\r\nX-Remaining: 5\r\n"
                 + "Content-Length: 65000\r\n\r\n";
         List<Thread> floods = new ArrayList<>();
@@ -137,11 +149,12 @@
                 (large + "x".repeat(65_000)).repeat(10))) {
             floods.add(flood(sent, floods.size() % 2 == 0 ? "fin" : "rst"));
         }
-        double[] during = p99("during", ready, io[0]);
+        double[] during = percentile99("during", ready, ioThreadId[0]);
         floods.forEach(Thread::interrupt);
         System.out.printf("ready answer to last byte, p99: %.2f ms before, %.2f ms beside a flood; "
                 + "of the I/O thread: %.2f and %.2f ms%n", before[0], during[0], before[1], during[1]);
-        assertTrue(during[1] < MOST_MS, "p99 beside a flood " + during[1] + " ms, before " + before[1]);
+        assertTrue(during[1] < MAX_CPU_MILLIS,
+                "p99 beside a flood " + during[1] + " ms, before " + before[1]);
     }
 
     private Thread flood(String sent, String how) {
@@ -160,19 +173,19 @@
     }
 
     /** In milliseconds: of the time, and of the I/O thread's processor time within it. */
-    private double[] p99(String phase, Map<String, Ready> ready, long io) throws Exception {
+    private double[] percentile99(String phase, Map<String, Ready> ready, long ioThreadId) throws Exception {
         Line client = client();
         long[] nanos = new long[TASKS];
-        long[] cpu = new long[TASKS];
+        long[] cpuNanos = new long[TASKS];
         for (int i = 0; i < TASKS; i++) {
-            String txn = phase + i;
-            assertEquals("ok", client.task(txn, "look", "x").read().text());
-            nanos[i] = System.nanoTime() - ready.get(txn).nanos();
-            cpu[i] = THREADS.getThreadCpuTime(io) - ready.get(txn).cpu();
+            String taskId = phase + i;
+            assertEquals("ok", client.task(taskId, "look", "x").read().text());
+            nanos[i] = System.nanoTime() - ready.get(taskId).nanos();
+            cpuNanos[i] = THREADS.getThreadCpuTime(ioThreadId) - ready.get(taskId).cpu();
         }
         Arrays.sort(nanos);
-        Arrays.sort(cpu);
+        Arrays.sort(cpuNanos);
         int at = TASKS * 99 / 100 - 1;
-        return new double[]{nanos[at] / 1e6, cpu[at] / 1e6};
+        return new double[]{nanos[at] / 1e6, cpuNanos[at] / 1e6};
     }
 }
--- a/src/test/java/rampshift/serve/ResponseDeliveryTest.java
+++ b/src/test/java/rampshift/serve/ResponseDeliveryTest.java
@@ -92,7 +92,7 @@
      */
     @ParameterizedTest
     @ValueSource(strings = {"", "POST /api HTTP/1.1\r\nHost: a\r\nX-Txn: next\r\n"})
-    void aClientThatMakesRoomStillReadsItsWholeAnswer(String sentOn) throws Exception {
+    void clientThatMakesRoomStillReadsItsCompleteAnswer(String sentOn) throws Exception {
         CountDownLatch go = new CountDownLatch(1);
         String result = "r".repeat(60_000);
         Peer worker = worker((task, line) -> {
@@ -152,7 +152,7 @@
      */
     @ParameterizedTest
     @ValueSource(booleans = {true, false})
-    void aCallThatCrossesTheCloseLeavesTheAnswerBeforeItWhole(boolean lastCall) throws Exception {
+    void requestThatCrossesTheCloseLeavesTheAnswerBeforeItComplete(boolean lastCall) throws Exception {
         node = node(null, list(true), LIMITS);
         String text = "r".repeat(60_000);
         Slow client = slow();
@@ -194,7 +194,7 @@
     /** Met by reading: written once, and what the client's buffer did not take of it was left out. */
     @ParameterizedTest
     @ValueSource(ints = {1, 20})
-    void aClientThatIsTurnedAwayReadsAllOfWhy(int width) throws Exception {
+    void refusedClientReadsTheCompleteReason(int width) throws Exception {
         node = node(null, list(true), LIMITS);
         Message answer = narrow(width).write("no call at all\r\n\r\n").read();
         assertEquals(400, answer.status());
@@ -204,7 +204,7 @@
     /** Half a word before the answer's head makes nonsense of both. */
     @ParameterizedTest
     @ValueSource(ints = {1, 20})
-    void aClientThatWaitsForAWordReadsAllOfItAndThenItsAnswer(int width) throws Exception {
+    void clientThatExpectsContinueReadsAllOfItAndThenItsAnswer(int width) throws Exception {
         Peer worker = worker((task, line) -> line.done(task, "ok"));
         node = node(null, list(true, worker.entry("s-1", "in_service")), LIMITS);
         // Body and all at once: it does not wait, and its call is whole before the word is written.
@@ -231,7 +231,7 @@
      */
     @ParameterizedTest
     @ValueSource(strings = {"", "POST /api HTTP/1.1\r\nHost: a\r\n"})
-    void whoIsOnItsWayToSendACallAtTheLastCallIsAnswered(String begun) throws Exception {
+    void clientThatIsAboutToSendARequestAtShutdownIsAnswered(String begun) throws Exception {
         Peer worker = worker((task, line) -> line.done(task, "ok"));
         node = node(null, list(true, worker.entry("s-1", "in_service")), LIMITS);
         Line client = client().write(begun);
@@ -249,7 +249,7 @@
 
     /** What the system holds back of a small write is lost with a reset: no socket here has it do so. */
     @Test
-    void smallWritesLeaveAtOnceOnEverySocket() throws Exception {
+    void smallWritesAreSentAtOnceOnEverySocket() throws Exception {
         Peer worker = worker((task, line) -> line.done(task, "ok"));
         String known = list(true, worker.entry("s-1", "in_service"));
         Peer agent = Peer.discovery(List.of(known));
@@ -290,7 +290,7 @@
      * told so.
      */
     @Test
-    void theTimeOfACallThatWaitsItsTurnCountsFromWhenItCame() throws Exception {
+    void deadlineOfAPipelinedRequestCountsFromItsArrival() throws Exception {
         CountDownLatch go = new CountDownLatch(1);
         Peer worker = worker((task, line) -> {
             go.await();
@@ -316,7 +316,7 @@
      * it.
      */
     @Test
-    void theTimeOfAFirstCallCountsFromItsBytesNotFromTheConnection() throws Exception {
+    void deadlineOfAFirstRequestCountsFromItsBytesNotFromTheConnection() throws Exception {
         Peer worker = worker((task, line) -> line.done(task, "ok"));
         node = node(null, list(true, worker.entry("s-1", "in_service")), LIMITS);
         Line client = client();
@@ -332,7 +332,7 @@
     /** The end lies unread: the thread is at something else from before the close until an attempt is due. */
     @ParameterizedTest
     @ValueSource(strings = {"fin", "rst"})
-    void noAttemptBeginsOnceItsClientsEndIsThere(String how) throws Exception {
+    void noAttemptBeginsOnceItsClientHasLeft(String how) throws Exception {
         Peer worker = worker((task, line) -> line.done(task, "ok"));
         node = node(null, list(true, worker.entry("s-1", "in_service")), LIMITS);
         Line client = client();
@@ -362,7 +362,7 @@
      * had left, its task was read, and sent on 0.66 s after the close, before the end behind it was read.
      */
     @Test
-    void aTaskWhoseClientLeftBeforeItWasReadIsNotSent() throws Exception {
+    void taskWhoseClientLeftBeforeItWasReadIsNotSent() throws Exception {
         Peer worker = worker((task, line) -> line.done(task, "ok"));
         node = node(null, list(true, worker.entry("s-1", "in_service")), LIMITS);
         // whose connection to the worker is kept
@@ -384,7 +384,7 @@
      * moment.
      */
     @Test
-    void noLastByteGoesOutOnceItsClientsEndIsThere() throws Exception {
+    void lastByteIsNotSentOnceItsClientHasLeft() throws Exception {
         Peer worker = worker((task, line) -> line.done(task, "ok"));
         node = node(null, list(true, worker.entry("s-1", "in_service")), LIMITS);
         Line client = client();
@@ -418,7 +418,7 @@
      * before any socket was looked at, so that answers lay unread for 1.8 s.
      */
     @Test
-    void aRushOfClientsLeavesTheSocketsTheirTurn() throws Exception {
+    void burstOfClientsLeavesTheSocketsTheirTurn() throws Exception {
         node = node(null, list(true), LIMITS);
         int[] takenIn = {-1};
         NextTick[] turn = {null};
@@ -448,7 +448,7 @@
      * has one.
      */
     @Test
-    void idleClientsMayFillTheDescriptorsWhileTheListServiceIsDown() throws Exception {
+    void idleClientsMayUseTheirDescriptorsWhileTheAgentIsDown() throws Exception {
         CountDownLatch back = new CountDownLatch(1);
         Peer worker = worker((task, line) -> line.done(task, "ok"));
         Peer added = worker((task, line) -> line.done(task, "added"));
--- a/src/test/java/rampshift/serve/SlowDialTest.java
+++ b/src/test/java/rampshift/serve/SlowDialTest.java
@@ -8,7 +8,6 @@
 import java.net.InetAddress;
 import java.net.ServerSocket;
 import java.net.Socket;
-import java.nio.charset.StandardCharsets;
 import java.util.ArrayList;
 import java.util.Collections;
 import java.util.List;
@@ -17,7 +16,6 @@
 import rampshift.TestPeers;
 import rampshift.TestPeers.Line;
 import rampshift.TestPeers.Peer;
-import rampshift.settings.Configuration;
 
 /** Connections to a worker whose backlog is full come up a second late, once it accepts what waits there. */
 class SlowDialTest extends ServerTestBase {
@@ -25,33 +23,17 @@
     private static final String SECOND = "{\"uid\":\"s-2\",\"endpoint\":\"127.0.0.1:PORT\",\"az\":\"a\","
             + "\"model\":\"m\",\"pod_group\":1,\"state\":\"in_service\",\"capacity_hint\":4.0,\"boot_ms\":0}";
 
-    /** The first worker errs and drains; the connection to the second is up after the window, or before. */
+    /** The first worker fails and drains; the connection to the second is up after the window, or before. */
     @ParameterizedTest
     @CsvSource({"300,cell,504", "300,all,503", "20000,cell,200"})
-    void aRepeatGoesOutOnlyWithinItsWindowHoweverLateItsConnectionIsUp(int windowMs, String group, int status)
+    void retryIsSentOnlyWithinItsWindowHoweverLateItsConnectionIsUp(int windowMillis, String group,
+            int status)
             throws Exception {
         try (ServerSocket busy = new ServerSocket(0, 1, InetAddress.getByName("127.0.0.1"))) {
             for (int i = 0; i < 2; i++) {
                 open.add(new Socket(busy.getInetAddress(), busy.getLocalPort()));
             }
-            List<String> versions = Collections.synchronizedList(new ArrayList<>());
-            Peer[] first = new Peer[1];
-            first[0] = worker((task, line) -> {
-                versions.add(list(false, first[0].entry("s-1", "terminating"),
-                        SECOND.replace("PORT", "" + busy.getLocalPort())));
-                until("the list is read", () -> count("lists_changes") == 1);
-                line.write("HTTP/1.1 500 x\r\nContent-Length: 0\r\n\r\n");
-            });
-            versions.add(list(true, first[0].entry("s-1", "in_service")));
-            Peer discovery = Peer.discovery(versions);
-            open.add(discovery);
-            node = new DispatcherServer(
-                    Configuration.read(TestPeers.configuration(discovery, list(true), LIMITS)
-                            .replace("\"DialTimeoutMs\":500", "\"DialTimeoutMs\":20000")
-                            .replace("\"cell\",\"WindowMs\":4000",
-                                    "\"" + group + "\",\"WindowMs\":" + windowMs)
-                            .getBytes(StandardCharsets.UTF_8)));
-            node.awaitReady();
+            startServer(busy.getLocalPort(), windowMillis, group);
             Line client = client().write("POST /api HTTP/1.1\r\nHost: a\r\nX-Txn: t\r\nX-Lane: mark\r\n"
                     + "X-Remaining: 5.0\r\nIdempotency-Key: k\r\nContent-Length: 1\r\n\r\nx");
             until("the second is dialed", () -> count("dialed") == 2);
@@ -74,4 +56,27 @@
             assertEquals(status == 200 ? 0 : 1, count("outcome_not_sent"));
         }
     }
+
+    /**
+     * A dispatcher whose first worker fails a task once the second one, at that port, is listed in its
+     * place.
+     */
+    private void startServer(int secondPort, int windowMillis, String group) throws Exception {
+        String second = SECOND.replace("PORT", String.valueOf(secondPort));
+        List<String> versions = Collections.synchronizedList(new ArrayList<>());
+        Peer[] first = new Peer[1];
+        first[0] = worker((task, line) -> {
+            versions.add(list(false, first[0].entry("s-1", "terminating"), second));
+            until("the list is read", () -> count("lists_changes") == 1);
+            line.write("HTTP/1.1 500 x\r\nContent-Length: 0\r\n\r\n");
+        });
+        versions.add(list(true, first[0].entry("s-1", "in_service")));
+        Peer agent = Peer.discovery(versions);
+        open.add(agent);
+        String window = "\"" + group + "\",\"WindowMs\":" + windowMillis;
+        node = new DispatcherServer(parse(TestPeers.configuration(agent, list(true), LIMITS)
+                .replace("\"DialTimeoutMs\":500", "\"DialTimeoutMs\":20000")
+                .replace("\"cell\",\"WindowMs\":4000", window)));
+        node.awaitReady();
+    }
 }
