--- a/src/main/java/rampshift/eventlog/EventLog.java
+++ b/src/main/java/rampshift/eventlog/EventLog.java
@@ -27,7 +27,7 @@
     private volatile IOException failure;
     private boolean closed;
 
-    /** A new file, in which every line is written; {@link #line} throws once the disk is too far behind. */
+    /** A new file, in which every line is written; {@link #append} throws once the disk is too far behind. */
     public EventLog(Path file) throws IOException {
         this(file, false);
     }
@@ -48,7 +48,7 @@
     }
 
     /** Adds an event; after {@link #close} it does nothing. It never waits for the disk. */
-    public synchronized void line(Moment when, String word, Object... fields) {
+    public synchronized void append(Moment when, String word, Object... fields) {
         if (closed) {
             return;
         }
--- a/src/main/java/rampshift/extensions/OperatorFile.java
+++ b/src/main/java/rampshift/extensions/OperatorFile.java
@@ -38,9 +38,9 @@
     public static OperatorFile read(String name, String text) {
         TomlFile file = TomlFile.read(name, text);
         TomlTable top = file.top();
-        MembershipSettings members = top.has("members") ? members(top.section("members")) : null;
+        MembershipSettings members = top.has("members") ? members(top.table("members")) : null;
         List<PeriodicJobSettings> duties = new ArrayList<>();
-        for (TomlTable one : top.sections("duty")) {
+        for (TomlTable one : top.tables("duty")) {
             duties.add(duty(one));
         }
         for (PeriodicJobSettings one : duties) {
@@ -50,15 +50,15 @@
             }
         }
         LeaseSettings leases =
-                top.has("leases") ? leases(top.section("leases"), duties) : null;
+                top.has("leases") ? leases(top.table("leases"), duties) : null;
         if (leases == null && !duties.isEmpty()) {
             top.fault("duty", "needs [leases]: a duty is done by whoever holds the lease of its name");
         }
         if (leases != null && members == null) {
             top.fault("leases", "needs [members], over whose address its messages go");
         }
-        top.end();
-        file.sound();
+        top.rejectUnknownKeys();
+        file.throwIfFaulty();
         return new OperatorFile(members, leases, duties);
     }
 
@@ -79,7 +79,7 @@
         Span balance = s.span("balance_every", Span.ofMillis(600_000));
         String directory = s.text("directory", "");
         String ledger = s.text("ledger", "");
-        s.end();
+        s.rejectUnknownKeys();
         return new LeaseSettings(keepers, List.copyOf(leases),
                 new LeaseTimings(term, drift, balance),
                 directory.isEmpty() ? null : Path.of(directory), ledger.isEmpty() ? null : Path.of(ledger));
@@ -103,7 +103,7 @@
         String after = s.text("after", "");
         List<String> objects = objects(s);
         double rate = s.number("rate", 0.001, 10_000, 10);
-        int catchUp = s.whole("catch_up", 0, 1000, 1);
+        int catchUp = s.integer("catch_up", 0, 1000, 1);
         String target = s.text("target", "/{object}");
         if (!target.matches("/[!-~]*")) {
             s.fault("target", "is \"" + target + "\", expected a path that begins with a slash");
@@ -111,7 +111,7 @@
         PeriodicJobSettings plan = new PeriodicJobSettings(name, type, every, at, after, objects, rate,
                 catchUp, target, s.text("body", ""),
                 false, Span.ZERO);
-        s.end();
+        s.rejectUnknownKeys();
         return plan;
     }
 
@@ -119,7 +119,7 @@
     private static List<String> objects(TomlTable s) {
         String file = s.text("objects_from", "");
         if (file.isEmpty()) {
-            return IntStream.range(0, s.whole("objects", 1, 10_000_000, 1)).mapToObj(String::valueOf)
+            return IntStream.range(0, s.integer("objects", 1, 10_000_000, 1)).mapToObj(String::valueOf)
                     .toList();
         }
         if (s.has("objects")) {
@@ -146,7 +146,7 @@
     }
 
     private static List<String> names(TomlTable s, String key) {
-        List<String> all = s.texts(key, List.of());
+        List<String> all = s.strings(key, List.of());
         for (String one : all) {
             if (!one.matches("[!-~&&[^,:|#]]{1,40}")) {
                 s.fault(key, "holds \"" + one
@@ -173,23 +173,23 @@
         Span forget = s.span("forget", Span.ofMillis(86_400_000));
         Span newsFor = s.span("news_for", Span.ofMillis(30_000));
         List<String> seeds = new ArrayList<>();
-        for (String seed : s.texts("seeds", List.of())) {
+        for (String seed : s.strings("seeds", List.of())) {
             if (address(s, "seeds", seed) != null) {
                 seeds.add(seed);
             }
         }
         Map<String, String> reach = new LinkedHashMap<>();
-        for (TomlTable one : s.sections("reach")) {
+        for (TomlTable one : s.tables("reach")) {
             String name = one.name("name");
             String at = one.text("address", null);
             if (address(one, "address", at) != null) {
                 reach.put(name, at);
             }
-            one.end();
+            one.rejectUnknownKeys();
         }
         String ledger = s.text("ledger", null);
         boolean news = s.flag("news", true);
-        s.end();
+        s.rejectUnknownKeys();
         return new MembershipSettings(fleet, site, listen, seeds, reach,
                 new MembershipTimings(period, forget), news, newsFor,
                 ledger == null ? null : Path.of(ledger));
--- a/src/main/java/rampshift/leases/host/LeaseHost.java
+++ b/src/main/java/rampshift/leases/host/LeaseHost.java
@@ -115,7 +115,7 @@
     /** Writes a line to the event log, if there is one. */
     public void logEvent(String word, String lease, long token, String detail) {
         if (eventLog != null && !stopped) {
-            eventLog.line(EventClock.now(), "leases", name, word, lease, token,
+            eventLog.append(EventClock.now(), "leases", name, word, lease, token,
                     detail.isEmpty() ? NONE : detail.replace(' ', '-'));
         }
     }
--- a/src/main/java/rampshift/membership/host/MembershipEventLog.java
+++ b/src/main/java/rampshift/membership/host/MembershipEventLog.java
@@ -26,7 +26,7 @@
     /** Writes one event of the given subject, a member or a worker. */
     void write(String event, String subject, long number, String detail) {
         if (log != null) {
-            log.line(EventClock.now(), RECORD_TYPE, dispatcher, event, subject, number,
+            log.append(EventClock.now(), RECORD_TYPE, dispatcher, event, subject, number,
                     detail.replace(' ', '-'));
         }
     }
--- a/src/main/java/rampshift/testbed/clients/LoadGenerator.java
+++ b/src/main/java/rampshift/testbed/clients/LoadGenerator.java
@@ -300,7 +300,7 @@
         public void bytes(byte[] bytes, int count) {
             if (now == null) {
                 // The one that this connection answered last has got a second answer, or bytes of nobody's.
-                ledger.line(EventClock.now(), "unasked", to.number, count);
+                ledger.append(EventClock.now(), "unasked", to.number, count);
                 drop();
                 return;
             }
@@ -379,7 +379,7 @@
             }
             sendAnew(why -> {
                 front.failed(to, EventClock.now());
-                ledger.line(EventClock.now(), "unreachable", txn, to.number);
+                ledger.append(EventClock.now(), "unreachable", txn, to.number);
                 end(LoadStatistics.End.UNREACHABLE, true, null, -1);
             });
         }
@@ -413,7 +413,7 @@
                 }
                 timer = thread.executeAfter(this::givesUp, Math.max(1, Math.round(patience().millis())),
                         TimeUnit.MILLISECONDS);
-                ledger.line(now, "sent", txn, process + "." + task.number(), type().name(),
+                ledger.append(now, "sent", txn, process + "." + task.number(), type().name(),
                         type().effect().name().toLowerCase(Locale.ROOT), to.number, patience().micros(),
                         number);
             }
@@ -455,7 +455,7 @@
             Moment now = EventClock.now();
             String result = answer.text();
             int status = answer.status();
-            ledger.line(now, "answer", txn, status, status == 200 ? result : "-");
+            ledger.append(now, "answer", txn, status, status == 200 ? result : "-");
             if (gaveUp) {
                 end(LoadStatistics.End.NO_ANSWER, false, null, -1);
             } else if (status == 200) {
@@ -486,7 +486,7 @@
             Moment now = EventClock.now();
             if (unread && !resent && !gaveUp) {
                 resent = true;
-                ledger.line(now, "crossed", txn, how);
+                ledger.append(now, "crossed", txn, how);
                 sendAnew(why -> lost("unreachable"));
                 return;
             }
@@ -496,7 +496,7 @@
         private void lost(String how) {
             Moment now = EventClock.now();
             front.failed(to, now);
-            ledger.line(now, "broken", txn, how);
+            ledger.append(now, "broken", txn, how);
             end(LoadStatistics.End.BROKEN, harmless(), null, -1);
         }
 
@@ -504,7 +504,7 @@
         private void givesUp() {
             gaveUp = true;
             timer = thread.executeAfter(() -> {
-                ledger.line(EventClock.now(), "none", txn);
+                ledger.append(EventClock.now(), "none", txn);
                 end(LoadStatistics.End.NO_ANSWER, harmless(), null, -1);
                 if (on != null) {
                     on.drop();
--- a/src/main/java/rampshift/testbed/discovery/DiscoveryAgent.java
+++ b/src/main/java/rampshift/testbed/discovery/DiscoveryAgent.java
@@ -197,14 +197,14 @@
         private void told(boolean whole, List<WorkerEntry> entries) {
             Moment now = EventClock.now();
             if (whole) {
-                ledger.line(now, "told-whole", dispatcher);
+                ledger.append(now, "told-whole", dispatcher);
             }
             for (WorkerEntry entry : entries) {
-                ledger.line(now, "told", dispatcher, entry.uid(),
+                ledger.append(now, "told", dispatcher, entry.uid(),
                         entry.state().name().toLowerCase(java.util.Locale.ROOT));
             }
             if (whole) {
-                ledger.line(now, "told-end", dispatcher);
+                ledger.append(now, "told-end", dispatcher);
             }
         }
 
--- a/src/main/java/rampshift/testbed/experiment/FleetRun.java
+++ b/src/main/java/rampshift/testbed/experiment/FleetRun.java
@@ -123,7 +123,7 @@
                 load.say("go " + zero.micros());
             }
             watch(zero, ledger);
-            ledger.line(EventClock.now(), "finish");
+            ledger.append(EventClock.now(), "finish");
             RunOutcome.Costs costs = costs();
             for (ChildProcesses.Child d : dispatchers) {
                 d.end(STOP_MS);
@@ -248,15 +248,15 @@
                         kill(d, ledger);
                         back.put(d, now.plus(trouble.length()));
                     } else if (trouble.what() == FleetPlan.Trouble.Kind.DISPATCHER_ENDED) {
-                        ledger.line(now, "ended", d);
+                        ledger.append(now, "ended", d);
                         dispatchers.get(d).process.destroy();
                         back.put(d, now.plus(trouble.length()));
                     } else if (trouble.what() == FleetPlan.Trouble.Kind.DISPATCHER_STARVED) {
-                        ledger.line(now, "starved", d);
+                        ledger.append(now, "starved", d);
                         starving.put(d, starve(d, trouble.rate()));
                         goesOn.put(d, now.plus(trouble.length()));
                     } else {
-                        ledger.line(now, "stopped", d);
+                        ledger.append(now, "stopped", d);
                         dispatchers.get(d).signal("STOP");
                         goesOn.put(d, now.plus(trouble.length()));
                     }
@@ -266,7 +266,7 @@
                 if (!now.before(goesOn.get(d))) {
                     goesOn.remove(d);
                     if (!fed(d, ledger)) {
-                        ledger.line(now, "continued", d);
+                        ledger.append(now, "continued", d);
                     }
                     dispatchers.get(d).signal("CONT");
                 }
@@ -276,7 +276,7 @@
                     back.remove(d);
                     dispatchers.get(d).kill();      // one that ends in order may still be at it
                     dispatchers.set(d, startDispatcher(d));
-                    ledger.line(now, "started", d);
+                    ledger.append(now, "started", d);
                 }
             }
             for (int d = 0; d < dispatchers.size(); d++) {
@@ -315,7 +315,7 @@
         ChildProcesses.Child held = starving.remove(d);
         if (held != null) {
             held.kill();
-            ledger.line(EventClock.now(), "fed", d);
+            ledger.append(EventClock.now(), "fed", d);
         }
         return held != null;
     }
@@ -334,7 +334,7 @@
         if (child.process.isAlive()) {
             // What it used while it warmed up is taken off once, from the one that is there at the end.
             cpuOfDead.set(d, cpuOfDead.get(d).plus(child.cpu()));
-            ledger.line(EventClock.now(), "killed", d);
+            ledger.append(EventClock.now(), "killed", d);
             child.kill();
         }
     }
--- a/src/main/java/rampshift/testbed/faults/FaultInjector.java
+++ b/src/main/java/rampshift/testbed/faults/FaultInjector.java
@@ -154,7 +154,7 @@
     }
 
     private void mark(FleetPlan.Trouble trouble, String which, List<String> names) {
-        ledger.line(EventClock.now(), "trouble", trouble.what().name().toLowerCase(java.util.Locale.ROOT),
+        ledger.append(EventClock.now(), "trouble", trouble.what().name().toLowerCase(java.util.Locale.ROOT),
                 which,
                 names.isEmpty() ? trouble.site()
                         : names.size() > 3 ? names.size() + "-workers"
--- a/src/main/java/rampshift/testbed/plan/FleetPlanReader.java
+++ b/src/main/java/rampshift/testbed/plan/FleetPlanReader.java
@@ -38,7 +38,7 @@
             set(source, root, arm);
         }
         FleetPlan plan = plan(source, new TomlTable(source, root, ""));
-        file.sound();
+        file.throwIfFaulty();
         return plan;
     }
 
@@ -88,36 +88,36 @@
 
     private static FleetPlan plan(TomlTable.Source source, TomlTable s) {
         List<FleetPlan.Machine> machines = new ArrayList<>();
-        for (TomlTable m : s.sections("machine")) {
-            machines.add(new FleetPlan.Machine(m.name("name"), m.whole("slots", 1, 10_000, 4),
-                    m.number("speed", 0.001, 1000, 1), m.whole("waiting", 0, MOST, 64),
+        for (TomlTable m : s.tables("machine")) {
+            machines.add(new FleetPlan.Machine(m.name("name"), m.integer("slots", 1, 10_000, 4),
+                    m.number("speed", 0.001, 1000, 1), m.integer("waiting", 0, MOST, 64),
                     m.number("memory", 0, 1e9, 1e6)));
-            m.end();
+            m.rejectUnknownKeys();
         }
         List<FleetPlan.Site> sites = new ArrayList<>();
-        for (TomlTable site : s.sections("site")) {
+        for (TomlTable site : s.tables("site")) {
             sites.add(site(site, machines));
         }
         List<FleetPlan.Type> types = new ArrayList<>();
-        for (TomlTable t : s.sections("type")) {
+        for (TomlTable t : s.tables("type")) {
             types.add(type(t));
         }
         needs(source, sites.isEmpty(), "site", "at least one site, as [[site]]");
         needs(source, machines.isEmpty(), "machine", "at least one machine, as [[machine]]");
         needs(source, types.isEmpty(), "type", "at least one traffic type, as [[type]]");
         FleetPlan plan = new FleetPlan(s.span("length", Span.ofMillis(20_000)),
-                s.whole("seed", 0, Integer.MAX_VALUE, 1), sites,
-                machines, types, arrivals(s.section("arrivals"), sites), clients(s.section("clients")),
-                workers(s.section("workers")), cold(s.section("cold")), reports(s.section("reports")),
-                roster(s.section("roster")), network(s.section("network")),
-                dispatchers(s.section("dispatchers")),
-                members(s.section("members"), s.has("members")), leases(s, types),
-                troubles(s, sites), trials(s.section("experiment")), ladder(s.section("ladder")),
+                s.integer("seed", 0, Integer.MAX_VALUE, 1), sites,
+                machines, types, arrivals(s.table("arrivals"), sites), clients(s.table("clients")),
+                workers(s.table("workers")), cold(s.table("cold")), reports(s.table("reports")),
+                roster(s.table("roster")), network(s.table("network")),
+                dispatchers(s.table("dispatchers")),
+                members(s.table("members"), s.has("members")), leases(s, types),
+                troubles(s, sites), trials(s.table("experiment")), ladder(s.table("ladder")),
                 arms(s));
         if (!plan.length().longerThan(plan.clients().warmUp())) {
             s.fault("length", "is to be longer than clients.warm_up");
         }
-        s.end();
+        s.rejectUnknownKeys();
         return plan;
     }
 
@@ -129,17 +129,17 @@
 
     private static FleetPlan.Site site(TomlTable s, List<FleetPlan.Machine> machines) {
         List<FleetPlan.WorkerGroup> groups = new ArrayList<>();
-        for (TomlTable w : s.sections("workers")) {
+        for (TomlTable w : s.tables("workers")) {
             String machine = w.name("machine");
             if (machines.stream().noneMatch(m -> m.name().equals(machine))) {
                 w.fault("machine", "is \"" + machine + "\", which no [[machine]] is named");
             }
-            groups.add(new FleetPlan.WorkerGroup(machine, w.whole("count", 1, 20_000, 1)));
-            w.end();
+            groups.add(new FleetPlan.WorkerGroup(machine, w.integer("count", 1, 20_000, 1)));
+            w.rejectUnknownKeys();
         }
         FleetPlan.Site site = new FleetPlan.Site(s.name("name"), s.number("share", 0, 1e6, 1),
-                s.whole("dispatchers", 0, MOST_DISPATCHERS, 1), groups);
-        s.end();
+                s.integer("dispatchers", 0, MOST_DISPATCHERS, 1), groups);
+        s.rejectUnknownKeys();
         return site;
     }
 
@@ -153,37 +153,37 @@
                 s.span("due", Span.ofMillis(200)), s.number("stretch", 0, 100, 2),
                 s.span("expiry", Span.ofMillis(5000)), s.number("earnings", 0, 1e6, 1),
                 s.number("late_earnings", 0, 1e6, 0), s.number("slots", 0.001, 1000, 1),
-                s.number("memory", 0, 1e6, 0), s.whole("body", 0, 60_000, 100));
+                s.number("memory", 0, 1e6, 0), s.integer("body", 0, 60_000, 100));
         if (type.expiry().micros() <= type.due().micros()) {
             s.fault("expiry", "is to be longer than due");
         }
-        s.end();
+        s.rejectUnknownKeys();
         return type;
     }
 
     private static FleetPlan.Arrivals arrivals(TomlTable s, List<FleetPlan.Site> sites) {
         List<FleetPlan.Burst> bursts = new ArrayList<>();
-        for (TomlTable b : s.sections("burst")) {
+        for (TomlTable b : s.tables("burst")) {
             bursts.add(new FleetPlan.Burst(b.span("at", Span.ZERO), b.span("length", Span.ofMillis(1000)),
                     b.number("times", 0, 1000, 2), siteName(b, sites)));
-            b.end();
+            b.rejectUnknownKeys();
         }
         FleetPlan.Arrivals arrivals =
                 new FleetPlan.Arrivals(s.number("rate", 0, 1e6, 100), s.flag("even", false),
-                        s.whole("objects", 0, MOST, 1000), bursts);
-        s.end();
+                        s.integer("objects", 0, MOST, 1000), bursts);
+        s.rejectUnknownKeys();
         return arrivals;
     }
 
     private static FleetPlan.Clients clients(TomlTable s) {
         FleetPlan.Clients clients =
-                new FleetPlan.Clients(s.whole("processes", 1, 16, 1), s.whole("retries", 0, 20, 2),
+                new FleetPlan.Clients(s.integer("processes", 1, 16, 1), s.integer("retries", 0, 20, 2),
                         s.range("wait", Range.of(200, 400)), s.flag("honour_return", true),
                         s.number("patience", 0.01, 1, 1), s.range("dead_front", Range.of(1000, 2000)),
-                        s.span("most_late", Span.ofMillis(5)), s.whole("idle", 0, MOST, 0),
-                        s.whole("in_hand", 0, 100_000, 0), s.flag("keep", true),
+                        s.span("most_late", Span.ofMillis(5)), s.integer("idle", 0, MOST, 0),
+                        s.integer("in_hand", 0, 100_000, 0), s.flag("keep", true),
                         s.span("warm_up", Span.ZERO));
-        s.end();
+        s.rejectUnknownKeys();
         return clients;
     }
 
@@ -191,8 +191,8 @@
         FleetPlan.Workers workers = new FleetPlan.Workers(s.flag("tell_start", true),
                 s.span("progress", Span.ofMillis(1000)),
                 s.flag("stop_work", true), s.flag("in_order", true), s.span("idle", Span.ofMillis(60_000)),
-                s.whole("cell", 1, MOST, 2), s.span("connection_cost", Span.ZERO));
-        s.end();
+                s.integer("cell", 1, MOST, 2), s.span("connection_cost", Span.ZERO));
+        s.rejectUnknownKeys();
         return workers;
     }
 
@@ -200,13 +200,13 @@
         FleetPlan.Cold cold =
                 new FleetPlan.Cold(s.number("from", 0.01, 1, 0.12), s.span("warm", Span.ofMillis(8000)),
                         s.number("tip", 1, 1000, 4), s.span("fall", Span.ofMillis(1500)));
-        s.end();
+        s.rejectUnknownKeys();
         return cold;
     }
 
     private static FleetPlan.Reports reports(TomlTable s) {
         List<FleetPlan.Reports.Figure> figures = new ArrayList<>();
-        for (String name : s.texts("figures", List.of("free-slots", "waiting"))) {
+        for (String name : s.strings("figures", List.of("free-slots", "waiting"))) {
             try {
                 figures.add(FleetPlan.Reports.Figure
                         .valueOf(name.toUpperCase(java.util.Locale.ROOT).replace('-', '_')));
@@ -219,32 +219,32 @@
                 new FleetPlan.Reports(
                         s.oneOf("how", FleetPlan.Reports.How.class, FleetPlan.Reports.How.INLINE),
                         figures, s.span("refresh", Span.ofMillis(500)));
-        s.end();
+        s.rejectUnknownKeys();
         return reports;
     }
 
     private static FleetPlan.Roster roster(TomlTable s) {
-        FleetPlan.Roster roster = new FleetPlan.Roster(s.whole("port", 0, 65_000, 0),
+        FleetPlan.Roster roster = new FleetPlan.Roster(s.integer("port", 0, 65_000, 0),
                 s.range("delay", Range.of(200, 1000)), s.flag("live_weights", false),
                 s.span("refresh", Span.ofMillis(1000)), s.span("grace", Span.ofMillis(250)));
-        s.end();
+        s.rejectUnknownKeys();
         return roster;
     }
 
     private static FleetPlan.Network network(TomlTable s) {
         FleetPlan.Network network = new FleetPlan.Network(s.range("crossing", Range.of(0, 0)));
-        s.end();
+        s.rejectUnknownKeys();
         return network;
     }
 
     private static FleetPlan.Dispatchers dispatchers(TomlTable s) {
-        FleetPlan.Dispatchers d = new FleetPlan.Dispatchers(s.whole("port", 0, 65_000, 0),
-                s.whole("memory_mb", 32, 65_536, 192),
-                s.whole("sockets", 104, MOST, 1024), s.text("cpus", ""), s.text("jar", ""),
-                s.texts("java", List.of()), s.flag("probes", true), s.flag("copies", true),
-                s.whole("most_assignments", 1, 20, 5), s.span("longest_return", Span.ofMillis(2000)),
-                s.raw("settings"));
-        s.end();
+        FleetPlan.Dispatchers d = new FleetPlan.Dispatchers(s.integer("port", 0, 65_000, 0),
+                s.integer("memory_mb", 32, 65_536, 192),
+                s.integer("sockets", 104, MOST, 1024), s.text("cpus", ""), s.text("jar", ""),
+                s.strings("java", List.of()), s.flag("probes", true), s.flag("copies", true),
+                s.integer("most_assignments", 1, 20, 5), s.span("longest_return", Span.ofMillis(2000)),
+                s.node("settings"));
+        s.rejectUnknownKeys();
         return d;
     }
 
@@ -255,27 +255,27 @@
                         s.span("forget", Span.ofMillis(86_400_000)),
                         s.flag("news", true), s.span("known_by", period.times(40)),
                         s.span("agree_by", period.times(60)));
-        s.end();
+        s.rejectUnknownKeys();
         return m;
     }
 
     private static FleetPlan.Leases leases(TomlTable s, List<FleetPlan.Type> types) {
-        TomlTable l = s.section("leases");
+        TomlTable l = s.table("leases");
         List<FleetPlan.Duty> duties = new ArrayList<>();
-        for (TomlTable d : s.sections("duty")) {
+        for (TomlTable d : s.tables("duty")) {
             FleetPlan.Duty duty =
                     new FleetPlan.Duty(d.name("name"), d.name("type"), d.span("every", Span.ofMillis(5000)),
-                            d.whole("objects", 1, MOST, 10), d.number("rate", 0.1, 10_000, 10));
+                            d.integer("objects", 1, MOST, 10), d.number("rate", 0.1, 10_000, 10));
             if (types.stream().noneMatch(t -> t.name().equals(duty.type()))) {
                 d.fault("type", "is \"" + duty.type() + "\", which no [[type]] is named");
             }
-            d.end();
+            d.rejectUnknownKeys();
             duties.add(duty);
         }
         FleetPlan.Leases leases =
-                new FleetPlan.Leases(l.whole("keepers", 1, 7, 3), l.span("term", Span.ofMillis(2000)),
+                new FleetPlan.Leases(l.integer("keepers", 1, 7, 3), l.span("term", Span.ofMillis(2000)),
                         l.number("drift", 0, 0.3, 0.01), l.flag("checked", true), duties);
-        l.end();
+        l.rejectUnknownKeys();
         return leases;
     }
 
@@ -289,7 +289,7 @@
 
     private static List<FleetPlan.Trouble> troubles(TomlTable s, List<FleetPlan.Site> sites) {
         List<FleetPlan.Trouble> troubles = new ArrayList<>();
-        for (TomlTable t : s.sections("trouble")) {
+        for (TomlTable t : s.tables("trouble")) {
             if (!t.has("what")) {
                 t.fault("what", "is missing, expected a kind of trouble");
             }
@@ -297,7 +297,7 @@
                     t.oneOf("what", FleetPlan.Trouble.Kind.class, FleetPlan.Trouble.Kind.SLOW),
                     t.span("at", Span.ZERO),
                     t.span("length", Span.ofMillis(5000)), t.number("share", 0, 1, 0), siteName(t, sites),
-                    t.texts("names", List.of()), t.number("factor", 1, 1000, 4),
+                    t.strings("names", List.of()), t.number("factor", 1, 1000, 4),
                     t.number("rate", 0, 1, 0.5), t.span("delay", Span.ofMillis(1000)));
             if (trouble.what() == FleetPlan.Trouble.Kind.CUT && trouble.site().isEmpty()) {
                 t.fault("site", "is missing: a cut is of one site");
@@ -311,7 +311,7 @@
             if (trouble.ofWays() && trouble.names().isEmpty() && trouble.site().isEmpty()) {
                 t.fault("names", "is missing: pairs such as \"d1>d2\", or a site");
             }
-            t.end();
+            t.rejectUnknownKeys();
             troubles.add(trouble);
         }
         return troubles;
@@ -319,14 +319,14 @@
 
     private static FleetPlan.Trials trials(TomlTable s) {
         List<Long> seeds = new ArrayList<>();
-        int pairs = s.whole("pairs", 1, 1000, 6);
-        int first = s.whole("first_seed", 0, MOST, 1);
+        int pairs = s.integer("pairs", 1, 1000, 6);
+        int first = s.integer("first_seed", 0, MOST, 1);
         for (int i = 0; i < pairs; i++) {
             seeds.add((long) first + i);
         }
         FleetPlan.Trials trials = new FleetPlan.Trials(seeds, s.number("confidence", 0.5, 0.999, 0.95),
                 s.span("settle", Span.ofMillis(1000)));
-        s.end();
+        s.rejectUnknownKeys();
         return trials;
     }
 
@@ -334,18 +334,18 @@
         FleetPlan.Ladder ladder =
                 new FleetPlan.Ladder(s.span("bound", Span.ofMillis(2)), s.number("most", 1, 1e6, 20_000),
                         s.number("narrow", 0.01, 1, 0.1));
-        s.end();
+        s.rejectUnknownKeys();
         return ladder;
     }
 
     private static List<FleetPlan.Arm> arms(TomlTable s) {
         List<FleetPlan.Arm> arms = new ArrayList<>();
-        for (TomlTable a : s.sections("arm")) {
-            FleetPlan.Arm arm = new FleetPlan.Arm(a.name("name"), a.raw("set"));
+        for (TomlTable a : s.tables("arm")) {
+            FleetPlan.Arm arm = new FleetPlan.Arm(a.name("name"), a.node("set"));
             if (arms.stream().anyMatch(b -> b.name().equals(arm.name()))) {
                 a.fault("name", "is \"" + arm.name() + "\", like the name of another arm");
             }
-            a.end();
+            a.rejectUnknownKeys();
             arms.add(arm);
         }
         return arms;
--- a/src/main/java/rampshift/testbed/workers/EmulatedWorker.java
+++ b/src/main/java/rampshift/testbed/workers/EmulatedWorker.java
@@ -107,7 +107,7 @@
     void comeBack() {
         down = false;
         machine.restart(EventClock.now());
-        ledger.line(EventClock.now(), "boot", uid, "cold");
+        ledger.append(EventClock.now(), "boot", uid, "cold");
         links.forEach(Link::open);
         work();
     }
@@ -154,10 +154,10 @@
                 && groups[job.type].repeat(job.key, type.window(), now);
         if (!repeat && job.lease != null) {
             repeat = !tokens.take(job.lease, job.token);
-            ledger.line(now, repeat ? "refused" : "effect", job.lease, job.token, uid, job.txn, job.key,
+            ledger.append(now, repeat ? "refused" : "effect", job.lease, job.token, uid, job.txn, job.key,
                     type.effect().name().toLowerCase(java.util.Locale.ROOT));
         } else {
-            ledger.line(now, repeat ? "dropped" : "began", uid, job.txn, job.key, type.name());
+            ledger.append(now, repeat ? "dropped" : "began", uid, job.txn, job.key, type.name());
         }
         Talk talk = talkOf(job);
         if (talk == null) {
@@ -208,7 +208,7 @@
             Moment now = EventClock.now();
             boolean begins = !reader.within();
             if (begins && hit(ill.resetBefore)) {
-                ledger.line(now, "part", uid, link.dispatcher);
+                ledger.append(now, "part", uid, link.dispatcher);
                 line.reset();
                 forget();
                 return;
@@ -216,7 +216,7 @@
             try {
                 reader.take(bytes, 0, count, beat.earliest(line.earliest()));
             } catch (IOException e) {
-                ledger.line(now, "odd", uid, link.dispatcher);
+                ledger.append(now, "odd", uid, link.dispatcher);
                 line.close();
                 forget();
             }
@@ -247,7 +247,7 @@
                 return;
             }
             String report = reports.now(machine, now);
-            ledger.line(now, "probe", uid, link.dispatcher);
+            ledger.append(now, "probe", uid, link.dispatcher);
             if (message.target().equals("/status/load") || message.target().equals("/health")) {
                 String body = message.target().equals("/health") || report == null ? "" : report;
                 line.write("HTTP/1.1 200 OK\r\nContent-Length: " + body.length() + "\r\n\r\n" + body);
@@ -260,14 +260,15 @@
             String txn = message.field("X-Txn");
             Job came = job(message, txn);
             if (came == null || job != null) {
-                ledger.line(now, "odd", uid, link.dispatcher);
+                ledger.append(now, "odd", uid, link.dispatcher);
                 line.write("HTTP/1.1 400 Bad Request\r\nContent-Length: 0\r\n\r\n");
                 return;
             }
-            ledger.line(now, "took", uid, link.dispatcher, txn, came.key, plan.types().get(came.type).name(),
+            ledger.append(now, "took", uid, link.dispatcher, txn, came.key,
+                    plan.types().get(came.type).name(),
                     message.began().micros(), machine.cold() ? "cold" : "warm");
             if (came.lease != null) {
-                ledger.line(now, "acted", txn);
+                ledger.append(now, "acted", txn);
             }
             taskCame.run();
             tookAt = now;
@@ -282,7 +283,7 @@
             }
             job = null;
             if (machine.fallen() && !fell) {
-                ledger.line(now, "fell", uid);
+                ledger.append(now, "fell", uid);
                 crash();
             } else {
                 turnAway(came, now);
@@ -290,7 +291,7 @@
         }
 
         private void turnAway(Job came, Moment now) {
-            ledger.line(now, "away", uid, came.txn);
+            ledger.append(now, "away", uid, came.txn);
             String report =
                     plan.reports().how() == FleetPlan.Reports.How.INLINE ? reports.now(machine, now) : null;
             line.write("HTTP/1.1 503 Service Unavailable\r\nX-Turned-Away: 1\r\n"
@@ -368,7 +369,7 @@
         }
 
         void errs(Moment now) {
-            ledger.line(now, "erred", uid, job.txn);
+            ledger.append(now, "erred", uid, job.txn);
             if (answering) {
                 note("\"failed\"" + load(now));
                 send("0\r\n\r\n");
@@ -384,7 +385,7 @@
          */
         void done(Moment now) {
             String result = uid + "/" + job.txn + "/" + now.since(tookAt).micros();
-            ledger.line(now, "done", uid, job.txn, result);
+            ledger.append(now, "done", uid, job.txn, result);
             begin();
             String last = chunk(
                     "{\"id\":\"" + job.txn + "\",\"from\":\"" + uid + "\",\"state\":\"done\"" + load(now)
@@ -437,7 +438,7 @@
             Job had = job;
             forget();
             if (had != null) {
-                ledger.line(EventClock.now(), "off", uid, had.txn, had.begun ? "begun" : "unbegun");
+                ledger.append(EventClock.now(), "off", uid, had.txn, had.begun ? "begun" : "unbegun");
                 if (!had.begun || plan.workers().stops()) {
                     machine.remove(had, EventClock.now());
                 }
--- a/src/main/java/rampshift/testbed/workers/Fleet.java
+++ b/src/main/java/rampshift/testbed/workers/Fleet.java
@@ -96,7 +96,7 @@
                             new WorkerEntry(uid, site.name(), kind.name(), cell, WorkerEntry.State.READY,
                                     one.weight(), 0,
                                     ports));
-                    ledger.line(EventClock.now(), "boot", uid, "warm");
+                    ledger.append(EventClock.now(), "boot", uid, "warm");
                 }
             }
         }
--- a/src/main/java/rampshift/toml/TomlFile.java
+++ b/src/main/java/rampshift/toml/TomlFile.java
@@ -60,7 +60,7 @@
     }
 
     /** To be called once all has been read: throws a {@link ConfigurationException} with all faults found. */
-    public void sound() {
+    public void throwIfFaulty() {
         if (!source.faults().isEmpty()) {
             throw new ConfigurationException(source.faults());
         }
--- a/src/main/java/rampshift/toml/TomlTable.java
+++ b/src/main/java/rampshift/toml/TomlTable.java
@@ -96,7 +96,7 @@
     }
 
     /** A whole number between the two bounds, both included. */
-    public int whole(String key, int minimum, int maximum, int ifAbsent) {
+    public int integer(String key, int minimum, int maximum, int ifAbsent) {
         JsonNode value = get(key);
         if (value == null) {
             return ifAbsent;
@@ -205,7 +205,7 @@
     }
 
     /** An array of texts. */
-    public List<String> texts(String key, List<String> ifAbsent) {
+    public List<String> strings(String key, List<String> ifAbsent) {
         JsonNode value = get(key);
         if (value == null) {
             return ifAbsent;
@@ -221,12 +221,12 @@
     }
 
     /** A table within this one; an empty one where there is none. */
-    public TomlTable section(String key) {
+    public TomlTable table(String key) {
         return new TomlTable(source, get(key), path(key));
     }
 
     /** An array of tables; empty where there is none. */
-    public List<TomlTable> sections(String key) {
+    public List<TomlTable> tables(String key) {
         JsonNode value = get(key);
         List<TomlTable> tables = new ArrayList<>();
         if (value != null && !value.isArray()) {
@@ -240,12 +240,12 @@
     }
 
     /** The value as parsed, for what is passed on unread; null where there is none. */
-    public JsonNode raw(String key) {
+    public JsonNode node(String key) {
         return get(key);
     }
 
     /** To be called once all has been read: each key that was not asked for is a fault. */
-    public void end() {
+    public void rejectUnknownKeys() {
         for (Iterator<String> names = node.fieldNames(); names.hasNext();) {
             String name = names.next();
             if (!known.contains(name)) {
