--- a/src/test/java/rampshift/EventSimulation.java
+++ b/src/test/java/rampshift/EventSimulation.java
@@ -15,12 +15,12 @@
     protected long now;
     public long played;
 
-    protected final void due(long when, Runnable what) {
+    protected final void schedule(long when, Runnable what) {
         due.add(new Due(when, ++numbers, what));
     }
 
     /** Goes on for so many seconds. */
-    public void go(double seconds) {
+    public void advance(double seconds) {
         long end = now + Math.round(seconds * 1_000_000);
         while (!due.isEmpty() && due.peek().at <= end) {
             Due next = due.poll();
@@ -32,13 +32,13 @@
     }
 
     /** Goes on until it is so, looking each step of so many seconds; the seconds that took, or -1. */
-    public double until(double most, double step, BooleanSupplier so) {
+    public double advanceUntil(double most, double step, BooleanSupplier so) {
         long from = now;
         while (!so.getAsBoolean()) {
             if ((now - from) / 1e6 >= most) {
                 return -1;
             }
-            go(step);
+            advance(step);
         }
         return (now - from) / 1e6;
     }
--- a/src/test/java/rampshift/TestPeers.java
+++ b/src/test/java/rampshift/TestPeers.java
@@ -36,12 +36,12 @@
 
     /** One message of HTTP/1.1 as it came: the head's lines, and the body's bytes. */
     public record Message(List<String> head, byte[] body) {
-        public String first() {
+        public String startLine() {
             return head.get(0);
         }
 
         public int status() {
-            return Integer.parseInt(first().substring(9, 12));
+            return Integer.parseInt(startLine().substring(9, 12));
         }
 
         public String field(String name) {
@@ -115,7 +115,7 @@
         }
 
         /** What comes up to a text, that one with it; or up to the end. */
-        public String until(String text) throws IOException {
+        public String readUntil(String text) throws IOException {
             StringBuilder came = new StringBuilder();
             try {
                 while (came.indexOf(text) < 0) {
@@ -134,13 +134,13 @@
         }
 
         /** Waits so long at most for what is read. */
-        public Line patience(int ms) throws IOException {
+        public Line readTimeout(int ms) throws IOException {
             socket.setSoTimeout(ms);
             return this;
         }
 
         /** Waits for the other side to end it; what still comes is skipped. */
-        public boolean ended() {
+        public boolean closedByPeer() {
             try {
                 return socket.getInputStream().skip(Long.MAX_VALUE) >= 0
                         && socket.getInputStream().read() < 0;
@@ -156,19 +156,19 @@
         }
 
         /** Sends a task: the traffic type's name, and its body. */
-        public Line task(String txn, String type, String body) throws IOException {
+        public Line sendTask(String txn, String type, String body) throws IOException {
             return write("POST /api HTTP/1.1\r\nHost: a\r\nX-Txn: " + txn + "\r\nX-Lane: " + type
                     + "\r\nX-Remaining: 5.0\r\nContent-Length: " + body.length() + "\r\n\r\n" + body);
         }
 
         /** Ends the connection by FIN, or by RST. */
-        public void leave(String how) throws IOException {
+        public void disconnect(String how) throws IOException {
             socket.setSoLinger(how.equals("rst"), 0);
             socket.close();
         }
 
         /** A worker's answer: lines of a task's progress, in chunks. */
-        public void lines(String... lines) throws IOException {
+        public void respondWithProgress(String... lines) throws IOException {
             StringBuilder text = new StringBuilder("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n");
             for (String line : lines) {
                 text.append(Integer.toHexString(line.length() + 1)).append("\r\n").append(line)
@@ -177,12 +177,13 @@
             write(text + "0\r\n\r\n");
         }
 
-        public void done(Message task, String result) throws IOException {
+        public void respondDone(Message task, String result) throws IOException {
             String id = "{\"id\":\"" + task.field("X-Txn") + "\",";
-            lines(id + "\"state\":\"started\"}", id + "\"state\":\"done\",\"result\":\"" + result + "\"}");
+            respondWithProgress(id + "\"state\":\"started\"}",
+                    id + "\"state\":\"done\",\"result\":\"" + result + "\"}");
         }
 
-        public void status(int status, String fields) throws IOException {
+        public void respondStatus(int status, String fields) throws IOException {
             write("HTTP/1.1 " + status + " x\r\n" + fields + "Content-Length: 0\r\n\r\n");
         }
 
@@ -266,7 +267,7 @@
         /** A list of workers that changes as the story says. */
         public static Peer discovery(List<String> versions) throws IOException {
             return new Peer((message, line) -> {
-                String first = message.first();
+                String first = message.startLine();
                 int at = first.indexOf("index=");
                 int known = at < 0 ? 0 : Integer.parseInt(first.substring(at + 6, first.indexOf('&')));
                 long end = System.nanoTime() + (at < 0 ? 0
--- a/src/test/java/rampshift/discovery/EndpointWatchTest.java
+++ b/src/test/java/rampshift/discovery/EndpointWatchTest.java
@@ -263,7 +263,7 @@
         body.append("\n        ]\n}\n");
         assertTrue(body.length() > 1 << 20, "it is over the former bound: " + body.length());
         try (Peer large = new Peer((message, line) -> {
-            if (!message.first().contains("index=")) {
+            if (!message.startLine().contains("index=")) {
                 line.write("HTTP/1.1 200 OK\r\nContent-Length: " + body.length() + "\r\n\r\n" + body);
             }
         })) {
@@ -279,9 +279,9 @@
         switch (how) {
             case "silent" -> {
             }
-            case "503" -> line.status(503, "");
+            case "503" -> line.respondStatus(503, "");
             case "ended" -> line.close();
-            case "reset" -> line.leave("rst");
+            case "reset" -> line.disconnect("rst");
             case "cut in the head" -> line.write("HTTP/1.1 200 O").close();
             case "cut in the body" -> line.write(head + "500\r\n\r\n{\"rev\":5,\"all\":true,\"targ").close();
             case "stuck in the body" -> line.write(head + "500\r\n\r\n{\"rev\":5,\"all\":true,\"targ");
--- a/src/test/java/rampshift/leases/LeaseSimulation.java
+++ b/src/test/java/rampshift/leases/LeaseSimulation.java
@@ -201,7 +201,7 @@
             long wake = wakes;
             long waking = process;
             long trueMicros = (long) Math.ceil((time.micros() - CLOCK_START_MICROS) / clockRate) + 1;
-            due(Math.max(now, trueMicros), () -> {
+            schedule(Math.max(now, trueMicros), () -> {
                 if (wake == wakes && process == waking) {
                     run(() -> manager.onTimer(clock()));
                 }
@@ -251,17 +251,17 @@
     }
 
     void after(double millis, Runnable action) {
-        due(now + Math.round(millis * 1000), action);
+        schedule(now + Math.round(millis * 1000), action);
     }
 
     LeaseSimulation run(double seconds) {
-        go(seconds);
+        advance(seconds);
         return this;
     }
 
     /** Runs until the condition holds; returns the seconds that took, or -1 where it did not come to hold. */
     double until(double maxSeconds, BooleanSupplier condition) {
-        return until(maxSeconds, CHECK_INTERVAL_SECONDS, condition);
+        return advanceUntil(maxSeconds, CHECK_INTERVAL_SECONDS, condition);
     }
 
     /** Under what a dispatcher may act nobody else may, and nobody ever did with a higher token. */
--- a/src/test/java/rampshift/membership/SimulatedNetwork.java
+++ b/src/test/java/rampshift/membership/SimulatedNetwork.java
@@ -159,7 +159,7 @@
         public void wakeAt(Moment when) {
             wakes++;
             long wake = wakes;
-            due(Math.max(now, when.micros()), () -> {
+            schedule(Math.max(now, when.micros()), () -> {
                 if (wake == wakes) {
                     handle(() -> membership.onWake(moment()));
                 }
@@ -246,21 +246,21 @@
     }
 
     private void after(double micros, Runnable action) {
-        due(now + Math.round(micros), action);
+        schedule(now + Math.round(micros), action);
     }
 
     void at(double seconds, Runnable action) {
-        due(now + Math.round(seconds * MICROS_PER_SECOND), action);
+        schedule(now + Math.round(seconds * MICROS_PER_SECOND), action);
     }
 
     SimulatedNetwork run(double seconds) {
-        go(seconds);
+        advance(seconds);
         return this;
     }
 
     /** Runs until the condition holds; returns the seconds that took, or -1 if it did not hold in time. */
     double until(double maxSeconds, BooleanSupplier condition) {
-        return until(maxSeconds, CHECK_INTERVAL_SECONDS, condition);
+        return advanceUntil(maxSeconds, CHECK_INTERVAL_SECONDS, condition);
     }
 
     /** Whether all running members take those that run for alive, and the others not. */
--- a/src/test/java/rampshift/migrate/MigrateCommandTest.java
+++ b/src/test/java/rampshift/migrate/MigrateCommandTest.java
@@ -231,7 +231,7 @@
         Peer unresponsive = new Peer((task, line) -> {});
         Peer good = new Peer((task, line) -> {
             String id = task.field("X-Txn");
-            line.lines("{\"id\":\"" + id + "\",\"state\":\"started\"}",
+            line.respondWithProgress("{\"id\":\"" + id + "\",\"state\":\"started\"}",
                     "{\"id\":\"" + id + "\",\"state\":\"done\",\"result\":\"ok\"}");
         });
         String list = TestPeers.list(true, unresponsive.entry("s-1", "in_service"),
@@ -257,7 +257,7 @@
                     () -> client.write("GET /ready HTTP/1.1\r\nHost: a\r\n\r\n").read()
                             .status() == 200);
             for (int i = 0; i < 6; i++) {
-                assertEquals(200, client.task("t" + i, "look", "x").read().status());
+                assertEquals(200, client.sendTask("t" + i, "look", "x").read().status());
             }
             assertEquals(6, good.received.size(), "what does not begin at one worker goes on to the other");
             assertTrue(polls.get() >= 2, "the list refused at first");
--- a/src/test/java/rampshift/serve/ConnectionRaceTest.java
+++ b/src/test/java/rampshift/serve/ConnectionRaceTest.java
@@ -63,20 +63,20 @@
     void aClientThatLeavesIsNoticedWhateverItSentBehindItsTask(String how, String behind) throws Exception {
         Peer worker = holder();
         node = node(null, list(true, worker.entry("s-1", "in_service")), LIMITS);
-        Line client = client().task("t", "sell", "x");
+        Line client = client().sendTask("t", "sell", "x");
         until("it is out", () -> worker.received.size() == 1);
         switch (behind) {
             case "half" -> client.write("POST /api HTTP/1.1\r\nHost: a\r\nX-Txn: h\r\nContent-Le");
-            case "whole" -> client.task("b", "look", "x");
+            case "whole" -> client.sendTask("b", "look", "x");
             case "many" -> {
                 for (int i = 0; i < 6; i++) {
-                    client.task("b" + i, "look", "x".repeat(60_000));
+                    client.sendTask("b" + i, "look", "x".repeat(60_000));
                 }
             }
             default -> {
             }
         }
-        client.leave(how);
+        client.disconnect(how);
         until("the worker's connection ended", () -> worker.ended.size() == 1);
         assertEquals(1, worker.received.size(), "and what it sent behind goes nowhere");
         assertEquals(1, count("client_gone"));
@@ -91,13 +91,13 @@
         CountDownLatch go = new CountDownLatch(1);
         Peer worker = worker((task, line) -> {
             go.await();
-            line.done(task, task.field("X-Txn"));
+            line.respondDone(task, task.field("X-Txn"));
         });
         node = node(null, list(true, worker.entry("s-1", "in_service")), LIMITS);
-        Line client = client().task("t", "sell", "x");
+        Line client = client().sendTask("t", "sell", "x");
         until("it is out", () -> worker.received.size() == 1);
         for (int i = 0; i < 20; i++) {
-            client.task("b" + i, "look", "x".repeat(60_000));
+            client.sendTask("b" + i, "look", "x".repeat(60_000));
         }
         // Before the answer: what the kernel still held when it was written was let through like any next
         // call.
@@ -119,13 +119,13 @@
         CountDownLatch go = new CountDownLatch(1);
         Peer worker = worker((task, line) -> {
             go.await();
-            line.done(task, "sold");
+            line.respondDone(task, "sold");
         });
         node = node(null, list(true, worker.entry("s-1", "in_service")), "{\"memory_mb\":1,\"sockets\":256}");
         String head =
                 "POST /api HTTP/1.1\r\nHost: a\r\nX-Lane: look\r\nX-Remaining: 5\r\nContent-Length: 60000\r\nX-Txn: ";
         Line stalls = client().write(head + "a\r\n\r\nhalf");
-        Line client = client().task("t", "sell", "x");
+        Line client = client().sendTask("t", "sell", "x");
         until("it is out", () -> worker.received.size() == 1);
         client.write(head + "b\r\n\r\nhalf");
         until("it was seen", () -> count("sent_ahead") + count("turned_down") == 1);
@@ -145,10 +145,10 @@
         CountDownLatch go = new CountDownLatch(1);
         Peer worker = worker((task, line) -> {
             go.await();
-            line.done(task, "ok");
+            line.respondDone(task, "ok");
         });
         node = node(null, list(true, worker.entry("s-1", "in_service")), LIMITS);
-        Line client = client().task("a", "look", "x")
+        Line client = client().sendTask("a", "look", "x")
                 .write("POST /api HTTP/1.1\r\nHost: a\r\nX-Txn: b\r\nX-Lane: look\r\n"
                         + "X-Remaining: 5\r\nContent-Length: 3\r\nExpect: 100-continue\r\n\r\n");
         until("it is out", () -> worker.received.size() == 1);
@@ -164,19 +164,19 @@
         Peer worker = holder();
         Peer agent = worker((message, line) -> {
             tell.await();
-            if (message.first().contains("index=")) {
+            if (message.startLine().contains("index=")) {
                 return;
             }
             String body = list(true, worker.entry("s-1", "in_service")).replace("REV", "1");
             line.write("HTTP/1.1 200 OK\r\nContent-Length: " + body.length() + "\r\n\r\n" + body);
         });
         node = new DispatcherServer(configuration(agent, list(true, worker.entry("s-1", "in_service")), ""));
-        client().task("t", "look", "x").leave("fin");
+        client().sendTask("t", "look", "x").disconnect("fin");
         until("it is noticed", () -> count("client_gone") == 1);
         assertEquals(0, worker.received.size());
         tell.countDown();
         until("the list is there", () -> count("lists_whole") > 0);
-        client().task("next", "look", "x");
+        client().sendTask("next", "look", "x");
         until("the next one is out", () -> !worker.received.isEmpty());
         assertEquals("next", worker.received.get(0).field("X-Txn"));
     }
@@ -197,10 +197,10 @@
                     TestPeers.configuration(null, list(true, entry), LIMITS).replace("\"DialTimeoutMs\":500",
                             "\"DialTimeoutMs\":20000").getBytes(StandardCharsets.UTF_8)));
             node.awaitReady();
-            Line client = client().task("t", "sell", "x");
+            Line client = client().sendTask("t", "sell", "x");
             until("it is dialed", () -> count("dialed") == 1);
             assertEquals(0, count("outcome_not_sent"));
-            client.leave("rst");
+            client.disconnect("rst");
             until("its dial is called off", () -> count("outcome_not_sent") == 1);
             assertEquals(1, count("client_gone"));
         }
@@ -213,7 +213,7 @@
                 .mapToObj(i -> worker.entry("s-" + i, "in_service")).toArray(String[]::new)), LIMITS);
         List<Line> clients = new ArrayList<>();
         for (int i = 0; i < 300; i++) {
-            clients.add(client().task("t" + i, "look", "x"));
+            clients.add(client().sendTask("t" + i, "look", "x"));
         }
         until("all are taken in", () -> count("taken") == 300);
         Set<Integer> ports = clients.stream().map(Line::port).collect(Collectors.toSet());
@@ -224,7 +224,7 @@
         FutureTask<Integer> noticed = new FutureTask<>(() -> looks[0]);
         NextTick turn = onThread(() -> {
             for (int i = 0; i < 300; i++) {
-                clients.get(i).leave(i % 2 == 0 ? "fin" : "rst");
+                clients.get(i).disconnect(i % 2 == 0 ? "fin" : "rst");
             }
             until("all ends are in the kernel", () -> established(ports) == 0);
             NextTick t = new NextTick(node.thread);
@@ -287,9 +287,9 @@
         long[] micros = new long[100];
         for (int i = 0; i < micros.length; i++) {
             int out = worker.received.size();
-            Line client = client().task("t" + i, "look", "x");
+            Line client = client().sendTask("t" + i, "look", "x");
             until("it is out", () -> worker.received.size() > out);
-            client.leave(i % 2 == 0 ? "fin" : "rst");
+            client.disconnect(i % 2 == 0 ? "fin" : "rst");
             long left = System.nanoTime();
             while (onThread(() -> node.dispatcher.tasks.size()) > 0) {
                 Thread.onSpinWait();
@@ -310,7 +310,7 @@
      */
     private void unread(Line client, String txn, Runnable then) throws Exception {
         onThread(() -> {
-            client.task(txn, "sell", "x");
+            client.sendTask(txn, "sell", "x");
             then.run();
             return null;
         });
@@ -322,10 +322,10 @@
      */
     @Test
     void aCallThatLiesUnreadAtTheLastCallIsAnswered() throws Exception {
-        Peer worker = worker((task, line) -> line.done(task, "ok"));
+        Peer worker = worker((task, line) -> line.respondDone(task, "ok"));
         node = node(null, list(true, worker.entry("s-1", "in_service")), LIMITS);
         Line client = client();
-        assertEquals(200, client.task("a", "sell", "x").read().status());
+        assertEquals(200, client.sendTask("a", "sell", "x").read().status());
         unread(client, "b", () -> node.dispatcher.closeToRequests());
         assertEquals(503, client.read().status());
         assertEquals(1, worker.received.size());
@@ -337,7 +337,7 @@
      */
     @Test
     void aCallThatLiesUnreadWhenItsClientHasIdledTooLongIsAnswered() throws Exception {
-        Peer worker = worker((task, line) -> line.done(task, "ok"));
+        Peer worker = worker((task, line) -> line.respondDone(task, "ok"));
         node = node(null, list(true, worker.entry("s-1", "in_service")), LIMITS);
         Line client = client();
         assertEquals(200, client.write("GET /ready HTTP/1.1\r\nHost: a\r\n\r\n").read().status());
@@ -355,17 +355,17 @@
      */
     @Test
     void aCallThatCrossedTheEndOfItsConnectionIsTakenOnTheNextOne() throws Exception {
-        Peer worker = worker((task, line) -> line.done(task, "ok"));
+        Peer worker = worker((task, line) -> line.respondDone(task, "ok"));
         node = new DispatcherServer(Configuration.read(TestPeers
                 .configuration(null, list(true, worker.entry("s-1", "in_service")), LIMITS)
                 .replaceAll("\"ExpiryMs\":\\d+", "\"ExpiryMs\":1500").getBytes(StandardCharsets.UTF_8)));
         node.awaitReady();
         Line client = client();
-        assertEquals(200, client.task("a", "sell", "x").read().status());
+        assertEquals(200, client.sendTask("a", "sell", "x").read().status());
         Thread stop = new Thread(node::stop);
         stop.start();
-        assertTrue(client.ended(), "between calls");
-        assertEquals(503, client().task("b", "sell", "x").read().status());
+        assertTrue(client.closedByPeer(), "between calls");
+        assertEquals(503, client().sendTask("b", "sell", "x").read().status());
         stop.join(20_000);
         assertTrue(node.isStopped());
     }
@@ -376,7 +376,7 @@
      */
     @Test
     void aStopThatComesBeforeTheStartIsOverEndsItInGoodOrder() throws Exception {
-        Peer worker = worker((task, line) -> line.done(task, "ok"));
+        Peer worker = worker((task, line) -> line.respondDone(task, "ok"));
         FutureTask<DispatcherServer> start =
                 new FutureTask<>(() -> node(null, list(true, worker.entry("s-1", "in_service")), LIMITS));
         Thread stop = MainAccess.stopper(start);
@@ -386,7 +386,7 @@
         Line client = client();
         until("it stops", () -> client.write("GET /ready HTTP/1.1\r\nHost: a\r\n\r\n").read().text()
                 .equals("stopping\n"));
-        assertEquals(200, client.task("a", "sell", "x").read().status());
+        assertEquals(200, client.sendTask("a", "sell", "x").read().status());
         client.close();
         stop.join(20_000);
         assertTrue(node.isStopped());
@@ -399,8 +399,8 @@
                 .configuration(null, list(true, worker.entry("s-1", "in_service")), LIMITS)
                 .replaceAll("\"ExpiryMs\":\\d+", "\"ExpiryMs\":1500").getBytes(StandardCharsets.UTF_8)));
         node.awaitReady();
-        Line look = client().task("a", "look", "x");
-        Line sell = client().task("b", "sell", "x");
+        Line look = client().sendTask("a", "look", "x");
+        Line sell = client().sendTask("b", "sell", "x");
         until("they are out", () -> worker.received.size() == 2);
         onThread(() -> {
             node.dispatcher.policyHost.endAllTasks();
@@ -425,7 +425,7 @@
             line.write(chunk.substring(30));
         });
         node = node(null, list(true, worker.entry("s-1", "in_service")), LIMITS);
-        Line client = client().task("t", "sell", "x");
+        Line client = client().sendTask("t", "sell", "x");
         until("it is out", () -> worker.received.size() == 1);
         onThread(() -> {
             half.countDown();
@@ -435,7 +435,7 @@
             rest.countDown();
             return null;
         });
-        String answer = client.until("[no such text]");
+        String answer = client.readUntil("[no such text]");
         assertTrue(answer.startsWith("HTTP/1.1 504 ") && answer.endsWith("\r\n\r\n[END]"), answer);
         until("the worker's connection ended", () -> worker.ended.size() == 1);
         assertEquals(0, count("finished"));
@@ -445,17 +445,17 @@
 
     @Test
     void aListMayComeIndented() throws Exception {
-        Peer worker = worker((task, line) -> line.done(task, "ok"));
+        Peer worker = worker((task, line) -> line.respondDone(task, "ok"));
         String body = list(true, worker.entry("s-1", "in_service")).replace("REV", "3")
                 .replace("{", "{\r\n  ").replace(",", " ,\n\t").replace(":", " : ")
                 .replace("127.0.0.1 : ", "127.0.0.1:").replace("]", "\n]\n");
         Peer agent = worker((message, line) -> {
-            if (!message.first().contains("index=")) {
+            if (!message.startLine().contains("index=")) {
                 line.write("HTTP/1.1 200 OK\r\nContent-Length: " + body.length() + "\r\n\r\n" + body);
             }
         });
         node = new DispatcherServer(configuration(agent, list(true), ""));
-        assertEquals(200, client().task("t", "sell", "x").read().status());
+        assertEquals(200, client().sendTask("t", "sell", "x").read().status());
         assertEquals(1, count("lists_whole"));
     }
 
@@ -465,12 +465,12 @@
      */
     @Test
     void aListReadInTheMidstOfWhatAnOlderOneSetsOffWins() throws Exception {
-        Peer worker = worker((task, line) -> line.done(task, "ok"));
+        Peer worker = worker((task, line) -> line.respondDone(task, "ok"));
         CountDownLatch tell = new CountDownLatch(1);
         Peer agent = worker((message, line) -> {
             tell.await();
-            boolean first = !message.first().contains("index=");
-            if (first || message.first().contains("index=1")) {
+            boolean first = !message.startLine().contains("index=");
+            if (first || message.startLine().contains("index=1")) {
                 String body = list(true, worker.entry("s-1", first ? "in_service" : "terminating"))
                         .replace("REV", first ? "1" : "2");
                 line.write("HTTP/1.1 200 OK\r\nContent-Length: " + body.length() + "\r\n\r\n" + body);
@@ -478,7 +478,7 @@
         });
         node = new DispatcherServer(configuration(agent, list(true, worker.entry("s-1", "in_service")),
                 "\"Rules\":{\"StopSendingWithinMs\":10},"));
-        Line client = client().task("t", "sell", "x");
+        Line client = client().sendTask("t", "sell", "x");
         until("it is taken", () -> count("taken") == 1);
         onThread(() -> {
             Runnable look = node.beforeFirstByte();
@@ -495,7 +495,7 @@
         assertEquals(503, client.read().status());
         assertEquals(0, worker.received.size());
         assertEquals(1, count("first_byte_held_back"));
-        assertEquals(503, client().task("u", "sell", "x").read().status());
+        assertEquals(503, client().sendTask("u", "sell", "x").read().status());
         assertEquals(1, count("assigned"), "the module goes by the newer one too");
     }
 
@@ -507,7 +507,7 @@
      */
     @Test
     void oneCustomersSettingsLeaveNoTraceAtAnother() throws Exception {
-        Script errs = (task, line) -> line.status(500, "");
+        Script errs = (task, line) -> line.respondStatus(500, "");
         Peer one = worker(errs);
         Peer two = worker(errs);
         String known = list(true, one.entry("s-1", "in_service"), two.entry("s-2", "in_service"));
@@ -520,10 +520,10 @@
         try {
             node.awaitReady();
             other.awaitReady();
-            assertEquals(504, client().task("a1", "sell", "x").read().status());
-            assertEquals(504, new Line(other).task("b1", "look", "x").read().status());
-            new Line(other).task("b2", "sell", "x").read();
-            client().task("a2", "look", "x").read();
+            assertEquals(504, client().sendTask("a1", "sell", "x").read().status());
+            assertEquals(504, new Line(other).sendTask("b1", "look", "x").read().status());
+            new Line(other).sendTask("b2", "sell", "x").read();
+            client().sendTask("a2", "look", "x").read();
             assertEquals(List.of(1, 1), List.of(sent("a1", one, two), sent("b1", one, two)));
             assertTrue(sent("a2", one, two) > 1 && sent("b2", one, two) > 1);
         } finally {
--- a/src/test/java/rampshift/serve/DispatcherServerTest.java
+++ b/src/test/java/rampshift/serve/DispatcherServerTest.java
@@ -38,7 +38,7 @@
     }
 
     private static Script good() {
-        return (task, line) -> line.done(task, "ok");
+        return (task, line) -> line.respondDone(task, "ok");
     }
 
     // ---- the first list
@@ -48,7 +48,7 @@
         Peer drained = worker(good());
         Peer stays = worker(good());
         Peer slow = worker((message, line) -> {
-            Thread.sleep(message.first().contains("index=") ? 900 : 400);
+            Thread.sleep(message.startLine().contains("index=") ? 900 : 400);
             String body = list(true, drained.entry("s-1", "terminating"), stays.entry("s-2", "in_service"))
                     .replace("REV", "9");
             line.write("HTTP/1.1 200 OK\r\nContent-Length: " + body.length() + "\r\n\r\n" + body);
@@ -58,7 +58,7 @@
                         .read(TestPeers.configuration(slow, list(true, drained.entry("s-1", "in_service"),
                                 stays.entry("s-2", "in_service")), LIMITS).getBytes(StandardCharsets.UTF_8)));
         for (int i = 0; i < 8; i++) {
-            client().task("t" + i, "look", "x");
+            client().sendTask("t" + i, "look", "x");
         }
         until("all have come", () -> stays.received.size() >= 8);
         assertEquals(0, drained.received.size());
@@ -72,7 +72,7 @@
                 .read(TestPeers.configuration(silent, list(true, worker.entry("s-1", "in_service")),
                         LIMITS).getBytes(StandardCharsets.UTF_8)));
         Line client = client();
-        assertEquals(200, client.task("t", "look", "x").read().status());
+        assertEquals(200, client.sendTask("t", "look", "x").read().status());
         assertTrue(silent.received.size() >= 2, "one failure may be a slow start's");
     }
 
@@ -89,7 +89,7 @@
         AtomicBoolean silent = new AtomicBoolean(!when.equals("middle"));
         AtomicInteger rev = new AtomicInteger(1);
         Script script = (message, line) -> {
-            String first = message.first();
+            String first = message.startLine();
             int known =
                     first.contains("index=") ? Integer.parseInt(first.replaceAll(".*index=(\\d+).*", "$1"))
                             : 0;
@@ -109,7 +109,7 @@
         Peer other = worker((message, line) -> {});
         String known = list(true, drained.entry("s-1", "in_service"), stays.entry("s-2", "in_service"));
         node = new DispatcherServer(graceful(when.equals("reload") ? other : agent, known, grace));
-        assertEquals(200, client().task("a", "look", "x").read().status(), "the old list goes on");
+        assertEquals(200, client().sendTask("a", "look", "x").read().status(), "the old list goes on");
         if (when.equals("reload")) {
             node.reload(graceful(agent, known, grace));
         }
@@ -119,7 +119,7 @@
             silent.set(true);
             Thread.sleep(20);
         } else {
-            assertEquals(200, client().task("b", "look", "x").read().status());
+            assertEquals(200, client().sendTask("b", "look", "x").read().status());
             until("a call is open", () -> agent.received.size() > 2);
         }
         rev.set(2);
@@ -127,7 +127,7 @@
         Thread.sleep(grace + 50);
         int before = drained.received.size();
         for (int i = 0; i < 8; i++) {
-            assertEquals(200, client().task("c" + i, "look", "x").read().status());
+            assertEquals(200, client().sendTask("c" + i, "look", "x").read().status());
         }
         assertEquals(before, drained.received.size());
     }
@@ -144,7 +144,8 @@
     @Test
     void whatGoesOnUnchangedIsTheBytesThatCame() throws Exception {
         Peer worker = worker((task, line) -> line
-                .lines("{\"id\":\"t1\",\"state\":\"done\",\"result\":\"a\\u00e9\\n\u00c3\u00a9\\\"\"}"));
+                .respondWithProgress(
+                        "{\"id\":\"t1\",\"state\":\"done\",\"result\":\"a\\u00e9\\n\u00c3\u00a9\\\"\"}"));
         serve(worker.entry("s-1", "in_service"));
         String body = "\r\n\r\nHTTP/1.1 200 OK\r\n\u0000\u00ff end";
         Message answer = client().write(
@@ -153,7 +154,7 @@
                         + "Content-Length: " + body.length() + "\r\n\r\n" + body)
                 .read();
         Message sent = worker.received.get(0);
-        assertEquals("POST /api/;v=1/%2f%41?q=%20&&x HTTP/1.1", sent.first());
+        assertEquals("POST /api/;v=1/%2f%41?q=%20&&x HTTP/1.1", sent.startLine());
         assertEquals("t1", sent.field("X-Txn"));
         assertEquals("K-\u00e9", sent.field("Idempotency-Key"));
         assertEquals(body, sent.text());
@@ -172,7 +173,7 @@
         serve(worker.entry("s-1", "in_service"));
         Line client = client();
         for (int i = 0; i < 20; i++) {
-            assertEquals(200, client.task("t" + i, "look", "x").read().status());
+            assertEquals(200, client.sendTask("t" + i, "look", "x").read().status());
         }
         assertEquals(1, worker.lines.size(), "a connection is reused");
     }
@@ -202,7 +203,7 @@
     void aTaskWithoutABodyIsSent(String type) throws Exception {
         Peer worker = worker(good());
         serve(worker.entry("s-1", "in_service"));
-        assertEquals(200, client().task("t", type, "").read().status());
+        assertEquals(200, client().sendTask("t", type, "").read().status());
     }
 
     @Test
@@ -210,10 +211,10 @@
         CountDownLatch go = new CountDownLatch(1);
         Peer worker = worker((task, line) -> {
             go.await();
-            line.done(task, task.field("X-Txn"));
+            line.respondDone(task, task.field("X-Txn"));
         });
         serve(worker.entry("s-1", "in_service"));
-        Line client = client().task("a", "look", "1").task("b", "look", "2");
+        Line client = client().sendTask("a", "look", "1").sendTask("b", "look", "2");
         until("the first is out", () -> worker.received.size() == 1);
         go.countDown();
         assertEquals("a", client.read().text());
@@ -223,7 +224,7 @@
     /** Met at a site with tenants: all tasks were counted as the first one's, and held to its share. */
     @Test
     void eachTenantIsHeldToItsOwnShare() throws Exception {
-        Peer worker = worker((task, line) -> line.status(503, "X-Turned-Away: 1\r\n"));
+        Peer worker = worker((task, line) -> line.respondStatus(503, "X-Turned-Away: 1\r\n"));
         node = new DispatcherServer(Configuration
                 .read(TestPeers.configuration(null, list(true, worker.entry("s-1", "in_service")), LIMITS)
                         .replace("\"WeightSource\"",
@@ -258,15 +259,15 @@
         Script script = (task, line) -> {
             sent.add(task.field("X-Txn"));
             if (sent.size() > 1) {
-                line.done(task, "ok");
+                line.respondDone(task, "ok");
             } else if (how.equals("returned")) {
-                line.lines("{\"id\":\"t\",\"state\":\"returned\",\"load\":{\"x0\":0}}");
+                line.respondWithProgress("{\"id\":\"t\",\"state\":\"returned\",\"load\":{\"x0\":0}}");
             } else {
-                line.status(Integer.parseInt(how), "X-Turned-Away: 1\r\nX-Pressure: {\"x0\":0}\r\n");
+                line.respondStatus(Integer.parseInt(how), "X-Turned-Away: 1\r\nX-Pressure: {\"x0\":0}\r\n");
             }
         };
         serve(worker(script).entry("s-1", "in_service"), worker(script).entry("s-2", "in_service"));
-        assertEquals(200, client().task("t", "sell", "x").read().status());
+        assertEquals(200, client().sendTask("t", "sell", "x").read().status());
         assertEquals(2, sent.size());
     }
 
@@ -277,26 +278,26 @@
     void aTaskWithSideEffectsThatMayHaveRunIsNeitherSentAgainNorBounced(String how) throws Exception {
         Script script = (task, line) -> {
             switch (how) {
-                case "500", "503", "429", "404" -> line.status(Integer.parseInt(how), "");
-                case "failed", "lost" -> line.lines("{\"id\":\"t\",\"state\":\"" + how + "\"}");
+                case "500", "503", "429", "404" -> line.respondStatus(Integer.parseInt(how), "");
+                case "failed", "lost" -> line.respondWithProgress("{\"id\":\"t\",\"state\":\"" + how + "\"}");
                 case "closes" -> line.close();
                 case "half" -> {
                     line.write(
                             "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n20\r\n{\"id\":\"t\",\"sta");
                     line.close();
                 }
-                case "no JSON" -> line.lines("{\"id\":\"t\",\"state\"");
+                case "no JSON" -> line.respondWithProgress("{\"id\":\"t\",\"state\"");
                 case "another task" ->
-                    line.lines("{\"id\":\"u\",\"state\":\"done\",\"result\":\"not yours\"}");
-                case "no id" -> line.lines("{\"state\":\"done\",\"result\":\"whose\"}");
-                default -> line.lines("{\"id\":\"t\",\"state\":\"started\"}",
+                    line.respondWithProgress("{\"id\":\"u\",\"state\":\"done\",\"result\":\"not yours\"}");
+                case "no id" -> line.respondWithProgress("{\"state\":\"done\",\"result\":\"whose\"}");
+                default -> line.respondWithProgress("{\"id\":\"t\",\"state\":\"started\"}",
                         "{\"id\":\"t\",\"state\":\"what\",\"odd\":[1]}");
             }
         };
         Peer one = worker(script);
         Peer two = worker(script);
         serve(one.entry("s-1", "in_service"), two.entry("s-2", "in_service"));
-        assertEquals(504, client().task("t", "sell", "x").read().status());
+        assertEquals(504, client().sendTask("t", "sell", "x").read().status());
         assertEquals(1, one.received.size() + two.received.size());
     }
 
@@ -307,7 +308,7 @@
         Peer there = worker(good());
         serve(gone.entry("s-1", "in_service"), there.entry("s-2", "in_service"));
         for (int i = 0; i < 6; i++) {
-            assertEquals(200, client().task("t" + i, "sell", "x").read().status());
+            assertEquals(200, client().sendTask("t" + i, "sell", "x").read().status());
         }
     }
 
@@ -316,7 +317,7 @@
         Peer worker =
                 worker((task, line) -> line.write("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n"));
         serve(worker.entry("s-1", "in_service"));
-        Line client = client().task("t", "look", "x");
+        Line client = client().sendTask("t", "look", "x");
         until("it is out", () -> worker.received.size() == 1);
         assertEquals(0, worker.ended.size());
         client.close();
@@ -331,7 +332,7 @@
                         .replace("\"ExpiryMs\":600", "\"ExpiryMs\":3000").getBytes(StandardCharsets.UTF_8)));
         node.awaitReady();
         long begun = System.nanoTime();
-        assertEquals(504, client().task("t", "flash", "").read().status());
+        assertEquals(504, client().sendTask("t", "flash", "").read().status());
         long ms = (System.nanoTime() - begun) / 1_000_000;
         assertTrue(ms > 2000, "it was waited for, less what it may have lain unread: " + ms);
         until("the worker's connection ended", () -> worker.ended.size() == 1);
@@ -341,7 +342,7 @@
     void anIdleConnectionIsDroppedBeforeTheWorkerWould() throws Exception {
         Peer worker = worker(good());
         serve(worker.entry("s-1", "in_service"));
-        assertEquals(200, client().task("t", "look", "x").read().status());
+        assertEquals(200, client().sendTask("t", "look", "x").read().status());
         until("it was dropped from this side", () -> worker.ended.size() == 1);
     }
 
@@ -378,7 +379,7 @@
                         + length + "\r\n" + tail)
                 .read().status();
         assertEquals(status, got);
-        assertEquals(200, client().task("good", "look", "x").read().status());
+        assertEquals(200, client().sendTask("good", "look", "x").read().status());
         assertEquals(1, worker.received.size(), "nothing of the bad one was sent");
     }
 
@@ -389,7 +390,7 @@
         Peer worker = worker(good());
         serve(worker.entry("s-1", "in_service"));
         client().write(bytes);
-        assertEquals(200, client().task("good", "look", "x").read().status());
+        assertEquals(200, client().sendTask("good", "look", "x").read().status());
     }
 
     /**
@@ -415,9 +416,9 @@
                 .write("POST /api HTTP/1.1\r\nHost: a\r\nX-Txn: t\r\nX-Lane: look\r\nX-Remaining: 5\r\n"
                         + length + end);
         assertEquals(status, client.read().status());
-        assertTrue(client.ended());
+        assertTrue(client.closedByPeer());
         assertTrue(System.nanoTime() - begun < 3_000_000_000L, "in time");
-        assertEquals(200, client().task("good", "look", "x").read().status());
+        assertEquals(200, client().sendTask("good", "look", "x").read().status());
         assertEquals(1, worker.received.size(), "nothing of the bad one was sent");
     }
 
@@ -441,14 +442,14 @@
             }
         });
         late.await();
-        assertEquals(200, client.task("t", "sell", "x").read().status());
+        assertEquals(200, client.sendTask("t", "sell", "x").read().status());
     }
 
     @Test
     void bytesBehindACallThatIsUnderWayEndIt() throws Exception {
         Peer worker = worker((task, line) -> {});
         serve(worker.entry("s-1", "in_service"));
-        Line client = client().task("t", "sell", "x");
+        Line client = client().sendTask("t", "sell", "x");
         until("it is out", () -> worker.received.size() == 1);
         assertEquals(400, client.write("and more").read().status());
         until("the worker's connection ended", () -> worker.ended.size() == 1);
@@ -460,18 +461,18 @@
         Peer worker = worker(good());
         serve(worker.entry("s-1", "in_service"));
         Line usual = client();
-        assertEquals(200, usual.task("a", "look", "x").read().status());
+        assertEquals(200, usual.sendTask("a", "look", "x").read().status());
         List<Line> silent = new ArrayList<>();
         for (int i = 0; i < 300; i++) {
             silent.add(i % 2 == 0 ? client() : client().write("GET /ready HTTP/1.1\r\nHost: a\r\n\r\n"));
         }
         long begun = System.nanoTime();
-        assertEquals(200, client().task("b", "look", "x").read().status());
+        assertEquals(200, client().sendTask("b", "look", "x").read().status());
         assertTrue(System.nanoTime() - begun < 1_000_000_000L, "it did not wait for them");
-        assertEquals(200, usual.task("c", "look", "x").read().status(),
+        assertEquals(200, usual.sendTask("c", "look", "x").read().status(),
                 "nor was a known one closed for them");
         for (Line line : silent) {
-            assertTrue(line.ended());
+            assertTrue(line.closedByPeer());
         }
         assertTrue(System.nanoTime() - begun < 3_000_000_000L, "in time");
     }
@@ -480,13 +481,13 @@
     void aTaskThatIsInHandIsNotTakenTwice() throws Exception {
         Peer worker = worker((task, line) -> {});
         serve(worker.entry("s-1", "in_service"));
-        client().task("t", "sell", "x");
+        client().sendTask("t", "sell", "x");
         until("it is out", () -> worker.received.size() == 1);
-        assertEquals(409, client().task("t", "sell", "x").read().status());
+        assertEquals(409, client().sendTask("t", "sell", "x").read().status());
         Peer other = worker(good());
         node = node(null, list(true, other.entry("s-1", "in_service")), LIMITS);
-        assertEquals(200, client().task("t", "sell", "x").read().status());
-        assertEquals(409, client().task("t", "sell", "x").read().status(), "nor after its answer");
+        assertEquals(200, client().sendTask("t", "sell", "x").read().status());
+        assertEquals(409, client().sendTask("t", "sell", "x").read().status(), "nor after its answer");
         assertEquals(1, other.received.size());
         assertEquals(405,
                 client().write("PUT /api HTTP/1.1\r\nHost: a\r\nX-Txn: u\r\nContent-Length: 0\r\n\r\n").read()
@@ -500,13 +501,13 @@
         CountDownLatch go = new CountDownLatch(1);
         Peer worker = worker((task, line) -> {
             go.await();
-            line.done(task, "ok");
+            line.respondDone(task, "ok");
         });
         node = node(null, list(true, worker.entry("s-1", "in_service")),
                 "{\"memory_mb\":" + memory + ",\"sockets\":" + sockets + "}");
         List<Line> clients = new ArrayList<>();
         for (int i = 0; i < 60; i++) {
-            clients.add(client().task("t" + i, "sell", "x".repeat(size)));
+            clients.add(client().sendTask("t" + i, "sell", "x".repeat(size)));
         }
         until("some were bounced", () -> count("bounced") + count("bounced_full") > 0);
         go.countDown();
@@ -517,7 +518,7 @@
             bounced += status == 503 ? 1 : 0;
         }
         assertTrue(bounced > 0 && bounced < 60, "bounced " + bounced);
-        assertEquals(200, client().task("good", "sell", "x").read().status());
+        assertEquals(200, client().sendTask("good", "sell", "x").read().status());
     }
 
     /** Met with 570 clients that stalled: their half bodies filled the heap. */
@@ -528,7 +529,7 @@
         String head =
                 "POST /api HTTP/1.1\r\nHost: a\r\nX-Lane: sell\r\nX-Remaining: 5\r\nContent-Length: 60000\r\nX-Txn: ";
         Line stalls = client().write(head + "a\r\n\r\nhalf");
-        assertEquals(200, client().task("small", "sell", "x").read().status());
+        assertEquals(200, client().sendTask("small", "sell", "x").read().status());
         assertEquals(503, client().write(head + "b\r\n\r\nhalf").read().status());
         assertEquals(200, stalls.write("x".repeat(60_000 - 4)).read().status());
         assertEquals(200, client().write(head + "c\r\n\r\n" + "x".repeat(60_000)).read().status());
@@ -546,20 +547,20 @@
         open.add(discovery);
         node = node(discovery, list(true), LIMITS);
         until("ready", () -> client().write("GET /ready HTTP/1.1\r\nHost: a\r\n\r\n").read().status() == 200);
-        assertEquals(200, client().task("a", "look", "x").read().status());
+        assertEquals(200, client().sendTask("a", "look", "x").read().status());
         versions.add(list(false, moved.entry("s-1", "in_service")));
         until("the other address is used",
-                () -> client().task("b" + System.nanoTime(), "look", "x").read().status() == 200
+                () -> client().sendTask("b" + System.nanoTime(), "look", "x").read().status() == 200
                         && !moved.received.isEmpty());
         discovery.lines.get(discovery.lines.size() - 1).close();
         versions.add(list(false, moved.entry("s-1", "terminating"), old.entry("s-2", "in_service")));
         int before = old.received.size();
         until("the new worker is used after a break",
-                () -> client().task("c" + System.nanoTime(), "look", "x").read().status() == 200
+                () -> client().sendTask("c" + System.nanoTime(), "look", "x").read().status() == 200
                         && old.received.size() > before);
         versions.add(list(true));
         until("nobody is left",
-                () -> client().task("d" + System.nanoTime(), "look", "x").read().status() == 503);
+                () -> client().sendTask("d" + System.nanoTime(), "look", "x").read().status() == 503);
     }
 
     /**
@@ -570,14 +571,14 @@
         CountDownLatch go = new CountDownLatch(1);
         Peer first = worker((task, line) -> {
             go.await();
-            line.done(task, "ok");
+            line.respondDone(task, "ok");
         });
         Peer second = worker(good());
         String old = list(true, first.entry("s-1", "in_service")).replace("REV", "5");
         List<String> now = Collections
                 .synchronizedList(new ArrayList<>(List.of(list(true, first.entry("s-1", "in_service")))));
         Peer oldService = worker((message, line) -> {
-            if (!message.first().contains("index=")) {
+            if (!message.startLine().contains("index=")) {
                 line.write("HTTP/1.1 200 OK\r\nContent-Length: " + old.length() + "\r\n\r\n" + old);
             }
         });
@@ -586,7 +587,7 @@
         node = node(oldService, list(true), LIMITS);
         until("the list",
                 () -> client().write("GET /ready HTTP/1.1\r\nHost: a\r\n\r\n").read().status() == 200);
-        Line waits = client().task("a", "sell", "x");
+        Line waits = client().sendTask("a", "sell", "x");
         until("it is out", () -> first.received.size() == 1);
         for (int i = 0; i < 3; i++) {
             node.reload(Configuration.read(
@@ -597,8 +598,8 @@
                 () -> oldService.ended.size() == 1 && newService.received.size() >= 2);
         now.add(list(false, first.entry("s-1", "terminating"), second.entry("s-2", "in_service")));
         until("the new service is followed",
-                () -> newService.received.stream().anyMatch(m -> m.first().contains("index=2")));
-        assertEquals(200, client().task("b", "sell", "x").read().status());
+                () -> newService.received.stream().anyMatch(m -> m.startLine().contains("index=2")));
+        assertEquals(200, client().sendTask("b", "sell", "x").read().status());
         assertEquals(1, second.received.size());
         go.countDown();
         assertEquals(200, waits.read().status());
@@ -623,9 +624,9 @@
             line.write("HTTP/1.1 200 OK\r\nContent-Length: " + body.length() + "\r\n\r\n" + body);
         });
         node = node(discovery, list(true, known.entry("s-1", "in_service")), LIMITS);
-        assertEquals(200, client().task("a", "sell", "x").read().status());
+        assertEquals(200, client().sendTask("a", "sell", "x").read().status());
         until("the good list is followed",
-                () -> client().task("b" + System.nanoTime(), "sell", "x").read().status() == 200
+                () -> client().sendTask("b" + System.nanoTime(), "sell", "x").read().status() == 200
                         && !later.received.isEmpty());
         until("it is watched on", () -> asked.get() > answers.size());
     }
@@ -648,12 +649,12 @@
                         "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n20\r\n{\"id\":\"late\",\"state\":\"started\"}\n\r\n");
             } else {
                 go.await();
-                line.done(task, "ok");
+                line.respondDone(task, "ok");
             }
         });
         serve(worker.entry("s-1", "in_service"));
         Line idle = client();
-        Line before = client().task("a", "sell", "x");
+        Line before = client().sendTask("a", "sell", "x");
         until("it is out", () -> worker.received.size() == 1);
         long begun = System.nanoTime();
         Thread stop = new Thread(node::stop);
@@ -661,17 +662,17 @@
         until("it stops", () -> idle.write("GET /ready HTTP/1.1\r\nHost: a\r\n\r\n").read().status() == 503);
         assertEquals(503, client().write("GET /ready HTTP/1.1\r\nHost: a\r\n\r\n").read().status(),
                 "new clients are taken");
-        Line late = client().task("late", "sell", "x");
-        idle.task("b", "look", "x");
+        Line late = client().sendTask("late", "sell", "x");
+        idle.sendTask("b", "look", "x");
         until("they are out too", () -> worker.received.size() == 3);
         go.countDown();
         Message answer = before.read();
         assertEquals(200, answer.status());
         assertNull(answer.field("Connection"), "the connection stays for now");
         assertEquals(200, idle.read().status());
-        assertEquals(200, before.task("c", "look", "x").read().status());
+        assertEquals(200, before.sendTask("c", "look", "x").read().status());
         assertEquals(504, late.read().status(), "answered before the kill");
-        assertTrue(idle.ended(), "a connection ends between tasks");
+        assertTrue(idle.closedByPeer(), "a connection ends between tasks");
         assertTrue((System.nanoTime() - begun) / 1_000_000 > 3000, "not sooner than it must");
         stop.join(20_000);
         assertTrue((System.nanoTime() - begun) / 1_000_000 < 3700, "ended before the kill");
@@ -687,9 +688,11 @@
         // five times too slow, and a
         // type that has never run would be bounced.
         Peer here = worker((task, line) -> line
-                .lines("{\"id\":\"" + task.field("X-Txn") + "\",\"state\":\"done\",\"result\":\"here\"}"));
+                .respondWithProgress(
+                        "{\"id\":\"" + task.field("X-Txn") + "\",\"state\":\"done\",\"result\":\"here\"}"));
         Peer there = worker((task, line) -> line
-                .lines("{\"id\":\"" + task.field("X-Txn") + "\",\"state\":\"done\",\"result\":\"there\"}"));
+                .respondWithProgress(
+                        "{\"id\":\"" + task.field("X-Txn") + "\",\"state\":\"done\",\"result\":\"there\"}"));
         String first = list(true, here.entry("s-1", "in_service"),
                 there.entry("s-2", "in_service").replace("\"az\":\"a\"", "\"az\":\"b\""));
         List<String> versions = Collections.synchronizedList(new ArrayList<>(List.of(first)));
@@ -702,19 +705,19 @@
                         .getBytes(StandardCharsets.UTF_8)));
         node.awaitReady();
         for (int i = 0; i < 10; i++) {
-            assertEquals("there", client().task("t" + i, "look", "x").read().text());
+            assertEquals("there", client().sendTask("t" + i, "look", "x").read().text());
         }
         versions.add(list(false, there.entry("s-2", "in_service")));
         int[] bounced = {0};
         until("given up at once, where no worker is left", () -> {
             Message answer =
-                    client().task("v" + there.received.size() + "-" + bounced[0], "look", "x").read();
+                    client().sendTask("v" + there.received.size() + "-" + bounced[0], "look", "x").read();
             bounced[0] += answer.status() == 503 ? 1 : 0;
             assertTrue(answer.status() == 503 || bounced[0] == 0 && answer.text().equals("there"),
                     answer.status() + " " + answer.text());
             return bounced[0] == 10;
         });
-        assertEquals(200, client().task("u", "sell", "x").read().status(), "others go anywhere");
+        assertEquals(200, client().sendTask("u", "sell", "x").read().status(), "others go anywhere");
         assertEquals(0, here.received.stream().filter(m -> "look".equals(m.field("X-Lane"))).count());
     }
 }
--- a/src/test/java/rampshift/serve/FloodTest.java
+++ b/src/test/java/rampshift/serve/FloodTest.java
@@ -146,7 +146,7 @@
     void responsesAreDeliveredInTimeWhileOtherClientsSendMuchAndLeave() throws Exception {
         Peer worker = worker((task, line) -> {
             readyTimes.put(task.field("X-Txn"), now());
-            line.done(task, "ok");
+            line.respondDone(task, "ok");
         });
         node = node(null, list(true, worker.entry("s-1", "in_service")), LIMITS);
         ioThreadId = onThread(() -> Thread.currentThread().getId());
@@ -184,7 +184,7 @@
         Thread thread = new Thread(() -> {
             while (!Thread.currentThread().isInterrupted()) {
                 try (Line line = new Line(node)) {
-                    line.write(sent).leave(wayToLeave);
+                    line.write(sent).disconnect(wayToLeave);
                 } catch (IOException e) {
                     // Its connection was closed: it connects again.
                 }
@@ -201,7 +201,7 @@
         long[] cpuNanos = new long[TASKS_PER_PHASE];
         for (int i = 0; i < TASKS_PER_PHASE; i++) {
             String transactionId = phase + i;
-            assertEquals("ok", client.task(transactionId, "look", "x").read().text());
+            assertEquals("ok", client.sendTask(transactionId, "look", "x").read().text());
             ReadyTime received = now();
             ReadyTime ready = readyTimes.get(transactionId);
             nanos[i] = received.nanos() - ready.nanos();
--- a/src/test/java/rampshift/serve/ResponseDeliveryTest.java
+++ b/src/test/java/rampshift/serve/ResponseDeliveryTest.java
@@ -97,7 +97,7 @@
         String result = "r".repeat(60_000);
         Peer worker = worker((task, line) -> {
             go.await();
-            line.done(task, result);
+            line.respondDone(task, result);
         });
         node = node(null, list(true, worker.entry("s-1", "in_service")), FEW);
         Slow client = slow();
@@ -165,12 +165,12 @@
             return null;
         });
         client.line().write("GET /long HTTP/1.1\r\nHost: a\r\n\r\n");
-        assertEquals("H", client.line().until("H"));     // all of it is in the kernel then
+        assertEquals("H", client.line().readUntil("H"));     // all of it is in the kernel then
         CountDownLatch crossed = new CountDownLatch(1);
         onThread(() -> {
             source.then = () -> {
                 try {
-                    client.line().task("t", "look", "x");
+                    client.line().sendTask("t", "look", "x");
                 } catch (IOException e) {
                     throw new IllegalStateException(e);
                 }
@@ -183,7 +183,7 @@
             return null;
         });
         crossed.await();
-        String answer = client.line().until("[no such text]");
+        String answer = client.line().readUntil("[no such text]");
         assertTrue(answer.endsWith("\r\n\r\n" + text + "[END]"), answer.length() + " bytes, " + tail(answer));
         assertEquals(0, count("taken"), "and what is read after the output was shut goes nowhere");
     }
@@ -206,7 +206,7 @@
     @ParameterizedTest
     @ValueSource(ints = {1, 20})
     void aClientThatWaitsForAWordReadsAllOfItAndThenItsAnswer(int width) throws Exception {
-        Peer worker = worker((task, line) -> line.done(task, "ok"));
+        Peer worker = worker((task, line) -> line.respondDone(task, "ok"));
         node = node(null, list(true, worker.entry("s-1", "in_service")), LIMITS);
         // Body and all at once: it does not wait, and its call is whole before the word is written.
         Line client = narrow(width).write("POST /api HTTP/1.1\r\nHost: a\r\nX-Txn: b\r\nX-Lane: look\r\n"
@@ -220,9 +220,9 @@
         // The body comes after the word was begun, and before it is all said.
         client.write(
                 "POST /api HTTP/1.1\r\nHost: a\r\nX-Txn: c\r\nX-Lane: look\r\nX-Remaining: 5\r\nContent-Length: 3\r\nExpect: 100-continue\r\n\r\n");
-        assertEquals("H", client.until("H"));
+        assertEquals("H", client.readUntil("H"));
         client.write("abc");
-        assertEquals("TTP/1.1 100 Continue\r\n\r\n", client.until("\r\n\r\n"));
+        assertEquals("TTP/1.1 100 Continue\r\n\r\n", client.readUntil("\r\n\r\n"));
         assertEquals("ok", client.read().text());
     }
 
@@ -233,7 +233,7 @@
     @ParameterizedTest
     @ValueSource(strings = {"", "POST /api HTTP/1.1\r\nHost: a\r\n"})
     void whoIsOnItsWayToSendACallAtTheLastCallIsAnswered(String begun) throws Exception {
-        Peer worker = worker((task, line) -> line.done(task, "ok"));
+        Peer worker = worker((task, line) -> line.respondDone(task, "ok"));
         node = node(null, list(true, worker.entry("s-1", "in_service")), LIMITS);
         Line client = client().write(begun);
         until("it is taken in", () -> onThread(() -> node.dispatcher.clientListener.connectionCount()) == 1);
@@ -251,13 +251,13 @@
     /** What the system holds back of a small write is lost with a reset: no socket here has it do so. */
     @Test
     void smallWritesLeaveAtOnceOnEverySocket() throws Exception {
-        Peer worker = worker((task, line) -> line.done(task, "ok"));
+        Peer worker = worker((task, line) -> line.respondDone(task, "ok"));
         String known = list(true, worker.entry("s-1", "in_service"));
         Peer agent = Peer.discovery(List.of(known));
         open.add(agent);
         node = node(agent, known, LIMITS);
         node.awaitReady();
-        assertEquals(200, client().task("t", "look", "x").read().status());
+        assertEquals(200, client().sendTask("t", "look", "x").read().status());
         until("its watch is open", () -> onThread(() -> field(field(node, "watch"), "connection")) != null);
         List<StreamConnection> sockets = onThread(() -> {
             List<StreamConnection> all = new ArrayList<>();
@@ -295,10 +295,10 @@
         CountDownLatch go = new CountDownLatch(1);
         Peer worker = worker((task, line) -> {
             go.await();
-            line.done(task, "ok");
+            line.respondDone(task, "ok");
         });
         node = node(null, list(true, worker.entry("s-1", "in_service")), LIMITS);
-        Line client = client().task("a", "look", "x").task("b", "look", "x")
+        Line client = client().sendTask("a", "look", "x").sendTask("b", "look", "x")
                 .write("POST /api HTTP/1.1\r\nHost: a\r\nX-Txn: c\r\n"
                         + "X-Lane: look\r\nX-Remaining: 0.3\r\nContent-Length: 1\r\n\r\nx");
         until("the first is out", () -> worker.received.size() == 1);
@@ -318,12 +318,12 @@
      */
     @Test
     void theTimeOfAFirstCallCountsFromItsBytesNotFromTheConnection() throws Exception {
-        Peer worker = worker((task, line) -> line.done(task, "ok"));
+        Peer worker = worker((task, line) -> line.respondDone(task, "ok"));
         node = node(null, list(true, worker.entry("s-1", "in_service")), LIMITS);
         Line client = client();
         until("it is taken in", () -> onThread(() -> node.dispatcher.clientListener.connectionCount()) == 1);
         Thread.sleep(400);      // the time itself is what the call must not be charged with, not an order
-        assertEquals(200, client.task("t", "look", "x").read().status());
+        assertEquals(200, client.sendTask("t", "look", "x").read().status());
         double told = Double.parseDouble(worker.received.get(0).field("X-Remaining"));
         assertTrue(told > 4.7, "of 5 s its worker is told " + told);
     }
@@ -334,14 +334,14 @@
     @ParameterizedTest
     @ValueSource(strings = {"fin", "rst"})
     void noAttemptBeginsOnceItsClientsEndIsThere(String how) throws Exception {
-        Peer worker = worker((task, line) -> line.done(task, "ok"));
+        Peer worker = worker((task, line) -> line.respondDone(task, "ok"));
         node = node(null, list(true, worker.entry("s-1", "in_service")), LIMITS);
         Line client = client();
         onThread(() -> {
             Runnable look = node.beforeFirstByte();
             node.dispatcher.beforeFirstByte(() -> {
                 try {
-                    client.leave(how);
+                    client.disconnect(how);
                 } catch (IOException e) {
                     throw new IllegalStateException(e);
                 }
@@ -350,7 +350,7 @@
             });
             return null;
         });
-        client.task("t", "look", "x");
+        client.sendTask("t", "look", "x");
         until("it is noticed", () -> count("client_gone") == 1);
         until("it is given back", () -> onThread(() -> node.dispatcher.tasks.size()) == 0);
         assertEquals(0, worker.received.size());
@@ -364,12 +364,12 @@
      */
     @Test
     void aTaskWhoseClientLeftBeforeItWasReadIsNotSent() throws Exception {
-        Peer worker = worker((task, line) -> line.done(task, "ok"));
+        Peer worker = worker((task, line) -> line.respondDone(task, "ok"));
         node = node(null, list(true, worker.entry("s-1", "in_service")), LIMITS);
         // whose connection to the worker is kept
-        assertEquals(200, client().task("before", "look", "x").read().status());
+        assertEquals(200, client().sendTask("before", "look", "x").read().status());
         Slow client = slow();
-        client.line().task("t", "look", "x").leave("fin");
+        client.line().sendTask("t", "look", "x").disconnect("fin");
         onThread(() -> {
             stand(20);      // all of it is here by then
             node.dispatcher.clientListener.serve(client.connection());
@@ -386,7 +386,7 @@
      */
     @Test
     void noLastByteGoesOutOnceItsClientsEndIsThere() throws Exception {
-        Peer worker = worker((task, line) -> line.done(task, "ok"));
+        Peer worker = worker((task, line) -> line.respondDone(task, "ok"));
         node = node(null, list(true, worker.entry("s-1", "in_service")), LIMITS);
         Line client = client();
         onThread(() -> {
@@ -395,7 +395,7 @@
                 look.run();
                 node.thread.execute(() -> {     // all but the last byte is written then
                     try {
-                        client.leave("rst");
+                        client.disconnect("rst");
                     } catch (IOException e) {
                         throw new IllegalStateException(e);
                     }
@@ -405,7 +405,7 @@
             });
             return null;
         });
-        client.task("t", "sell", "x");
+        client.sendTask("t", "sell", "x");
         until("it is noticed", () -> count("client_gone") == 1);
         until("it is given back", () -> onThread(() -> node.dispatcher.tasks.size()) == 0);
         assertEquals(0, worker.received.size());
@@ -452,11 +452,11 @@
     @Test
     void idleClientsMayFillTheDescriptorsWhileTheListServiceIsDown() throws Exception {
         CountDownLatch back = new CountDownLatch(1);
-        Peer worker = worker((task, line) -> line.done(task, "ok"));
-        Peer added = worker((task, line) -> line.done(task, "added"));
+        Peer worker = worker((task, line) -> line.respondDone(task, "ok"));
+        Peer added = worker((task, line) -> line.respondDone(task, "added"));
         Peer agent = worker((message, line) -> {
             back.await();
-            if (!message.first().contains("index=")) {
+            if (!message.startLine().contains("index=")) {
                 String body = list(true, added.entry("s-2", "in_service")).replace("REV", "9");
                 line.write("HTTP/1.1 200 OK\r\nContent-Length: " + body.length() + "\r\n\r\n" + body);
             }
@@ -471,12 +471,12 @@
                 idle.write("GET /ready HTTP/1.1\r\nHost: a\r\n\r\n");
             }
             if (i % 20 == 0) {
-                assertEquals("ok", client().task("t" + i, "look", "x").read().text());
+                assertEquals("ok", client().sendTask("t" + i, "look", "x").read().text());
             }
         }
         assertTrue(onThread(() -> node.dispatcher.clientListener.connectionCount()) <= 24);
         back.countDown();
         until("the new list is there", () -> count("lists_whole") == 1);
-        assertEquals("added", client().task("u", "sell", "x").read().text());
+        assertEquals("added", client().sendTask("u", "sell", "x").read().text());
     }
 }
--- a/src/test/java/rampshift/serve/SlowDialTest.java
+++ b/src/test/java/rampshift/serve/SlowDialTest.java
@@ -65,9 +65,9 @@
                 TestPeers.Message task = second.read();
                 double left = Double.parseDouble(task.field("X-Remaining"));
                 assertTrue(left > 1 && left < 4.5, "what is left once its connection is up: " + left);
-                second.done(task, "r");
+                second.respondDone(task, "r");
             } else {
-                assertEquals("[END]", second.until("\n"), "nothing was sent");
+                assertEquals("[END]", second.readUntil("\n"), "nothing was sent");
             }
             assertEquals(status, client.read().status());
             assertEquals(2, count("dialed"), "each attempt dials once");
--- a/src/test/java/rampshift/testbed/clients/LoadGeneratorTest.java
+++ b/src/test/java/rampshift/testbed/clients/LoadGeneratorTest.java
@@ -35,7 +35,7 @@
     /** Plays a plan with ten tasks a second, evenly, for half a second. */
     private JsonNode play(String effect, String more, Script script) throws Exception {
         dispatcher = new Peer((message, line) -> {
-            if (message.first().startsWith("GET")) {
+            if (message.startLine().startsWith("GET")) {
                 ok(line, "ready");      // the front asks whoever has failed
             } else {
                 script.play(message, line);
@@ -109,7 +109,7 @@
         assertEquals(12, sum.at("/types/x/earned").asInt());
         assertEquals(1, sum.path("opened").asInt());
         var first = dispatcher.received.get(0);
-        assertTrue(first.first().matches("POST /api/[0-9a-f]+ HTTP/1.1"), first.first());
+        assertTrue(first.startLine().matches("POST /api/[0-9a-f]+ HTTP/1.1"), first.startLine());
         assertEquals("0.600", first.field("X-Remaining"));
         assertEquals("x", first.field("X-Lane"));
         assertEquals(32, first.field("Idempotency-Key").length());
--- a/src/test/java/rampshift/testbed/experiment/FleetRunTest.java
+++ b/src/test/java/rampshift/testbed/experiment/FleetRunTest.java
@@ -160,7 +160,7 @@
 
     @Test
     void aLoadThatFellBehindItsPlanReportsNoFiguresAsGood() throws Exception {
-        try (TestPeers.Peer dispatcher = new TestPeers.Peer((m, line) -> line.status(504, ""))) {
+        try (TestPeers.Peer dispatcher = new TestPeers.Peer((m, line) -> line.respondStatus(504, ""))) {
             Path file = file(
                     PLAN.replace("\"2s\"\n[[machine", "\"300ms\"\n[[machine").replace("most_late = \"2s\"",
                             "most_late = \"1us\""));
--- a/src/test/java/rampshift/testbed/workers/FleetTest.java
+++ b/src/test/java/rampshift/testbed/workers/FleetTest.java
@@ -101,7 +101,7 @@
     @Test
     void aTaskIsRunAndToldOfWithTheLoad() throws Exception {
         open("");
-        String answer = task(dial(port(0, 0)), "t", "look", 20).until("\r\n0\r\n\r\n");
+        String answer = task(dial(port(0, 0)), "t", "look", 20).readUntil("\r\n0\r\n\r\n");
         assertTrue(answer.contains("{\"id\":\"t\",\"from\":\"a-m-1\",\"state\":\"started\"}"), answer);
         assertTrue(answer.matches(
                 "(?s).*\"state\":\"done\",\"load\":\\{\"x0\":1.00,\"queue\":0\\},\"result\":\"a-m-1/t/\\d+\".*"),
@@ -114,7 +114,7 @@
     void whatFindsNoRoomIsTurnedAwayUnbegunAndAClosedConnectionTakesItsJobBack() throws Exception {
         open("");
         Line first = task(dial(port(0, 0)), "a", "look", 10_000);
-        first.until("started");
+        first.readUntil("started");
         Line second = task(dial(port(0, 0)), "b", "look", 10_000);
         until("it waits", () -> ledger().contains(" took a-m-1 0 b "));
         var away = task(dial(port(0, 0)), "c", "look", 1).read();
@@ -122,7 +122,7 @@
         assertEquals("1", away.field("X-Turned-Away"));
         assertEquals("{\"x0\":0.00,\"queue\":1}", away.field("X-Pressure"));
         first.close();
-        assertTrue(second.until("started").contains("\"id\":\"b\""), "the waiting one has its place");
+        assertTrue(second.readUntil("started").contains("\"id\":\"b\""), "the waiting one has its place");
         until("told", () -> ledger().contains(" off a-m-1 a begun"));
         assertFalse(ledger().contains(" began a-m-1 c"));
     }
@@ -142,7 +142,7 @@
     void aRepeatIsDroppedWithinItsCellAndRunsOutsideOfIt() throws Exception {
         open("");
         for (int worker = 0; worker < 3; worker++) {
-            task(dial(port(0, worker)), "t" + worker, "mark", 1).until("\r\n0\r\n\r\n");
+            task(dial(port(0, worker)), "t" + worker, "mark", 1).readUntil("\r\n0\r\n\r\n");
         }
         until("all are told of", () -> ledger().contains(" done a-m-3 t2"));
         assertTrue(ledger().contains(" began a-m-1 t0 k mark"));
@@ -166,12 +166,12 @@
     void eachTroubleShowsAndPassesAgain(String trouble, String without, String with) throws Exception {
         open("[[trouble]]\nnames = [\"a-m-1\"]\nlength = \"700ms\"\n" + trouble.replace("; ", "\n"));
         Thread.sleep(60);
-        Line line = dial(port(0, 0)).patience(400);
-        String answer = task(line, "t", "look", 10).until("\r\n0\r\n\r\n");
+        Line line = dial(port(0, 0)).readTimeout(400);
+        String answer = task(line, "t", "look", 10).readUntil("\r\n0\r\n\r\n");
         assertTrue(answer.contains(with), answer);
         assertFalse(answer.contains(without), answer);
         until("it is over", () -> ledger().contains(" ends a-m-1"));
-        String good = task(dial(port(0, 0)), "u", "look", 10).until("\r\n0\r\n\r\n");
+        String good = task(dial(port(0, 0)), "u", "look", 10).readUntil("\r\n0\r\n\r\n");
         assertTrue(good.contains("\"result\":\"a-m-1/u"), good);
     }
 
@@ -179,7 +179,7 @@
     void aResetBeforeTheTaskIsWholeIsNoTaskTaken() throws Exception {
         open("[[trouble]]\nwhat = \"reset-before\"\nrate = 1\nnames = [\"a-m-1\"]");
         Thread.sleep(60);
-        assertEquals("[RESET]", dial(port(0, 0)).write("POST /api HTTP/1.1\r\n").until("x"));
+        assertEquals("[RESET]", dial(port(0, 0)).write("POST /api HTTP/1.1\r\n").readUntil("x"));
         until("it is told", () -> ledger().contains(" part a-m-1 0"));
     }
 
@@ -187,7 +187,7 @@
     void acrossACutNothingComesThroughAndNothingIsResetAndThenAllGoesOn() throws Exception {
         open("[[trouble]]\nwhat = \"cut\"\nsite = \"b\"\nat = \"300ms\"\nlength = \"900ms\"");
         Line before = task(dial(port(1, 0)), "t", "look", 500);
-        before.until("started");
+        before.readUntil("started");
         Line idle = dial(port(1, 0));
         until("it is cut", () -> ledger().contains("cut begins"));
         Thread.sleep(50);
@@ -195,10 +195,11 @@
         task(idle, "w", "look", 1);
         int port = port(1, 0);
         assertThrows(SocketTimeoutException.class, () -> dial(port), "a new connection never comes up");
-        assertFalse(before.patience(300).until("[no end]").contains("done"), "an open one falls silent");
-        assertTrue(task(dial(port(0, 1)), "u", "look", 1).until("\r\n0\r\n\r\n").contains("a-m-2/u"),
+        assertFalse(before.readTimeout(300).readUntil("[no end]").contains("done"),
+                "an open one falls silent");
+        assertTrue(task(dial(port(0, 1)), "u", "look", 1).readUntil("\r\n0\r\n\r\n").contains("a-m-2/u"),
                 "within the site");
-        assertTrue(before.patience(5000).until("done").contains("done"),
+        assertTrue(before.readTimeout(5000).readUntil("done").contains("done"),
                 "what was held back comes after all");
         until("so does what was written in it", () -> ledger().contains(" 1 w "));
         String[] took = ledger().lines().filter(l -> l.contains(" took ") && l.contains(" 1 w ")).findFirst()
@@ -207,7 +208,7 @@
                 "it counts from when it may have been written: " + took[7] + ", " + written + ", " + took[0]);
         until("new ones come up again", () -> {
             try {
-                return task(dial(port(1, 0)), "v", "look", 1).until("\r\n0\r\n\r\n").contains("a-m-1/v");
+                return task(dial(port(1, 0)), "v", "look", 1).readUntil("\r\n0\r\n\r\n").contains("a-m-1/v");
             } catch (IOException e) {
                 return false;
             }
@@ -231,9 +232,9 @@
                 delay = "10ms"
                 """);
         Line line = task(dial(port(0, 0)), "t", "look", 10_000);
-        line.until("started");
-        assertTrue(line.until("never").endsWith("[RESET]"));
-        assertThrows(IOException.class, () -> dial(port(0, 0)).until("x").charAt(99), "refused");
+        line.readUntil("started");
+        assertTrue(line.readUntil("never").endsWith("[RESET]"));
+        assertThrows(IOException.class, () -> dial(port(0, 0)).readUntil("x").charAt(99), "refused");
         until("it is back, and said to be new", () -> fleet.list(0).matches(".*a-m-1.*\"boot_ms\":[1-9].*"));
         until("it listens", () -> {
             try {
@@ -244,11 +245,11 @@
         });
         int port = portOf("a-m-1");
         Line eats = task(dial(port), "u", "look", 70);
-        eats.until("started");
+        eats.readUntil("started");
         Line much = task(dial(port), "v", "look", 70);
-        assertTrue(much.until("never").contains("[RESET]"),
+        assertTrue(much.readUntil("never").contains("[RESET]"),
                 "140 ms of work where a tenth of 200 can be done");
-        assertTrue(eats.until("never").contains("[RESET]"));
+        assertTrue(eats.readUntil("never").contains("[RESET]"));
         until("told", () -> ledger().contains(" fell a-m-1"));
         assertThrows(IOException.class, () -> dial(port));
     }
@@ -267,12 +268,12 @@
         open("[workers]\nidle = \"200ms\"\nconnection_cost = \"150ms\"");
         Line line = dial(port(0, 0));
         long begun = System.nanoTime();
-        task(line, "t", "look", 1).until("\r\n0\r\n\r\n");
+        task(line, "t", "look", 1).readUntil("\r\n0\r\n\r\n");
         long first = System.nanoTime();
-        task(line, "u", "look", 1).until("\r\n0\r\n\r\n");
+        task(line, "u", "look", 1).readUntil("\r\n0\r\n\r\n");
         assertTrue(first - begun > 150_000_000L, "the first one on it");
         assertTrue(System.nanoTime() - first < 140_000_000L, "not the second");
-        assertTrue(line.ended());
+        assertTrue(line.closedByPeer());
     }
 
     @Test
@@ -305,8 +306,8 @@
         assertTrue(watch.write("GET /v1/endpoints?index=2&wait=50 HTTP/1.1\r\n\r\n").read().text()
                 .endsWith("\"targets\":[]}"), "nothing new");
         until("silence", () -> ledger().contains("roster_silent begins"));
-        watch.patience(200).write("GET /v1/endpoints HTTP/1.1\r\n\r\n");
-        assertEquals("[SILENCE]", watch.until("HTTP"));
+        watch.readTimeout(200).write("GET /v1/endpoints HTTP/1.1\r\n\r\n");
+        assertEquals("[SILENCE]", watch.readUntil("HTTP"));
         until("old news", () -> ledger().contains("roster_old begins"));
         Line again = dial(fleet.agentPort(0));
         String old = again.write("GET /v1/endpoints?index=2&wait=20000 HTTP/1.1\r\n\r\n").read().text();
@@ -322,6 +323,7 @@
     @Test
     void aThousandWorkersStandInOneProcess() throws Exception {
         open("[[site]]\nname = \"c\"\ndispatchers = 0\nworkers = [{ machine = \"m\", count = 1000 }]");
-        assertTrue(task(dial(port(0, 1002)), "t", "look", 1).until("\r\n0\r\n\r\n").contains("c-m-1000/t"));
+        assertTrue(
+                task(dial(port(0, 1002)), "t", "look", 1).readUntil("\r\n0\r\n\r\n").contains("c-m-1000/t"));
     }
 }
