--- a/src/main/java/rampshift/extensions/LeaseSection.java
+++ b/src/main/java/rampshift/extensions/LeaseSection.java
@@ -39,7 +39,7 @@
         Span balanceInterval = section.span("balance_every", DEFAULT_BALANCE_INTERVAL);
         Path directory = path(section, "directory");
         Path eventLog = path(section, "ledger");
-        section.end();
+        section.rejectUnknownKeys();
         return new LeaseSettings(acceptors, List.copyOf(leases),
                 new LeaseTimings(term, drift, balanceInterval), directory, eventLog);
     }
@@ -50,7 +50,7 @@
     }
 
     private static List<String> names(TomlTable section, String key) {
-        List<String> names = section.texts(key, List.of());
+        List<String> names = section.strings(key, List.of());
         for (String name : names) {
             if (!name.matches("[!-~&&[^,:|#]]{1,40}")) {
                 section.fault(key, "holds \"" + name
--- a/src/main/java/rampshift/extensions/MembershipSection.java
+++ b/src/main/java/rampshift/extensions/MembershipSection.java
@@ -40,7 +40,7 @@
         Map<String, String> reach = reach(section);
         String ledger = section.text("ledger", null);
         boolean news = section.flag("news", true);
-        section.end();
+        section.rejectUnknownKeys();
         return new MembershipSettings(fleet, site, listen, seeds, reach,
                 new MembershipTimings(period, forget), news, newsFor,
                 ledger == null ? null : Path.of(ledger));
@@ -48,7 +48,7 @@
 
     private static List<String> seeds(TomlTable section) {
         List<String> seeds = new ArrayList<>();
-        for (String seed : section.texts("seeds", List.of())) {
+        for (String seed : section.strings("seeds", List.of())) {
             if (address(section, "seeds", seed) != null) {
                 seeds.add(seed);
             }
@@ -58,13 +58,13 @@
 
     private static Map<String, String> reach(TomlTable section) {
         Map<String, String> addresses = new LinkedHashMap<>();
-        for (TomlTable table : section.sections("reach")) {
+        for (TomlTable table : section.tables("reach")) {
             String name = table.name("name");
             String text = table.text("address", null);
             if (address(table, "address", text) != null) {
                 addresses.put(name, text);
             }
-            table.end();
+            table.rejectUnknownKeys();
         }
         return addresses;
     }
--- a/src/main/java/rampshift/extensions/OperatorFile.java
+++ b/src/main/java/rampshift/extensions/OperatorFile.java
@@ -42,21 +42,21 @@
         TomlFile file = TomlFile.read(name, text);
         TomlTable top = file.top();
         MembershipSettings membership =
-                top.has(MEMBERS) ? MembershipSection.read(top.section(MEMBERS)) : null;
+                top.has(MEMBERS) ? MembershipSection.read(top.table(MEMBERS)) : null;
         List<PeriodicJobSettings> jobs = new ArrayList<>();
-        for (TomlTable section : top.sections(DUTY)) {
+        for (TomlTable section : top.tables(DUTY)) {
             jobs.add(PeriodicJobSection.read(section));
         }
         checkPredecessors(top, jobs);
-        LeaseSettings leases = top.has(LEASES) ? LeaseSection.read(top.section(LEASES), jobs) : null;
+        LeaseSettings leases = top.has(LEASES) ? LeaseSection.read(top.table(LEASES), jobs) : null;
         if (leases == null && !jobs.isEmpty()) {
             top.fault(DUTY, "needs [leases]: a duty is done by whoever holds the lease of its name");
         }
         if (leases != null && membership == null) {
             top.fault(LEASES, "needs [members], over whose address its messages go");
         }
-        top.end();
-        file.sound();
+        top.rejectUnknownKeys();
+        file.throwIfFaulty();
         return new OperatorFile(membership, leases, jobs);
     }
 
--- a/src/main/java/rampshift/extensions/PeriodicJobSection.java
+++ b/src/main/java/rampshift/extensions/PeriodicJobSection.java
@@ -39,13 +39,13 @@
         List<String> objects = objects(section);
         double tasksPerSecond =
                 section.number("rate", MIN_TASKS_PER_SECOND, MAX_TASKS_PER_SECOND, DEFAULT_TASKS_PER_SECOND);
-        int maxCatchUpRuns = section.whole("catch_up", 0, MAX_CATCH_UP_RUNS, 1);
+        int maxCatchUpRuns = section.integer("catch_up", 0, MAX_CATCH_UP_RUNS, 1);
         String target = section.text("target", "/{object}");
         if (!target.matches("/[!-~]*")) {
             section.fault("target", "is \"" + target + "\", expected a path that begins with a slash");
         }
         String body = section.text("body", "");
-        section.end();
+        section.rejectUnknownKeys();
         return new PeriodicJobSettings(name, trafficType, interval, offsetMicros, predecessor, objects,
                 tasksPerSecond, maxCatchUpRuns, target, body, false, Span.ZERO);
     }
@@ -65,7 +65,7 @@
     private static List<String> objects(TomlTable section) {
         String file = section.text("objects_from", "");
         if (file.isEmpty()) {
-            int count = section.whole("objects", 1, MAX_OBJECTS, 1);
+            int count = section.integer("objects", 1, MAX_OBJECTS, 1);
             return IntStream.range(0, count).mapToObj(String::valueOf).toList();
         }
         if (section.has("objects")) {
--- a/src/test/java/rampshift/discovery/EndpointWatchFaultTest.java
+++ b/src/test/java/rampshift/discovery/EndpointWatchFaultTest.java
@@ -130,7 +130,7 @@
         String body = longestList();
         assertTrue(body.length() > 1 << 20, "it is over the former bound: " + body.length());
         try (Peer agent = new Peer((message, line) -> {
-            if (!message.first().contains("index=")) {
+            if (!message.startLine().contains("index=")) {
                 respond(line, body);
             }
         })) {
@@ -164,9 +164,9 @@
             case "silent" -> {
                 // the poll stays open
             }
-            case "503" -> line.status(503, "");
+            case "503" -> line.respondStatus(503, "");
             case "ended" -> line.close();
-            case "reset" -> line.leave("rst");
+            case "reset" -> line.disconnect("rst");
             case "cut in the head" -> line.write("HTTP/1.1 200 O").close();
             case "cut in the body" -> line.write(head + "500\r\n\r\n{\"rev\":5,\"all\":true,\"targ").close();
             case "stuck in the body" -> line.write(head + "500\r\n\r\n{\"rev\":5,\"all\":true,\"targ");
--- a/src/test/java/rampshift/serve/DispatcherServerTest.java
+++ b/src/test/java/rampshift/serve/DispatcherServerTest.java
@@ -30,7 +30,8 @@
     @Test
     void taskIsForwardedByteForByte() throws Exception {
         Peer worker = worker((task, line) -> line
-                .lines("{\"id\":\"t1\",\"state\":\"done\",\"result\":\"a\\u00e9\\n\u00c3\u00a9\\\"\"}"));
+                .respondWithProgress(
+                        "{\"id\":\"t1\",\"state\":\"done\",\"result\":\"a\\u00e9\\n\u00c3\u00a9\\\"\"}"));
         startServer(worker.entry("s-1", IN_SERVICE));
         String body = "\r\n\r\nHTTP/1.1 200 OK\r\n\u0000\u00ff end";
         Message answer =
@@ -40,7 +41,7 @@
                         + body.length()
                         + "\r\n\r\n" + body).read();
         Message sent = worker.received.get(0);
-        assertEquals("POST /api/;v=1/%2f%41?q=%20&&x HTTP/1.1", sent.first());
+        assertEquals("POST /api/;v=1/%2f%41?q=%20&&x HTTP/1.1", sent.startLine());
         assertEquals("t1", sent.field("X-Txn"));
         assertEquals("K-\u00e9", sent.field("Idempotency-Key"));
         assertEquals(body, sent.text());
@@ -59,7 +60,7 @@
         startServer(worker.entry("s-1", IN_SERVICE));
         Line client = client();
         for (int i = 0; i < 20; i++) {
-            assertEquals(200, client.task("t" + i, "look", "x").read().status());
+            assertEquals(200, client.sendTask("t" + i, "look", "x").read().status());
         }
         assertEquals(1, worker.lines.size(), "a connection is reused");
     }
@@ -103,7 +104,7 @@
     void taskWithoutABodyIsSent(String type) throws Exception {
         Peer worker = finishingWorker();
         startServer(worker.entry("s-1", IN_SERVICE));
-        assertEquals(200, client().task("t", type, "").read().status());
+        assertEquals(200, client().sendTask("t", type, "").read().status());
     }
 
     @Test
@@ -111,10 +112,10 @@
         CountDownLatch finish = new CountDownLatch(1);
         Peer worker = worker((task, line) -> {
             finish.await();
-            line.done(task, task.field("X-Txn"));
+            line.respondDone(task, task.field("X-Txn"));
         });
         startServer(worker.entry("s-1", IN_SERVICE));
-        Line client = client().task("a", "look", "1").task("b", "look", "2");
+        Line client = client().sendTask("a", "look", "1").sendTask("b", "look", "2");
         until("the first is sent", () -> worker.received.size() == 1);
         finish.countDown();
         assertEquals("a", client.read().text());
@@ -124,7 +125,7 @@
     /** At a site with tenants all tasks were counted as the first one's, and held to its quota. */
     @Test
     void eachTenantIsHeldToItsOwnQuota() throws Exception {
-        Peer worker = worker((task, line) -> line.status(503, "X-Turned-Away: 1\r\n"));
+        Peer worker = worker((task, line) -> line.respondStatus(503, "X-Turned-Away: 1\r\n"));
         String tenants = "\"ExcessEarnings\":0,\"Tenants\":[{\"Name\":\"much\",\"QuotaPerS\":1},"
                 + "{\"Name\":\"little\",\"QuotaPerS\":1}],\"WeightSource\"";
         node = new DispatcherServer(
@@ -158,15 +159,15 @@
         Script script = (task, line) -> {
             sent.add(task.field("X-Txn"));
             if (sent.size() > 1) {
-                line.done(task, "ok");
+                line.respondDone(task, "ok");
             } else if (how.equals("returned")) {
-                line.lines("{\"id\":\"t\",\"state\":\"returned\",\"load\":{\"x0\":0}}");
+                line.respondWithProgress("{\"id\":\"t\",\"state\":\"returned\",\"load\":{\"x0\":0}}");
             } else {
-                line.status(Integer.parseInt(how), "X-Turned-Away: 1\r\nX-Pressure: {\"x0\":0}\r\n");
+                line.respondStatus(Integer.parseInt(how), "X-Turned-Away: 1\r\nX-Pressure: {\"x0\":0}\r\n");
             }
         };
         startServer(worker(script).entry("s-1", IN_SERVICE), worker(script).entry("s-2", IN_SERVICE));
-        assertEquals(200, client().task("t", "sell", "x").read().status());
+        assertEquals(200, client().sendTask("t", "sell", "x").read().status());
         assertEquals(2, sent.size());
     }
 
@@ -178,23 +179,24 @@
         Peer first = worker(script);
         Peer second = worker(script);
         startServer(first.entry("s-1", IN_SERVICE), second.entry("s-2", IN_SERVICE));
-        assertEquals(504, client().task("t", "sell", "x").read().status());
+        assertEquals(504, client().sendTask("t", "sell", "x").read().status());
         assertEquals(1, first.received.size() + second.received.size());
     }
 
     private static void failTask(String how, Line line) throws IOException {
         switch (how) {
-            case "500", "503", "429", "404" -> line.status(Integer.parseInt(how), "");
-            case "failed", "lost" -> line.lines("{\"id\":\"t\",\"state\":\"" + how + "\"}");
+            case "500", "503", "429", "404" -> line.respondStatus(Integer.parseInt(how), "");
+            case "failed", "lost" -> line.respondWithProgress("{\"id\":\"t\",\"state\":\"" + how + "\"}");
             case "closes" -> line.close();
             case "half" -> {
                 line.write("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n20\r\n{\"id\":\"t\",\"sta");
                 line.close();
             }
-            case "no JSON" -> line.lines("{\"id\":\"t\",\"state\"");
-            case "another task" -> line.lines("{\"id\":\"u\",\"state\":\"done\",\"result\":\"not yours\"}");
-            case "no id" -> line.lines("{\"state\":\"done\",\"result\":\"whose\"}");
-            default -> line.lines("{\"id\":\"t\",\"state\":\"started\"}",
+            case "no JSON" -> line.respondWithProgress("{\"id\":\"t\",\"state\"");
+            case "another task" ->
+                line.respondWithProgress("{\"id\":\"u\",\"state\":\"done\",\"result\":\"not yours\"}");
+            case "no id" -> line.respondWithProgress("{\"state\":\"done\",\"result\":\"whose\"}");
+            default -> line.respondWithProgress("{\"id\":\"t\",\"state\":\"started\"}",
                     "{\"id\":\"t\",\"state\":\"what\",\"odd\":[1]}");
         }
     }
@@ -206,7 +208,7 @@
         Peer listening = finishingWorker();
         startServer(closed.entry("s-1", IN_SERVICE), listening.entry("s-2", IN_SERVICE));
         for (int i = 0; i < 6; i++) {
-            assertEquals(200, client().task("t" + i, "sell", "x").read().status());
+            assertEquals(200, client().sendTask("t" + i, "sell", "x").read().status());
         }
     }
 
@@ -215,7 +217,7 @@
         Peer worker = worker(
                 (task, line) -> line.write("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n"));
         startServer(worker.entry("s-1", IN_SERVICE));
-        Line client = client().task("t", "look", "x");
+        Line client = client().sendTask("t", "look", "x");
         until("it is sent", () -> worker.received.size() == 1);
         assertEquals(0, worker.ended.size());
         client.close();
@@ -230,7 +232,7 @@
                         .replace("\"ExpiryMs\":600", "\"ExpiryMs\":3000")));
         node.awaitReady();
         long startedAt = System.nanoTime();
-        assertEquals(504, client().task("t", "flash", "").read().status());
+        assertEquals(504, client().sendTask("t", "flash", "").read().status());
         long millis = TimeUnit.NANOSECONDS.toMillis(System.nanoTime() - startedAt);
         assertTrue(millis > 2000, "it was waited for, less what it may have lain unread: " + millis);
         until("the worker's connection ended", () -> worker.ended.size() == 1);
@@ -240,7 +242,7 @@
     void idleConnectionIsClosedBeforeTheWorkerWould() throws Exception {
         Peer worker = finishingWorker();
         startServer(worker.entry("s-1", IN_SERVICE));
-        assertEquals(200, client().task("t", "look", "x").read().status());
+        assertEquals(200, client().sendTask("t", "look", "x").read().status());
         until("it was closed from this side", () -> worker.ended.size() == 1);
     }
 
@@ -248,13 +250,13 @@
     void taskThatIsInFlightOrAnsweredIsNotAdmittedAgain() throws Exception {
         Peer worker = worker((task, line) -> {});
         startServer(worker.entry("s-1", IN_SERVICE));
-        client().task("t", "sell", "x");
+        client().sendTask("t", "sell", "x");
         until("it is sent", () -> worker.received.size() == 1);
-        assertEquals(409, client().task("t", "sell", "x").read().status());
+        assertEquals(409, client().sendTask("t", "sell", "x").read().status());
         Peer other = finishingWorker();
         startServer(other.entry("s-1", IN_SERVICE));
-        assertEquals(200, client().task("t", "sell", "x").read().status());
-        assertEquals(409, client().task("t", "sell", "x").read().status(), "nor after its answer");
+        assertEquals(200, client().sendTask("t", "sell", "x").read().status());
+        assertEquals(409, client().sendTask("t", "sell", "x").read().status(), "nor after its answer");
         assertEquals(1, other.received.size());
         assertEquals(405,
                 client().write("PUT /api HTTP/1.1\r\nHost: a\r\nX-Txn: u\r\nContent-Length: 0\r\n\r\n")
--- a/src/test/java/rampshift/serve/GracefulShutdownTest.java
+++ b/src/test/java/rampshift/serve/GracefulShutdownTest.java
@@ -25,29 +25,29 @@
                 line.write(CHUNKED_HEAD + "20\r\n{\"id\":\"late\",\"state\":\"started\"}\n\r\n");
             } else {
                 finish.await();
-                line.done(task, "ok");
+                line.respondDone(task, "ok");
             }
         });
         startServer(worker.entry("s-1", "in_service"));
         Line idle = client();
-        Line before = client().task("a", "sell", "x");
+        Line before = client().sendTask("a", "sell", "x");
         until("it is sent", () -> worker.received.size() == 1);
         long startedAt = System.nanoTime();
         Thread stop = new Thread(node::stop);
         stop.start();
         until("it stops", () -> readyStatus(idle) == 503);
         assertEquals(503, readyStatus(client()), "new clients are accepted");
-        Line late = client().task("late", "sell", "x");
-        idle.task("b", "look", "x");
+        Line late = client().sendTask("late", "sell", "x");
+        idle.sendTask("b", "look", "x");
         until("they are sent too", () -> worker.received.size() == 3);
         finish.countDown();
         Message answer = before.read();
         assertEquals(200, answer.status());
         assertNull(answer.field("Connection"), "the connection stays for now");
         assertEquals(200, idle.read().status());
-        assertEquals(200, before.task("c", "look", "x").read().status());
+        assertEquals(200, before.sendTask("c", "look", "x").read().status());
         assertEquals(504, late.read().status(), "answered before the kill");
-        assertTrue(idle.ended(), "a connection is closed between tasks");
+        assertTrue(idle.closedByPeer(), "a connection is closed between tasks");
         assertTrue(millisSince(startedAt) > 3000, "not sooner than it must");
         stop.join(20_000);
         assertTrue(millisSince(startedAt) < 3700, "stopped before the kill");
--- a/src/test/java/rampshift/serve/ServerEndpointListTest.java
+++ b/src/test/java/rampshift/serve/ServerEndpointListTest.java
@@ -40,14 +40,14 @@
         Peer drained = finishingWorker();
         Peer staying = finishingWorker();
         Peer slowAgent = worker((message, line) -> {
-            Thread.sleep(message.first().contains("index=") ? 900 : 400);
+            Thread.sleep(message.startLine().contains("index=") ? 900 : 400);
             respond(line, list(true, drained.entry("s-1", TERMINATING), staying.entry("s-2", IN_SERVICE))
                     .replace("REV", "9"));
         });
         node = new DispatcherServer(configuration(slowAgent,
                 list(true, drained.entry("s-1", IN_SERVICE), staying.entry("s-2", IN_SERVICE))));
         for (int i = 0; i < 8; i++) {
-            client().task("t" + i, "look", "x");
+            client().sendTask("t" + i, "look", "x");
         }
         until("all were sent", () -> staying.received.size() >= 8);
         assertEquals(0, drained.received.size());
@@ -59,7 +59,7 @@
         Peer silentAgent = worker((message, line) -> {});
         node = new DispatcherServer(configuration(silentAgent, list(true, worker.entry("s-1", IN_SERVICE))));
         Line client = client();
-        assertEquals(200, client.task("t", "look", "x").read().status());
+        assertEquals(200, client.sendTask("t", "look", "x").read().status());
         assertTrue(silentAgent.received.size() >= 2, "one failure may be a slow start's");
     }
 
@@ -79,7 +79,7 @@
         String known = list(true, drained.entry("s-1", IN_SERVICE), staying.entry("s-2", IN_SERVICE));
         node = new DispatcherServer(
                 withDrainGrace(when.equals("reload") ? otherAgent : agent, known, graceMillis));
-        assertEquals(200, client().task("a", "look", "x").read().status(), "the known list is used");
+        assertEquals(200, client().sendTask("a", "look", "x").read().status(), "the known list is used");
         if (when.equals("reload")) {
             node.reload(withDrainGrace(agent, known, graceMillis));
         }
@@ -89,7 +89,7 @@
             silent.set(true);
             Thread.sleep(20);
         } else {
-            assertEquals(200, client().task("b", "look", "x").read().status());
+            assertEquals(200, client().sendTask("b", "look", "x").read().status());
             until("a poll is open", () -> agent.received.size() > 2);
         }
         version.set(2);
@@ -97,7 +97,7 @@
         Thread.sleep(graceMillis + 50);
         int before = drained.received.size();
         for (int i = 0; i < 8; i++) {
-            assertEquals(200, client().task("c" + i, "look", "x").read().status());
+            assertEquals(200, client().sendTask("c" + i, "look", "x").read().status());
         }
         assertEquals(before, drained.received.size());
     }
@@ -109,7 +109,7 @@
     private static Script agentWithDrain(Peer drained, Peer staying, AtomicBoolean silent,
             AtomicInteger version) {
         return (message, line) -> {
-            String request = message.first();
+            String request = message.startLine();
             boolean forChanges = request.contains("index=");
             int known = forChanges ? Integer.parseInt(request.replaceAll(".*index=(\\d+).*", "$1")) : 0;
             String waitMillis = forChanges ? request.replaceAll(".*wait=(\\d+).*", "$1") : "0";
@@ -151,20 +151,20 @@
         open.add(agent);
         node = node(agent, list(true), SMALL_LIMITS);
         until("ready", () -> readyStatus(client()) == 200);
-        assertEquals(200, client().task("a", "look", "x").read().status());
+        assertEquals(200, client().sendTask("a", "look", "x").read().status());
         versions.add(list(false, moved.entry("s-1", IN_SERVICE)));
         until("the other address is used",
-                () -> client().task("b" + System.nanoTime(), "look", "x").read().status() == 200
+                () -> client().sendTask("b" + System.nanoTime(), "look", "x").read().status() == 200
                         && !moved.received.isEmpty());
         agent.lines.get(agent.lines.size() - 1).close();
         versions.add(list(false, moved.entry("s-1", TERMINATING), old.entry("s-2", IN_SERVICE)));
         int before = old.received.size();
         until("the new worker is used after a failure",
-                () -> client().task("c" + System.nanoTime(), "look", "x").read().status() == 200
+                () -> client().sendTask("c" + System.nanoTime(), "look", "x").read().status() == 200
                         && old.received.size() > before);
         versions.add(list(true));
         until("no worker is left",
-                () -> client().task("d" + System.nanoTime(), "look", "x").read().status() == 503);
+                () -> client().sendTask("d" + System.nanoTime(), "look", "x").read().status() == 503);
     }
 
     /** The version that the old agent counted is far above the new one's, where it would hide all changes. */
@@ -173,14 +173,14 @@
         CountDownLatch finish = new CountDownLatch(1);
         Peer first = worker((task, line) -> {
             finish.await();
-            line.done(task, "ok");
+            line.respondDone(task, "ok");
         });
         Peer second = finishingWorker();
         String oldList = list(true, first.entry("s-1", IN_SERVICE)).replace("REV", "5");
         List<String> versions = Collections
                 .synchronizedList(new ArrayList<>(List.of(list(true, first.entry("s-1", IN_SERVICE)))));
         Peer oldAgent = worker((message, line) -> {
-            if (!message.first().contains("index=")) {
+            if (!message.startLine().contains("index=")) {
                 respond(line, oldList);
             }
         });
@@ -188,7 +188,7 @@
         open.add(newAgent);
         node = node(oldAgent, list(true), SMALL_LIMITS);
         until("the list", () -> readyStatus(client()) == 200);
-        Line waiting = client().task("a", "sell", "x");
+        Line waiting = client().sendTask("a", "sell", "x");
         until("it is sent", () -> first.received.size() == 1);
         for (int i = 0; i < 3; i++) {
             node.reload(configuration(newAgent, list(true)));
@@ -197,7 +197,7 @@
                 () -> oldAgent.ended.size() == 1 && newAgent.received.size() >= 2);
         versions.add(list(false, first.entry("s-1", TERMINATING), second.entry("s-2", IN_SERVICE)));
         until("the new agent is followed", () -> hasReceived(newAgent, "index=2"));
-        assertEquals(200, client().task("b", "sell", "x").read().status());
+        assertEquals(200, client().sendTask("b", "sell", "x").read().status());
         assertEquals(1, second.received.size());
         finish.countDown();
         assertEquals(200, waiting.read().status());
@@ -207,7 +207,7 @@
     /** Whether a request line that holds the text has come; further ones may come meanwhile. */
     private static boolean hasReceived(Peer agent, String text) {
         synchronized (agent.received) {
-            return agent.received.stream().anyMatch(message -> message.first().contains(text));
+            return agent.received.stream().anyMatch(message -> message.startLine().contains(text));
         }
     }
 
@@ -227,9 +227,9 @@
             }
         });
         node = node(agent, list(true, known.entry("s-1", IN_SERVICE)), SMALL_LIMITS);
-        assertEquals(200, client().task("a", "sell", "x").read().status());
+        assertEquals(200, client().sendTask("a", "sell", "x").read().status());
         until("the good list is used",
-                () -> client().task("b" + System.nanoTime(), "sell", "x").read().status() == 200
+                () -> client().sendTask("b" + System.nanoTime(), "sell", "x").read().status() == 200
                         && !later.received.isEmpty());
         until("it is watched on", () -> polls.get() > responses.size());
     }
@@ -255,24 +255,24 @@
                         .replace("{\"Name\":\"look\"", "{\"RunsIn\":[1],\"Name\":\"look\"")));
         node.awaitReady();
         for (int i = 0; i < 10; i++) {
-            assertEquals("there", client().task("t" + i, "look", "x").read().text());
+            assertEquals("there", client().sendTask("t" + i, "look", "x").read().text());
         }
         versions.add(list(false, there.entry("s-2", IN_SERVICE)));
         int[] rejected = {0};
         until("rejected at once, where no worker is left", () -> {
             String id = "v" + there.received.size() + "-" + rejected[0];
-            Message answer = client().task(id, "look", "x").read();
+            Message answer = client().sendTask(id, "look", "x").read();
             rejected[0] += answer.status() == 503 ? 1 : 0;
             boolean stillThere = rejected[0] == 0 && answer.text().equals("there");
             assertTrue(answer.status() == 503 || stillThere, answer.status() + " " + answer.text());
             return rejected[0] == 10;
         });
-        assertEquals(200, client().task("u", "sell", "x").read().status(), "others go anywhere");
+        assertEquals(200, client().sendTask("u", "sell", "x").read().status(), "others go anywhere");
         assertEquals(0, here.received.stream().filter(task -> "look".equals(task.field("X-Lane"))).count());
     }
 
     private Peer resultWorker(String result) throws IOException {
-        return worker((task, line) -> line.lines("{\"id\":\"" + task.field("X-Txn")
+        return worker((task, line) -> line.respondWithProgress("{\"id\":\"" + task.field("X-Txn")
                 + "\",\"state\":\"done\",\"result\":\"" + result + "\"}"));
     }
 }
--- a/src/test/java/rampshift/serve/ServerInputTest.java
+++ b/src/test/java/rampshift/serve/ServerInputTest.java
@@ -60,7 +60,7 @@
                 client().write("POST /api HTTP/1.1\r\nHost: a\r\n" + id + first + "\r\n" + second + "\r\n"
                         + third + "\r\n" + length + "\r\n" + body).read().status();
         assertEquals(status, received);
-        assertEquals(200, client().task("good", "look", "x").read().status());
+        assertEquals(200, client().sendTask("good", "look", "x").read().status());
         assertEquals(1, worker.received.size(), "nothing of the bad one was sent");
     }
 
@@ -71,7 +71,7 @@
         Peer worker = finishingWorker();
         startServer(worker.entry("s-1", IN_SERVICE));
         client().write(bytes);
-        assertEquals(200, client().task("good", "look", "x").read().status());
+        assertEquals(200, client().sendTask("good", "look", "x").read().status());
     }
 
     /**
@@ -94,9 +94,9 @@
                 .write("POST /api HTTP/1.1\r\nHost: a\r\nX-Txn: t\r\nX-Lane: look\r\nX-Remaining: 5\r\n"
                         + length + end);
         assertEquals(status, client.read().status());
-        assertTrue(client.ended());
+        assertTrue(client.closedByPeer());
         assertTrue(millisSince(startedAt) < 3000, "in time");
-        assertEquals(200, client().task("good", "look", "x").read().status());
+        assertEquals(200, client().sendTask("good", "look", "x").read().status());
         assertEquals(1, worker.received.size(), "nothing of the bad one was sent");
     }
 
@@ -121,14 +121,14 @@
             }
         });
         late.await();
-        assertEquals(200, client.task("t", "sell", "x").read().status());
+        assertEquals(200, client.sendTask("t", "sell", "x").read().status());
     }
 
     @Test
     void bytesBehindARequestInFlightEndIt() throws Exception {
         Peer worker = worker((task, line) -> {});
         startServer(worker.entry("s-1", IN_SERVICE));
-        Line client = client().task("t", "sell", "x");
+        Line client = client().sendTask("t", "sell", "x");
         until("it is sent", () -> worker.received.size() == 1);
         assertEquals(400, client.write("and more").read().status());
         until("the worker's connection ended", () -> worker.ended.size() == 1);
@@ -142,18 +142,18 @@
         Peer worker = finishingWorker();
         startServer(worker.entry("s-1", IN_SERVICE));
         Line usual = client();
-        assertEquals(200, usual.task("a", "look", "x").read().status());
+        assertEquals(200, usual.sendTask("a", "look", "x").read().status());
         List<Line> silent = new ArrayList<>();
         for (int i = 0; i < 300; i++) {
             silent.add(i % 2 == 0 ? client() : client().write("GET /ready HTTP/1.1\r\nHost: a\r\n\r\n"));
         }
         long startedAt = System.nanoTime();
-        assertEquals(200, client().task("b", "look", "x").read().status());
+        assertEquals(200, client().sendTask("b", "look", "x").read().status());
         assertTrue(millisSince(startedAt) < 1000, "it did not wait for them");
-        assertEquals(200, usual.task("c", "look", "x").read().status(),
+        assertEquals(200, usual.sendTask("c", "look", "x").read().status(),
                 "nor was a known one closed for them");
         for (Line line : silent) {
-            assertTrue(line.ended());
+            assertTrue(line.closedByPeer());
         }
         assertTrue(millisSince(startedAt) < 3000, "in time");
     }
@@ -166,13 +166,13 @@
         CountDownLatch finish = new CountDownLatch(1);
         Peer worker = worker((task, line) -> {
             finish.await();
-            line.done(task, "ok");
+            line.respondDone(task, "ok");
         });
         node = node(null, list(true, worker.entry("s-1", IN_SERVICE)),
                 "{\"memory_mb\":" + memoryMb + ",\"sockets\":" + sockets + "}");
         List<Line> clients = new ArrayList<>();
         for (int i = 0; i < 60; i++) {
-            clients.add(client().task("t" + i, "sell", "x".repeat(bodyBytes)));
+            clients.add(client().sendTask("t" + i, "sell", "x".repeat(bodyBytes)));
         }
         until("some were rejected", () -> count("bounced") + count("bounced_full") > 0);
         finish.countDown();
@@ -183,7 +183,7 @@
             rejected += status == 503 ? 1 : 0;
         }
         assertTrue(rejected > 0 && rejected < 60, "rejected " + rejected);
-        assertEquals(200, client().task("good", "sell", "x").read().status());
+        assertEquals(200, client().sendTask("good", "sell", "x").read().status());
     }
 
     /** With 570 clients that stalled, their half bodies filled the heap. */
@@ -194,7 +194,7 @@
         String head = "POST /api HTTP/1.1\r\nHost: a\r\nX-Lane: sell\r\nX-Remaining: 5\r\n"
                 + "Content-Length: 60000\r\nX-Txn: ";
         Line stalling = client().write(head + "a\r\n\r\nhalf");
-        assertEquals(200, client().task("small", "sell", "x").read().status());
+        assertEquals(200, client().sendTask("small", "sell", "x").read().status());
         assertEquals(503, client().write(head + "b\r\n\r\nhalf").read().status());
         assertEquals(200, stalling.write("x".repeat(60_000 - 4)).read().status());
         assertEquals(200, client().write(head + "c\r\n\r\n" + "x".repeat(60_000)).read().status());
--- a/src/test/java/rampshift/serve/ServerTestBase.java
+++ b/src/test/java/rampshift/serve/ServerTestBase.java
@@ -60,7 +60,7 @@
 
     /** A worker that finishes each task at once. */
     Peer finishingWorker() throws IOException {
-        return worker((task, line) -> line.done(task, "ok"));
+        return worker((task, line) -> line.respondDone(task, "ok"));
     }
 
     static void respond(Line line, String body) throws IOException {
