--- a/src/main/java/rampshift/workers/WorkerEndpoint.java
+++ b/src/main/java/rampshift/workers/WorkerEndpoint.java
@@ -37,8 +37,9 @@
      * @return whether idle connections to the worker must not be used any more
      */
     boolean update(WorkerListing listing) {
-        boolean changed = listing.address() != null && !listing.address().equals(address)
-                || listing.startedAtMs() != startedAtMs || !listing.placement().equals(placement);
+        boolean moved = listing.address() != null && !listing.address().equals(address);
+        boolean changed =
+                moved || listing.startedAtMs() != startedAtMs || !listing.placement().equals(placement);
         if (changed) {
             incarnation++;
         }
