--- a/src/main/java/rampshift/testbed/clients/LoadGenerator.java
+++ b/src/main/java/rampshift/testbed/clients/LoadGenerator.java
@@ -75,7 +75,7 @@
         chance = RandomStreams.of(seed, "clients " + process);
         front = new FrontProxy(plan, dispatchers, RandomStreams.of(seed, "front " + process));
         tally = new LoadStatistics(plan);
-        worker = LoopbackNetwork.worker("load");
+        worker = LoopbackNetwork.createWorker("load");
         thread = worker.getIoThread(0);
         for (int i = 0; i < dispatchers.size(); i++) {
             kept.add(new ArrayDeque<>());
@@ -219,19 +219,19 @@
         }
     }
 
-    private static FaultyConnection.Told reading(MessageReader reader) {
-        return new FaultyConnection.Told() {
+    private static FaultyConnection.Listener reading(MessageReader reader) {
+        return new FaultyConnection.Listener() {
             @Override
-            public void bytes(byte[] bytes, int count) {
+            public void onBytes(byte[] bytes, int count) {
                 try {
-                    reader.take(bytes, 0, count, EventClock.now());
+                    reader.read(bytes, 0, count, EventClock.now());
                 } catch (IOException e) {
                     // It is not ready then.
                 }
             }
 
             @Override
-            public void ended(boolean reset) {
+            public void onClosed(boolean reset) {
                 // It is asked again.
             }
         };
@@ -276,7 +276,7 @@
     }
 
     /** A connection that is kept between tasks. */
-    private final class Talk implements FaultyConnection.Told {
+    private final class Talk implements FaultyConnection.Listener {
         final FrontProxy.Member to;
         final FaultyConnection line;
         private final MessageReader reader = new MessageReader(this::answered);
@@ -296,7 +296,7 @@
         }
 
         @Override
-        public void bytes(byte[] bytes, int count) {
+        public void onBytes(byte[] bytes, int count) {
             if (now == null) {
                 // The one that this connection answered last has got a second answer, or bytes of nobody's.
                 ledger.line(EventClock.now(), "unasked", to.number, count);
@@ -304,7 +304,7 @@
                 return;
             }
             try {
-                reader.take(bytes, 0, count, EventClock.now());
+                reader.read(bytes, 0, count, EventClock.now());
             } catch (IOException e) {
                 Try told = now;
                 drop();
@@ -317,7 +317,7 @@
             now = null;
             boolean again = used;
             used = true;
-            if (message.lasting() && plan.clients().keep() && !told.standsIdle) {
+            if (message.persistent() && plan.clients().keep() && !told.standsIdle) {
                 kept.get(to.number).push(this);
             } else if (!told.standsIdle) {
                 line.close();
@@ -328,10 +328,10 @@
         }
 
         @Override
-        public void ended(boolean reset) {
+        public void onClosed(boolean reset) {
             kept.get(to.number).remove(this);
             Try told = now;
-            boolean fresh = !reader.within();
+            boolean fresh = !reader.isInMessage();
             now = null;
             if (idle.remove(this)) {
                 tally.idleLost++;
--- a/src/main/java/rampshift/testbed/discovery/DiscoveryAgent.java
+++ b/src/main/java/rampshift/testbed/discovery/DiscoveryAgent.java
@@ -57,10 +57,11 @@
         this.chance = chance;
         versions = new ListHistory(first);
         ChannelListener<AcceptingChannel<StreamConnection>> accept = this::accept;
-        LoopbackNetwork.needs(port);
-        socket = worker.createStreamConnectionServer(LoopbackNetwork.at(port), accept, OptionMap.builder()
-                .set(Options.TCP_NODELAY, true).set(Options.REUSE_ADDRESSES, true)
-                .set(Options.BACKLOG, 128).getMap());
+        LoopbackNetwork.requireFreePort(port);
+        socket = worker.createStreamConnectionServer(LoopbackNetwork.address(port), accept,
+                OptionMap.builder()
+                        .set(Options.TCP_NODELAY, true).set(Options.REUSE_ADDRESSES, true)
+                        .set(Options.BACKLOG, 128).getMap());
         socket.resumeAccepts();
     }
 
@@ -132,7 +133,7 @@
         }
     }
 
-    private final class Talk implements FaultyConnection.Told {
+    private final class Talk implements FaultyConnection.Listener {
         private final FaultyConnection line;
         private final MessageReader reader = new MessageReader(this::asked);
         private boolean waits;
@@ -147,9 +148,9 @@
         }
 
         @Override
-        public void bytes(byte[] bytes, int count) {
+        public void onBytes(byte[] bytes, int count) {
             try {
-                reader.take(bytes, 0, count, EventClock.now());
+                reader.read(bytes, 0, count, EventClock.now());
             } catch (IOException e) {
                 drop();
             }
@@ -214,7 +215,7 @@
         }
 
         @Override
-        public void ended(boolean reset) {
+        public void onClosed(boolean reset) {
             over();
         }
 
--- a/src/main/java/rampshift/testbed/experiment/Configurations.java
+++ b/src/main/java/rampshift/testbed/experiment/Configurations.java
@@ -182,7 +182,7 @@
         for (int d = 0; Files.exists(file(folder, d)); d++) {
             JsonNode root = JSON.readTree(file(folder, d).toFile());
             String listen = root.path("listen").asText();
-            all.add(LoopbackNetwork.at(Integer.parseInt(listen.substring(listen.lastIndexOf(':') + 1))));
+            all.add(LoopbackNetwork.address(Integer.parseInt(listen.substring(listen.lastIndexOf(':') + 1))));
         }
         if (all.isEmpty()) {
             throw new ConfigurationException(
--- a/src/main/java/rampshift/testbed/experiment/RunProcesses.java
+++ b/src/main/java/rampshift/testbed/experiment/RunProcesses.java
@@ -31,7 +31,8 @@
     static void fleet(FleetPlan plan, long seed, Path folder, boolean steered, PrintStream out)
             throws IOException {
         List<InetSocketAddress> members =
-                plan.members().on() ? LoopbackNetwork.own(plan.dispatcherCount()) : List.of();
+                plan.members().on() ? LoopbackNetwork.findDedicatedAddresses(plan.dispatcherCount())
+                        : List.of();
         try (EventLog ledger = new EventLog(folder.resolve("fleet.ledger"));
                 LinkProxy ways =
                         members.isEmpty() ? null : new LinkProxy(members, RandomStreams.of(seed, "ways"))) {
@@ -83,12 +84,12 @@
 
     private static List<InetSocketAddress> listens(FleetPlan plan) throws IOException {
         if (plan.dispatchers().port() == 0) {
-            return LoopbackNetwork.free(plan.dispatcherCount());
+            return LoopbackNetwork.findFreeAddresses(plan.dispatcherCount());
         }
         List<InetSocketAddress> listens = new ArrayList<>();
         for (int d = 0; d < plan.dispatcherCount(); d++) {
-            LoopbackNetwork.needs(plan.dispatchers().port() + d);
-            listens.add(LoopbackNetwork.at(plan.dispatchers().port() + d));
+            LoopbackNetwork.requireFreePort(plan.dispatchers().port() + d);
+            listens.add(LoopbackNetwork.address(plan.dispatchers().port() + d));
         }
         return listens;
     }
--- a/src/main/java/rampshift/testbed/faults/FaultInjector.java
+++ b/src/main/java/rampshift/testbed/faults/FaultInjector.java
@@ -64,17 +64,17 @@
             case LEAVE, CRASH -> names.forEach(fleet::leave);
             case CUT -> {
                 fleet.cut(trouble.site(), true);
-                ways(trouble, w -> w.cut(true));
+                ways(trouble, w -> w.setCut(true));
             }
             case ROSTER_SILENT -> fleet.rosterSilent(names, true);
             case ROSTER_OLD -> fleet.rosterOld(names, trouble.delay());
-            case WAY_CUT -> ways(trouble, w -> w.cut(true));
+            case WAY_CUT -> ways(trouble, w -> w.setCut(true));
             case WAY_FLAPPING -> flap(trouble, true, EventClock.now().plus(trouble.length()));
-            case WAY_LOSSY -> ways(trouble, w -> w.lost(trouble.rate()));
-            case WAY_SLOW -> ways(trouble, w -> w.late(trouble.delay()));
-            case WAY_SCATTERED -> ways(trouble, w -> w.scattered(trouble.delay()));
-            case WAY_REPEATING -> ways(trouble, w -> w.repeated(trouble.rate()));
-            case WAY_NARROW -> ways(trouble, w -> w.narrow(NARROWEST * trouble.factor()));
+            case WAY_LOSSY -> ways(trouble, w -> w.setLossShare(trouble.rate()));
+            case WAY_SLOW -> ways(trouble, w -> w.setDelay(trouble.delay()));
+            case WAY_SCATTERED -> ways(trouble, w -> w.setJitter(trouble.delay()));
+            case WAY_REPEATING -> ways(trouble, w -> w.setDuplicateShare(trouble.rate()));
+            case WAY_NARROW -> ways(trouble, w -> w.setBandwidth(NARROWEST * trouble.factor()));
             case PAUSES -> pause(trouble, names, EventClock.now().plus(trouble.length()));
             default -> names.forEach(n -> fleet.ill(n, trouble, true));
         }
@@ -89,16 +89,16 @@
             case CRASH -> names.forEach(fleet::comeBack);
             case CUT -> {
                 fleet.cut(trouble.site(), false);
-                ways(trouble, w -> w.cut(false));
+                ways(trouble, w -> w.setCut(false));
             }
             case ROSTER_SILENT -> fleet.rosterSilent(names, false);
             case ROSTER_OLD -> fleet.rosterOld(names, Span.ZERO);
-            case WAY_CUT, WAY_FLAPPING -> ways(trouble, w -> w.cut(false));
-            case WAY_LOSSY -> ways(trouble, w -> w.lost(0));
-            case WAY_SLOW -> ways(trouble, w -> w.late(Span.ZERO));
-            case WAY_SCATTERED -> ways(trouble, w -> w.scattered(Span.ZERO));
-            case WAY_REPEATING -> ways(trouble, w -> w.repeated(0));
-            case WAY_NARROW -> ways(trouble, w -> w.narrow(0));
+            case WAY_CUT, WAY_FLAPPING -> ways(trouble, w -> w.setCut(false));
+            case WAY_LOSSY -> ways(trouble, w -> w.setLossShare(0));
+            case WAY_SLOW -> ways(trouble, w -> w.setDelay(Span.ZERO));
+            case WAY_SCATTERED -> ways(trouble, w -> w.setJitter(Span.ZERO));
+            case WAY_REPEATING -> ways(trouble, w -> w.setDuplicateShare(0));
+            case WAY_NARROW -> ways(trouble, w -> w.setBandwidth(0));
             case PAUSES -> {
             }
             default -> names.forEach(n -> fleet.ill(n, trouble, false));
@@ -115,7 +115,7 @@
                 int a = from;
                 int b = to;
                 if (a != b && (ofSite || trouble.names().stream().anyMatch(p -> pair(p, a, b)))) {
-                    ways.change(a, b, change);
+                    ways.changeFaults(a, b, change);
                 }
             }
         }
@@ -138,7 +138,7 @@
 
     private void flap(FleetPlan.Trouble trouble, boolean cut, Moment until) {
         if (EventClock.now().before(until)) {
-            ways(trouble, w -> w.cut(cut));
+            ways(trouble, w -> w.setCut(cut));
             at(EventClock.now().plus(trouble.delay()), () -> flap(trouble, !cut, until));
         }
     }
--- a/src/main/java/rampshift/testbed/links/LinkFaults.java
+++ b/src/main/java/rampshift/testbed/links/LinkFaults.java
@@ -3,76 +3,82 @@
 import org.apache.commons.rng.UniformRandomProvider;
 import rampshift.time.Span;
 
-/**
- * What befalls what goes from one dispatcher to another, in that direction alone. Lost and repeated: shares
- * of the
- * datagrams. Late and scattered: every datagram comes so much later, and up to so much more, by which they
- * overtake
- * one another. Narrow: bytes a second that get through, 0 for all; what would wait longer than a second is
- * lost.
- */
+/** The faults of the link from one dispatcher to another, in that direction alone. */
 public final class LinkFaults {
-    private static final double MOST_QUEUED = 1.0;
+    private static final double MAX_QUEUE_MS = 1000;
+    private static final double MS_PER_SECOND = 1000;
+    private static final double[] LOST = {};
 
     private boolean cut;
-    private double lost;
-    private double repeated;
-    private Span late = Span.ZERO;
-    private Span scattered = Span.ZERO;
-    private double narrow;
-    private double freeAt;
+    private double lossShare;
+    private double duplicateShare;
+    private Span delay = Span.ZERO;
+    private Span jitter = Span.ZERO;
+    private double bytesPerSecond;
+    private double idleFromMs;
 
-    public void cut(boolean on) {
-        cut = on;
+    /** Cuts the link, so that nothing gets through, or restores it. */
+    public void setCut(boolean cut) {
+        this.cut = cut;
     }
 
-    public void lost(double share) {
-        lost = share;
+    /** Sets the share of the datagrams that are lost, 0 to 1. */
+    public void setLossShare(double share) {
+        lossShare = share;
     }
 
-    public void repeated(double share) {
-        repeated = share;
+    /** Sets the share of the datagrams that arrive twice, 0 to 1. */
+    public void setDuplicateShare(double share) {
+        duplicateShare = share;
     }
 
-    public void late(Span span) {
-        late = span;
+    /** Sets by how much everything is delayed. */
+    public void setDelay(Span delay) {
+        this.delay = delay;
     }
 
-    public void scattered(Span span) {
-        scattered = span;
+    /** Sets the upper bound of a random delay of each datagram, by which they overtake one another. */
+    public void setJitter(Span jitter) {
+        this.jitter = jitter;
     }
 
-    public void narrow(double bytesASecond) {
-        narrow = bytesASecond;
+    /** Sets the bandwidth for datagrams; 0 for no limit. What would wait longer than a second is lost. */
+    public void setBandwidth(double bytesPerSecond) {
+        this.bytesPerSecond = bytesPerSecond;
     }
 
-    /** Milliseconds until each copy of a datagram is there; none where it is lost. */
-    double[] passes(double nowMs, int bytes, UniformRandomProvider chance) {
-        if (cut || chance.nextDouble() < lost) {
-            return new double[0];
+    /**
+     * Decides what becomes of a datagram.
+     *
+     * @return the delay of each of its copies in milliseconds; empty if it is lost
+     */
+    double[] datagramDelaysMs(double nowMs, int bytes, UniformRandomProvider random) {
+        if (cut || random.nextDouble() < lossShare) {
+            return LOST;
         }
-        double wait = 0;
-        if (narrow > 0) {
-            freeAt = Math.max(freeAt, nowMs) + 1000 * bytes / narrow;
-            wait = freeAt - nowMs;
-            if (wait > 1000 * MOST_QUEUED) {
-                freeAt -= 1000 * bytes / narrow;
-                return new double[0];
+        double queueMs = 0;
+        if (bytesPerSecond > 0) {
+            double transmissionMs = MS_PER_SECOND * bytes / bytesPerSecond;
+            idleFromMs = Math.max(idleFromMs, nowMs) + transmissionMs;
+            queueMs = idleFromMs - nowMs;
+            if (queueMs > MAX_QUEUE_MS) {
+                idleFromMs -= transmissionMs;
+                return LOST;
             }
         }
-        double[] copies = new double[chance.nextDouble() < repeated ? 2 : 1];
-        for (int i = 0; i < copies.length; i++) {
-            copies[i] = wait + late.millis() + scattered.millis() * chance.nextDouble();
+        double[] delaysMs = new double[random.nextDouble() < duplicateShare ? 2 : 1];
+        for (int i = 0; i < delaysMs.length; i++) {
+            delaysMs[i] = queueMs + delay.millis() + jitter.millis() * random.nextDouble();
         }
-        return copies;
+        return delaysMs;
     }
 
     boolean isCut() {
         return cut;
     }
 
-    /** Streams come whole and in order, or not at all. */
-    double streamWait() {
-        return late.millis();
+    /** The delay of streams, which arrive complete and in order, or not at all. */
+    double streamDelayMs() {
+        return delay.millis();
     }
 }
--- /dev/null
+++ b/src/main/java/rampshift/testbed/links/StreamRelay.java
@@ -0,0 +1,117 @@
+package rampshift.testbed.links;
+
+import java.io.IOException;
+import java.nio.ByteBuffer;
+import java.nio.channels.SelectionKey;
+import java.nio.channels.SocketChannel;
+import java.util.Arrays;
+import java.util.function.Consumer;
+
+/** Relays one stream between two dispatchers in both directions, with the faults of their links. */
+final class StreamRelay {
+    private static final int BUFFER_BYTES = 16 * 1024;
+    private static final double MAX_WRITE_MS = 200;
+
+    private final SelectorLoop loop;
+    private final SocketChannel near;
+    private final SocketChannel far;
+    private final LinkFaults forward;
+    private final LinkFaults backward;
+    private final Consumer<StreamRelay> onEnd;
+    private final ByteBuffer buffer = ByteBuffer.allocate(BUFFER_BYTES);
+    private boolean ended;
+
+    /**
+     * Creates a relay, which transfers nothing yet.
+     *
+     * @param near the connection from the dispatcher that opened the stream
+     * @param far the connection to the other dispatcher; null to neither refuse nor answer the stream
+     * @param forward the faults of the link from near to far
+     * @param backward the faults of the link from far to near
+     * @param onEnd called when the relay ends; may be called more than once
+     */
+    StreamRelay(SelectorLoop loop, SocketChannel near, SocketChannel far, LinkFaults forward,
+            LinkFaults backward,
+            Consumer<StreamRelay> onEnd) throws IOException {
+        this.loop = loop;
+        this.near = near;
+        this.far = far;
+        this.forward = forward;
+        this.backward = backward;
+        this.onEnd = onEnd;
+        near.configureBlocking(false);
+    }
+
+    /** The connection to the other dispatcher is ready: starts to transfer. */
+    void onConnected() {
+        try {
+            far.finishConnect();
+            loop.register(near, SelectionKey.OP_READ, () -> transfer(near, far, forward));
+            loop.register(far, SelectionKey.OP_READ, () -> transfer(far, near, backward));
+            applyCuts();
+        } catch (IOException e) {
+            end();
+        }
+    }
+
+    /** Doesn't read where the link is cut, so that bytes wait in the sockets as on a silent network. */
+    void applyCuts() {
+        setReadable(near, !forward.isCut());
+        setReadable(far, !backward.isCut());
+    }
+
+    private void setReadable(SocketChannel channel, boolean readable) {
+        SelectionKey key = channel == null ? null : loop.registration(channel);
+        if (key != null && key.isValid() && key.interestOps() != SelectionKey.OP_CONNECT) {
+            key.interestOps(readable ? SelectionKey.OP_READ : 0);
+        }
+    }
+
+    private void transfer(SocketChannel from, SocketChannel to, LinkFaults faults) {
+        try {
+            buffer.clear();
+            int count = from.read(buffer);
+            if (count < 0) {
+                loop.runAfter(faults.streamDelayMs(), this::end);
+                loop.registration(from).cancel();
+                return;
+            }
+            byte[] bytes = Arrays.copyOf(buffer.array(), count);
+            loop.runAfter(faults.streamDelayMs(), () -> write(to, bytes));
+        } catch (IOException e) {
+            end();
+        }
+    }
+
+    private void write(SocketChannel to, byte[] bytes) {
+        try {
+            ByteBuffer remaining = ByteBuffer.wrap(bytes);
+            double deadlineMs = SelectorLoop.nowMs() + MAX_WRITE_MS;
+            while (remaining.hasRemaining() && !ended) {
+                if (to.write(remaining) == 0) {
+                    // Messages are smaller than socket buffers: only those of a paused process fill up.
+                    if (SelectorLoop.nowMs() > deadlineMs) {
+                        end();
+                    }
+                    Thread.onSpinWait();
+                }
+            }
+        } catch (IOException e) {
+            end();
+        }
+    }
+
+    /** Closes both connections. */
+    void end() {
+        ended = true;
+        onEnd.accept(this);
+        try {
+            near.close();
+            if (far != null) {
+                far.close();
+            }
+        } catch (IOException e) {
+            // The connection can't be used any more either way.
+        }
+    }
+}
--- a/src/main/java/rampshift/testbed/wire/FaultyConnection.java
+++ b/src/main/java/rampshift/testbed/wire/FaultyConnection.java
@@ -4,6 +4,7 @@
 import java.nio.ByteBuffer;
 import java.nio.charset.StandardCharsets;
 import java.util.ArrayDeque;
+import java.util.Arrays;
 import java.util.concurrent.TimeUnit;
 import org.xnio.IoUtils;
 import org.xnio.Options;
@@ -14,71 +15,87 @@
 import rampshift.time.Span;
 
 /**
- * One end of a connection, with what a network may do to it: bytes are held back, come late, or come one by
- * one.
- * Owned by one I/O thread; whoever holds it closes it, and is told once when the other side has.
+ * One end of a connection with network faults: bytes are blocked, delayed, or sent one by one. It is used
+ * on one I/O thread alone. Whoever created it closes it.
  */
 public final class FaultyConnection {
-    private static final int PIECE = 16 * 1024;
-    private static final ByteBuffer NOTHING = ByteBuffer.allocate(0);
-
-    /** Who is told what comes. */
-    public interface Told {
-        void bytes(byte[] bytes, int count);
-
-        /** It has ended, by the other side; not told after a close of our own. */
-        void ended(boolean reset);
+    private static final int READ_BUFFER_BYTES = 16 * 1024;
+    private static final ByteBuffer EMPTY = ByteBuffer.allocate(0);
+
+    /** Receives what arrives on a connection. */
+    public interface Listener {
+        /**
+         * Bytes have arrived.
+         *
+         * @param bytes an array that is valid only during this call
+         * @param count how many bytes at its start have arrived
+         */
+        void onBytes(byte[] bytes, int count);
+
+        /**
+         * The peer has closed the connection. Not called after this side has closed it.
+         *
+         * @param reset whether the connection was reset
+         */
+        void onClosed(boolean reset);
     }
 
     private final StreamConnection connection;
     private final XnioIoThread thread;
-    private final Told told;
-    private final ByteBuffer in = ByteBuffer.allocate(PIECE);
-    private final ArrayDeque<ByteBuffer> out = new ArrayDeque<>();
+    private final Listener listener;
+    private final ByteBuffer readBuffer = ByteBuffer.allocate(READ_BUFFER_BYTES);
+    private final ArrayDeque<ByteBuffer> unwritten = new ArrayDeque<>();
     private Span delay = Span.ZERO;
-    private Span drip = Span.ZERO;
-    private boolean held;
-    private Moment heldFrom;
-    private Moment unreadFrom;      // not null while what came since then is read off
-    private boolean dripping;
+    private Span byteInterval = Span.ZERO;
+    private boolean blocked;
+    private Moment blockedSince;
+    /**
+     * When the connection was blocked, while the bytes that arrived in that time are being read; null
+     * otherwise.
+     */
+    private Moment backlogSince;
+    private boolean waitsForNextByte;
     private boolean closed;
-    private boolean closeWhenWritten;
+    private boolean closesAfterWrites;
 
-    public FaultyConnection(StreamConnection connection, XnioIoThread thread, Told told) {
+    /** Takes a connection over without reading from it yet. */
+    public FaultyConnection(StreamConnection connection, XnioIoThread thread, Listener listener) {
         this.connection = connection;
         this.thread = thread;
-        this.told = told;
-        connection.getSourceChannel().setReadListener(c -> readable());
-        connection.getSinkChannel().setWriteListener(c -> flush());
+        this.listener = listener;
+        connection.getSourceChannel().setReadListener(ignored -> read());
+        connection.getSinkChannel().setWriteListener(ignored -> flush());
     }
 
-    /** Begins to read. */
+    /** Starts to read. */
     public FaultyConnection start() {
-        if (!held) {
+        if (!blocked) {
             connection.getSourceChannel().wakeupReads();
         }
         return this;
     }
 
-    /** Every byte comes and goes so much later, one way. */
-    public void delay(Span span) {
-        delay = span;
+    /** Sets by how much bytes are delayed in each direction. */
+    public void setDelay(Span delay) {
+        this.delay = delay;
     }
 
-    /** What is written from now on goes byte by byte, so far apart; ZERO: at once. */
-    public void drip(Span apart) {
-        drip = apart;
+    /** Sets the time between two bytes that are written from now on; zero to write them together. */
+    public void setByteInterval(Span interval) {
+        byteInterval = interval;
     }
 
-    /** Nothing comes through and nothing is reset, until it is released. */
-    public void hold(boolean hold) {
-        heldFrom = hold && !held ? EventClock.now() : heldFrom;
-        unreadFrom = hold ? null : heldFrom;
-        held = hold;
+    /** Blocks the connection, so that nothing gets through and nothing is reset, or unblocks it. */
+    public void setBlocked(boolean block) {
+        if (block && !blocked) {
+            blockedSince = EventClock.now();
+        }
+        backlogSince = block ? null : blockedSince;
+        blocked = block;
         if (closed) {
             return;
         }
-        if (hold) {
+        if (block) {
             connection.getSourceChannel().suspendReads();
             connection.getSinkChannel().suspendWrites();
         } else {
@@ -87,85 +104,93 @@
         }
     }
 
-    /**
-     * When the bytes that are told of now may have been written, at the earliest: a cut line holds what came
-     * in it.
-     */
-    public Moment earliest() {
-        return unreadFrom == null ? EventClock.now() : unreadFrom;
+    /** The earliest time at which the bytes that are being passed to the listener may have been sent. */
+    public Moment earliestSendTime() {
+        return backlogSince == null ? EventClock.now() : backlogSince;
     }
 
-    public boolean closed() {
+    /** Whether either side has closed the connection. */
+    public boolean isClosed() {
         return closed;
     }
 
-    private void readable() {
+    private void read() {
         try {
-            while (!closed && !held) {
-                in.clear();
-                int count = connection.getSourceChannel().read(in);
+            while (!closed && !blocked) {
+                readBuffer.clear();
+                int count = connection.getSourceChannel().read(readBuffer);
                 if (count == 0) {
-                    unreadFrom = null;
+                    backlogSince = null;
                     connection.getSourceChannel().resumeReads();
                     return;
                 }
                 if (count < 0) {
-                    later(() -> over(false));
+                    runDelayed(() -> onPeerClosed(false));
                     connection.getSourceChannel().suspendReads();
                     return;
                 }
-                if (delay.micros() == 0) {
-                    told.bytes(in.array(), count);
-                } else {
-                    byte[] copy = java.util.Arrays.copyOf(in.array(), count);
-                    later(() -> told.bytes(copy, copy.length));
-                }
+                passOn(count);
             }
         } catch (IOException e) {
-            over(true);
+            onPeerClosed(true);
         }
     }
 
-    private void later(Runnable what) {
+    private void passOn(int count) {
         if (delay.micros() == 0) {
-            what.run();
+            listener.onBytes(readBuffer.array(), count);
         } else {
-            thread.executeAfter(() -> {
+            byte[] copy = Arrays.copyOf(readBuffer.array(), count);
+            runDelayed(() -> listener.onBytes(copy, copy.length));
+        }
+    }
+
+    private void runDelayed(Runnable action) {
+        if (delay.micros() == 0) {
+            action.run();
+        } else {
+            runAfter(delay, () -> {
                 if (!closed) {
-                    what.run();
+                    action.run();
                 }
-            }, Math.max(1, Math.round(delay.millis())), TimeUnit.MILLISECONDS);
+            });
         }
     }
 
+    private void runAfter(Span span, Runnable action) {
+        thread.executeAfter(action, Math.max(1, Math.round(span.millis())), TimeUnit.MILLISECONDS);
+    }
+
+    /** Writes a text in UTF-8. */
     public void write(String text) {
         write(text.getBytes(StandardCharsets.UTF_8));
     }
 
+    /** Writes bytes; the array must not be changed afterwards. */
     public void write(byte[] bytes) {
-        later(() -> {
-            out.add(ByteBuffer.wrap(bytes));
+        runDelayed(() -> {
+            unwritten.add(ByteBuffer.wrap(bytes));
             flush();
         });
     }
 
-    /** Ends it once all that was written has gone. */
-    public void closeWhenWritten() {
-        later(() -> {
-            closeWhenWritten = true;
+    /** Closes the connection once everything has been written. */
+    public void closeAfterWrites() {
+        runDelayed(() -> {
+            closesAfterWrites = true;
             flush();
         });
     }
 
     private void flush() {
-        if (closed || held || dripping) {
+        if (closed || blocked || waitsForNextByte) {
             return;
         }
         try {
-            while (!out.isEmpty()) {
-                ByteBuffer first = out.peek();
-                if (drip.micros() > 0) {
-                    dripOne(first);
+            while (!unwritten.isEmpty()) {
+                ByteBuffer first = unwritten.peek();
+                if (byteInterval.micros() > 0) {
+                    writeOneByte(first);
                     return;
                 }
                 if (first.hasRemaining() && connection.getSinkChannel().write(first) == 0) {
@@ -173,55 +198,55 @@
                     return;
                 }
                 if (!first.hasRemaining()) {
-                    out.poll();
+                    unwritten.poll();
                 }
             }
             connection.getSinkChannel().suspendWrites();
-            if (closeWhenWritten) {
+            if (closesAfterWrites) {
                 close();
             }
         } catch (IOException e) {
-            over(true);
+            onPeerClosed(true);
         }
     }
 
-    private void dripOne(ByteBuffer first) throws IOException {
-        ByteBuffer one = first.hasRemaining() ? first.slice(first.position(), 1) : NOTHING;
-        int count = connection.getSinkChannel().write(one);
+    private void writeOneByte(ByteBuffer first) throws IOException {
+        ByteBuffer oneByte = first.hasRemaining() ? first.slice(first.position(), 1) : EMPTY;
+        int count = connection.getSinkChannel().write(oneByte);
         first.position(first.position() + count);
         if (!first.hasRemaining()) {
-            out.poll();
+            unwritten.poll();
         }
-        dripping = true;
-        thread.executeAfter(() -> {
-            dripping = false;
+        waitsForNextByte = true;
+        runAfter(byteInterval, () -> {
+            waitsForNextByte = false;
             flush();
-        }, Math.max(1, Math.round(drip.millis())), TimeUnit.MILLISECONDS);
+        });
     }
 
-    private void over(boolean reset) {
+    private void onPeerClosed(boolean reset) {
         if (!closed) {
             close();
-            told.ended(reset);
+            listener.onClosed(reset);
         }
     }
 
-    /** Ends it in order. What was not written is lost. */
+    /** Closes the connection in order; what has not been written is lost. */
     public void close() {
         if (!closed) {
             closed = true;
-            out.clear();
+            unwritten.clear();
             IoUtils.safeClose(connection);
         }
     }
 
-    /** Ends it with a reset. */
+    /** Closes the connection with a reset. */
     public void reset() {
         if (!closed) {
             try {
                 connection.setOption(Options.CLOSE_ABORT, true);
             } catch (IOException e) {
-                // Its other side has ended it already.
+                // The peer has closed it already.
             }
             close();
         }
--- a/src/main/java/rampshift/testbed/wire/LoopbackNetwork.java
+++ b/src/main/java/rampshift/testbed/wire/LoopbackNetwork.java
@@ -12,59 +12,77 @@
 import org.xnio.Xnio;
 import org.xnio.XnioWorker;
 
-/** Addresses on loopback, and the one I/O thread that stand-ins live on. */
+/** Addresses on loopback, and I/O threads for emulated workers and clients. */
 public final class LoopbackNetwork {
+    private static final String LOOPBACK_ADDRESS = "127.0.0.1";
+    private static final String DEDICATED_NETWORK_PREFIX = "127.0.1.";
+    private static final int DEDICATED_ADDRESS_COUNT = 250;
+
     private LoopbackNetwork() {}
 
-    /** So many ports that nobody listens on now; the system may give them away again at once. */
-    public static List<InetSocketAddress> free(int count) throws IOException {
-        List<ServerSocket> held = new ArrayList<>();
-        List<InetSocketAddress> free = new ArrayList<>();
+    /**
+     * Finds ports of 127.0.0.1 on which nobody listens now. The system may give them to others at any time.
+     *
+     * @param count the number of ports
+     * @return the addresses with these ports
+     */
+    public static List<InetSocketAddress> findFreeAddresses(int count) throws IOException {
+        List<ServerSocket> sockets = new ArrayList<>();
+        List<InetSocketAddress> addresses = new ArrayList<>();
         try {
             for (int i = 0; i < count; i++) {
-                ServerSocket socket = new ServerSocket(0, 1, InetAddress.getByName("127.0.0.1"));
-                held.add(socket);
-                free.add(at(socket.getLocalPort()));
+                ServerSocket socket = new ServerSocket(0, 1, InetAddress.getByName(LOOPBACK_ADDRESS));
+                sockets.add(socket);
+                addresses.add(address(socket.getLocalPort()));
             }
         } finally {
-            for (ServerSocket socket : held) {
+            for (ServerSocket socket : sockets) {
                 socket.close();
             }
         }
-        return free;
+        return addresses;
     }
 
     /**
-     * So many addresses of which nobody else takes one: each is another of 127.0.1.0/24, where no socket of
-     * any port
-     * comes from. A port of 127.0.0.1 that was free was taken by the next socket that wanted any.
+     * Finds addresses that nobody else takes: each is another one of 127.0.1.0/24, from which the system
+     * takes no address for other sockets. A free port of 127.0.0.1 was taken by the next socket that
+     * wanted any port.
+     *
+     * @param count the number of addresses
      */
-    public static List<InetSocketAddress> own(int count) throws IOException {
-        List<InetSocketAddress> own = new ArrayList<>();
+    public static List<InetSocketAddress> findDedicatedAddresses(int count) throws IOException {
+        List<InetSocketAddress> addresses = new ArrayList<>();
         for (int i = 0; i < count; i++) {
-            try (ServerSocket socket =
-                    new ServerSocket(0, 1, InetAddress.getByName("127.0.1." + (1 + i % 250)))) {
-                own.add((InetSocketAddress) socket.getLocalSocketAddress());
+            String host = DEDICATED_NETWORK_PREFIX + (1 + i % DEDICATED_ADDRESS_COUNT);
+            try (ServerSocket socket = new ServerSocket(0, 1, InetAddress.getByName(host))) {
+                addresses.add((InetSocketAddress) socket.getLocalSocketAddress());
             }
         }
-        return own;
+        return addresses;
     }
 
-    /** Throws, naming it, where somebody listens on that port already; 0 is any port. */
-    public static void needs(int port) throws IOException {
+    /**
+     * Checks that a port of 127.0.0.1 is free.
+     *
+     * @param port the port; 0 stands for any free one
+     * @throws IOException if somebody listens on the port
+     */
+    public static void requireFreePort(int port) throws IOException {
         try (ServerSocket socket = new ServerSocket()) {
             socket.setReuseAddress(true);
-            socket.bind(at(port), 1);
+            socket.bind(address(port), 1);
         } catch (BindException e) {
-            throw new IOException("127.0.0.1:" + port + " is taken");
+            throw new IOException(LOOPBACK_ADDRESS + ":" + port + " is taken");
         }
     }
 
-    public static InetSocketAddress at(int port) throws IOException {
-        return new InetSocketAddress(InetAddress.getByName("127.0.0.1"), port);
+    /** The address of a port of 127.0.0.1. */
+    public static InetSocketAddress address(int port) throws IOException {
+        return new InetSocketAddress(InetAddress.getByName(LOOPBACK_ADDRESS), port);
     }
 
-    public static XnioWorker worker(String name) throws IOException {
+    /** Creates an XNIO worker with one I/O thread and one task thread, both daemons. */
+    public static XnioWorker createWorker(String name) throws IOException {
         System.setProperty("javax.management.builder.initial", "none");
         return Xnio.getInstance(LoopbackNetwork.class.getClassLoader()).createWorker(OptionMap.builder()
                 .set(Options.WORKER_NAME, name).set(Options.WORKER_IO_THREADS, 1)
--- a/src/main/java/rampshift/testbed/wire/Message.java
+++ b/src/main/java/rampshift/testbed/wire/Message.java
@@ -2,39 +2,57 @@
 
 import java.nio.charset.StandardCharsets;
 import java.util.List;
+import java.util.regex.Pattern;
 import rampshift.time.Moment;
 
 /**
- * One whole message of HTTP/1.1: its first line, its fields as they came, its body; when it began to come.
+ * A whole HTTP/1.1 request or response.
+ *
+ * @param startLine the request line or the status line
+ * @param headerLines the header fields, one a line, as they arrived
+ * @param body the body, without the framing of chunks
+ * @param startedAt when the first byte arrived
+ * @param persistent whether the sender leaves the connection open
  */
-public record Message(String first, List<String> fields, byte[] body, Moment began, boolean lasting) {
-    /** The first value of a field, or null. */
+public record Message(String startLine, List<String> headerLines, byte[] body, Moment startedAt,
+        boolean persistent) {
+
+    private static final Pattern STATUS_LINE = Pattern.compile("HTTP/1\\.[01] \\d{3}.*");
+    private static final int STATUS_START = "HTTP/1.1 ".length();
+    private static final int STATUS_END = STATUS_START + 3;
+
+    /** The value of the first header field with this name, in any case; null if there is none. */
     public String field(String name) {
-        for (String line : fields) {
-            int length = name.length();
-            if (line.length() > length && line.charAt(length) == ':'
-                    && line.regionMatches(true, 0, name, 0, length)) {
+        int length = name.length();
+        for (String line : headerLines) {
+            boolean named = line.length() > length && line.charAt(length) == ':'
+                    && line.regionMatches(true, 0, name, 0, length);
+            if (named) {
                 return line.substring(length + 1).trim();
             }
         }
         return null;
     }
 
-    /** Of an answer; 0 where the first line is none. */
+    /** The status code of a response; 0 if the start line is no status line. */
     public int status() {
-        return first.matches("HTTP/1\\.[01] \\d{3}.*") ? Integer.parseInt(first.substring(9, 12)) : 0;
+        boolean valid = STATUS_LINE.matcher(startLine).matches();
+        return valid ? Integer.parseInt(startLine.substring(STATUS_START, STATUS_END)) : 0;
     }
 
+    /** The method of a request. */
     public String method() {
-        int blank = first.indexOf(' ');
-        return blank < 0 ? first : first.substring(0, blank);
+        int blank = startLine.indexOf(' ');
+        return blank < 0 ? startLine : startLine.substring(0, blank);
     }
 
+    /** The target of a request; empty if the start line has none. */
     public String target() {
-        String[] parts = first.split(" ", 3);
+        String[] parts = startLine.split(" ", 3);
         return parts.length < 2 ? "" : parts[1];
     }
 
+    /** The body, decoded as UTF-8. */
     public String text() {
         return new String(body, StandardCharsets.UTF_8);
     }
--- a/src/main/java/rampshift/testbed/wire/MessageReader.java
+++ b/src/main/java/rampshift/testbed/wire/MessageReader.java
@@ -9,141 +9,164 @@
 import rampshift.time.Moment;
 
 /**
- * Takes messages of HTTP/1.1 out of a stream of bytes. It has none of its code from the dispatcher: two
- * readers
- * that share a mistake would never find it.
+ * An incremental parser of HTTP/1.1 messages. It shares no code with the dispatcher: two parsers with the
+ * same mistake would never reveal it.
  */
 public final class MessageReader {
-    private static final int LONGEST_LINE = 64 * 1024;
-    private static final int LARGEST_BODY = 64 << 20;
+    private static final int MAX_LINE_BYTES = 64 * 1024;
+    private static final int MAX_BODY_BYTES = 64 << 20;
+    private static final int INITIAL_LINE_BYTES = 128;
+    private static final int INITIAL_BODY_BYTES = 256;
+    private static final int DECIMAL = 10;
+    private static final int HEXADECIMAL = 16;
+    private static final byte[] NO_BODY = {};
 
-    private enum At { FIRST, FIELDS, FIXED, SIZE, CHUNK, AFTER_CHUNK, TRAILER }
-
-    private final Consumer<Message> whole;
-    private final ByteArrayOutputStream line = new ByteArrayOutputStream(128);
-    private ByteArrayOutputStream body = new ByteArrayOutputStream(256);
-    private List<String> fields = new ArrayList<>();
-    private String first;
-    private At at = At.FIRST;
-    private long left;
-    private Moment began;
-
-    public MessageReader(Consumer<Message> whole) {
-        this.whole = whole;
+    /** What the next byte belongs to. */
+    private enum State {
+        START_LINE, HEADER_FIELDS, FIXED_BODY, CHUNK_SIZE, CHUNK_DATA, CHUNK_END, TRAILER
     }
 
-    /** Some of a message has come, but not all. */
-    public boolean within() {
-        return began != null;
+    private final Consumer<Message> listener;
+    private final ByteArrayOutputStream line = new ByteArrayOutputStream(INITIAL_LINE_BYTES);
+    private ByteArrayOutputStream body = new ByteArrayOutputStream(INITIAL_BODY_BYTES);
+    private List<String> headerLines = new ArrayList<>();
+    private String startLine;
+    private State state = State.START_LINE;
+    private long remainingBytes;
+    private Moment startedAt;
+
+    /**
+     * Creates a reader.
+     *
+     * @param listener receives each message once it is complete
+     */
+    public MessageReader(Consumer<Message> listener) {
+        this.listener = listener;
     }
 
-    /** When the first byte of the message came that is coming in. */
-    public Moment began() {
-        return began;
+    /** Whether a part of a message has arrived. */
+    public boolean isInMessage() {
+        return startedAt != null;
     }
 
-    /** Takes bytes as they came, or throws where they are no message. */
-    public void take(byte[] bytes, int from, int count, Moment now) throws IOException {
-        int end = from + count;
-        for (int i = from; i < end;) {
-            if (began == null) {
-                began = now;
+    /**
+     * Parses the next bytes.
+     *
+     * @param bytes the array that holds the bytes
+     * @param offset the index of the first byte
+     * @param count the number of bytes
+     * @param now when they arrived
+     * @throws IOException if the bytes are not a valid message
+     */
+    public void read(byte[] bytes, int offset, int count, Moment now) throws IOException {
+        int end = offset + count;
+        int position = offset;
+        while (position < end) {
+            if (startedAt == null) {
+                startedAt = now;
             }
-            if (at == At.FIXED || at == At.CHUNK) {
-                int piece = (int) Math.min(left, end - i);
-                body.write(bytes, i, piece);
-                i += piece;
-                left -= piece;
-                if (left == 0) {
-                    bodyPartEnds();
-                }
-                continue;
+            if (state == State.FIXED_BODY || state == State.CHUNK_DATA) {
+                position += readBody(bytes, position, end - position);
+            } else {
+                readLineByte(bytes[position++]);
             }
-            byte b = bytes[i++];
-            if (b != '\n') {
-                line.write(b);
-                if (line.size() > LONGEST_LINE) {
-                    throw new IOException("a line over " + LONGEST_LINE + " bytes");
-                }
-                continue;
+        }
+    }
+
+    private int readBody(byte[] bytes, int offset, int available) {
+        int count = (int) Math.min(remainingBytes, available);
+        body.write(bytes, offset, count);
+        remainingBytes -= count;
+        if (remainingBytes == 0) {
+            endBodyPart();
+        }
+        return count;
+    }
+
+    private void endBodyPart() {
+        if (state == State.CHUNK_DATA) {
+            state = State.CHUNK_END;
+        } else {
+            endMessage();
+        }
+    }
+
+    private void readLineByte(byte value) throws IOException {
+        if (value != '\n') {
+            line.write(value);
+            if (line.size() > MAX_LINE_BYTES) {
+                throw new IOException("a line over " + MAX_LINE_BYTES + " bytes");
             }
-            String text = line.toString(StandardCharsets.ISO_8859_1);
-            line.reset();
-            line(text.endsWith("\r") ? text.substring(0, text.length() - 1) : text);
+            return;
         }
+        String text = line.toString(StandardCharsets.ISO_8859_1);
+        line.reset();
+        readLine(text.endsWith("\r") ? text.substring(0, text.length() - 1) : text);
     }
 
-    private void line(String text) throws IOException {
-        switch (at) {
-            case FIRST -> {
+    private void readLine(String text) throws IOException {
+        switch (state) {
+            case START_LINE -> {
                 if (!text.isEmpty()) {
-                    first = text;
-                    at = At.FIELDS;
+                    startLine = text;
+                    state = State.HEADER_FIELDS;
                 }
             }
-            case FIELDS -> {
+            case HEADER_FIELDS -> {
                 if (text.isEmpty()) {
-                    headEnds();
+                    endHead();
                 } else {
-                    fields.add(text);
+                    headerLines.add(text);
                 }
             }
-            case SIZE -> {
-                left = number(text.split(";")[0].trim(), 16);
-                at = left == 0 ? At.TRAILER : At.CHUNK;
+            case CHUNK_SIZE -> {
+                remainingBytes = parseLength(text.split(";")[0].trim(), HEXADECIMAL);
+                state = remainingBytes == 0 ? State.TRAILER : State.CHUNK_DATA;
             }
-            case AFTER_CHUNK -> at = At.SIZE;
+            case CHUNK_END -> state = State.CHUNK_SIZE;
             default -> {
                 if (text.isEmpty()) {
-                    ends();
+                    endMessage();
                 }
             }
         }
     }
 
-    private void headEnds() throws IOException {
-        Message head = new Message(first, fields, new byte[0], began, true);
-        String length = head.field("Content-Length");
+    private void endHead() throws IOException {
+        Message head = new Message(startLine, headerLines, NO_BODY, startedAt, true);
+        String contentLength = head.field("Content-Length");
         if ("chunked".equalsIgnoreCase(head.field("Transfer-Encoding"))) {
-            at = At.SIZE;
-        } else {
-            left = length == null ? 0 : number(length, 10);
-            at = At.FIXED;
-            if (left == 0) {
-                ends();
-            }
+            state = State.CHUNK_SIZE;
+            return;
+        }
+        remainingBytes = contentLength == null ? 0 : parseLength(contentLength, DECIMAL);
+        state = State.FIXED_BODY;
+        if (remainingBytes == 0) {
+            endMessage();
         }
     }
 
-    private static long number(String text, int base) throws IOException {
+    private static long parseLength(String text, int radix) throws IOException {
         try {
-            long value = Long.parseLong(text, base);
-            if (value >= 0 && value <= LARGEST_BODY) {
+            long value = Long.parseLong(text, radix);
+            if (value >= 0 && value <= MAX_BODY_BYTES) {
                 return value;
             }
         } catch (NumberFormatException e) {
-            // Falls through.
-        }
-        throw new IOException("a length that makes no sense");
-    }
-
-    private void bodyPartEnds() {
-        if (at == At.CHUNK) {
-            at = At.AFTER_CHUNK;
-        } else {
-            ends();
+            // Reported below, as for a number out of range.
         }
+        throw new IOException("an invalid length");
     }
 
-    private void ends() {
-        Message m = new Message(first, fields, body.toByteArray(), began, true);
-        String close = m.field("Connection");
-        boolean lasting = close == null || !close.equalsIgnoreCase("close");
-        first = null;
-        fields = new ArrayList<>();
-        body = new ByteArrayOutputStream(256);
-        at = At.FIRST;
-        began = null;
-        whole.accept(lasting ? m : new Message(m.first(), m.fields(), m.body(), m.began(), false));
+    private void endMessage() {
+        String connection = new Message(startLine, headerLines, NO_BODY, startedAt, true).field("Connection");
+        boolean persistent = connection == null || !connection.equalsIgnoreCase("close");
+        Message message = new Message(startLine, headerLines, body.toByteArray(), startedAt, persistent);
+        startLine = null;
+        headerLines = new ArrayList<>();
+        body = new ByteArrayOutputStream(INITIAL_BODY_BYTES);
+        state = State.START_LINE;
+        startedAt = null;
+        listener.accept(message);
     }
 }
--- a/src/main/java/rampshift/testbed/workers/EmulatedWorker.java
+++ b/src/main/java/rampshift/testbed/workers/EmulatedWorker.java
@@ -184,7 +184,7 @@
         return share > 0 && chance.nextDouble() < share;
     }
 
-    private final class Talk implements FaultyConnection.Told {
+    private final class Talk implements FaultyConnection.Listener {
         final Link link;
         final FaultyConnection line;
         private final MessageReader reader = new MessageReader(this::message);
@@ -201,14 +201,14 @@
         Talk(Link link, StreamConnection connection) {
             this.link = link;
             line = new FaultyConnection(connection, thread, this);
-            line.delay(link.crossing());
+            line.setDelay(link.crossing());
             idleLater();
         }
 
         @Override
-        public void bytes(byte[] bytes, int count) {
+        public void onBytes(byte[] bytes, int count) {
             Moment now = EventClock.now();
-            boolean begins = !reader.within();
+            boolean begins = !reader.isInMessage();
             if (begins && hit(ill.resetBefore)) {
                 ledger.line(now, "part", uid, link.dispatcher);
                 line.reset();
@@ -216,7 +216,7 @@
                 return;
             }
             try {
-                reader.take(bytes, 0, count, beat.earliest(line.earliest()));
+                reader.read(bytes, 0, count, beat.earliest(line.earliestSendTime()));
             } catch (IOException e) {
                 ledger.line(now, "odd", uid, link.dispatcher);
                 line.close();
@@ -235,7 +235,7 @@
             first = false;
             if (wait.micros() > 0) {
                 thread.executeAfter(() -> {
-                    if (!line.closed()) {
+                    if (!line.isClosed()) {
                         task(message, EventClock.now());
                     }
                 }, Math.max(1, Math.round(wait.millis())), TimeUnit.MILLISECONDS);
@@ -267,7 +267,7 @@
                 return;
             }
             ledger.line(now, "took", uid, link.dispatcher, txn, came.key, plan.types().get(came.type).name(),
-                    message.began().micros(), machine.cold() ? "cold" : "warm");
+                    message.startedAt().micros(), machine.cold() ? "cold" : "warm");
             if (came.lease != null) {
                 ledger.line(now, "acted", txn);
             }
@@ -275,7 +275,7 @@
             tookAt = now;
             answering = false;
             silent = hit(ill.silent);
-            line.drip(ill.drip);
+            line.setByteInterval(ill.drip);
             job = came;
             boolean fell = machine.fallen();
             if (machine.offer(came, now)) {
@@ -352,7 +352,7 @@
             Span every = plan.workers().progress();
             if (every.micros() > 0) {
                 progress = thread.executeAfter(() -> {
-                    if (job != null && !line.closed()) {
+                    if (job != null && !line.isClosed()) {
                         if (!ill.hangs) {
                             machine.advance(EventClock.now());
                             note("\"running\",\"share\":" + Math.round(job.share() * 1000) / 1000.0);
@@ -403,7 +403,7 @@
             }
             if (hit(ill.halfAnswers)) {
                 send(last.substring(0, last.length() / 2));
-                line.closeWhenWritten();
+                line.closeAfterWrites();
                 over(now);
                 return;
             }
@@ -425,7 +425,8 @@
         private void idleLater() {
             Span most = plan.workers().idle();
             idle = thread.executeAfter(() -> {
-                if (job == null && !reader.within() && !most.longerThan(EventClock.now().since(idleSince))) {
+                if (job == null && !reader.isInMessage()
+                        && !most.longerThan(EventClock.now().since(idleSince))) {
                     line.close();
                     forget();
                 } else {
@@ -435,7 +436,7 @@
         }
 
         @Override
-        public void ended(boolean reset) {
+        public void onClosed(boolean reset) {
             Job had = job;
             forget();
             if (had != null) {
--- a/src/main/java/rampshift/testbed/workers/Fleet.java
+++ b/src/main/java/rampshift/testbed/workers/Fleet.java
@@ -35,7 +35,7 @@
     public Fleet(FleetPlan plan, long seed, EventLog ledger) throws IOException {
         this.plan = plan;
         this.ledger = ledger;
-        worker = LoopbackNetwork.worker("fleet");
+        worker = LoopbackNetwork.createWorker("fleet");
         thread = worker.getIoThread(0);
         Callable<Void> opening = () -> {
             open(seed);
--- a/src/main/java/rampshift/testbed/workers/Link.java
+++ b/src/main/java/rampshift/testbed/workers/Link.java
@@ -47,7 +47,7 @@
         this.worker = worker;
         this.crossing = crossing;
         this.opened = opened;
-        address = LoopbackNetwork.at(0);
+        address = LoopbackNetwork.address(0);
         socket = listen(BACKLOG);
         address = (InetSocketAddress) socket.getLocalAddress();
         socket.resumeAccepts();
@@ -63,7 +63,7 @@
 
     void add(FaultyConnection line) {
         lines.add(line);
-        line.hold(cut);
+        line.setBlocked(cut);
     }
 
     void remove(FaultyConnection line) {
@@ -94,7 +94,7 @@
         }
         cut = on;
         for (FaultyConnection line : new ArrayList<>(lines)) {
-            line.hold(on);
+            line.setBlocked(on);
         }
         if (!shut) {
             rebind();
--- a/src/test/java/rampshift/testbed/clients/LoadGeneratorTest.java
+++ b/src/test/java/rampshift/testbed/clients/LoadGeneratorTest.java
@@ -60,7 +60,8 @@
                 """), null);
         try (EventLog ledger = new EventLog(folder.resolve("load.ledger"))) {
             LoadGenerator load =
-                    new LoadGenerator(plan, 1, 0, List.of(LoopbackNetwork.at(dispatcher.port())), ledger);
+                    new LoadGenerator(plan, 1, 0, List.of(LoopbackNetwork.address(dispatcher.port())),
+                            ledger);
             load.openIdle(rampshift.time.Span.ofMillis(5000));
             load.start(EventClock.now());
             load.await();
