--- a/src/test/java/rampshift/serve/ConnectionRaceTest.java
+++ b/src/test/java/rampshift/serve/ConnectionRaceTest.java
@@ -35,7 +35,7 @@
 import rampshift.time.NextTick;
 
 /**
- * What comes between two lines, its order forced by a stand-in or by a step on the I/O thread
+ * What comes between two lines, its order forced by a test peer or by a step on the I/O thread
  * (docs/rare-moments.md).
  */
 class ConnectionRaceTest extends ServerTestBase {
@@ -55,7 +55,7 @@
     // ---- a client that has left
 
     /**
-     * Met by reading: with a whole further call behind, nothing more was read, and the end of the stream
+     * With a complete further request behind, nothing more was read, and the end of the stream
      * never seen.
      */
     @ParameterizedTest
@@ -84,7 +84,7 @@
 
     /**
      * What a client sends ahead is served in its turn up to a bound; past that its connection ends with the
-     * answer in hand.
+     * answer in flight.
      */
     @Test
     void endlessPipeliningIsBoundedAndTheTaskInFlightIsAnswered() throws Exception {
@@ -100,7 +100,7 @@
             client.task("b" + i, "look", "x".repeat(60_000));
         }
         // Before the answer: what the kernel still held when it was written was let through like any next
-        // call.
+        // request.
         until("more came than is kept", () -> count("sent_ahead") == 1);
         go.countDown();
         Message answer = client.read();
@@ -111,7 +111,7 @@
     }
 
     /**
-     * Met by reading: the bodies of others filled the memory, and a sale that was running was answered 503,
+     * The bodies of others filled the memory, and a non-idempotent task that was running was answered 503,
      * as if never sent.
      */
     @Test
@@ -123,7 +123,8 @@
         });
         node = node(null, list(true, worker.entry("s-1", "in_service")), "{\"memory_mb\":1,\"sockets\":256}");
         String head =
-                "POST /api HTTP/1.1\r\nHost: a\r\nX-Lane: look\r\nX-Remaining: 5\r\nContent-Length: 60000\r\nX-Txn: ";
+                "POST /api HTTP/1.1\r\nHost: a\r\nX-Lane: look\r\nX-Remaining: 5\r\n"
+                        + "Content-Length: 60000\r\nX-Txn: ";
         Line stalls = client().write(head + "a\r\n\r\nhalf");
         Line client = client().task("t", "sell", "x");
         until("it is out", () -> worker.received.size() == 1);
@@ -137,7 +138,7 @@
     }
 
     /**
-     * Met by reading: the word was counted as said while the call before was in hand, and the client waited
+     * The interim response was counted as sent while the request before was in flight, and the client waited
      * for it in vain.
      */
     @Test
@@ -244,7 +245,7 @@
         assertEquals(sent, count("assigned"), "and none was sent on");
     }
 
-    /** Counts looks at the sockets until no task is in hand. */
+    /** Counts looks at the sockets until no task is in flight. */
     private void look(NextTick turn, int[] looks, FutureTask<Integer> noticed) {
         turn.run(() -> {
             looks[0]++;
@@ -302,10 +303,10 @@
         assertTrue(micros[50] < 300_000, "median " + micros[50]);
     }
 
-    // ---- closes that cross a call
+    // ---- closes that cross a request
 
     /**
-     * Has the thread stand still until the client has written its call, and do something then: nothing was
+     * Has the thread stand still until the client has written its request, and do something then: nothing was
      * read between.
      */
     private void unread(Line client, String txn, Runnable then) throws Exception {
@@ -317,7 +318,7 @@
     }
 
     /**
-     * Met by reading: idle connections were closed at the last call without a look, and such a call was lost
+     * Idle connections were closed for the shutdown without a last read, and such a request was lost
      * in a reset.
      */
     @Test
@@ -332,7 +333,7 @@
     }
 
     /**
-     * The thread stands still beyond the time that such a client may idle, and its call comes in the
+     * The thread stands still beyond the time that such a client may idle, and its request comes in the
      * meantime.
      */
     @Test
@@ -350,8 +351,8 @@
     }
 
     /**
-     * Met by reading: the socket was closed in the turn in which the last idle connection was ended between
-     * calls.
+     * The socket was closed in the turn in which the last idle connection was ended between
+     * requests.
      */
     @Test
     void requestThatCrossedAConnectionCloseIsAnsweredOnTheNextOne() throws Exception {
@@ -371,7 +372,7 @@
     }
 
     /**
-     * As with a watch told to go on elsewhere while it starts, the signal came before the part that acts on
+     * As with a watch switched while it starts, the signal came before the part that acts on
      * it stood.
      */
     @Test
@@ -410,7 +411,10 @@
         assertEquals(504, sell.read().status());
     }
 
-    /** Half of its worker's last line lies unread when a sale is given up, and the rest comes after that. */
+    /**
+     * Half of its worker's last line lies unread when a non-idempotent task is failed, and the rest comes
+     * after that.
+     */
     @Test
     void halfAProgressLineAtTheEndChangesNothing() throws Exception {
         CountDownLatch half = new CountDownLatch(1);
--- a/src/test/java/rampshift/serve/ResponseDeliveryTest.java
+++ b/src/test/java/rampshift/serve/ResponseDeliveryTest.java
@@ -32,7 +32,9 @@
 import rampshift.settings.Configuration;
 import rampshift.time.NextTick;
 
-/** Whoever hands in a task gets its whole answer, or is told plainly that it was not taken, and in time. */
+/**
+ * Whoever hands in a task gets its complete answer, or is told plainly that it was not taken, and in time.
+ */
 class ResponseDeliveryTest extends ServerTestBase {
     private static final String LIMITS = "{\"memory_mb\":192,\"sockets\":1024}";
     /** 22 clients stay, and 2 more are taken. */
@@ -86,7 +88,7 @@
     // ---- closes that could swallow an answer
 
     /**
-     * Met by reading: an ending client made room at once and without a look, with bytes of its own unread;
+     * An ending client made room at once and without a last read, with bytes of its own unread;
      * that close is a
      * reset, and what its kernel had not taken of the answer went with it.
      */
@@ -106,7 +108,8 @@
             return null;
         });
         client.line().write(
-                "POST /api HTTP/1.1\r\nHost: a\r\nX-Txn: t\r\nX-Lane: sell\r\nX-Remaining: 5.0\r\nConnection: close\r\n"
+                "POST /api HTTP/1.1\r\nHost: a\r\nX-Txn: t\r\nX-Lane: sell\r\nX-Remaining: 5.0\r\n"
+                        + "Connection: close\r\n"
                         + "Content-Length: 1\r\n\r\nx");
         until("it is out", () -> worker.received.size() == 1);
         for (int i = 0; i < 21; i++) {
@@ -147,7 +150,7 @@
     }
 
     /**
-     * A call comes between the last look at an idle connection and its close. That made the close a
+     * A request comes between the last look at an idle connection and its close. That made the close a
      * reset, and the client, which was still reading the answer before, lost what the kernel held of it.
      */
     @ParameterizedTest
@@ -191,7 +194,7 @@
         return "and it ends in " + text.substring(Math.max(0, text.length() - 20));
     }
 
-    /** Met by reading: written once, and what the client's buffer did not take of it was left out. */
+    /** Written once, and what the client's buffer did not take of it was left out. */
     @ParameterizedTest
     @ValueSource(ints = {1, 20})
     void refusedClientReadsTheCompleteReason(int width) throws Exception {
@@ -201,13 +204,13 @@
         assertEquals("no call, or more bytes than its length said\n", answer.text());
     }
 
-    /** Half a word before the answer's head makes nonsense of both. */
+    /** Half an interim response before the answer's head makes nonsense of both. */
     @ParameterizedTest
     @ValueSource(ints = {1, 20})
     void clientThatExpectsContinueReadsAllOfItAndThenItsAnswer(int width) throws Exception {
         Peer worker = worker((task, line) -> line.done(task, "ok"));
         node = node(null, list(true, worker.entry("s-1", "in_service")), LIMITS);
-        // Body and all at once: it does not wait, and its call is whole before the word is written.
+        // Body and all at once: its request is complete before the interim response is written.
         Line client = narrow(width).write("POST /api HTTP/1.1\r\nHost: a\r\nX-Txn: b\r\nX-Lane: look\r\n"
                 + "X-Remaining: 5\r\nContent-Length: 3\r\nExpect: 100-continue\r\n\r\n").write("abc");
         Message first = client.read();
@@ -216,9 +219,10 @@
         }
         assertEquals(200, first.status());
         assertEquals("ok", first.text());
-        // The body comes after the word was begun, and before it is all said.
+        // The body comes after the interim response was begun, and before it is all written.
         client.write(
-                "POST /api HTTP/1.1\r\nHost: a\r\nX-Txn: c\r\nX-Lane: look\r\nX-Remaining: 5\r\nContent-Length: 3\r\nExpect: 100-continue\r\n\r\n");
+                "POST /api HTTP/1.1\r\nHost: a\r\nX-Txn: c\r\nX-Lane: look\r\nX-Remaining: 5\r\n"
+                        + "Content-Length: 3\r\nExpect: 100-continue\r\n\r\n");
         assertEquals("H", client.until("H"));
         client.write("abc");
         assertEquals("TTP/1.1 100 Continue\r\n\r\n", client.until("\r\n\r\n"));
@@ -226,8 +230,8 @@
     }
 
     /**
-     * Met by reading: whoever had connected 0.1 s before the last call was closed unheard, also in the midst
-     * of its call.
+     * Whoever had connected 0.1 s before the shutdown closed idle connections was closed unread, also in
+     * the midst of its request.
      */
     @ParameterizedTest
     @ValueSource(strings = {"", "POST /api HTTP/1.1\r\nHost: a\r\n"})
@@ -286,7 +290,7 @@
     // ---- whose time it is
 
     /**
-     * Met by reading: the time of a call that waited behind another counted from its turn, and its worker was
+     * The time of a request that waited behind another counted from its turn, and its worker was
      * told so.
      */
     @Test
@@ -312,7 +316,7 @@
     }
 
     /**
-     * Met on a last reading: whoever connected ahead of its first call had the time between counted against
+     * Whoever connected ahead of its first request had the time between counted against
      * it.
      */
     @Test
@@ -321,7 +325,7 @@
         node = node(null, list(true, worker.entry("s-1", "in_service")), LIMITS);
         Line client = client();
         until("it is taken in", () -> onThread(() -> node.dispatcher.clientListener.connections()) == 1);
-        Thread.sleep(400);      // the time itself is what the call must not be charged with, not an order
+        Thread.sleep(400);      // the time itself is what the request must not be charged with, not an order
         assertEquals(200, client.task("t", "look", "x").read().status());
         double told = Double.parseDouble(worker.received.get(0).field("X-Remaining"));
         assertTrue(told > 4.7, "of 5 s its worker is told " + told);
@@ -380,8 +384,8 @@
     }
 
     /**
-     * The last byte of a sale is held for a moment on a connection that was kept; its client leaves in that
-     * moment.
+     * The last byte of a non-idempotent task is held for a moment on a connection that was idle; its client
+     * leaves in that moment.
      */
     @Test
     void lastByteIsNotSentOnceItsClientHasLeft() throws Exception {
@@ -432,7 +436,7 @@
             return null;
         });
         until("all are taken in", () -> onThread(() -> node.dispatcher.clientListener.connections()) == 150);
-        // 16 before that look, and 16 more if the door's own pipe was the first that the look found.
+        // 16 before that look, and 16 more if the listener's own pipe was the first that the look found.
         assertTrue(takenIn[0] >= 0 && takenIn[0] <= 32,
                 takenIn[0] + " were taken in before the sockets were looked at");
         onThread(() -> {
@@ -444,8 +448,8 @@
     // ---- descriptors
 
     /**
-     * Idle clients hold all their places while the list service is silent; all else that needs a descriptor
-     * has one.
+     * Idle clients hold all their places while the discovery agent is silent; all else that needs a
+     * descriptor has one.
      */
     @Test
     void idleClientsMayUseTheirDescriptorsWhileTheAgentIsDown() throws Exception {
