--- a/src/main/java/rampshift/ServeCommand.java
+++ b/src/main/java/rampshift/ServeCommand.java
@@ -10,7 +10,6 @@
 import rampshift.serve.ServerExtension;
 import rampshift.settings.Configuration;
 import rampshift.settings.InvalidInputException;
-import sun.misc.Signal;
 
 /** {@code rampshift serve}: starts a dispatcher, reloads its configuration on SIGHUP, stops it on SIGTERM. */
 final class ServeCommand {
@@ -24,10 +23,15 @@
         this.operatorFile = operatorFile;
     }
 
+    /** No other API of the JDK tells of SIGHUP. */
+    private static void onHangup(Runnable action) {
+        sun.misc.Signal.handle(new sun.misc.Signal("HUP"), signal -> action.run());
+    }
+
     /** Returns when the dispatcher has stopped; throws where it can't start. */
     void run() throws IOException {
         // By default the JVM stops on SIGHUP; one that came while it started ended the dispatcher.
-        Signal.handle(new Signal("HUP"), signal -> hangups.release());
+        onHangup(hangups::release);
         Configuration configuration = Configuration.read(environment);
         FutureTask<DispatcherServer> start = new FutureTask<>(() -> start(configuration));
         // Registered before the start: it accepts clients while it starts, and a SIGTERM meanwhile lost
--- a/src/main/java/rampshift/eventlog/EventClock.java
+++ b/src/main/java/rampshift/eventlog/EventClock.java
@@ -8,6 +8,7 @@
  * The clock of event logs: Unix time to the microsecond, read once, monotonic from there. All processes of
  * a run are on one machine, so that their times can be compared.
  */
+@SuppressWarnings("TimeInStaticInitializer") // one clock a process, from its start
 public final class EventClock {
     private static final long NANOS_PER_MICRO = 1000;
     private static final long START_MICROS = ChronoUnit.MICROS.between(Instant.EPOCH, Instant.now())
--- a/src/main/java/rampshift/migrate/MigrateCommand.java
+++ b/src/main/java/rampshift/migrate/MigrateCommand.java
@@ -60,10 +60,10 @@
     }
 
     private static Options options() {
-        return new Options().addOption(Option.builder().longOpt("shape").hasArg().build())
-                .addOption(Option.builder().longOpt("out").hasArg().build())
-                .addOption(Option.builder().longOpt("dry-run").build())
-                .addOption(Option.builder().longOpt("help").build());
+        return new Options().addOption(Option.builder().longOpt("shape").hasArg().get())
+                .addOption(Option.builder().longOpt("out").hasArg().get())
+                .addOption(Option.builder().longOpt("dry-run").get())
+                .addOption(Option.builder().longOpt("help").get());
     }
 
     private static void migrate(CommandLine line, PrintStream out) throws IOException, ParseException {
--- a/src/main/java/rampshift/pipeline/EndpointListUpdater.java
+++ b/src/main/java/rampshift/pipeline/EndpointListUpdater.java
@@ -51,7 +51,7 @@
     private ListedWorker listedWorker(Endpoint endpoint) {
         return new ListedWorker(workerIds.number(endpoint.uid()), index(settings.zones(), endpoint.zone()),
                 endpoint.cell(), index(settings.kinds(), endpoint.kind()), policyState(endpoint.state()),
-                Moment.ofMillis(endpoint.startedAtMillis()), endpoint.weight());
+                Moment.ofMillis((double) endpoint.startedAtMillis()), endpoint.weight());
     }
 
     private static EndpointState policyState(Endpoint.State state) {
--- a/src/main/java/rampshift/policy/Eligibility.java
+++ b/src/main/java/rampshift/policy/Eligibility.java
@@ -30,8 +30,9 @@
 
     /**
      * Each type's first further attempt in the span is kept from cheaper types, and from any that has had its
-     * own: no flood of one uses up what the next needs.
+     * own: no flood of one uses up what the next needs. Two types may have equal rows.
      */
+    @SuppressWarnings("ReferenceEquality")
     private boolean isWithinBudget(Task task) {
         double left = budget.left(context.now());
         boolean hadOne = budget.isUsedBy(task.type);
--- a/src/main/java/rampshift/policy/RetryBudget.java
+++ b/src/main/java/rampshift/policy/RetryBudget.java
@@ -51,7 +51,8 @@
         return settings.budgetFloor + settings.budgetShare * taken.size() - further.size();
     }
 
-    /** Whether a task of the type had a further attempt in the window. */
+    /** Whether a task of the type had a further attempt in the window. Two types may have equal rows. */
+    @SuppressWarnings("ReferenceEquality")
     boolean isUsedBy(TrafficType type) {
         return further.stream().anyMatch(attempt -> attempt.task.type == type);
     }
--- a/src/main/java/rampshift/policy/WorkerTable.java
+++ b/src/main/java/rampshift/policy/WorkerTable.java
@@ -10,11 +10,11 @@
 /** The workers that this dispatcher's own endpoint lists have named, and those that each type may go to. */
 final class WorkerTable {
     /** All of them, in the order of their ids. */
-    final ArrayList<Worker> all = new ArrayList<>();
+    final List<Worker> all = new ArrayList<>();
     /** The ready ones. */
-    private final List<ArrayList<Worker>> ready = sides();
+    private final List<List<Worker>> ready = sides();
     /** By traffic type those that it may go to; types that may go to all of them share these. */
-    private final List<List<ArrayList<Worker>>> byType = new ArrayList<>();
+    private final List<List<List<Worker>>> byType = new ArrayList<>();
     private final List<TrafficType> types;
     private final Map<Long, Worker> byId = new HashMap<>(); // looked up, never iterated
     private final Map<Integer, KindStatistics> kinds = new HashMap<>(); // looked up, never iterated
@@ -29,12 +29,12 @@
         types.forEach(type -> byType.add(type.bound() ? sides() : ready));
     }
 
-    private static List<ArrayList<Worker>> sides() {
+    private static List<List<Worker>> sides() {
         return List.of(new ArrayList<>(), new ArrayList<>());
     }
 
     /** The ready ones that the type may go to: those of the own zone, and those elsewhere. In any order. */
-    List<ArrayList<Worker>> sides(int typeIndex) {
+    List<List<Worker>> sides(int typeIndex) {
         return byType.get(typeIndex);
     }
 
@@ -113,8 +113,8 @@
         }
     }
 
-    private void fill(List<ArrayList<Worker>> sides, Predicate<Worker> taken) {
-        sides.forEach(ArrayList::clear);
+    private void fill(List<List<Worker>> sides, Predicate<Worker> taken) {
+        sides.forEach(List::clear);
         for (Worker worker : all) {
             if (worker.ready && taken.test(worker)) {
                 sides.get(worker.zone == ownZone ? 0 : 1).add(worker);
--- a/src/main/java/rampshift/settings/SettingsReader.java
+++ b/src/main/java/rampshift/settings/SettingsReader.java
@@ -67,7 +67,7 @@
     private int zone() {
         int zone = (int) root.number("Zone", 0);
         int count = root.list("Zones").size();
-        if (zone < 0 || count > 0 && zone >= count) {
+        if (zone < 0 || (count > 0 && zone >= count)) {
             throw ConfigurationException.ofKey("Zone",
                     "setting Zone is " + zone + ", and Zones has " + count);
         }
--- a/src/main/java/rampshift/simulator/PolicyInstance.java
+++ b/src/main/java/rampshift/simulator/PolicyInstance.java
@@ -174,8 +174,9 @@
         out.instance = name;
         if (failure == null) {
             try {
-                while (policy.decideNext(out)) {
-                    continue;
+                boolean more = true;
+                while (more) {
+                    more = policy.decideNext(out);
                 }
             } catch (UncheckedIOException e) {
                 throw e;
--- a/src/test/java/rampshift/MainTest.java
+++ b/src/test/java/rampshift/MainTest.java
@@ -6,6 +6,7 @@
 
 import java.io.ByteArrayOutputStream;
 import java.io.PrintStream;
+import java.nio.charset.StandardCharsets;
 import java.nio.file.Files;
 import java.nio.file.Path;
 import java.util.List;
@@ -84,9 +85,9 @@
             builder.environment().put("PATH", path.toString());
             builder.environment().put("NODE_CONFIG", folder.resolve("config.json").toString());
             Process process = builder.start();
-            String told = new String(process.getInputStream().readAllBytes());
+            String told = new String(process.getInputStream().readAllBytes(), StandardCharsets.UTF_8);
             assertTrue(told.contains(" " + heap + " ") && told.trim().endsWith(" serve"), told);
-            String warned = new String(process.getErrorStream().readAllBytes());
+            String warned = new String(process.getErrorStream().readAllBytes(), StandardCharsets.UTF_8);
             assertEquals(tells, warned.contains("WARN memory: limits.memory_mb"), warned);
         }
     }
@@ -98,13 +99,17 @@
         Files.writeString(file, good);
         Map<String, String> environment = Map.of("NODE_CONFIG", file.toString());
         assertEquals(0,
-                Main.run(new String[]{"check"}, environment, new PrintStream(out), new PrintStream(err)));
+                Main.run(new String[]{"check"}, environment,
+                        new PrintStream(out, true, StandardCharsets.UTF_8),
+                        new PrintStream(err, true, StandardCharsets.UTF_8)));
         Files.writeString(file, good.replace("\"Zones\"", "\"LoadInfo\":{\"How\":\"never\"},\"Zones\""));
         assertEquals(2,
-                Main.run(new String[]{"check"}, environment, new PrintStream(out), new PrintStream(err)));
+                Main.run(new String[]{"check"}, environment,
+                        new PrintStream(out, true, StandardCharsets.UTF_8),
+                        new PrintStream(err, true, StandardCharsets.UTF_8)));
         assertEquals(
                 "rampshift check: " + file + ": setting LoadInfo.How is never, not inline, on_probe or off",
-                err.toString().strip());
+                err.toString(StandardCharsets.UTF_8).strip());
     }
 
     @Test
@@ -113,13 +118,14 @@
         Files.writeString(file,
                 "[members]\nfleet = \"two words\"\nlisten = \"127.0.0.1:7946\"\nforgett = 1\n");
         int status = Main.run(new String[]{"members", "--operator", file.toString()}, Map.of(),
-                new PrintStream(out), new PrintStream(err));
+                new PrintStream(out, true, StandardCharsets.UTF_8),
+                new PrintStream(err, true, StandardCharsets.UTF_8));
         assertEquals(2, status);
         assertEquals("""
                 rampshift members: FILE:2: members.fleet is "two words", \
                 expected a name of letters, digits, '-', '_' and '.'
                 rampshift members: FILE:4: members.forgett is not known; the nearest key here is forget
-                """.replace("FILE", file.toString()), err.toString());
+                """.replace("FILE", file.toString()), err.toString(StandardCharsets.UTF_8));
     }
 
     private static void signal(String name, Process process) throws Exception {
@@ -132,8 +138,11 @@
             "serve drill,2", "serve,2", "check,2"})
     void commandLinesExitWithTheDocumentedStatus(String line, int status) throws Exception {
         String[] args = line.isEmpty() ? new String[0] : line.split(" ");
-        assertEquals(status, Main.run(args, Map.of(), new PrintStream(out), new PrintStream(err)));
-        assertTrue(status == 0 ? out.size() > 0 && err.size() == 0 : err.toString().lines().count() == 1,
-                err.toString());
+        assertEquals(status, Main.run(args, Map.of(), new PrintStream(out, true, StandardCharsets.UTF_8),
+                new PrintStream(err, true, StandardCharsets.UTF_8)));
+        assertTrue(
+                status == 0 ? out.size() > 0 && err.size() == 0
+                        : err.toString(StandardCharsets.UTF_8).lines().count() == 1,
+                err.toString(StandardCharsets.UTF_8));
     }
 }
--- a/src/test/java/rampshift/migrate/MigrateCommandTest.java
+++ b/src/test/java/rampshift/migrate/MigrateCommandTest.java
@@ -9,6 +9,7 @@
 import java.io.ByteArrayOutputStream;
 import java.io.IOException;
 import java.io.PrintStream;
+import java.nio.charset.StandardCharsets;
 import java.nio.file.Files;
 import java.nio.file.Path;
 import java.nio.file.attribute.PosixFilePermissions;
@@ -63,9 +64,10 @@
     private int run(List<String> args) {
         ByteArrayOutputStream out = new ByteArrayOutputStream();
         ByteArrayOutputStream err = new ByteArrayOutputStream();
-        int status = MigrateCommand.run(args, new PrintStream(out), new PrintStream(err));
-        output = out.toString();
-        errors = err.toString();
+        int status = MigrateCommand.run(args, new PrintStream(out, true, StandardCharsets.UTF_8),
+                new PrintStream(err, true, StandardCharsets.UTF_8));
+        output = out.toString(StandardCharsets.UTF_8);
+        errors = err.toString(StandardCharsets.UTF_8);
         return status;
     }
 
--- a/src/test/java/rampshift/policy/FakeHost.java
+++ b/src/test/java/rampshift/policy/FakeHost.java
@@ -152,8 +152,9 @@
     }
 
     FakeHost decide() {
-        while (policy().decideNext(this)) {
-            continue;
+        boolean more = true;
+        while (more) {
+            more = policy().decideNext(this);
         }
         return this;
     }
--- a/src/test/java/rampshift/policy/SlowStartFleetTest.java
+++ b/src/test/java/rampshift/policy/SlowStartFleetTest.java
@@ -92,7 +92,6 @@
 
     private final class Dispatcher implements Decisions {
         final DispatchPolicy policy;
-        final List<int[]> sends = new ArrayList<>();
         long tasks;
         double wake = Double.MAX_VALUE;
 
@@ -143,8 +142,9 @@
         }
 
         private void pull() {
-            while (policy.decideNext(this)) {
-                continue;
+            boolean more = true;
+            while (more) {
+                more = policy.decideNext(this);
             }
         }
 
