--- a/src/main/java/rampshift/policy/ExpectedValue.java
+++ b/src/main/java/rampshift/policy/ExpectedValue.java
@@ -123,10 +123,11 @@
                 : worker.kindStatistics.startDelays;
         Span slack = timeLeft(task).minus(run);
         Span spread = run.times(RUN_SPREAD).orLonger(context.settings.tick);
+        Span fade = estimates.shortTerm();
         double weights = WorkerEstimates.MIN_WEIGHT;
         double sum = weights / inverseStep(slack, spread);
         for (int i = 0; i < starts.count(); i++) {
-            double weight = starts.weight(i, context.now(), estimates.shortTerm());
+            double weight = starts.weight(i, context.now(), fade);
             weights += weight;
             sum += weight / inverseStep(slack.minus(Span.ofMillis(starts.get(i))), spread);
         }
--- a/src/main/java/rampshift/policy/WorkerEstimates.java
+++ b/src/main/java/rampshift/policy/WorkerEstimates.java
@@ -186,9 +186,12 @@
             believed += isBelieved(other) ? 1 : 0;
             idle += isBelieved(other) && saysIdle(other, task) ? 1 : 0;
         }
-        boolean hasRoom = worker.wasHeard() && worker.ownSlots() + task.slots <= capacity(worker);
-        return !worker.probeUnanswered && (worker.attempts.isEmpty() || hasRoom)
-                && task.randomDraw * believed <= idle;
+        return !worker.probeUnanswered && task.randomDraw * believed <= idle
+                && (worker.attempts.isEmpty() || (worker.wasHeard() && hasRoom(worker, task)));
+    }
+
+    private boolean hasRoom(Worker worker, Task task) {
+        return worker.ownSlots() + task.slots <= capacity(worker);
     }
 
     private boolean isBelieved(Worker worker) {
