--- a/src/test/java/rampshift/EventSimulation.java
+++ b/src/test/java/rampshift/EventSimulation.java
@@ -1,45 +1,56 @@
 package rampshift;
 
+import java.util.Comparator;
 import java.util.PriorityQueue;
 import java.util.function.BooleanSupplier;
 
-/** Simulated time for stories of many processes: what is due, in order of its time, then of its asking. */
+/** Simulated time for tests of many processes: runs events in order of time, then of scheduling. */
 public class EventSimulation {
-    private record Due(long at, long number, Runnable what) {}
+    private static final double MICROS_PER_SECOND = 1_000_000;
+    private static final double TIMED_OUT = -1;
 
-    private final PriorityQueue<Due> due =
-            new PriorityQueue<>((a, b) -> a.at != b.at ? Long.compare(a.at, b.at)
-                    : Long.compare(a.number, b.number));
-    private long numbers;
-    /** Microseconds since the begin. */
+    private record Event(long time, long number, Runnable action) {
+    }
+
+    private final PriorityQueue<Event> events = new PriorityQueue<>(
+            Comparator.comparingLong(Event::time).thenComparingLong(Event::number));
+    private long scheduled;
+    /** Microseconds since the start. */
     protected long now;
+    /** How many events have run. */
     public long played;
 
-    protected final void schedule(long when, Runnable what) {
-        due.add(new Due(when, ++numbers, what));
+    /** Runs the action at that time, in microseconds since the start. */
+    protected final void schedule(long time, Runnable action) {
+        scheduled++;
+        events.add(new Event(time, scheduled, action));
     }
 
-    /** Goes on for so many seconds. */
+    /** Runs what is due within so many seconds. */
     public void advance(double seconds) {
-        long end = now + Math.round(seconds * 1_000_000);
-        while (!due.isEmpty() && due.peek().at <= end) {
-            Due next = due.poll();
-            now = next.at;
-            next.what.run();
+        long end = now + Math.round(seconds * MICROS_PER_SECOND);
+        while (!events.isEmpty() && events.peek().time <= end) {
+            Event next = events.poll();
+            now = next.time;
+            next.action.run();
             played++;
         }
         now = end;
     }
 
-    /** Goes on until it is so, looking each step of so many seconds; the seconds that took, or -1. */
-    public double advanceUntil(double most, double step, BooleanSupplier so) {
-        long from = now;
-        while (!so.getAsBoolean()) {
-            if ((now - from) / 1e6 >= most) {
-                return -1;
+    /**
+     * Advances until the condition holds, which is tested after each step. All times are in seconds.
+     *
+     * @return how long it took, or -1 where it does not hold within the limit
+     */
+    public double advanceUntil(double limit, double step, BooleanSupplier condition) {
+        long start = now;
+        while (!condition.getAsBoolean()) {
+            if ((now - start) / MICROS_PER_SECOND >= limit) {
+                return TIMED_OUT;
             }
             advance(step);
         }
-        return (now - from) / 1e6;
+        return (now - start) / MICROS_PER_SECOND;
     }
 }
--- a/src/test/java/rampshift/MainTest.java
+++ b/src/test/java/rampshift/MainTest.java
@@ -22,8 +22,8 @@
     /** By default SIGHUP ends a JVM; one in mid-start was left stopping. */
     @Test
     void sighupReloadsTheConfigurationAndTheDispatcherKeepsRunning(@TempDir Path folder) throws Exception {
-        try (TestPeers.Peer one = TestPeers.Peer.discovery(List.of());
-                TestPeers.Peer other = TestPeers.Peer.discovery(List.of())) {
+        try (TestServer one = TestDiscovery.start(List.of());
+                TestServer other = TestDiscovery.start(List.of())) {
             Path file = folder.resolve("config.json");
             String limits = "{\"memory_mb\":192,\"sockets\":256}";
             Files.writeString(file, TestPeers.configuration(one, TestPeers.list(true), limits));
--- a/src/test/java/rampshift/discovery/EndpointWatchTest.java
+++ b/src/test/java/rampshift/discovery/EndpointWatchTest.java
@@ -25,9 +25,10 @@
 import org.xnio.Xnio;
 import org.xnio.XnioIoThread;
 import org.xnio.XnioWorker;
-import rampshift.TestPeers.Line;
-import rampshift.TestPeers.Peer;
-import rampshift.TestPeers.Script;
+import rampshift.ServerScript;
+import rampshift.TestConnection;
+import rampshift.TestDiscovery;
+import rampshift.TestServer;
 import rampshift.connections.Dialer;
 import rampshift.counters.Counters;
 import rampshift.time.Clock;
@@ -39,7 +40,7 @@
     private final XnioIoThread thread;
     private final List<Long> told = Collections.synchronizedList(new ArrayList<>());
     private final List<String> versions = Collections.synchronizedList(new ArrayList<>(List.of(list(true))));
-    private final Peer agent = Peer.discovery(versions);
+    private final TestServer agent = TestDiscovery.start(versions);
     private final Counters counters = new Counters();
     private EndpointWatch watch;
 
@@ -147,8 +148,10 @@
      */
     @Test
     void ofSeveralMovesInARowTheLastOneHolds() throws Exception {
-        try (Peer second = Peer.discovery(new ArrayList<>(List.of(list(true).replace("REV", "20"))));
-                Peer third = Peer.discovery(new ArrayList<>(List.of(list(true).replace("REV", "30"))))) {
+        try (TestServer second =
+                TestDiscovery.start(new ArrayList<>(List.of(list(true).replace("REV", "20"))));
+                TestServer third =
+                        TestDiscovery.start(new ArrayList<>(List.of(list(true).replace("REV", "30"))))) {
             on(() -> {
                 watch = new EndpointWatch(thread, new Dialer(thread), new Clock(),
                         new InetSocketAddress("127.0.0.1", agent.port()),
@@ -172,7 +175,7 @@
     @Test
     void aListWithoutEndIsBrokenOffAndTheNextOneIsRead() throws Exception {
         AtomicInteger asked = new AtomicInteger();
-        try (Peer odd = new Peer((message, line) -> {
+        try (TestServer odd = new TestServer((message, line) -> {
             String body = asked.getAndIncrement() == 0 ? " ".repeat(3 << 20) : list(true).replace("REV", "7");
             line.write("HTTP/1.1 200 OK\r\nContent-Length: " + body.length() + "\r\n\r\n" + body);
         })) {
@@ -199,7 +202,7 @@
     void aListThatComesInPiecesIsReadHoweverLongItTakes() throws Exception {
         String body = list(true).replace("REV", "7");
         AtomicInteger asked = new AtomicInteger();
-        try (Peer slow = new Peer((message, line) -> {
+        try (TestServer slow = new TestServer((message, line) -> {
             if (asked.getAndIncrement() == 0) {
                 line.write("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n");
                 for (int i = 0; i < body.length(); i++) {
@@ -224,7 +227,7 @@
     @Test
     void anAnswerThatNeverEndsIsBrokenOff() throws Exception {
         AtomicInteger asked = new AtomicInteger();
-        try (Peer odd = new Peer((message, line) -> {
+        try (TestServer odd = new TestServer((message, line) -> {
             if (asked.getAndIncrement() > 0) {
                 String body = list(true).replace("REV", "8");
                 line.write("HTTP/1.1 200 OK\r\nContent-Length: " + body.length() + "\r\n\r\n" + body);
@@ -262,7 +265,7 @@
         }
         body.append("\n        ]\n}\n");
         assertTrue(body.length() > 1 << 20, "it is over the former bound: " + body.length());
-        try (Peer large = new Peer((message, line) -> {
+        try (TestServer large = new TestServer((message, line) -> {
             if (!message.startLine().contains("index=")) {
                 line.write("HTTP/1.1 200 OK\r\nContent-Length: " + body.length() + "\r\n\r\n" + body);
             }
@@ -274,7 +277,7 @@
     }
 
     /** What an agent does to a call before it comes back with news. */
-    private static void spoil(String how, Line line) throws Exception {
+    private static void spoil(String how, TestConnection line) throws Exception {
         String head = "HTTP/1.1 200 OK\r\nContent-Length: ";
         switch (how) {
             case "silent" -> {
@@ -316,7 +319,7 @@
         for (boolean moves : new boolean[]{false, true}) {
             told.clear();
             AtomicInteger asked = new AtomicInteger();
-            Script agentsWay = (message, line) -> {
+            ServerScript agentsWay = (message, line) -> {
                 int n = asked.incrementAndGet();
                 if (n == 1) {
                     String body = list(true).replace("REV", "1");
@@ -328,7 +331,7 @@
                     line.write("HTTP/1.1 200 OK\r\nContent-Length: " + body.length() + "\r\n\r\n" + body);
                 }
             };
-            try (Peer one = new Peer(agentsWay); Peer two = new Peer(agentsWay)) {
+            try (TestServer one = new TestServer(agentsWay); TestServer two = new TestServer(agentsWay)) {
                 long[] wrong = {0};
                 on(() -> {
                     watch = new EndpointWatch(thread, new Dialer(thread), new Clock(),
@@ -383,7 +386,7 @@
         if (hangs) {
             full.close();
         }
-        try (Peer back = Peer.at(port, (message, line) -> {
+        try (TestServer back = TestServer.at(port, (message, line) -> {
             String body = list(true).replace("REV", "9");
             line.write("HTTP/1.1 200 OK\r\nContent-Length: " + body.length() + "\r\n\r\n" + body);
         })) {
@@ -393,7 +396,7 @@
         }
     }
 
-    private void listen(Peer at, int grace) throws Exception {
+    private void listen(TestServer at, int grace) throws Exception {
         on(() -> {
             watch = new EndpointWatch(thread, new Dialer(thread), new Clock(),
                     new InetSocketAddress("127.0.0.1", at.port()),
--- a/src/test/java/rampshift/migrate/MigrateCommandTest.java
+++ b/src/test/java/rampshift/migrate/MigrateCommandTest.java
@@ -22,9 +22,9 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
 import org.junit.jupiter.params.provider.ValueSource;
+import rampshift.TestConnection;
 import rampshift.TestPeers;
-import rampshift.TestPeers.Line;
-import rampshift.TestPeers.Peer;
+import rampshift.TestServer;
 import rampshift.serve.DispatcherServer;
 import rampshift.settings.Configuration;
 
@@ -228,8 +228,8 @@
      */
     @Test
     void dispatcherServesWithTheMigratedConfiguration() throws Exception {
-        Peer unresponsive = new Peer((task, line) -> {});
-        Peer good = new Peer((task, line) -> {
+        TestServer unresponsive = new TestServer((task, line) -> {});
+        TestServer good = new TestServer((task, line) -> {
             String id = task.field("X-Txn");
             line.respondWithProgress("{\"id\":\"" + id + "\",\"state\":\"started\"}",
                     "{\"id\":\"" + id + "\",\"state\":\"done\",\"result\":\"ok\"}");
@@ -237,7 +237,7 @@
         String list = TestPeers.list(true, unresponsive.entry("s-1", "in_service"),
                 good.entry("s-2", "in_service").replace("\"az\":\"a\"", "\"az\":\"d\"")).replace("REV", "1");
         AtomicInteger polls = new AtomicInteger();
-        Peer discovery = new Peer((message, line) -> {
+        TestServer discovery = new TestServer((message, line) -> {
             if (polls.incrementAndGet() % 2 == 1) {
                 line.write("HTTP/1.1 503 Busy\r\nContent-Length: 0\r\n\r\n");
             } else {
@@ -251,7 +251,7 @@
                 TARGET.replace("4000", "4000,\"discovery\":\"127.0.0.1:" + discovery.port() + "\""));
         assertEquals(0, migrateTo(migrated), errors);
         DispatcherServer node = new DispatcherServer(read(migrated));
-        try (unresponsive; good; discovery; Line client = new Line(node)) {
+        try (unresponsive; good; discovery; TestConnection client = new TestConnection(node)) {
             node.awaitReady();
             TestPeers.until("the list has come",
                     () -> client.write("GET /ready HTTP/1.1\r\nHost: a\r\n\r\n").read()
--- a/src/test/java/rampshift/serve/ConnectionRaceTest.java
+++ b/src/test/java/rampshift/serve/ConnectionRaceTest.java
@@ -25,12 +25,12 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
+import rampshift.HttpMessage;
 import rampshift.MainAccess;
+import rampshift.ServerScript;
+import rampshift.TestConnection;
 import rampshift.TestPeers;
-import rampshift.TestPeers.Line;
-import rampshift.TestPeers.Message;
-import rampshift.TestPeers.Peer;
-import rampshift.TestPeers.Script;
+import rampshift.TestServer;
 import rampshift.settings.Configuration;
 import rampshift.time.NextTick;
 
@@ -42,11 +42,12 @@
     private static final String LIMITS = "{\"memory_mb\":192,\"sockets\":1024}";
 
     /** One that takes a task and never answers. */
-    private Peer holder() throws IOException {
+    private TestServer holder() throws IOException {
         return worker((task, line) -> line.write("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n"));
     }
 
-    private static Configuration configuration(Peer discovery, String known, String more) throws IOException {
+    private static Configuration configuration(TestServer discovery, String known, String more)
+            throws IOException {
         return Configuration.read(TestPeers.configuration(discovery, known, LIMITS)
                 .replace("\"WeightSource\"", more + "\"WeightSource\"")
                 .getBytes(StandardCharsets.UTF_8));
@@ -61,9 +62,9 @@
     @ParameterizedTest
     @CsvSource({"fin,none", "rst,none", "fin,half", "fin,whole", "rst,whole", "fin,many", "rst,many"})
     void aClientThatLeavesIsNoticedWhateverItSentBehindItsTask(String how, String behind) throws Exception {
-        Peer worker = holder();
+        TestServer worker = holder();
         node = node(null, list(true, worker.entry("s-1", "in_service")), LIMITS);
-        Line client = client().sendTask("t", "sell", "x");
+        TestConnection client = client().sendTask("t", "sell", "x");
         until("it is out", () -> worker.received.size() == 1);
         switch (behind) {
             case "half" -> client.write("POST /api HTTP/1.1\r\nHost: a\r\nX-Txn: h\r\nContent-Le");
@@ -89,12 +90,12 @@
     @Test
     void aClientThatSendsOnWithoutEndIsNeitherKeptInMemoryNorDoesItsTaskSuffer() throws Exception {
         CountDownLatch go = new CountDownLatch(1);
-        Peer worker = worker((task, line) -> {
+        TestServer worker = worker((task, line) -> {
             go.await();
             line.respondDone(task, task.field("X-Txn"));
         });
         node = node(null, list(true, worker.entry("s-1", "in_service")), LIMITS);
-        Line client = client().sendTask("t", "sell", "x");
+        TestConnection client = client().sendTask("t", "sell", "x");
         until("it is out", () -> worker.received.size() == 1);
         for (int i = 0; i < 20; i++) {
             client.sendTask("b" + i, "look", "x".repeat(60_000));
@@ -103,7 +104,7 @@
         // call.
         until("more came than is kept", () -> count("sent_ahead") == 1);
         go.countDown();
-        Message answer = client.read();
+        HttpMessage answer = client.read();
         assertEquals("t", answer.text());
         assertEquals("close", answer.field("Connection"));
         assertEquals(1, worker.received.size());
@@ -117,20 +118,20 @@
     @Test
     void aTaskThatMayHaveRunIsNotBouncedForWhatItsClientSentBehindIt() throws Exception {
         CountDownLatch go = new CountDownLatch(1);
-        Peer worker = worker((task, line) -> {
+        TestServer worker = worker((task, line) -> {
             go.await();
             line.respondDone(task, "sold");
         });
         node = node(null, list(true, worker.entry("s-1", "in_service")), "{\"memory_mb\":1,\"sockets\":256}");
         String head =
                 "POST /api HTTP/1.1\r\nHost: a\r\nX-Lane: look\r\nX-Remaining: 5\r\nContent-Length: 60000\r\nX-Txn: ";
-        Line stalls = client().write(head + "a\r\n\r\nhalf");
-        Line client = client().sendTask("t", "sell", "x");
+        TestConnection stalls = client().write(head + "a\r\n\r\nhalf");
+        TestConnection client = client().sendTask("t", "sell", "x");
         until("it is out", () -> worker.received.size() == 1);
         client.write(head + "b\r\n\r\nhalf");
         until("it was seen", () -> count("sent_ahead") + count("turned_down") == 1);
         go.countDown();
-        Message answer = client.read();
+        HttpMessage answer = client.read();
         assertEquals(200, answer.status());
         assertEquals("sold", answer.text());
         stalls.close();
@@ -143,12 +144,12 @@
     @Test
     void aCallThatWaitsForAWordGetsItWhenItsTurnComes() throws Exception {
         CountDownLatch go = new CountDownLatch(1);
-        Peer worker = worker((task, line) -> {
+        TestServer worker = worker((task, line) -> {
             go.await();
             line.respondDone(task, "ok");
         });
         node = node(null, list(true, worker.entry("s-1", "in_service")), LIMITS);
-        Line client = client().sendTask("a", "look", "x")
+        TestConnection client = client().sendTask("a", "look", "x")
                 .write("POST /api HTTP/1.1\r\nHost: a\r\nX-Txn: b\r\nX-Lane: look\r\n"
                         + "X-Remaining: 5\r\nContent-Length: 3\r\nExpect: 100-continue\r\n\r\n");
         until("it is out", () -> worker.received.size() == 1);
@@ -161,8 +162,8 @@
     @Test
     void aTaskWhoseClientLeftWhileItWaitedForAListIsNotSent() throws Exception {
         CountDownLatch tell = new CountDownLatch(1);
-        Peer worker = holder();
-        Peer agent = worker((message, line) -> {
+        TestServer worker = holder();
+        TestServer agent = worker((message, line) -> {
             tell.await();
             if (message.startLine().contains("index=")) {
                 return;
@@ -197,7 +198,7 @@
                     TestPeers.configuration(null, list(true, entry), LIMITS).replace("\"DialTimeoutMs\":500",
                             "\"DialTimeoutMs\":20000").getBytes(StandardCharsets.UTF_8)));
             node.awaitReady();
-            Line client = client().sendTask("t", "sell", "x");
+            TestConnection client = client().sendTask("t", "sell", "x");
             until("it is dialed", () -> count("dialed") == 1);
             assertEquals(0, count("outcome_not_sent"));
             client.disconnect("rst");
@@ -208,15 +209,15 @@
 
     @Test
     void clientsThatLeaveByTheHundredAreAllNoticedAtOnceAlsoWhileItStops() throws Exception {
-        Peer worker = holder();
+        TestServer worker = holder();
         node = node(null, list(true, IntStream.range(0, 300)
                 .mapToObj(i -> worker.entry("s-" + i, "in_service")).toArray(String[]::new)), LIMITS);
-        List<Line> clients = new ArrayList<>();
+        List<TestConnection> clients = new ArrayList<>();
         for (int i = 0; i < 300; i++) {
             clients.add(client().sendTask("t" + i, "look", "x"));
         }
         until("all are taken in", () -> count("taken") == 300);
-        Set<Integer> ports = clients.stream().map(Line::port).collect(Collectors.toSet());
+        Set<Integer> ports = clients.stream().map(TestConnection::port).collect(Collectors.toSet());
         new Thread(node::stop).start();
         until("it stops", () -> client().write("GET /ready HTTP/1.1\r\nHost: a\r\n\r\n").read().text()
                 .equals("stopping\n"));
@@ -239,7 +240,7 @@
         });
         assertEquals(300, count("client_gone") + count("bounced"));
         long sent = count("assigned");
-        until("nothing is out", () -> worker.ended.size() == worker.lines.size());
+        until("nothing is out", () -> worker.ended.size() == worker.connections.size());
         assertTrue(count("client_gone") > 50, "not all had been bounced before");
         assertEquals(sent, count("assigned"), "and none was sent on");
     }
@@ -281,13 +282,13 @@
      */
     @Test
     void aTaskWhoseClientLeavesIsDroppedInAMoment() throws Exception {
-        Peer worker = holder();
+        TestServer worker = holder();
         node = node(null, list(true, IntStream.range(0, 200)
                 .mapToObj(i -> worker.entry("s-" + i, "in_service")).toArray(String[]::new)), LIMITS);
         long[] micros = new long[100];
         for (int i = 0; i < micros.length; i++) {
             int out = worker.received.size();
-            Line client = client().sendTask("t" + i, "look", "x");
+            TestConnection client = client().sendTask("t" + i, "look", "x");
             until("it is out", () -> worker.received.size() > out);
             client.disconnect(i % 2 == 0 ? "fin" : "rst");
             long left = System.nanoTime();
@@ -308,7 +309,7 @@
      * Has the thread stand still until the client has written its call, and do something then: nothing was
      * read between.
      */
-    private void unread(Line client, String txn, Runnable then) throws Exception {
+    private void unread(TestConnection client, String txn, Runnable then) throws Exception {
         onThread(() -> {
             client.sendTask(txn, "sell", "x");
             then.run();
@@ -322,9 +323,9 @@
      */
     @Test
     void aCallThatLiesUnreadAtTheLastCallIsAnswered() throws Exception {
-        Peer worker = worker((task, line) -> line.respondDone(task, "ok"));
+        TestServer worker = worker((task, line) -> line.respondDone(task, "ok"));
         node = node(null, list(true, worker.entry("s-1", "in_service")), LIMITS);
-        Line client = client();
+        TestConnection client = client();
         assertEquals(200, client.sendTask("a", "sell", "x").read().status());
         unread(client, "b", () -> node.dispatcher.closeToRequests());
         assertEquals(503, client.read().status());
@@ -337,9 +338,9 @@
      */
     @Test
     void aCallThatLiesUnreadWhenItsClientHasIdledTooLongIsAnswered() throws Exception {
-        Peer worker = worker((task, line) -> line.respondDone(task, "ok"));
+        TestServer worker = worker((task, line) -> line.respondDone(task, "ok"));
         node = node(null, list(true, worker.entry("s-1", "in_service")), LIMITS);
-        Line client = client();
+        TestConnection client = client();
         assertEquals(200, client.write("GET /ready HTTP/1.1\r\nHost: a\r\n\r\n").read().status());
         unread(client, "b", () -> {
             for (long end = System.nanoTime() + 1_200_000_000L; System.nanoTime() < end;) {
@@ -355,12 +356,12 @@
      */
     @Test
     void aCallThatCrossedTheEndOfItsConnectionIsTakenOnTheNextOne() throws Exception {
-        Peer worker = worker((task, line) -> line.respondDone(task, "ok"));
+        TestServer worker = worker((task, line) -> line.respondDone(task, "ok"));
         node = new DispatcherServer(Configuration.read(TestPeers
                 .configuration(null, list(true, worker.entry("s-1", "in_service")), LIMITS)
                 .replaceAll("\"ExpiryMs\":\\d+", "\"ExpiryMs\":1500").getBytes(StandardCharsets.UTF_8)));
         node.awaitReady();
-        Line client = client();
+        TestConnection client = client();
         assertEquals(200, client.sendTask("a", "sell", "x").read().status());
         Thread stop = new Thread(node::stop);
         stop.start();
@@ -376,14 +377,14 @@
      */
     @Test
     void aStopThatComesBeforeTheStartIsOverEndsItInGoodOrder() throws Exception {
-        Peer worker = worker((task, line) -> line.respondDone(task, "ok"));
+        TestServer worker = worker((task, line) -> line.respondDone(task, "ok"));
         FutureTask<DispatcherServer> start =
                 new FutureTask<>(() -> node(null, list(true, worker.entry("s-1", "in_service")), LIMITS));
         Thread stop = MainAccess.stopper(start);
         stop.start();
         start.run();
         node = start.get();
-        Line client = client();
+        TestConnection client = client();
         until("it stops", () -> client.write("GET /ready HTTP/1.1\r\nHost: a\r\n\r\n").read().text()
                 .equals("stopping\n"));
         assertEquals(200, client.sendTask("a", "sell", "x").read().status());
@@ -394,13 +395,13 @@
 
     @Test
     void whatMayRunAgainIsBouncedAtTheEndAndWhatMayHaveRunIsNot() throws Exception {
-        Peer worker = holder();
+        TestServer worker = holder();
         node = new DispatcherServer(Configuration.read(TestPeers
                 .configuration(null, list(true, worker.entry("s-1", "in_service")), LIMITS)
                 .replaceAll("\"ExpiryMs\":\\d+", "\"ExpiryMs\":1500").getBytes(StandardCharsets.UTF_8)));
         node.awaitReady();
-        Line look = client().sendTask("a", "look", "x");
-        Line sell = client().sendTask("b", "sell", "x");
+        TestConnection look = client().sendTask("a", "look", "x");
+        TestConnection sell = client().sendTask("b", "sell", "x");
         until("they are out", () -> worker.received.size() == 2);
         onThread(() -> {
             node.dispatcher.policyHost.endAllTasks();
@@ -415,7 +416,7 @@
     void halfALineFromAWorkerAtTheEndChangesNothing() throws Exception {
         CountDownLatch half = new CountDownLatch(1);
         CountDownLatch rest = new CountDownLatch(1);
-        Peer worker = worker((task, line) -> {
+        TestServer worker = worker((task, line) -> {
             String done = "{\"id\":\"t\",\"state\":\"done\",\"result\":\"sold\"}\n";
             String chunk = Integer.toHexString(done.length()) + "\r\n" + done + "\r\n0\r\n\r\n";
             line.write("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n");
@@ -425,7 +426,7 @@
             line.write(chunk.substring(30));
         });
         node = node(null, list(true, worker.entry("s-1", "in_service")), LIMITS);
-        Line client = client().sendTask("t", "sell", "x");
+        TestConnection client = client().sendTask("t", "sell", "x");
         until("it is out", () -> worker.received.size() == 1);
         onThread(() -> {
             half.countDown();
@@ -445,11 +446,11 @@
 
     @Test
     void aListMayComeIndented() throws Exception {
-        Peer worker = worker((task, line) -> line.respondDone(task, "ok"));
+        TestServer worker = worker((task, line) -> line.respondDone(task, "ok"));
         String body = list(true, worker.entry("s-1", "in_service")).replace("REV", "3")
                 .replace("{", "{\r\n  ").replace(",", " ,\n\t").replace(":", " : ")
                 .replace("127.0.0.1 : ", "127.0.0.1:").replace("]", "\n]\n");
-        Peer agent = worker((message, line) -> {
+        TestServer agent = worker((message, line) -> {
             if (!message.startLine().contains("index=")) {
                 line.write("HTTP/1.1 200 OK\r\nContent-Length: " + body.length() + "\r\n\r\n" + body);
             }
@@ -465,9 +466,9 @@
      */
     @Test
     void aListReadInTheMidstOfWhatAnOlderOneSetsOffWins() throws Exception {
-        Peer worker = worker((task, line) -> line.respondDone(task, "ok"));
+        TestServer worker = worker((task, line) -> line.respondDone(task, "ok"));
         CountDownLatch tell = new CountDownLatch(1);
-        Peer agent = worker((message, line) -> {
+        TestServer agent = worker((message, line) -> {
             tell.await();
             boolean first = !message.startLine().contains("index=");
             if (first || message.startLine().contains("index=1")) {
@@ -478,7 +479,7 @@
         });
         node = new DispatcherServer(configuration(agent, list(true, worker.entry("s-1", "in_service")),
                 "\"Rules\":{\"StopSendingWithinMs\":10},"));
-        Line client = client().sendTask("t", "sell", "x");
+        TestConnection client = client().sendTask("t", "sell", "x");
         until("it is taken", () -> count("taken") == 1);
         onThread(() -> {
             Runnable look = node.beforeFirstByte();
@@ -507,9 +508,9 @@
      */
     @Test
     void oneCustomersSettingsLeaveNoTraceAtAnother() throws Exception {
-        Script errs = (task, line) -> line.respondStatus(500, "");
-        Peer one = worker(errs);
-        Peer two = worker(errs);
+        ServerScript errs = (task, line) -> line.respondStatus(500, "");
+        TestServer one = worker(errs);
+        TestServer two = worker(errs);
         String known = list(true, one.entry("s-1", "in_service"), two.entry("s-2", "in_service"));
         String here = TestPeers.configuration(null, known, LIMITS);
         String there = here.replace("\"look\"", "\"?\"").replace("\"sell\"", "\"look\"")
@@ -521,8 +522,8 @@
             node.awaitReady();
             other.awaitReady();
             assertEquals(504, client().sendTask("a1", "sell", "x").read().status());
-            assertEquals(504, new Line(other).sendTask("b1", "look", "x").read().status());
-            new Line(other).sendTask("b2", "sell", "x").read();
+            assertEquals(504, new TestConnection(other).sendTask("b1", "look", "x").read().status());
+            new TestConnection(other).sendTask("b2", "sell", "x").read();
             client().sendTask("a2", "look", "x").read();
             assertEquals(List.of(1, 1), List.of(sent("a1", one, two), sent("b1", one, two)));
             assertTrue(sent("a2", one, two) > 1 && sent("b2", one, two) > 1);
@@ -531,9 +532,9 @@
         }
     }
 
-    private static int sent(String txn, Peer... workers) {
+    private static int sent(String txn, TestServer... workers) {
         int sent = 0;
-        for (Peer worker : workers) {
+        for (TestServer worker : workers) {
             synchronized (worker.received) {
                 sent += (int) worker.received.stream().filter(m -> txn.equals(m.field("X-Txn"))).count();
             }
--- a/src/test/java/rampshift/serve/DispatcherServerTest.java
+++ b/src/test/java/rampshift/serve/DispatcherServerTest.java
@@ -22,11 +22,12 @@
 import org.junit.jupiter.params.provider.CsvSource;
 import org.junit.jupiter.params.provider.ValueSource;
 import org.xnio.XnioIoThread;
+import rampshift.HttpMessage;
+import rampshift.ServerScript;
+import rampshift.TestConnection;
+import rampshift.TestDiscovery;
 import rampshift.TestPeers;
-import rampshift.TestPeers.Line;
-import rampshift.TestPeers.Message;
-import rampshift.TestPeers.Peer;
-import rampshift.TestPeers.Script;
+import rampshift.TestServer;
 import rampshift.settings.Configuration;
 
 /** A whole dispatcher between clients, workers and discovery, all on loopback. */
@@ -37,7 +38,7 @@
         node = node(null, list(true, entries), LIMITS);
     }
 
-    private static Script good() {
+    private static ServerScript good() {
         return (task, line) -> line.respondDone(task, "ok");
     }
 
@@ -45,9 +46,9 @@
 
     @Test
     void afterARestartNoTaskGoesByTheListHadBefore() throws Exception {
-        Peer drained = worker(good());
-        Peer stays = worker(good());
-        Peer slow = worker((message, line) -> {
+        TestServer drained = worker(good());
+        TestServer stays = worker(good());
+        TestServer slow = worker((message, line) -> {
             Thread.sleep(message.startLine().contains("index=") ? 900 : 400);
             String body = list(true, drained.entry("s-1", "terminating"), stays.entry("s-2", "in_service"))
                     .replace("REV", "9");
@@ -66,12 +67,12 @@
 
     @Test
     void whereNoListServiceAnswersTheListHadBeforeGoesOn() throws Exception {
-        Peer worker = worker(good());
-        Peer silent = worker((message, line) -> {});
+        TestServer worker = worker(good());
+        TestServer silent = worker((message, line) -> {});
         node = new DispatcherServer(Configuration
                 .read(TestPeers.configuration(silent, list(true, worker.entry("s-1", "in_service")),
                         LIMITS).getBytes(StandardCharsets.UTF_8)));
-        Line client = client();
+        TestConnection client = client();
         assertEquals(200, client.sendTask("t", "look", "x").read().status());
         assertTrue(silent.received.size() >= 2, "one failure may be a slow start's");
     }
@@ -84,11 +85,11 @@
     @CsvSource({"start,400", "middle,1000", "reload,400"})
     void anAgentThatWasSilentWithACallOpenIsHeardWithinTheGraceOnceItIsBack(String when, int grace)
             throws Exception {
-        Peer drained = worker(good());
-        Peer stays = worker(good());
+        TestServer drained = worker(good());
+        TestServer stays = worker(good());
         AtomicBoolean silent = new AtomicBoolean(!when.equals("middle"));
         AtomicInteger rev = new AtomicInteger(1);
-        Script script = (message, line) -> {
+        ServerScript script = (message, line) -> {
             String first = message.startLine();
             int known =
                     first.contains("index=") ? Integer.parseInt(first.replaceAll(".*index=(\\d+).*", "$1"))
@@ -105,8 +106,8 @@
                     stays.entry("s-2", "in_service")).replace("REV", rev.toString());
             line.write("HTTP/1.1 200 OK\r\nContent-Length: " + body.length() + "\r\n\r\n" + body);
         };
-        Peer agent = worker(script);
-        Peer other = worker((message, line) -> {});
+        TestServer agent = worker(script);
+        TestServer other = worker((message, line) -> {});
         String known = list(true, drained.entry("s-1", "in_service"), stays.entry("s-2", "in_service"));
         node = new DispatcherServer(graceful(when.equals("reload") ? other : agent, known, grace));
         assertEquals(200, client().sendTask("a", "look", "x").read().status(), "the old list goes on");
@@ -132,7 +133,7 @@
         assertEquals(before, drained.received.size());
     }
 
-    private static Configuration graceful(Peer discovery, String known, int grace) throws IOException {
+    private static Configuration graceful(TestServer discovery, String known, int grace) throws IOException {
         return Configuration.read(TestPeers.configuration(discovery, known, LIMITS)
                 .replace("\"WeightSource\"",
                         "\"Rules\":{\"StopSendingWithinMs\":" + grace + "},\"WeightSource\"")
@@ -143,17 +144,17 @@
 
     @Test
     void whatGoesOnUnchangedIsTheBytesThatCame() throws Exception {
-        Peer worker = worker((task, line) -> line
+        TestServer worker = worker((task, line) -> line
                 .respondWithProgress(
                         "{\"id\":\"t1\",\"state\":\"done\",\"result\":\"a\\u00e9\\n\u00c3\u00a9\\\"\"}"));
         serve(worker.entry("s-1", "in_service"));
         String body = "\r\n\r\nHTTP/1.1 200 OK\r\n\u0000\u00ff end";
-        Message answer = client().write(
+        HttpMessage answer = client().write(
                 "POST /api/;v=1/%2f%41?q=%20&&x HTTP/1.1\r\nHost: origin.svc\r\nx-txn: t1\r\nX-Lane: look\r\n"
                         + "X-Remaining: 4.5\r\nX-Labels: slots=2,memory=0.5,odd\r\nIdempotency-Key: K-\u00e9\r\nConnection: keep-alive\r\n"
                         + "Content-Length: " + body.length() + "\r\n\r\n" + body)
                 .read();
-        Message sent = worker.received.get(0);
+        HttpMessage sent = worker.received.get(0);
         assertEquals("POST /api/;v=1/%2f%41?q=%20&&x HTTP/1.1", sent.startLine());
         assertEquals("t1", sent.field("X-Txn"));
         assertEquals("K-\u00e9", sent.field("Idempotency-Key"));
@@ -169,20 +170,20 @@
     /** Met on the first calm day: every second task on a kept connection was never read. */
     @Test
     void manyTasksComeOverOneClientConnectionAndGoOverOneWorkerConnection() throws Exception {
-        Peer worker = worker(good());
+        TestServer worker = worker(good());
         serve(worker.entry("s-1", "in_service"));
-        Line client = client();
+        TestConnection client = client();
         for (int i = 0; i < 20; i++) {
             assertEquals(200, client.sendTask("t" + i, "look", "x").read().status());
         }
-        assertEquals(1, worker.lines.size(), "a connection is reused");
+        assertEquals(1, worker.connections.size(), "a connection is reused");
     }
 
     @Test
     void aBodyThatComesInPiecesOrInChunksIsTakenWhole() throws Exception {
-        Peer worker = worker(good());
+        TestServer worker = worker(good());
         serve(worker.entry("s-1", "in_service"));
-        Line client = client();
+        TestConnection client = client();
         client.write(
                 "POST /api HTTP/1.1\r\nHost: a\r\nX-Txn: p\r\nX-Lane: look\r\nX-Remaining: 5\r\nContent-Length: 6\r\n\r\nab");
         Thread.sleep(20);
@@ -201,7 +202,7 @@
     @ParameterizedTest
     @ValueSource(strings = {"look", "sell"})
     void aTaskWithoutABodyIsSent(String type) throws Exception {
-        Peer worker = worker(good());
+        TestServer worker = worker(good());
         serve(worker.entry("s-1", "in_service"));
         assertEquals(200, client().sendTask("t", type, "").read().status());
     }
@@ -209,12 +210,12 @@
     @Test
     void aTaskSentWhileTheLastIsUnderWayWaitsItsTurn() throws Exception {
         CountDownLatch go = new CountDownLatch(1);
-        Peer worker = worker((task, line) -> {
+        TestServer worker = worker((task, line) -> {
             go.await();
             line.respondDone(task, task.field("X-Txn"));
         });
         serve(worker.entry("s-1", "in_service"));
-        Line client = client().sendTask("a", "look", "1").sendTask("b", "look", "2");
+        TestConnection client = client().sendTask("a", "look", "1").sendTask("b", "look", "2");
         until("the first is out", () -> worker.received.size() == 1);
         go.countDown();
         assertEquals("a", client.read().text());
@@ -224,7 +225,7 @@
     /** Met at a site with tenants: all tasks were counted as the first one's, and held to its share. */
     @Test
     void eachTenantIsHeldToItsOwnShare() throws Exception {
-        Peer worker = worker((task, line) -> line.respondStatus(503, "X-Turned-Away: 1\r\n"));
+        TestServer worker = worker((task, line) -> line.respondStatus(503, "X-Turned-Away: 1\r\n"));
         node = new DispatcherServer(Configuration
                 .read(TestPeers.configuration(null, list(true, worker.entry("s-1", "in_service")), LIMITS)
                         .replace("\"WeightSource\"",
@@ -245,7 +246,7 @@
                 "who is not named has no share to go beyond");
     }
 
-    private Message of(String tenant, String txn) throws IOException {
+    private HttpMessage of(String tenant, String txn) throws IOException {
         return client().write("POST /api HTTP/1.1\r\nHost: a\r\nX-Org: " + tenant + "\r\nX-Txn: " + txn
                 + "\r\nX-Lane: look\r\nX-Remaining: 5\r\nContent-Length: 0\r\n\r\n").read();
     }
@@ -256,7 +257,7 @@
     @ValueSource(strings = {"503", "504", "returned"})
     void aTaskWithSideEffectsThatWasTurnedAwayGoesToTheNext(String how) throws Exception {
         List<String> sent = Collections.synchronizedList(new ArrayList<>());
-        Script script = (task, line) -> {
+        ServerScript script = (task, line) -> {
             sent.add(task.field("X-Txn"));
             if (sent.size() > 1) {
                 line.respondDone(task, "ok");
@@ -276,7 +277,7 @@
             "500", "503", "429", "404", "failed", "lost", "closes", "half", "no JSON", "another task",
             "no id", "ends early"})
     void aTaskWithSideEffectsThatMayHaveRunIsNeitherSentAgainNorBounced(String how) throws Exception {
-        Script script = (task, line) -> {
+        ServerScript script = (task, line) -> {
             switch (how) {
                 case "500", "503", "429", "404" -> line.respondStatus(Integer.parseInt(how), "");
                 case "failed", "lost" -> line.respondWithProgress("{\"id\":\"t\",\"state\":\"" + how + "\"}");
@@ -294,8 +295,8 @@
                         "{\"id\":\"t\",\"state\":\"what\",\"odd\":[1]}");
             }
         };
-        Peer one = worker(script);
-        Peer two = worker(script);
+        TestServer one = worker(script);
+        TestServer two = worker(script);
         serve(one.entry("s-1", "in_service"), two.entry("s-2", "in_service"));
         assertEquals(504, client().sendTask("t", "sell", "x").read().status());
         assertEquals(1, one.received.size() + two.received.size());
@@ -303,9 +304,9 @@
 
     @Test
     void whereNobodyListensTheTaskNeverRanAndGoesToTheNext() throws Exception {
-        Peer gone = worker(good());
+        TestServer gone = worker(good());
         gone.close();
-        Peer there = worker(good());
+        TestServer there = worker(good());
         serve(gone.entry("s-1", "in_service"), there.entry("s-2", "in_service"));
         for (int i = 0; i < 6; i++) {
             assertEquals(200, client().sendTask("t" + i, "sell", "x").read().status());
@@ -314,10 +315,10 @@
 
     @Test
     void theClientsLeavingClosesTheWorkersConnection() throws Exception {
-        Peer worker =
+        TestServer worker =
                 worker((task, line) -> line.write("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n"));
         serve(worker.entry("s-1", "in_service"));
-        Line client = client().sendTask("t", "look", "x");
+        TestConnection client = client().sendTask("t", "look", "x");
         until("it is out", () -> worker.received.size() == 1);
         assertEquals(0, worker.ended.size());
         client.close();
@@ -326,7 +327,7 @@
 
     @Test
     void aTaskIsAbandonedBeforeItsExpiryAndItsConnectionClosed() throws Exception {
-        Peer worker = worker((task, line) -> {});
+        TestServer worker = worker((task, line) -> {});
         node = new DispatcherServer(Configuration
                 .read(TestPeers.configuration(null, list(true, worker.entry("s-1", "in_service")), LIMITS)
                         .replace("\"ExpiryMs\":600", "\"ExpiryMs\":3000").getBytes(StandardCharsets.UTF_8)));
@@ -340,7 +341,7 @@
 
     @Test
     void anIdleConnectionIsDroppedBeforeTheWorkerWould() throws Exception {
-        Peer worker = worker(good());
+        TestServer worker = worker(good());
         serve(worker.entry("s-1", "in_service"));
         assertEquals(200, client().sendTask("t", "look", "x").read().status());
         until("it was dropped from this side", () -> worker.ended.size() == 1);
@@ -369,7 +370,7 @@
     })
     void badHeadersGetAPlainAnswerAndTheNextTaskAGoodOne(int status, String a, String b, String c)
             throws Exception {
-        Peer worker = worker(good());
+        TestServer worker = worker(good());
         serve(worker.entry("s-1", "in_service"));
         String length = a.startsWith("Content") || a.startsWith("Transfer") ? "" : "Content-Length: 1\r\n";
         String id = a.startsWith("X-Labels") ? "X-Txn: t\r\n" : "";
@@ -387,7 +388,7 @@
     @ValueSource(strings = {"\u0000\u0001\u0002 nonsense\r\n\r\n", "GET\r\n\r\n",
             "POST /api HTTP/1.1\r\nno colon\r\n\r\n", "POST /a"})
     void whatIsNoHttpDoesNoHarm(String bytes) throws Exception {
-        Peer worker = worker(good());
+        TestServer worker = worker(good());
         serve(worker.entry("s-1", "in_service"));
         client().write(bytes);
         assertEquals(200, client().sendTask("good", "look", "x").read().status());
@@ -407,12 +408,12 @@
     })
     void whatIsNotWholeAndSoundGetsAnErrorInTimeAndReachesNoWorker(int status, String length, String body)
             throws Exception {
-        Peer worker = worker(good());
+        TestServer worker = worker(good());
         serve(worker.entry("s-1", "in_service"));
         long begun = System.nanoTime();
         String end = body.equals("HALF HEAD") ? ""
                 : "\r\n\r\n" + (body.equals("BIG") ? "x".repeat(60_000_000) : body.replace("~", "\r\n"));
-        Line client = client()
+        TestConnection client = client()
                 .write("POST /api HTTP/1.1\r\nHost: a\r\nX-Txn: t\r\nX-Lane: look\r\nX-Remaining: 5\r\n"
                         + length + end);
         assertEquals(status, client.read().status());
@@ -427,9 +428,9 @@
      */
     @Test
     void aClientWhoseTaskLiesUnreadWhileTheThreadIsLateIsAnswered() throws Exception {
-        Peer worker = worker(good());
+        TestServer worker = worker(good());
         serve(worker.entry("s-1", "in_service"));
-        Line client = client();
+        TestConnection client = client();
         until("it is taken in", () -> count("client_connections") >= 2);
         CountDownLatch late = new CountDownLatch(1);
         XnioIoThread thread = (XnioIoThread) Thread.getAllStackTraces().keySet().stream()
@@ -447,9 +448,9 @@
 
     @Test
     void bytesBehindACallThatIsUnderWayEndIt() throws Exception {
-        Peer worker = worker((task, line) -> {});
+        TestServer worker = worker((task, line) -> {});
         serve(worker.entry("s-1", "in_service"));
-        Line client = client().sendTask("t", "sell", "x");
+        TestConnection client = client().sendTask("t", "sell", "x");
         until("it is out", () -> worker.received.size() == 1);
         assertEquals(400, client.write("and more").read().status());
         until("the worker's connection ended", () -> worker.ended.size() == 1);
@@ -458,11 +459,11 @@
     /** Met with 300 silent clients at a time: usual ones waited behind them for seconds. */
     @Test
     void clientsThatSendNoTasksLeaveRoomAtOnceAndAreClosedInTime() throws Exception {
-        Peer worker = worker(good());
+        TestServer worker = worker(good());
         serve(worker.entry("s-1", "in_service"));
-        Line usual = client();
+        TestConnection usual = client();
         assertEquals(200, usual.sendTask("a", "look", "x").read().status());
-        List<Line> silent = new ArrayList<>();
+        List<TestConnection> silent = new ArrayList<>();
         for (int i = 0; i < 300; i++) {
             silent.add(i % 2 == 0 ? client() : client().write("GET /ready HTTP/1.1\r\nHost: a\r\n\r\n"));
         }
@@ -471,7 +472,7 @@
         assertTrue(System.nanoTime() - begun < 1_000_000_000L, "it did not wait for them");
         assertEquals(200, usual.sendTask("c", "look", "x").read().status(),
                 "nor was a known one closed for them");
-        for (Line line : silent) {
+        for (TestConnection line : silent) {
             assertTrue(line.closedByPeer());
         }
         assertTrue(System.nanoTime() - begun < 3_000_000_000L, "in time");
@@ -479,12 +480,12 @@
 
     @Test
     void aTaskThatIsInHandIsNotTakenTwice() throws Exception {
-        Peer worker = worker((task, line) -> {});
+        TestServer worker = worker((task, line) -> {});
         serve(worker.entry("s-1", "in_service"));
         client().sendTask("t", "sell", "x");
         until("it is out", () -> worker.received.size() == 1);
         assertEquals(409, client().sendTask("t", "sell", "x").read().status());
-        Peer other = worker(good());
+        TestServer other = worker(good());
         node = node(null, list(true, other.entry("s-1", "in_service")), LIMITS);
         assertEquals(200, client().sendTask("t", "sell", "x").read().status());
         assertEquals(409, client().sendTask("t", "sell", "x").read().status(), "nor after its answer");
@@ -499,20 +500,20 @@
     void whatIsTooMuchForSocketsOrMemoryIsBouncedAndNobodyIsLeftUnheard(int memory, int sockets, int size)
             throws Exception {
         CountDownLatch go = new CountDownLatch(1);
-        Peer worker = worker((task, line) -> {
+        TestServer worker = worker((task, line) -> {
             go.await();
             line.respondDone(task, "ok");
         });
         node = node(null, list(true, worker.entry("s-1", "in_service")),
                 "{\"memory_mb\":" + memory + ",\"sockets\":" + sockets + "}");
-        List<Line> clients = new ArrayList<>();
+        List<TestConnection> clients = new ArrayList<>();
         for (int i = 0; i < 60; i++) {
             clients.add(client().sendTask("t" + i, "sell", "x".repeat(size)));
         }
         until("some were bounced", () -> count("bounced") + count("bounced_full") > 0);
         go.countDown();
         int bounced = 0;
-        for (Line client : clients) {
+        for (TestConnection client : clients) {
             int status = client.read().status();
             assertTrue(status == 200 || status == 503, "status " + status);
             bounced += status == 503 ? 1 : 0;
@@ -524,11 +525,11 @@
     /** Met with 570 clients that stalled: their half bodies filled the heap. */
     @Test
     void bodiesThatStallLeaveRoomForSmallTasks() throws Exception {
-        Peer worker = worker(good());
+        TestServer worker = worker(good());
         node = node(null, list(true, worker.entry("s-1", "in_service")), "{\"memory_mb\":1,\"sockets\":256}");
         String head =
                 "POST /api HTTP/1.1\r\nHost: a\r\nX-Lane: sell\r\nX-Remaining: 5\r\nContent-Length: 60000\r\nX-Txn: ";
-        Line stalls = client().write(head + "a\r\n\r\nhalf");
+        TestConnection stalls = client().write(head + "a\r\n\r\nhalf");
         assertEquals(200, client().sendTask("small", "sell", "x").read().status());
         assertEquals(503, client().write(head + "b\r\n\r\nhalf").read().status());
         assertEquals(200, stalls.write("x".repeat(60_000 - 4)).read().status());
@@ -539,11 +540,11 @@
 
     @Test
     void listsAreFollowedThroughBreaksAndWorkersMoveAndGo() throws Exception {
-        Peer old = worker(good());
-        Peer moved = worker(good());
+        TestServer old = worker(good());
+        TestServer moved = worker(good());
         List<String> versions = Collections.synchronizedList(new ArrayList<>());
         versions.add(list(true, old.entry("s-1", "in_service")));
-        Peer discovery = Peer.discovery(versions);
+        TestServer discovery = TestDiscovery.start(versions);
         open.add(discovery);
         node = node(discovery, list(true), LIMITS);
         until("ready", () -> client().write("GET /ready HTTP/1.1\r\nHost: a\r\n\r\n").read().status() == 200);
@@ -552,7 +553,7 @@
         until("the other address is used",
                 () -> client().sendTask("b" + System.nanoTime(), "look", "x").read().status() == 200
                         && !moved.received.isEmpty());
-        discovery.lines.get(discovery.lines.size() - 1).close();
+        discovery.connections.get(discovery.connections.size() - 1).close();
         versions.add(list(false, moved.entry("s-1", "terminating"), old.entry("s-2", "in_service")));
         int before = old.received.size();
         until("the new worker is used after a break",
@@ -569,25 +570,25 @@
     @Test
     void aNewConfigurationMovesTheWatchAndNoTaskNotices() throws Exception {
         CountDownLatch go = new CountDownLatch(1);
-        Peer first = worker((task, line) -> {
+        TestServer first = worker((task, line) -> {
             go.await();
             line.respondDone(task, "ok");
         });
-        Peer second = worker(good());
+        TestServer second = worker(good());
         String old = list(true, first.entry("s-1", "in_service")).replace("REV", "5");
         List<String> now = Collections
                 .synchronizedList(new ArrayList<>(List.of(list(true, first.entry("s-1", "in_service")))));
-        Peer oldService = worker((message, line) -> {
+        TestServer oldService = worker((message, line) -> {
             if (!message.startLine().contains("index=")) {
                 line.write("HTTP/1.1 200 OK\r\nContent-Length: " + old.length() + "\r\n\r\n" + old);
             }
         });
-        Peer newService = Peer.discovery(now);
+        TestServer newService = TestDiscovery.start(now);
         open.add(newService);
         node = node(oldService, list(true), LIMITS);
         until("the list",
                 () -> client().write("GET /ready HTTP/1.1\r\nHost: a\r\n\r\n").read().status() == 200);
-        Line waits = client().sendTask("a", "sell", "x");
+        TestConnection waits = client().sendTask("a", "sell", "x");
         until("it is out", () -> first.received.size() == 1);
         for (int i = 0; i < 3; i++) {
             node.reload(Configuration.read(
@@ -608,14 +609,14 @@
 
     @Test
     void aListServiceThatTalksNonsenseIsAskedAgainAndTheListStays() throws Exception {
-        Peer known = worker(good());
-        Peer later = worker(good());
+        TestServer known = worker(good());
+        TestServer later = worker(good());
         String bad = known.entry("s-1", "in_service").replace("127.0.0.1", "nowhere");
         List<String> answers = List.of("{\"rev\":", "[]", "{\"rev\":1}",
                 list(true, "7", "{}", known.entry("s-1", "in_service")),
                 list(true, later.entry("s-2", "in_service"), later.entry("s-3", "what"), bad));
         AtomicInteger asked = new AtomicInteger();
-        Peer discovery = worker((message, line) -> {
+        TestServer discovery = worker((message, line) -> {
             int number = asked.getAndIncrement();
             if (number >= answers.size()) {
                 return;     // nothing new any more
@@ -643,7 +644,7 @@
     @Test
     void aStopServesOnOpenConnectionsThenEndsThemAndLeavesNobodyWithoutAnAnswer() throws Exception {
         CountDownLatch go = new CountDownLatch(1);
-        Peer worker = worker((task, line) -> {
+        TestServer worker = worker((task, line) -> {
             if (task.field("X-Txn").equals("late")) {
                 line.write(
                         "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n20\r\n{\"id\":\"late\",\"state\":\"started\"}\n\r\n");
@@ -653,8 +654,8 @@
             }
         });
         serve(worker.entry("s-1", "in_service"));
-        Line idle = client();
-        Line before = client().sendTask("a", "sell", "x");
+        TestConnection idle = client();
+        TestConnection before = client().sendTask("a", "sell", "x");
         until("it is out", () -> worker.received.size() == 1);
         long begun = System.nanoTime();
         Thread stop = new Thread(node::stop);
@@ -662,11 +663,11 @@
         until("it stops", () -> idle.write("GET /ready HTTP/1.1\r\nHost: a\r\n\r\n").read().status() == 503);
         assertEquals(503, client().write("GET /ready HTTP/1.1\r\nHost: a\r\n\r\n").read().status(),
                 "new clients are taken");
-        Line late = client().sendTask("late", "sell", "x");
+        TestConnection late = client().sendTask("late", "sell", "x");
         idle.sendTask("b", "look", "x");
         until("they are out too", () -> worker.received.size() == 3);
         go.countDown();
-        Message answer = before.read();
+        HttpMessage answer = before.read();
         assertEquals(200, answer.status());
         assertNull(answer.field("Connection"), "the connection stays for now");
         assertEquals(200, idle.read().status());
@@ -687,16 +688,16 @@
         // Starts are not told: runs of a tenth of a millisecond count as half a tick, each worker would look
         // five times too slow, and a
         // type that has never run would be bounced.
-        Peer here = worker((task, line) -> line
+        TestServer here = worker((task, line) -> line
                 .respondWithProgress(
                         "{\"id\":\"" + task.field("X-Txn") + "\",\"state\":\"done\",\"result\":\"here\"}"));
-        Peer there = worker((task, line) -> line
+        TestServer there = worker((task, line) -> line
                 .respondWithProgress(
                         "{\"id\":\"" + task.field("X-Txn") + "\",\"state\":\"done\",\"result\":\"there\"}"));
         String first = list(true, here.entry("s-1", "in_service"),
                 there.entry("s-2", "in_service").replace("\"az\":\"a\"", "\"az\":\"b\""));
         List<String> versions = Collections.synchronizedList(new ArrayList<>(List.of(first)));
-        Peer agent = Peer.discovery(versions);
+        TestServer agent = TestDiscovery.start(versions);
         open.add(agent);
         node = new DispatcherServer(Configuration
                 .read(TestPeers.configuration(agent, first, "{\"memory_mb\":192,\"sockets\":1024}")
@@ -710,7 +711,7 @@
         versions.add(list(false, there.entry("s-2", "in_service")));
         int[] bounced = {0};
         until("given up at once, where no worker is left", () -> {
-            Message answer =
+            HttpMessage answer =
                     client().sendTask("v" + there.received.size() + "-" + bounced[0], "look", "x").read();
             bounced[0] += answer.status() == 503 ? 1 : 0;
             assertTrue(answer.status() == 503 || bounced[0] == 0 && answer.text().equals("there"),
--- a/src/test/java/rampshift/serve/FloodTest.java
+++ b/src/test/java/rampshift/serve/FloodTest.java
@@ -20,8 +20,8 @@
 import org.junit.jupiter.params.provider.ValueSource;
 import org.xnio.conduits.AbstractStreamSourceConduit;
 import org.xnio.conduits.StreamSourceConduit;
-import rampshift.TestPeers.Line;
-import rampshift.TestPeers.Peer;
+import rampshift.TestConnection;
+import rampshift.TestServer;
 import rampshift.clients.StatusPage;
 import rampshift.time.NextTick;
 
@@ -105,7 +105,7 @@
     void requestsSentAtOnceAreAnsweredAFewPerTick() throws Exception {
         node = node(null, list(true), LIMITS);
         ResponseCounter counter = new ResponseCounter();
-        Line client = client();
+        TestConnection client = client();
         NextTick nextTick = onThread(() -> {
             node.dispatcher.clientListener.addPage("/count", () -> new StatusPage(200, counter.next()));
             NextTick created = new NextTick(node.thread);
@@ -144,7 +144,7 @@
      */
     @Test
     void responsesAreDeliveredInTimeWhileOtherClientsSendMuchAndLeave() throws Exception {
-        Peer worker = worker((task, line) -> {
+        TestServer worker = worker((task, line) -> {
             readyTimes.put(task.field("X-Txn"), now());
             line.respondDone(task, "ok");
         });
@@ -183,7 +183,7 @@
     private Thread startFlood(String sent, String wayToLeave) {
         Thread thread = new Thread(() -> {
             while (!Thread.currentThread().isInterrupted()) {
-                try (Line line = new Line(node)) {
+                try (TestConnection line = new TestConnection(node)) {
                     line.write(sent).disconnect(wayToLeave);
                 } catch (IOException e) {
                     // Its connection was closed: it connects again.
@@ -196,7 +196,7 @@
     }
 
     private DeliveryTime measureDelivery(String phase) throws Exception {
-        Line client = client();
+        TestConnection client = client();
         long[] nanos = new long[TASKS_PER_PHASE];
         long[] cpuNanos = new long[TASKS_PER_PHASE];
         for (int i = 0; i < TASKS_PER_PHASE; i++) {
--- a/src/test/java/rampshift/serve/ResponseDeliveryTest.java
+++ b/src/test/java/rampshift/serve/ResponseDeliveryTest.java
@@ -24,10 +24,11 @@
 import org.xnio.conduits.AbstractStreamSourceConduit;
 import org.xnio.conduits.StreamSinkConduit;
 import org.xnio.conduits.StreamSourceConduit;
+import rampshift.HttpMessage;
+import rampshift.TestConnection;
+import rampshift.TestDiscovery;
 import rampshift.TestPeers;
-import rampshift.TestPeers.Line;
-import rampshift.TestPeers.Message;
-import rampshift.TestPeers.Peer;
+import rampshift.TestServer;
 import rampshift.clients.StatusPage;
 import rampshift.settings.Configuration;
 import rampshift.time.NextTick;
@@ -72,7 +73,7 @@
         }
     }
 
-    private Line narrow(int width) throws Exception {
+    private TestConnection narrow(int width) throws Exception {
         Slow slow = slow();
         onThread(() -> {
             slow.connection().getSinkChannel()
@@ -95,7 +96,7 @@
     void aClientThatMakesRoomStillReadsItsWholeAnswer(String sentOn) throws Exception {
         CountDownLatch go = new CountDownLatch(1);
         String result = "r".repeat(60_000);
-        Peer worker = worker((task, line) -> {
+        TestServer worker = worker((task, line) -> {
             go.await();
             line.respondDone(task, result);
         });
@@ -109,7 +110,7 @@
                 "POST /api HTTP/1.1\r\nHost: a\r\nX-Txn: t\r\nX-Lane: sell\r\nX-Remaining: 5.0\r\nConnection: close\r\n"
                         + "Content-Length: 1\r\n\r\nx");
         until("it is out", () -> worker.received.size() == 1);
-        List<Line> others = new ArrayList<>();
+        List<TestConnection> others = new ArrayList<>();
         for (int i = 0; i < 21; i++) {
             others.add(client());
         }
@@ -197,7 +198,7 @@
     @ValueSource(ints = {1, 20})
     void aClientThatIsTurnedAwayReadsAllOfWhy(int width) throws Exception {
         node = node(null, list(true), LIMITS);
-        Message answer = narrow(width).write("no call at all\r\n\r\n").read();
+        HttpMessage answer = narrow(width).write("no call at all\r\n\r\n").read();
         assertEquals(400, answer.status());
         assertEquals("no call, or more bytes than its length said\n", answer.text());
     }
@@ -206,12 +207,13 @@
     @ParameterizedTest
     @ValueSource(ints = {1, 20})
     void aClientThatWaitsForAWordReadsAllOfItAndThenItsAnswer(int width) throws Exception {
-        Peer worker = worker((task, line) -> line.respondDone(task, "ok"));
+        TestServer worker = worker((task, line) -> line.respondDone(task, "ok"));
         node = node(null, list(true, worker.entry("s-1", "in_service")), LIMITS);
         // Body and all at once: it does not wait, and its call is whole before the word is written.
-        Line client = narrow(width).write("POST /api HTTP/1.1\r\nHost: a\r\nX-Txn: b\r\nX-Lane: look\r\n"
-                + "X-Remaining: 5\r\nContent-Length: 3\r\nExpect: 100-continue\r\n\r\n").write("abc");
-        Message first = client.read();
+        TestConnection client =
+                narrow(width).write("POST /api HTTP/1.1\r\nHost: a\r\nX-Txn: b\r\nX-Lane: look\r\n"
+                        + "X-Remaining: 5\r\nContent-Length: 3\r\nExpect: 100-continue\r\n\r\n").write("abc");
+        HttpMessage first = client.read();
         if (first.status() == 100) {    // said only if the head came by itself
             first = client.read();
         }
@@ -233,9 +235,9 @@
     @ParameterizedTest
     @ValueSource(strings = {"", "POST /api HTTP/1.1\r\nHost: a\r\n"})
     void whoIsOnItsWayToSendACallAtTheLastCallIsAnswered(String begun) throws Exception {
-        Peer worker = worker((task, line) -> line.respondDone(task, "ok"));
+        TestServer worker = worker((task, line) -> line.respondDone(task, "ok"));
         node = node(null, list(true, worker.entry("s-1", "in_service")), LIMITS);
-        Line client = client().write(begun);
+        TestConnection client = client().write(begun);
         until("it is taken in", () -> onThread(() -> node.dispatcher.clientListener.connectionCount()) == 1);
         onThread(() -> {
             stand(120);
@@ -251,9 +253,9 @@
     /** What the system holds back of a small write is lost with a reset: no socket here has it do so. */
     @Test
     void smallWritesLeaveAtOnceOnEverySocket() throws Exception {
-        Peer worker = worker((task, line) -> line.respondDone(task, "ok"));
+        TestServer worker = worker((task, line) -> line.respondDone(task, "ok"));
         String known = list(true, worker.entry("s-1", "in_service"));
-        Peer agent = Peer.discovery(List.of(known));
+        TestServer agent = TestDiscovery.start(List.of(known));
         open.add(agent);
         node = node(agent, known, LIMITS);
         node.awaitReady();
@@ -293,12 +295,12 @@
     @Test
     void theTimeOfACallThatWaitsItsTurnCountsFromWhenItCame() throws Exception {
         CountDownLatch go = new CountDownLatch(1);
-        Peer worker = worker((task, line) -> {
+        TestServer worker = worker((task, line) -> {
             go.await();
             line.respondDone(task, "ok");
         });
         node = node(null, list(true, worker.entry("s-1", "in_service")), LIMITS);
-        Line client = client().sendTask("a", "look", "x").sendTask("b", "look", "x")
+        TestConnection client = client().sendTask("a", "look", "x").sendTask("b", "look", "x")
                 .write("POST /api HTTP/1.1\r\nHost: a\r\nX-Txn: c\r\n"
                         + "X-Lane: look\r\nX-Remaining: 0.3\r\nContent-Length: 1\r\n\r\nx");
         until("the first is out", () -> worker.received.size() == 1);
@@ -318,9 +320,9 @@
      */
     @Test
     void theTimeOfAFirstCallCountsFromItsBytesNotFromTheConnection() throws Exception {
-        Peer worker = worker((task, line) -> line.respondDone(task, "ok"));
+        TestServer worker = worker((task, line) -> line.respondDone(task, "ok"));
         node = node(null, list(true, worker.entry("s-1", "in_service")), LIMITS);
-        Line client = client();
+        TestConnection client = client();
         until("it is taken in", () -> onThread(() -> node.dispatcher.clientListener.connectionCount()) == 1);
         Thread.sleep(400);      // the time itself is what the call must not be charged with, not an order
         assertEquals(200, client.sendTask("t", "look", "x").read().status());
@@ -334,9 +336,9 @@
     @ParameterizedTest
     @ValueSource(strings = {"fin", "rst"})
     void noAttemptBeginsOnceItsClientsEndIsThere(String how) throws Exception {
-        Peer worker = worker((task, line) -> line.respondDone(task, "ok"));
+        TestServer worker = worker((task, line) -> line.respondDone(task, "ok"));
         node = node(null, list(true, worker.entry("s-1", "in_service")), LIMITS);
-        Line client = client();
+        TestConnection client = client();
         onThread(() -> {
             Runnable look = node.beforeFirstByte();
             node.dispatcher.beforeFirstByte(() -> {
@@ -364,7 +366,7 @@
      */
     @Test
     void aTaskWhoseClientLeftBeforeItWasReadIsNotSent() throws Exception {
-        Peer worker = worker((task, line) -> line.respondDone(task, "ok"));
+        TestServer worker = worker((task, line) -> line.respondDone(task, "ok"));
         node = node(null, list(true, worker.entry("s-1", "in_service")), LIMITS);
         // whose connection to the worker is kept
         assertEquals(200, client().sendTask("before", "look", "x").read().status());
@@ -386,9 +388,9 @@
      */
     @Test
     void noLastByteGoesOutOnceItsClientsEndIsThere() throws Exception {
-        Peer worker = worker((task, line) -> line.respondDone(task, "ok"));
+        TestServer worker = worker((task, line) -> line.respondDone(task, "ok"));
         node = node(null, list(true, worker.entry("s-1", "in_service")), LIMITS);
-        Line client = client();
+        TestConnection client = client();
         onThread(() -> {
             Runnable look = node.beforeFirstByte();
             node.dispatcher.beforeFirstByte(() -> {
@@ -452,9 +454,9 @@
     @Test
     void idleClientsMayFillTheDescriptorsWhileTheListServiceIsDown() throws Exception {
         CountDownLatch back = new CountDownLatch(1);
-        Peer worker = worker((task, line) -> line.respondDone(task, "ok"));
-        Peer added = worker((task, line) -> line.respondDone(task, "added"));
-        Peer agent = worker((message, line) -> {
+        TestServer worker = worker((task, line) -> line.respondDone(task, "ok"));
+        TestServer added = worker((task, line) -> line.respondDone(task, "added"));
+        TestServer agent = worker((message, line) -> {
             back.await();
             if (!message.startLine().contains("index=")) {
                 String body = list(true, added.entry("s-2", "in_service")).replace("REV", "9");
@@ -466,7 +468,7 @@
                         .getBytes(StandardCharsets.UTF_8)));
         until("the old list goes on", () -> count("watch_broken") >= 2);
         for (int i = 0; i < 200; i++) {
-            Line idle = client();
+            TestConnection idle = client();
             if (i % 2 == 0) {
                 idle.write("GET /ready HTTP/1.1\r\nHost: a\r\n\r\n");
             }
--- a/src/test/java/rampshift/serve/ServerTestBase.java
+++ b/src/test/java/rampshift/serve/ServerTestBase.java
@@ -15,9 +15,9 @@
 import org.xnio.OptionMap;
 import org.xnio.StreamConnection;
 import org.xnio.channels.AcceptingChannel;
-import rampshift.TestPeers.Line;
-import rampshift.TestPeers.Peer;
-import rampshift.TestPeers.Script;
+import rampshift.ServerScript;
+import rampshift.TestConnection;
+import rampshift.TestServer;
 
 /** What stories of a whole dispatcher share: one dispatcher, and stand-ins that end with the story. */
 abstract class ServerTestBase {
@@ -36,20 +36,20 @@
         }
     }
 
-    Peer worker(Script script) throws IOException {
-        Peer peer = new Peer(script);
+    TestServer worker(ServerScript script) throws IOException {
+        TestServer peer = new TestServer(script);
         open.add(peer);
         return peer;
     }
 
-    Line client() throws IOException {
-        Line line = new Line(node);
+    TestConnection client() throws IOException {
+        TestConnection line = new TestConnection(node);
         open.add(line);
         return line;
     }
 
     long count(String name) throws IOException {
-        try (Line line = new Line(node)) {
+        try (TestConnection line = new TestConnection(node)) {
             String text = line.write("GET /counters HTTP/1.1\r\nHost: a\r\n\r\n").read().text();
             return text.lines().filter(l -> l.startsWith(name + " "))
                     .mapToLong(l -> Long.parseLong(l.split(" ")[1])).findFirst().orElse(-1);
@@ -71,7 +71,7 @@
     }
 
     /** A client whose small buffer holds next to nothing, and the dispatcher's end of its connection. */
-    record Slow(Line line, StreamConnection connection) {}
+    record Slow(TestConnection line, StreamConnection connection) {}
 
     Slow slow() throws Exception {
         ChannelListener<AcceptingChannel<StreamConnection>> listener = from -> {
@@ -89,7 +89,7 @@
         Socket socket = new Socket();
         socket.setReceiveBufferSize(2048);
         socket.connect(door.getLocalAddress(InetSocketAddress.class));
-        Line line = new Line(socket);
+        TestConnection line = new TestConnection(socket);
         open.add(line);
         return new Slow(line, accepted.take());
     }
--- a/src/test/java/rampshift/serve/SlowDialTest.java
+++ b/src/test/java/rampshift/serve/SlowDialTest.java
@@ -14,9 +14,11 @@
 import java.util.List;
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
+import rampshift.HttpMessage;
+import rampshift.TestConnection;
+import rampshift.TestDiscovery;
 import rampshift.TestPeers;
-import rampshift.TestPeers.Line;
-import rampshift.TestPeers.Peer;
+import rampshift.TestServer;
 import rampshift.settings.Configuration;
 
 /** Connections to a worker whose backlog is full come up a second late, once it accepts what waits there. */
@@ -35,7 +37,7 @@
                 open.add(new Socket(busy.getInetAddress(), busy.getLocalPort()));
             }
             List<String> versions = Collections.synchronizedList(new ArrayList<>());
-            Peer[] first = new Peer[1];
+            TestServer[] first = new TestServer[1];
             first[0] = worker((task, line) -> {
                 versions.add(list(false, first[0].entry("s-1", "terminating"),
                         SECOND.replace("PORT", "" + busy.getLocalPort())));
@@ -43,7 +45,7 @@
                 line.write("HTTP/1.1 500 x\r\nContent-Length: 0\r\n\r\n");
             });
             versions.add(list(true, first[0].entry("s-1", "in_service")));
-            Peer discovery = Peer.discovery(versions);
+            TestServer discovery = TestDiscovery.start(versions);
             open.add(discovery);
             node = new DispatcherServer(
                     Configuration.read(TestPeers.configuration(discovery, list(true), LIMITS)
@@ -52,17 +54,18 @@
                                     "\"" + group + "\",\"WindowMs\":" + windowMs)
                             .getBytes(StandardCharsets.UTF_8)));
             node.awaitReady();
-            Line client = client().write("POST /api HTTP/1.1\r\nHost: a\r\nX-Txn: t\r\nX-Lane: mark\r\n"
-                    + "X-Remaining: 5.0\r\nIdempotency-Key: k\r\nContent-Length: 1\r\n\r\nx");
+            TestConnection client =
+                    client().write("POST /api HTTP/1.1\r\nHost: a\r\nX-Txn: t\r\nX-Lane: mark\r\n"
+                            + "X-Remaining: 5.0\r\nIdempotency-Key: k\r\nContent-Length: 1\r\n\r\nx");
             until("the second is dialed", () -> count("dialed") == 2);
             for (int i = 0; i < 2; i++) {
                 open.add(busy.accept());
             }
             busy.setSoTimeout(20_000);
-            Line second = new Line(busy.accept());
+            TestConnection second = new TestConnection(busy.accept());
             open.add(second);
             if (status == 200) {
-                TestPeers.Message task = second.read();
+                HttpMessage task = second.read();
                 double left = Double.parseDouble(task.field("X-Remaining"));
                 assertTrue(left > 1 && left < 4.5, "what is left once its connection is up: " + left);
                 second.respondDone(task, "r");
--- a/src/test/java/rampshift/testbed/clients/LoadGeneratorTest.java
+++ b/src/test/java/rampshift/testbed/clients/LoadGeneratorTest.java
@@ -17,9 +17,9 @@
 import org.junit.jupiter.api.AfterEach;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.io.TempDir;
-import rampshift.TestPeers;
-import rampshift.TestPeers.Peer;
-import rampshift.TestPeers.Script;
+import rampshift.ServerScript;
+import rampshift.TestConnection;
+import rampshift.TestServer;
 import rampshift.eventlog.EventClock;
 import rampshift.eventlog.EventLog;
 import rampshift.testbed.plan.FleetPlan;
@@ -30,15 +30,15 @@
 class LoadGeneratorTest {
     @TempDir
     Path folder;
-    private Peer dispatcher;
+    private TestServer dispatcher;
 
     /** Plays a plan with ten tasks a second, evenly, for half a second. */
-    private JsonNode play(String effect, String more, Script script) throws Exception {
-        dispatcher = new Peer((message, line) -> {
+    private JsonNode play(String effect, String more, ServerScript script) throws Exception {
+        dispatcher = new TestServer((message, line) -> {
             if (message.startLine().startsWith("GET")) {
                 ok(line, "ready");      // the front asks whoever has failed
             } else {
-                script.play(message, line);
+                script.handle(message, line);
             }
         });
         FleetPlan plan = FleetPlanReader.read("f.toml", """
@@ -83,7 +83,7 @@
         return ledger().lines().filter(l -> l.split(" ")[1].equals(word)).count();
     }
 
-    private static void ok(TestPeers.Line line, String result) throws IOException {
+    private static void ok(TestConnection line, String result) throws IOException {
         line.write("HTTP/1.1 200 OK\r\nContent-Length: " + result.length() + "\r\n\r\n" + result);
     }
 
@@ -173,7 +173,7 @@
     @Test
     void aSaleThatMayHaveRunIsNotTriedAgainOthersAre() throws Exception {
         String few = "[clients]\nwait = \"10ms\"\n[arrivals]\nrate = 3\neven = true\n";
-        Script abandons = (m, line) -> line.write("HTTP/1.1 504 Late\r\nContent-Length: 0\r\n\r\n");
+        ServerScript abandons = (m, line) -> line.write("HTTP/1.1 504 Late\r\nContent-Length: 0\r\n\r\n");
         assertEquals(1, play("side-effecting", few, abandons).at("/types/x/abandoned").asInt());
         dispatcher.close();
         assertEquals(3, play("idempotent", few, abandons).at("/types/x/abandoned").asInt());
--- a/src/test/java/rampshift/testbed/experiment/FleetRunTest.java
+++ b/src/test/java/rampshift/testbed/experiment/FleetRunTest.java
@@ -21,6 +21,7 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.ValueSource;
 import rampshift.TestPeers;
+import rampshift.TestServer;
 import rampshift.testbed.Commands;
 
 /** Whole runs with real processes, small ones. */
@@ -160,7 +161,7 @@
 
     @Test
     void aLoadThatFellBehindItsPlanReportsNoFiguresAsGood() throws Exception {
-        try (TestPeers.Peer dispatcher = new TestPeers.Peer((m, line) -> line.respondStatus(504, ""))) {
+        try (TestServer dispatcher = new TestServer((m, line) -> line.respondStatus(504, ""))) {
             Path file = file(
                     PLAN.replace("\"2s\"\n[[machine", "\"300ms\"\n[[machine").replace("most_late = \"2s\"",
                             "most_late = \"1us\""));
--- a/src/test/java/rampshift/testbed/workers/FleetTest.java
+++ b/src/test/java/rampshift/testbed/workers/FleetTest.java
@@ -22,7 +22,7 @@
 import org.junit.jupiter.api.io.TempDir;
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
-import rampshift.TestPeers.Line;
+import rampshift.TestConnection;
 import rampshift.eventlog.EventClock;
 import rampshift.eventlog.EventLog;
 import rampshift.testbed.faults.FaultInjector;
@@ -33,7 +33,7 @@
 class FleetTest {
     @TempDir
     Path folder;
-    private final List<Line> lines = new ArrayList<>();
+    private final List<TestConnection> lines = new ArrayList<>();
     private EventLog ledger;
     private Fleet fleet;
 
@@ -65,7 +65,7 @@
 
     @AfterEach
     void close() throws IOException {
-        for (Line line : lines) {
+        for (TestConnection line : lines) {
             line.close();
         }
         fleet.close();
@@ -80,15 +80,15 @@
         return Integer.parseInt(target(dispatcher, worker).path("endpoint").asText().split(":")[1]);
     }
 
-    private Line dial(int port) throws IOException {
+    private TestConnection dial(int port) throws IOException {
         Socket socket = new Socket();
         socket.connect(new InetSocketAddress(InetAddress.getByName("127.0.0.1"), port), 300);
-        Line line = new Line(socket);
+        TestConnection line = new TestConnection(socket);
         lines.add(line);
         return line;
     }
 
-    private Line task(Line line, String txn, String type, int workMs) throws IOException {
+    private TestConnection task(TestConnection line, String txn, String type, int workMs) throws IOException {
         String body = "work=" + workMs * 1000 + ",1.0,0.0;";
         return line.write("POST /api HTTP/1.1\r\nX-Txn: " + txn + "\r\nX-Lane: " + type
                 + "\r\nIdempotency-Key: k\r\nContent-Length: " + body.length() + "\r\n\r\n" + body);
@@ -113,9 +113,9 @@
     @Test
     void whatFindsNoRoomIsTurnedAwayUnbegunAndAClosedConnectionTakesItsJobBack() throws Exception {
         open("");
-        Line first = task(dial(port(0, 0)), "a", "look", 10_000);
+        TestConnection first = task(dial(port(0, 0)), "a", "look", 10_000);
         first.readUntil("started");
-        Line second = task(dial(port(0, 0)), "b", "look", 10_000);
+        TestConnection second = task(dial(port(0, 0)), "b", "look", 10_000);
         until("it waits", () -> ledger().contains(" took a-m-1 0 b "));
         var away = task(dial(port(0, 0)), "c", "look", 1).read();
         assertEquals(503, away.status());
@@ -130,7 +130,7 @@
     @Test
     void probesTellTheLoadAndStrangeTasksAreTurnedDown() throws Exception {
         open("");
-        Line line = dial(port(0, 0));
+        TestConnection line = dial(port(0, 0));
         assertEquals("{\"x0\":1.00,\"queue\":0}",
                 line.write("GET /status/load HTTP/1.1\r\n\r\n").read().text());
         assertEquals(200, line.write("GET /health HTTP/1.1\r\n\r\n").read().status());
@@ -166,7 +166,7 @@
     void eachTroubleShowsAndPassesAgain(String trouble, String without, String with) throws Exception {
         open("[[trouble]]\nnames = [\"a-m-1\"]\nlength = \"700ms\"\n" + trouble.replace("; ", "\n"));
         Thread.sleep(60);
-        Line line = dial(port(0, 0)).readTimeout(400);
+        TestConnection line = dial(port(0, 0)).readTimeout(400);
         String answer = task(line, "t", "look", 10).readUntil("\r\n0\r\n\r\n");
         assertTrue(answer.contains(with), answer);
         assertFalse(answer.contains(without), answer);
@@ -186,9 +186,9 @@
     @Test
     void acrossACutNothingComesThroughAndNothingIsResetAndThenAllGoesOn() throws Exception {
         open("[[trouble]]\nwhat = \"cut\"\nsite = \"b\"\nat = \"300ms\"\nlength = \"900ms\"");
-        Line before = task(dial(port(1, 0)), "t", "look", 500);
+        TestConnection before = task(dial(port(1, 0)), "t", "look", 500);
         before.readUntil("started");
-        Line idle = dial(port(1, 0));
+        TestConnection idle = dial(port(1, 0));
         until("it is cut", () -> ledger().contains("cut begins"));
         Thread.sleep(50);
         long written = EventClock.now().micros();
@@ -231,7 +231,7 @@
                 [roster]
                 delay = "10ms"
                 """);
-        Line line = task(dial(port(0, 0)), "t", "look", 10_000);
+        TestConnection line = task(dial(port(0, 0)), "t", "look", 10_000);
         line.readUntil("started");
         assertTrue(line.readUntil("never").endsWith("[RESET]"));
         assertThrows(IOException.class, () -> dial(port(0, 0)).readUntil("x").charAt(99), "refused");
@@ -244,9 +244,9 @@
             }
         });
         int port = portOf("a-m-1");
-        Line eats = task(dial(port), "u", "look", 70);
+        TestConnection eats = task(dial(port), "u", "look", 70);
         eats.readUntil("started");
-        Line much = task(dial(port), "v", "look", 70);
+        TestConnection much = task(dial(port), "v", "look", 70);
         assertTrue(much.readUntil("never").contains("[RESET]"),
                 "140 ms of work where a tenth of 200 can be done");
         assertTrue(eats.readUntil("never").contains("[RESET]"));
@@ -266,7 +266,7 @@
     @Test
     void idleConnectionsAreClosedAndNewOnesCostTime() throws Exception {
         open("[workers]\nidle = \"200ms\"\nconnection_cost = \"150ms\"");
-        Line line = dial(port(0, 0));
+        TestConnection line = dial(port(0, 0));
         long begun = System.nanoTime();
         task(line, "t", "look", 1).readUntil("\r\n0\r\n\r\n");
         long first = System.nanoTime();
@@ -296,7 +296,7 @@
                 at = "1200ms"
                 length = "400ms"
                 """);
-        Line watch = dial(fleet.agentPort(0));
+        TestConnection watch = dial(fleet.agentPort(0));
         String whole = watch.write("GET /v1/endpoints HTTP/1.1\r\n\r\n").read().text();
         assertTrue(whole.startsWith("{\"rev\":1,\"all\":true") && whole.contains("a-m-3"), whole);
         long asked = System.nanoTime();
@@ -309,7 +309,7 @@
         watch.readTimeout(200).write("GET /v1/endpoints HTTP/1.1\r\n\r\n");
         assertEquals("[SILENCE]", watch.readUntil("HTTP"));
         until("old news", () -> ledger().contains("roster_old begins"));
-        Line again = dial(fleet.agentPort(0));
+        TestConnection again = dial(fleet.agentPort(0));
         String old = again.write("GET /v1/endpoints?index=2&wait=20000 HTTP/1.1\r\n\r\n").read().text();
         assertTrue(old.contains("\"all\":true") && !old.contains("terminating"), old);
         assertTrue(again.write("GET /v1/endpoints?index=2&wait=50 HTTP/1.1\r\n\r\n").read().text()
