--- a/src/main/java/rampshift/testbed/verification/RuleChecker.java
+++ b/src/main/java/rampshift/testbed/verification/RuleChecker.java
@@ -355,9 +355,9 @@
     }
 
     /**
-     * Whether its dispatcher was told to end or killed, and its successor was not up yet, so that nobody took the
-     * task and nobody owes an answer. A request that was sent after that and crosses the end of its connection finds
-     * it reset, or shut and read on; what was sent before, or reached a worker, is owed an answer.
+     * Whether its dispatcher was told to end or killed, and its successor was not up yet, so that nobody took
+     * the task and nobody owes an answer. A request that was sent after that and crosses the end of its
+     * connection finds it reset, or shut and read on; what was sent before, or reached a worker, is owed one.
      */
     private boolean away(Try t, long at) {
         String how = t.broken.field(2);
--- a/src/test/java/rampshift/discovery/EndpointWatchFaultTest.java
+++ b/src/test/java/rampshift/discovery/EndpointWatchFaultTest.java
@@ -17,9 +17,9 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
 import org.junit.jupiter.params.provider.ValueSource;
-import rampshift.TestPeers.Line;
-import rampshift.TestPeers.Peer;
-import rampshift.TestPeers.Script;
+import rampshift.ServerScript;
+import rampshift.TestConnection;
+import rampshift.TestServer;
 
 /** The watch on an agent that is slow, sends too much, misbehaves or is not there. */
 class EndpointWatchFaultTest extends EndpointWatchTestBase {
@@ -40,7 +40,7 @@
     }
 
     /** A watch that stops with the first list. */
-    private void watchOnce(Peer agent, int drainGraceMillis) throws Exception {
+    private void watchOnce(TestServer agent, int drainGraceMillis) throws Exception {
         onThread(() -> startWatch(agent.port(), drainGraceMillis, () -> watch.stop()));
     }
 
@@ -52,7 +52,8 @@
         return TimeUnit.NANOSECONDS.toMillis(System.nanoTime() - nanos);
     }
 
-    private static void writeInSingleBytes(Line line, String body, int pauseMillis) throws Exception {
+    private static void writeInSingleBytes(TestConnection line, String body, int pauseMillis)
+            throws Exception {
         line.write(CHUNKED);
         for (int i = 0; i < body.length(); i++) {
             Thread.sleep(pauseMillis);
@@ -68,7 +69,7 @@
     @Test
     void responseOverTheBoundIsDroppedAndTheNextOneIsRead() throws Exception {
         AtomicInteger polls = new AtomicInteger();
-        try (Peer agent = new Peer(
+        try (TestServer agent = new TestServer(
                 (message, line) -> respond(line,
                         polls.getAndIncrement() == 0 ? " ".repeat(3 << 20) : version(7)))) {
             watchOnce(agent, 2000);
@@ -85,7 +86,7 @@
     @Test
     void listThatComesInPiecesIsReadHoweverLongItTakes() throws Exception {
         AtomicInteger polls = new AtomicInteger();
-        try (Peer agent = new Peer((message, line) -> {
+        try (TestServer agent = new TestServer((message, line) -> {
             if (polls.getAndIncrement() == 0) {
                 // With a grace of 2 s a response may be 0.6 s late; all of this one takes 0.8 s.
                 writeInSingleBytes(line, version(7), 25);
@@ -104,7 +105,7 @@
     @Test
     void responseThatNeverEndsIsDropped() throws Exception {
         AtomicInteger polls = new AtomicInteger();
-        try (Peer agent = new Peer((message, line) -> {
+        try (TestServer agent = new TestServer((message, line) -> {
             if (polls.getAndIncrement() > 0) {
                 respond(line, version(8));
                 return;
@@ -129,7 +130,7 @@
     void listOfThousandWorkersWithTheLongestEntriesIndentedIsRead() throws Exception {
         String body = longestList();
         assertTrue(body.length() > 1 << 20, "it is over the former bound: " + body.length());
-        try (Peer agent = new Peer((message, line) -> {
+        try (TestServer agent = new TestServer((message, line) -> {
             if (!message.startLine().contains("index=")) {
                 respond(line, body);
             }
@@ -158,7 +159,7 @@
     }
 
     /** What an agent does to a poll before it has the update. */
-    private static void misbehave(String how, Line line) throws Exception {
+    private static void misbehave(String how, TestConnection line) throws Exception {
         String head = "HTTP/1.1 200 OK\r\nContent-Length: ";
         switch (how) {
             case "silent" -> {
@@ -192,7 +193,7 @@
         for (boolean switches : new boolean[]{false, true}) {
             observed.clear();
             AtomicInteger polls = new AtomicInteger();
-            Script script = (message, line) -> {
+            ServerScript script = (message, line) -> {
                 int number = polls.incrementAndGet();
                 if (number > 1 && number <= 5) {
                     misbehave(how, line);
@@ -200,7 +201,7 @@
                     respond(line, version(number == 1 ? 1 : 9));
                 }
             };
-            try (Peer first = new Peer(script); Peer second = new Peer(script)) {
+            try (TestServer first = new TestServer(script); TestServer second = new TestServer(script)) {
                 onThread(() -> startWatchUntil(9, first.port(), 250));
                 until("it fails", () -> polls.get() >= 3);
                 long failingSince = System.nanoTime();
@@ -238,7 +239,7 @@
         if (hangs) {
             full.close();
         }
-        try (Peer back = Peer.at(port, (message, line) -> respond(line, version(9)))) {
+        try (TestServer back = TestServer.at(port, (message, line) -> respond(line, version(9)))) {
             until("the update is observed", () -> observed.contains(9L));
             long millis = millisSince(outageEndedAt);
             assertTrue(millis < OVERDUE_MILLIS,
--- a/src/test/java/rampshift/discovery/EndpointWatchTest.java
+++ b/src/test/java/rampshift/discovery/EndpointWatchTest.java
@@ -11,12 +11,13 @@
 import java.util.concurrent.TimeUnit;
 import org.junit.jupiter.api.AfterEach;
 import org.junit.jupiter.api.Test;
-import rampshift.TestPeers.Peer;
+import rampshift.TestDiscovery;
+import rampshift.TestServer;
 
 /** The watch on a thread that has much else to do, or is told to continue elsewhere. */
 class EndpointWatchTest extends EndpointWatchTestBase {
     private final List<String> versions = Collections.synchronizedList(new ArrayList<>(List.of(list(true))));
-    private final Peer agent = Peer.discovery(versions);
+    private final TestServer agent = TestDiscovery.start(versions);
 
     EndpointWatchTest() throws IOException {}
 
@@ -101,8 +102,10 @@
      */
     @Test
     void lastOfSeveralSwitchesIsTheOneWatched() throws Exception {
-        try (Peer second = Peer.discovery(new ArrayList<>(List.of(list(true).replace("REV", "20"))));
-                Peer third = Peer.discovery(new ArrayList<>(List.of(list(true).replace("REV", "30"))))) {
+        try (TestServer second =
+                TestDiscovery.start(new ArrayList<>(List.of(list(true).replace("REV", "20"))));
+                TestServer third =
+                        TestDiscovery.start(new ArrayList<>(List.of(list(true).replace("REV", "30"))))) {
             onThread(() -> {
                 startWatch(agent.port(), 2000, EndpointWatchTestBase::doNothing);
                 watch.switchTo(local(second.port()));
--- a/src/test/java/rampshift/discovery/EndpointWatchTestBase.java
+++ b/src/test/java/rampshift/discovery/EndpointWatchTestBase.java
@@ -12,7 +12,7 @@
 import org.xnio.Xnio;
 import org.xnio.XnioIoThread;
 import org.xnio.XnioWorker;
-import rampshift.TestPeers.Line;
+import rampshift.TestConnection;
 import rampshift.connections.Dialer;
 import rampshift.counters.Counters;
 import rampshift.time.Clock;
@@ -88,7 +88,7 @@
         return counters.get(Counters.Name.WATCH_FAILURES);
     }
 
-    static void respond(Line line, String body) throws IOException {
+    static void respond(TestConnection line, String body) throws IOException {
         line.write("HTTP/1.1 200 OK\r\nContent-Length: " + body.length() + "\r\n\r\n" + body);
     }
 }
--- a/src/test/java/rampshift/serve/DispatcherServerTest.java
+++ b/src/test/java/rampshift/serve/DispatcherServerTest.java
@@ -15,11 +15,11 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.ValueSource;
+import rampshift.HttpMessage;
+import rampshift.ServerScript;
+import rampshift.TestConnection;
 import rampshift.TestPeers;
-import rampshift.TestPeers.Line;
-import rampshift.TestPeers.Message;
-import rampshift.TestPeers.Peer;
-import rampshift.TestPeers.Script;
+import rampshift.TestServer;
 
 /** A whole dispatcher between clients and workers, all on loopback. */
 class DispatcherServerTest extends ServerTestBase {
@@ -29,18 +29,18 @@
 
     @Test
     void taskIsForwardedByteForByte() throws Exception {
-        Peer worker = worker((task, line) -> line
+        TestServer worker = worker((task, line) -> line
                 .respondWithProgress(
                         "{\"id\":\"t1\",\"state\":\"done\",\"result\":\"a\\u00e9\\n\u00c3\u00a9\\\"\"}"));
         startServer(worker.entry("s-1", IN_SERVICE));
         String body = "\r\n\r\nHTTP/1.1 200 OK\r\n\u0000\u00ff end";
-        Message answer =
+        HttpMessage answer =
                 client().write("POST /api/;v=1/%2f%41?q=%20&&x HTTP/1.1\r\nHost: origin.svc\r\nx-txn: t1\r\n"
                         + "X-Lane: look\r\nX-Remaining: 4.5\r\nX-Labels: slots=2,memory=0.5,odd\r\n"
                         + "Idempotency-Key: K-\u00e9\r\nConnection: keep-alive\r\nContent-Length: "
                         + body.length()
                         + "\r\n\r\n" + body).read();
-        Message sent = worker.received.get(0);
+        HttpMessage sent = worker.received.get(0);
         assertEquals("POST /api/;v=1/%2f%41?q=%20&&x HTTP/1.1", sent.startLine());
         assertEquals("t1", sent.field("X-Txn"));
         assertEquals("K-\u00e9", sent.field("Idempotency-Key"));
@@ -56,20 +56,20 @@
     /** On the first calm day every second task on a kept-alive connection was never read. */
     @Test
     void manyTasksOfOneClientConnectionGoOverOneWorkerConnection() throws Exception {
-        Peer worker = finishingWorker();
+        TestServer worker = finishingWorker();
         startServer(worker.entry("s-1", IN_SERVICE));
-        Line client = client();
+        TestConnection client = client();
         for (int i = 0; i < 20; i++) {
             assertEquals(200, client.sendTask("t" + i, "look", "x").read().status());
         }
-        assertEquals(1, worker.lines.size(), "a connection is reused");
+        assertEquals(1, worker.connections.size(), "a connection is reused");
     }
 
     @Test
     void bodyThatComesInPiecesOrInChunksIsForwardedComplete() throws Exception {
-        Peer worker = finishingWorker();
+        TestServer worker = finishingWorker();
         startServer(worker.entry("s-1", IN_SERVICE));
-        Line client = client();
+        TestConnection client = client();
         client.write("""
                 POST /api HTTP/1.1\r
                 Host: a\r
@@ -102,7 +102,7 @@
     @ParameterizedTest
     @ValueSource(strings = {"look", "sell"})
     void taskWithoutABodyIsSent(String type) throws Exception {
-        Peer worker = finishingWorker();
+        TestServer worker = finishingWorker();
         startServer(worker.entry("s-1", IN_SERVICE));
         assertEquals(200, client().sendTask("t", type, "").read().status());
     }
@@ -110,12 +110,12 @@
     @Test
     void pipelinedTaskWaitsItsTurn() throws Exception {
         CountDownLatch finish = new CountDownLatch(1);
-        Peer worker = worker((task, line) -> {
+        TestServer worker = worker((task, line) -> {
             finish.await();
             line.respondDone(task, task.field("X-Txn"));
         });
         startServer(worker.entry("s-1", IN_SERVICE));
-        Line client = client().sendTask("a", "look", "1").sendTask("b", "look", "2");
+        TestConnection client = client().sendTask("a", "look", "1").sendTask("b", "look", "2");
         until("the first is sent", () -> worker.received.size() == 1);
         finish.countDown();
         assertEquals("a", client.read().text());
@@ -125,7 +125,7 @@
     /** At a site with tenants all tasks were counted as the first one's, and held to its quota. */
     @Test
     void eachTenantIsHeldToItsOwnQuota() throws Exception {
-        Peer worker = worker((task, line) -> line.respondStatus(503, "X-Turned-Away: 1\r\n"));
+        TestServer worker = worker((task, line) -> line.respondStatus(503, "X-Turned-Away: 1\r\n"));
         String tenants = "\"ExcessEarnings\":0,\"Tenants\":[{\"Name\":\"much\",\"QuotaPerS\":1},"
                 + "{\"Name\":\"little\",\"QuotaPerS\":1}],\"WeightSource\"";
         node = new DispatcherServer(
@@ -145,7 +145,7 @@
                 "who is not named has no quota to go beyond");
     }
 
-    private Message taskOf(String tenant, String id) throws IOException {
+    private HttpMessage taskOf(String tenant, String id) throws IOException {
         return client().write("POST /api HTTP/1.1\r\nHost: a\r\nX-Org: " + tenant + "\r\nX-Txn: " + id
                 + "\r\nX-Lane: look\r\nX-Remaining: 5\r\nContent-Length: 0\r\n\r\n").read();
     }
@@ -156,7 +156,7 @@
     @ValueSource(strings = {"503", "504", "returned"})
     void nonIdempotentTaskThatAWorkerRejectedIsRetriedOnTheNext(String how) throws Exception {
         List<String> sent = Collections.synchronizedList(new ArrayList<>());
-        Script script = (task, line) -> {
+        ServerScript script = (task, line) -> {
             sent.add(task.field("X-Txn"));
             if (sent.size() > 1) {
                 line.respondDone(task, "ok");
@@ -175,15 +175,15 @@
     @ValueSource(strings = {"500", "503", "429", "404", "failed", "lost", "closes", "half", "no JSON",
             "another task", "no id", "ends early"})
     void nonIdempotentTaskThatMayHaveRunIsNeitherRetriedNorRejected(String how) throws Exception {
-        Script script = (task, line) -> failTask(how, line);
-        Peer first = worker(script);
-        Peer second = worker(script);
+        ServerScript script = (task, line) -> failTask(how, line);
+        TestServer first = worker(script);
+        TestServer second = worker(script);
         startServer(first.entry("s-1", IN_SERVICE), second.entry("s-2", IN_SERVICE));
         assertEquals(504, client().sendTask("t", "sell", "x").read().status());
         assertEquals(1, first.received.size() + second.received.size());
     }
 
-    private static void failTask(String how, Line line) throws IOException {
+    private static void failTask(String how, TestConnection line) throws IOException {
         switch (how) {
             case "500", "503", "429", "404" -> line.respondStatus(Integer.parseInt(how), "");
             case "failed", "lost" -> line.respondWithProgress("{\"id\":\"t\",\"state\":\"" + how + "\"}");
@@ -203,9 +203,9 @@
 
     @Test
     void taskIsRetriedOnTheNextWorkerWhereNobodyListens() throws Exception {
-        Peer closed = finishingWorker();
+        TestServer closed = finishingWorker();
         closed.close();
-        Peer listening = finishingWorker();
+        TestServer listening = finishingWorker();
         startServer(closed.entry("s-1", IN_SERVICE), listening.entry("s-2", IN_SERVICE));
         for (int i = 0; i < 6; i++) {
             assertEquals(200, client().sendTask("t" + i, "sell", "x").read().status());
@@ -214,10 +214,10 @@
 
     @Test
     void workerConnectionIsClosedWhenTheClientLeaves() throws Exception {
-        Peer worker = worker(
+        TestServer worker = worker(
                 (task, line) -> line.write("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n"));
         startServer(worker.entry("s-1", IN_SERVICE));
-        Line client = client().sendTask("t", "look", "x");
+        TestConnection client = client().sendTask("t", "look", "x");
         until("it is sent", () -> worker.received.size() == 1);
         assertEquals(0, worker.ended.size());
         client.close();
@@ -226,7 +226,7 @@
 
     @Test
     void taskIsFailedBeforeItsDeadlineAndItsConnectionClosed() throws Exception {
-        Peer worker = worker((task, line) -> {});
+        TestServer worker = worker((task, line) -> {});
         node = new DispatcherServer(
                 parse(TestPeers.configuration(null, list(true, worker.entry("s-1", IN_SERVICE)), SMALL_LIMITS)
                         .replace("\"ExpiryMs\":600", "\"ExpiryMs\":3000")));
@@ -240,7 +240,7 @@
 
     @Test
     void idleConnectionIsClosedBeforeTheWorkerWould() throws Exception {
-        Peer worker = finishingWorker();
+        TestServer worker = finishingWorker();
         startServer(worker.entry("s-1", IN_SERVICE));
         assertEquals(200, client().sendTask("t", "look", "x").read().status());
         until("it was closed from this side", () -> worker.ended.size() == 1);
@@ -248,12 +248,12 @@
 
     @Test
     void taskThatIsInFlightOrAnsweredIsNotAdmittedAgain() throws Exception {
-        Peer worker = worker((task, line) -> {});
+        TestServer worker = worker((task, line) -> {});
         startServer(worker.entry("s-1", IN_SERVICE));
         client().sendTask("t", "sell", "x");
         until("it is sent", () -> worker.received.size() == 1);
         assertEquals(409, client().sendTask("t", "sell", "x").read().status());
-        Peer other = finishingWorker();
+        TestServer other = finishingWorker();
         startServer(other.entry("s-1", IN_SERVICE));
         assertEquals(200, client().sendTask("t", "sell", "x").read().status());
         assertEquals(409, client().sendTask("t", "sell", "x").read().status(), "nor after its answer");
--- a/src/test/java/rampshift/serve/GracefulShutdownTest.java
+++ b/src/test/java/rampshift/serve/GracefulShutdownTest.java
@@ -8,9 +8,9 @@
 import java.util.concurrent.CountDownLatch;
 import java.util.concurrent.TimeUnit;
 import org.junit.jupiter.api.Test;
-import rampshift.TestPeers.Line;
-import rampshift.TestPeers.Message;
-import rampshift.TestPeers.Peer;
+import rampshift.HttpMessage;
+import rampshift.TestConnection;
+import rampshift.TestServer;
 
 /** The end of a whole dispatcher. */
 class GracefulShutdownTest extends ServerTestBase {
@@ -20,7 +20,7 @@
     @Test
     void stopServesOpenConnectionsThenClosesThemAndLeavesNobodyWithoutAnAnswer() throws Exception {
         CountDownLatch finish = new CountDownLatch(1);
-        Peer worker = worker((task, line) -> {
+        TestServer worker = worker((task, line) -> {
             if (task.field("X-Txn").equals("late")) {
                 line.write(CHUNKED_HEAD + "20\r\n{\"id\":\"late\",\"state\":\"started\"}\n\r\n");
             } else {
@@ -29,19 +29,19 @@
             }
         });
         startServer(worker.entry("s-1", "in_service"));
-        Line idle = client();
-        Line before = client().sendTask("a", "sell", "x");
+        TestConnection idle = client();
+        TestConnection before = client().sendTask("a", "sell", "x");
         until("it is sent", () -> worker.received.size() == 1);
         long startedAt = System.nanoTime();
         Thread stop = new Thread(node::stop);
         stop.start();
         until("it stops", () -> readyStatus(idle) == 503);
         assertEquals(503, readyStatus(client()), "new clients are accepted");
-        Line late = client().sendTask("late", "sell", "x");
+        TestConnection late = client().sendTask("late", "sell", "x");
         idle.sendTask("b", "look", "x");
         until("they are sent too", () -> worker.received.size() == 3);
         finish.countDown();
-        Message answer = before.read();
+        HttpMessage answer = before.read();
         assertEquals(200, answer.status());
         assertNull(answer.field("Connection"), "the connection stays for now");
         assertEquals(200, idle.read().status());
--- a/src/test/java/rampshift/serve/ServerEndpointListTest.java
+++ b/src/test/java/rampshift/serve/ServerEndpointListTest.java
@@ -17,11 +17,12 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
+import rampshift.HttpMessage;
+import rampshift.ServerScript;
+import rampshift.TestConnection;
+import rampshift.TestDiscovery;
 import rampshift.TestPeers;
-import rampshift.TestPeers.Line;
-import rampshift.TestPeers.Message;
-import rampshift.TestPeers.Peer;
-import rampshift.TestPeers.Script;
+import rampshift.TestServer;
 import rampshift.settings.Configuration;
 
 /** A whole dispatcher, and the endpoint lists that it starts with and is sent. */
@@ -29,7 +30,7 @@
     private static final String IN_SERVICE = "in_service";
     private static final String TERMINATING = "terminating";
 
-    private static Configuration configuration(Peer agent, String known) throws IOException {
+    private static Configuration configuration(TestServer agent, String known) throws IOException {
         return parse(TestPeers.configuration(agent, known, SMALL_LIMITS));
     }
 
@@ -37,9 +38,9 @@
 
     @Test
     void afterRestartNoTaskIsSentByTheKnownList() throws Exception {
-        Peer drained = finishingWorker();
-        Peer staying = finishingWorker();
-        Peer slowAgent = worker((message, line) -> {
+        TestServer drained = finishingWorker();
+        TestServer staying = finishingWorker();
+        TestServer slowAgent = worker((message, line) -> {
             Thread.sleep(message.startLine().contains("index=") ? 900 : 400);
             respond(line, list(true, drained.entry("s-1", TERMINATING), staying.entry("s-2", IN_SERVICE))
                     .replace("REV", "9"));
@@ -55,10 +56,10 @@
 
     @Test
     void knownListIsUsedWhereNoAgentAnswers() throws Exception {
-        Peer worker = finishingWorker();
-        Peer silentAgent = worker((message, line) -> {});
+        TestServer worker = finishingWorker();
+        TestServer silentAgent = worker((message, line) -> {});
         node = new DispatcherServer(configuration(silentAgent, list(true, worker.entry("s-1", IN_SERVICE))));
-        Line client = client();
+        TestConnection client = client();
         assertEquals(200, client.sendTask("t", "look", "x").read().status());
         assertTrue(silentAgent.received.size() >= 2, "one failure may be a slow start's");
     }
@@ -70,12 +71,12 @@
     @ParameterizedTest
     @CsvSource({"start,400", "middle,1000", "reload,400"})
     void agentThatWasSilentIsHeardWithinTheDrainGrace(String when, int graceMillis) throws Exception {
-        Peer drained = finishingWorker();
-        Peer staying = finishingWorker();
+        TestServer drained = finishingWorker();
+        TestServer staying = finishingWorker();
         AtomicBoolean silent = new AtomicBoolean(!when.equals("middle"));
         AtomicInteger version = new AtomicInteger(1);
-        Peer agent = worker(agentWithDrain(drained, staying, silent, version));
-        Peer otherAgent = worker((message, line) -> {});
+        TestServer agent = worker(agentWithDrain(drained, staying, silent, version));
+        TestServer otherAgent = worker((message, line) -> {});
         String known = list(true, drained.entry("s-1", IN_SERVICE), staying.entry("s-2", IN_SERVICE));
         node = new DispatcherServer(
                 withDrainGrace(when.equals("reload") ? otherAgent : agent, known, graceMillis));
@@ -106,7 +107,7 @@
      * An agent that lists one of two workers as draining from version 2 on, and answers nothing while it is
      * silent.
      */
-    private static Script agentWithDrain(Peer drained, Peer staying, AtomicBoolean silent,
+    private static ServerScript agentWithDrain(TestServer drained, TestServer staying, AtomicBoolean silent,
             AtomicInteger version) {
         return (message, line) -> {
             String request = message.startLine();
@@ -127,7 +128,7 @@
         };
     }
 
-    private static Configuration withDrainGrace(Peer agent, String known, int graceMillis)
+    private static Configuration withDrainGrace(TestServer agent, String known, int graceMillis)
             throws IOException {
         return parse(TestPeers.configuration(agent, known, SMALL_LIMITS).replace("\"WeightSource\"",
                 "\"Rules\":{\"StopSendingWithinMs\":" + graceMillis + "},\"WeightSource\""));
@@ -143,11 +144,11 @@
 
     @Test
     void changesAreFollowedThroughFailuresAndAcrossAddresses() throws Exception {
-        Peer old = finishingWorker();
-        Peer moved = finishingWorker();
+        TestServer old = finishingWorker();
+        TestServer moved = finishingWorker();
         List<String> versions = Collections.synchronizedList(new ArrayList<>());
         versions.add(list(true, old.entry("s-1", IN_SERVICE)));
-        Peer agent = Peer.discovery(versions);
+        TestServer agent = TestDiscovery.start(versions);
         open.add(agent);
         node = node(agent, list(true), SMALL_LIMITS);
         until("ready", () -> readyStatus(client()) == 200);
@@ -156,7 +157,7 @@
         until("the other address is used",
                 () -> client().sendTask("b" + System.nanoTime(), "look", "x").read().status() == 200
                         && !moved.received.isEmpty());
-        agent.lines.get(agent.lines.size() - 1).close();
+        agent.connections.get(agent.connections.size() - 1).close();
         versions.add(list(false, moved.entry("s-1", TERMINATING), old.entry("s-2", IN_SERVICE)));
         int before = old.received.size();
         until("the new worker is used after a failure",
@@ -171,24 +172,24 @@
     @Test
     void reloadSwitchesTheWatchAndNoTaskNotices() throws Exception {
         CountDownLatch finish = new CountDownLatch(1);
-        Peer first = worker((task, line) -> {
+        TestServer first = worker((task, line) -> {
             finish.await();
             line.respondDone(task, "ok");
         });
-        Peer second = finishingWorker();
+        TestServer second = finishingWorker();
         String oldList = list(true, first.entry("s-1", IN_SERVICE)).replace("REV", "5");
         List<String> versions = Collections
                 .synchronizedList(new ArrayList<>(List.of(list(true, first.entry("s-1", IN_SERVICE)))));
-        Peer oldAgent = worker((message, line) -> {
+        TestServer oldAgent = worker((message, line) -> {
             if (!message.startLine().contains("index=")) {
                 respond(line, oldList);
             }
         });
-        Peer newAgent = Peer.discovery(versions);
+        TestServer newAgent = TestDiscovery.start(versions);
         open.add(newAgent);
         node = node(oldAgent, list(true), SMALL_LIMITS);
         until("the list", () -> readyStatus(client()) == 200);
-        Line waiting = client().sendTask("a", "sell", "x");
+        TestConnection waiting = client().sendTask("a", "sell", "x");
         until("it is sent", () -> first.received.size() == 1);
         for (int i = 0; i < 3; i++) {
             node.reload(configuration(newAgent, list(true)));
@@ -205,7 +206,7 @@
     }
 
     /** Whether a request line that holds the text has come; further ones may come meanwhile. */
-    private static boolean hasReceived(Peer agent, String text) {
+    private static boolean hasReceived(TestServer agent, String text) {
         synchronized (agent.received) {
             return agent.received.stream().anyMatch(message -> message.startLine().contains(text));
         }
@@ -213,14 +214,14 @@
 
     @Test
     void agentThatSendsNonsenseIsPolledAgainAndTheListStays() throws Exception {
-        Peer known = finishingWorker();
-        Peer later = finishingWorker();
+        TestServer known = finishingWorker();
+        TestServer later = finishingWorker();
         String badAddress = known.entry("s-1", IN_SERVICE).replace("127.0.0.1", "nowhere");
         List<String> responses = List.of("{\"rev\":", "[]", "{\"rev\":1}",
                 list(true, "7", "{}", known.entry("s-1", IN_SERVICE)),
                 list(true, later.entry("s-2", IN_SERVICE), later.entry("s-3", "what"), badAddress));
         AtomicInteger polls = new AtomicInteger();
-        Peer agent = worker((message, line) -> {
+        TestServer agent = worker((message, line) -> {
             int number = polls.getAndIncrement();
             if (number < responses.size()) {
                 respond(line, responses.get(number).replace("REV", "1"));
@@ -242,12 +243,12 @@
     void typeBoundToAZoneIsSentOnlyThereAlsoWhenItsOnlyWorkerIsListedElsewhere() throws Exception {
         // Starts are not reported: runs of a tenth of a millisecond count as half a tick, each worker would
         // look five times too slow, and a type that has never run would be rejected.
-        Peer here = resultWorker("here");
-        Peer there = resultWorker("there");
+        TestServer here = resultWorker("here");
+        TestServer there = resultWorker("there");
         String first = list(true, here.entry("s-1", IN_SERVICE),
                 there.entry("s-2", IN_SERVICE).replace("\"az\":\"a\"", "\"az\":\"b\""));
         List<String> versions = Collections.synchronizedList(new ArrayList<>(List.of(first)));
-        Peer agent = Peer.discovery(versions);
+        TestServer agent = TestDiscovery.start(versions);
         open.add(agent);
         node = new DispatcherServer(
                 parse(TestPeers.configuration(agent, first, "{\"memory_mb\":192,\"sockets\":1024}")
@@ -261,7 +262,7 @@
         int[] rejected = {0};
         until("rejected at once, where no worker is left", () -> {
             String id = "v" + there.received.size() + "-" + rejected[0];
-            Message answer = client().sendTask(id, "look", "x").read();
+            HttpMessage answer = client().sendTask(id, "look", "x").read();
             rejected[0] += answer.status() == 503 ? 1 : 0;
             boolean stillThere = rejected[0] == 0 && answer.text().equals("there");
             assertTrue(answer.status() == 503 || stillThere, answer.status() + " " + answer.text());
@@ -271,7 +272,7 @@
         assertEquals(0, here.received.stream().filter(task -> "look".equals(task.field("X-Lane"))).count());
     }
 
-    private Peer resultWorker(String result) throws IOException {
+    private TestServer resultWorker(String result) throws IOException {
         return worker((task, line) -> line.respondWithProgress("{\"id\":\"" + task.field("X-Txn")
                 + "\",\"state\":\"done\",\"result\":\"" + result + "\"}"));
     }
--- a/src/test/java/rampshift/serve/ServerInputTest.java
+++ b/src/test/java/rampshift/serve/ServerInputTest.java
@@ -17,8 +17,8 @@
 import org.junit.jupiter.params.provider.CsvSource;
 import org.junit.jupiter.params.provider.ValueSource;
 import org.xnio.XnioIoThread;
-import rampshift.TestPeers.Line;
-import rampshift.TestPeers.Peer;
+import rampshift.TestConnection;
+import rampshift.TestServer;
 
 /** A whole dispatcher, and clients that send what is wrong, incomplete, too much or nothing. */
 class ServerInputTest extends ServerTestBase {
@@ -50,7 +50,7 @@
             "501 | Transfer-Encoding: chunks | X-Lane: look | X-Remaining: 5",})
     void wrongFieldsAreRefusedAndTheNextTaskIsAnswered(int status, String first, String second, String third)
             throws Exception {
-        Peer worker = finishingWorker();
+        TestServer worker = finishingWorker();
         startServer(worker.entry("s-1", IN_SERVICE));
         boolean chunked = first.startsWith("Transfer");
         String length = chunked || first.startsWith("Content") ? "" : "Content-Length: 1\r\n";
@@ -68,7 +68,7 @@
     @ValueSource(strings = {"\u0000\u0001\u0002 nonsense\r\n\r\n", "GET\r\n\r\n",
             "POST /api HTTP/1.1\r\nno colon\r\n\r\n", "POST /a"})
     void inputThatIsNoHttpDoesNoHarm(String bytes) throws Exception {
-        Peer worker = finishingWorker();
+        TestServer worker = finishingWorker();
         startServer(worker.entry("s-1", IN_SERVICE));
         client().write(bytes);
         assertEquals(200, client().sendTask("good", "look", "x").read().status());
@@ -85,12 +85,12 @@
     void incompleteOrMalformedRequestGetsAnErrorInTimeAndReachesNoWorker(int status, String length,
             String body)
             throws Exception {
-        Peer worker = finishingWorker();
+        TestServer worker = finishingWorker();
         startServer(worker.entry("s-1", IN_SERVICE));
         long startedAt = System.nanoTime();
         String bodyBytes = body.equals("BIG") ? "x".repeat(60_000_000) : body.replace("~", "\r\n");
         String end = body.equals("HALF HEAD") ? "" : "\r\n\r\n" + bodyBytes;
-        Line client = client()
+        TestConnection client = client()
                 .write("POST /api HTTP/1.1\r\nHost: a\r\nX-Txn: t\r\nX-Lane: look\r\nX-Remaining: 5\r\n"
                         + length + end);
         assertEquals(status, client.read().status());
@@ -105,9 +105,9 @@
      */
     @Test
     void clientWhoseTaskLiesUnreadWhileTheThreadIsLateIsAnswered() throws Exception {
-        Peer worker = finishingWorker();
+        TestServer worker = finishingWorker();
         startServer(worker.entry("s-1", IN_SERVICE));
-        Line client = client();
+        TestConnection client = client();
         until("it is accepted", () -> count("client_connections") >= 2);
         CountDownLatch late = new CountDownLatch(1);
         XnioIoThread thread = (XnioIoThread) Thread.getAllStackTraces().keySet().stream()
@@ -126,9 +126,9 @@
 
     @Test
     void bytesBehindARequestInFlightEndIt() throws Exception {
-        Peer worker = worker((task, line) -> {});
+        TestServer worker = worker((task, line) -> {});
         startServer(worker.entry("s-1", IN_SERVICE));
-        Line client = client().sendTask("t", "sell", "x");
+        TestConnection client = client().sendTask("t", "sell", "x");
         until("it is sent", () -> worker.received.size() == 1);
         assertEquals(400, client.write("and more").read().status());
         until("the worker's connection ended", () -> worker.ended.size() == 1);
@@ -139,11 +139,11 @@
     /** With 300 silent clients at a time usual ones waited behind them for seconds. */
     @Test
     void clientsThatSendNoTasksMakeRoomAtOnceAndAreClosedInTime() throws Exception {
-        Peer worker = finishingWorker();
+        TestServer worker = finishingWorker();
         startServer(worker.entry("s-1", IN_SERVICE));
-        Line usual = client();
+        TestConnection usual = client();
         assertEquals(200, usual.sendTask("a", "look", "x").read().status());
-        List<Line> silent = new ArrayList<>();
+        List<TestConnection> silent = new ArrayList<>();
         for (int i = 0; i < 300; i++) {
             silent.add(i % 2 == 0 ? client() : client().write("GET /ready HTTP/1.1\r\nHost: a\r\n\r\n"));
         }
@@ -152,7 +152,7 @@
         assertTrue(millisSince(startedAt) < 1000, "it did not wait for them");
         assertEquals(200, usual.sendTask("c", "look", "x").read().status(),
                 "nor was a known one closed for them");
-        for (Line line : silent) {
+        for (TestConnection line : silent) {
             assertTrue(line.closedByPeer());
         }
         assertTrue(millisSince(startedAt) < 3000, "in time");
@@ -164,20 +164,20 @@
             int bodyBytes)
             throws Exception {
         CountDownLatch finish = new CountDownLatch(1);
-        Peer worker = worker((task, line) -> {
+        TestServer worker = worker((task, line) -> {
             finish.await();
             line.respondDone(task, "ok");
         });
         node = node(null, list(true, worker.entry("s-1", IN_SERVICE)),
                 "{\"memory_mb\":" + memoryMb + ",\"sockets\":" + sockets + "}");
-        List<Line> clients = new ArrayList<>();
+        List<TestConnection> clients = new ArrayList<>();
         for (int i = 0; i < 60; i++) {
             clients.add(client().sendTask("t" + i, "sell", "x".repeat(bodyBytes)));
         }
         until("some were rejected", () -> count("bounced") + count("bounced_full") > 0);
         finish.countDown();
         int rejected = 0;
-        for (Line client : clients) {
+        for (TestConnection client : clients) {
             int status = client.read().status();
             assertTrue(status == 200 || status == 503, "status " + status);
             rejected += status == 503 ? 1 : 0;
@@ -189,11 +189,11 @@
     /** With 570 clients that stalled, their half bodies filled the heap. */
     @Test
     void bodiesThatStallLeaveRoomForSmallTasks() throws Exception {
-        Peer worker = finishingWorker();
+        TestServer worker = finishingWorker();
         node = node(null, list(true, worker.entry("s-1", IN_SERVICE)), "{\"memory_mb\":1,\"sockets\":256}");
         String head = "POST /api HTTP/1.1\r\nHost: a\r\nX-Lane: sell\r\nX-Remaining: 5\r\n"
                 + "Content-Length: 60000\r\nX-Txn: ";
-        Line stalling = client().write(head + "a\r\n\r\nhalf");
+        TestConnection stalling = client().write(head + "a\r\n\r\nhalf");
         assertEquals(200, client().sendTask("small", "sell", "x").read().status());
         assertEquals(503, client().write(head + "b\r\n\r\nhalf").read().status());
         assertEquals(200, stalling.write("x".repeat(60_000 - 4)).read().status());
--- a/src/test/java/rampshift/serve/ServerTestBase.java
+++ b/src/test/java/rampshift/serve/ServerTestBase.java
@@ -19,9 +19,9 @@
 import org.xnio.OptionMap;
 import org.xnio.StreamConnection;
 import org.xnio.channels.AcceptingChannel;
-import rampshift.TestPeers.Line;
-import rampshift.TestPeers.Peer;
-import rampshift.TestPeers.Script;
+import rampshift.ServerScript;
+import rampshift.TestConnection;
+import rampshift.TestServer;
 import rampshift.settings.Configuration;
 
 /** What the tests of a whole dispatcher share: one dispatcher, and peers that end with the test. */
@@ -52,35 +52,35 @@
         return Configuration.read(json.getBytes(StandardCharsets.UTF_8));
     }
 
-    Peer worker(Script script) throws IOException {
-        Peer peer = new Peer(script);
+    TestServer worker(ServerScript script) throws IOException {
+        TestServer peer = new TestServer(script);
         open.add(peer);
         return peer;
     }
 
     /** A worker that finishes each task at once. */
-    Peer finishingWorker() throws IOException {
+    TestServer finishingWorker() throws IOException {
         return worker((task, line) -> line.respondDone(task, "ok"));
     }
 
-    static void respond(Line line, String body) throws IOException {
+    static void respond(TestConnection line, String body) throws IOException {
         line.write("HTTP/1.1 200 OK\r\nContent-Length: " + body.length() + "\r\n\r\n" + body);
     }
 
-    Line client() throws IOException {
-        Line line = new Line(node);
+    TestConnection client() throws IOException {
+        TestConnection line = new TestConnection(node);
         open.add(line);
         return line;
     }
 
     /** The status of the page that says whether the dispatcher is ready. */
-    int readyStatus(Line client) throws IOException {
+    int readyStatus(TestConnection client) throws IOException {
         return client.write("GET /ready HTTP/1.1\r\nHost: a\r\n\r\n").read().status();
     }
 
     /** The count under a key of the page of counters; -1 where it has none. */
     long count(String name) throws IOException {
-        try (Line line = new Line(node)) {
+        try (TestConnection line = new TestConnection(node)) {
             String text = line.write("GET /counters HTTP/1.1\r\nHost: a\r\n\r\n").read().text();
             String prefix = name + " ";
             return text.lines().filter(row -> row.startsWith(prefix))
@@ -103,7 +103,7 @@
     }
 
     /** A client whose small buffer holds next to nothing, and the dispatcher's end of its connection. */
-    record Slow(Line line, StreamConnection connection) {}
+    record Slow(TestConnection line, StreamConnection connection) {}
 
     Slow slow() throws Exception {
         ChannelListener<AcceptingChannel<StreamConnection>> listener = from -> {
@@ -121,7 +121,7 @@
         Socket socket = new Socket();
         socket.setReceiveBufferSize(2048);
         socket.connect(door.getLocalAddress(InetSocketAddress.class));
-        Line line = new Line(socket);
+        TestConnection line = new TestConnection(socket);
         open.add(line);
         return new Slow(line, accepted.take());
     }
