--- a/src/main/java/rampshift/leases/host/LeaseHost.java
+++ b/src/main/java/rampshift/leases/host/LeaseHost.java
@@ -22,7 +22,7 @@
  * The timer, clock and disk of the leases, on the dispatcher's one I/O thread. It owns the acceptor's
  * directory and the event log.
  */
-public final class LeaseHost implements MessageChannel.Guest {
+public final class LeaseHost implements MessageChannel.Handler {
     private static final String NONE = "-";
     private static final long MICROS_PER_MILLI = 1000;
 
@@ -121,19 +121,19 @@
     }
 
     @Override
-    public void parcel(String from, byte[] message) {
+    public void onMessage(String from, byte[] message) {
         if (!stopped) {
             leases.onMessage(clock.now(), from, message);
         }
     }
 
     @Override
-    public void there(Collection<String> names) {
+    public void onReachableMembers(Collection<String> names) {
         leases.setAlive(names);
     }
 
     @Override
-    public String asked(String question) {
+    public String answer(String question) {
         return queries.answer(question, clock.now());
     }
 
@@ -160,7 +160,7 @@
     private final class ManagerOutput implements LeaseManager.Output {
         @Override
         public void send(String to, byte[] message) {
-            channel.post(to, message);
+            channel.send(to, message);
         }
 
         @Override
@@ -173,7 +173,7 @@
             writer.afterSync(recordCount -> {
                 if (!stopped) {
                     leases.onSynced(recordCount);
-                    channel.post(to, message);
+                    channel.send(to, message);
                 }
             });
         }
--- a/src/main/java/rampshift/pipeline/AttemptSender.java
+++ b/src/main/java/rampshift/pipeline/AttemptSender.java
@@ -8,6 +8,8 @@
 import rampshift.time.Moment;
 import rampshift.time.Span;
 import rampshift.workers.AttemptExchange;
+import rampshift.workers.AttemptListener;
+import rampshift.workers.AttemptRequest;
 import rampshift.workers.ConnectionPool;
 import rampshift.workers.LoadReport;
 
@@ -40,9 +42,9 @@
         int number = task.startAttempt(clock.now());
         counters.add(Counters.Name.ATTEMPTS);
         AttemptEvents events = new AttemptEvents(host, task, number);
-        AttemptExchange attempt =
-                pool.startAttempt(worker, task.transactionId(), task.description().nonIdempotent(),
-                        sendBy, () -> task.message(clock.now()), timeout, events);
+        AttemptRequest request = new AttemptRequest(task.transactionId(), task.description().nonIdempotent(),
+                sendBy, () -> task.message(clock.now()), timeout);
+        AttemptExchange attempt = pool.startAttempt(worker, request, events);
         if (!events.ended) {
             task.setAttempt(number, attempt);
         }
@@ -68,7 +70,7 @@
     }
 
     /** Passes the events of one attempt on. */
-    private final class AttemptEvents implements AttemptExchange.Told {
+    private final class AttemptEvents implements AttemptListener {
         private final PolicyHost host;
         private final InFlightTask task;
         private final int number;
--- a/src/test/java/rampshift/serve/ConnectionRaceTest.java
+++ b/src/test/java/rampshift/serve/ConnectionRaceTest.java
@@ -35,7 +35,7 @@
 import rampshift.time.NextTick;
 
 /**
- * What comes between two lines, its order forced by a stand-in or by a step on the I/O thread
+ * What comes between two lines, its order forced by a test peer or by a step on the I/O thread
  * (docs/rare-moments.md).
  */
 class ConnectionRaceTest extends ServerTestBase {
@@ -56,12 +56,12 @@
     // ---- a client that has left
 
     /**
-     * Met by reading: with a whole further call behind, nothing more was read, and the end of the stream
+     * With a complete further request behind, nothing more was read, and the end of the stream
      * never seen.
      */
     @ParameterizedTest
     @CsvSource({"fin,none", "rst,none", "fin,half", "fin,whole", "rst,whole", "fin,many", "rst,many"})
-    void aClientThatLeavesIsNoticedWhateverItSentBehindItsTask(String how, String behind) throws Exception {
+    void leavingClientIsNoticedWhateverItPipelined(String how, String behind) throws Exception {
         TestServer worker = holder();
         node = node(null, list(true, worker.entry("s-1", "in_service")), LIMITS);
         TestConnection client = client().sendTask("t", "sell", "x");
@@ -85,10 +85,10 @@
 
     /**
      * What a client sends ahead is served in its turn up to a bound; past that its connection ends with the
-     * answer in hand.
+     * answer in flight.
      */
     @Test
-    void aClientThatSendsOnWithoutEndIsNeitherKeptInMemoryNorDoesItsTaskSuffer() throws Exception {
+    void endlessPipeliningIsBoundedAndTheTaskInFlightIsAnswered() throws Exception {
         CountDownLatch go = new CountDownLatch(1);
         TestServer worker = worker((task, line) -> {
             go.await();
@@ -101,7 +101,7 @@
             client.sendTask("b" + i, "look", "x".repeat(60_000));
         }
         // Before the answer: what the kernel still held when it was written was let through like any next
-        // call.
+        // request.
         until("more came than is kept", () -> count("sent_ahead") == 1);
         go.countDown();
         HttpMessage answer = client.read();
@@ -112,11 +112,11 @@
     }
 
     /**
-     * Met by reading: the bodies of others filled the memory, and a sale that was running was answered 503,
+     * The bodies of others filled the memory, and a non-idempotent task that was running was answered 503,
      * as if never sent.
      */
     @Test
-    void aTaskThatMayHaveRunIsNotBouncedForWhatItsClientSentBehindIt() throws Exception {
+    void taskThatMayHaveRunIsNotRejectedForPipelinedInput() throws Exception {
         CountDownLatch go = new CountDownLatch(1);
         TestServer worker = worker((task, line) -> {
             go.await();
@@ -124,7 +124,8 @@
         });
         node = node(null, list(true, worker.entry("s-1", "in_service")), "{\"memory_mb\":1,\"sockets\":256}");
         String head =
-                "POST /api HTTP/1.1\r\nHost: a\r\nX-Lane: look\r\nX-Remaining: 5\r\nContent-Length: 60000\r\nX-Txn: ";
+                "POST /api HTTP/1.1\r\nHost: a\r\nX-Lane: look\r\nX-Remaining: 5\r\n"
+                        + "Content-Length: 60000\r\nX-Txn: ";
         TestConnection stalls = client().write(head + "a\r\n\r\nhalf");
         TestConnection client = client().sendTask("t", "sell", "x");
         until("it is out", () -> worker.received.size() == 1);
@@ -138,11 +139,11 @@
     }
 
     /**
-     * Met by reading: the word was counted as said while the call before was in hand, and the client waited
+     * The interim response was counted as sent while the request before was in flight, and the client waited
      * for it in vain.
      */
     @Test
-    void aCallThatWaitsForAWordGetsItWhenItsTurnComes() throws Exception {
+    void pipelinedRequestGetsItsContinueWhenItsTurnComes() throws Exception {
         CountDownLatch go = new CountDownLatch(1);
         TestServer worker = worker((task, line) -> {
             go.await();
@@ -160,7 +161,7 @@
     }
 
     @Test
-    void aTaskWhoseClientLeftWhileItWaitedForAListIsNotSent() throws Exception {
+    void parkedTaskWhoseClientLeftIsNotSent() throws Exception {
         CountDownLatch tell = new CountDownLatch(1);
         TestServer worker = holder();
         TestServer agent = worker((message, line) -> {
@@ -186,7 +187,7 @@
      * The worker's backlog is full, so the connection comes up only once the worker takes what waits there.
      */
     @Test
-    void aTaskWhoseClientLeftWhileItsConnectionWasComingUpIsNotSent() throws Exception {
+    void taskWhoseClientLeftDuringTheDialIsNotSent() throws Exception {
         try (ServerSocket busy = new ServerSocket(0, 1, InetAddress.getByName("127.0.0.1"))) {
             for (int i = 0; i < 2; i++) {
                 open.add(new Socket(busy.getInetAddress(), busy.getLocalPort()));
@@ -208,7 +209,7 @@
     }
 
     @Test
-    void clientsThatLeaveByTheHundredAreAllNoticedAtOnceAlsoWhileItStops() throws Exception {
+    void hundredsOfLeavingClientsAreNoticedAtOnceAlsoDuringShutdown() throws Exception {
         TestServer worker = holder();
         node = node(null, list(true, IntStream.range(0, 300)
                 .mapToObj(i -> worker.entry("s-" + i, "in_service")).toArray(String[]::new)), LIMITS);
@@ -245,7 +246,7 @@
         assertEquals(sent, count("assigned"), "and none was sent on");
     }
 
-    /** Counts looks at the sockets until no task is in hand. */
+    /** Counts looks at the sockets until no task is in flight. */
     private void look(NextTick turn, int[] looks, FutureTask<Integer> noticed) {
         turn.run(() -> {
             looks[0]++;
@@ -281,7 +282,7 @@
      * something else.
      */
     @Test
-    void aTaskWhoseClientLeavesIsDroppedInAMoment() throws Exception {
+    void taskWhoseClientLeavesIsDroppedPromptly() throws Exception {
         TestServer worker = holder();
         node = node(null, list(true, IntStream.range(0, 200)
                 .mapToObj(i -> worker.entry("s-" + i, "in_service")).toArray(String[]::new)), LIMITS);
@@ -303,10 +304,10 @@
         assertTrue(micros[50] < 300_000, "median " + micros[50]);
     }
 
-    // ---- closes that cross a call
+    // ---- closes that cross a request
 
     /**
-     * Has the thread stand still until the client has written its call, and do something then: nothing was
+     * Has the thread stand still until the client has written its request, and do something then: nothing was
      * read between.
      */
     private void unread(TestConnection client, String txn, Runnable then) throws Exception {
@@ -318,11 +319,11 @@
     }
 
     /**
-     * Met by reading: idle connections were closed at the last call without a look, and such a call was lost
+     * Idle connections were closed for the shutdown without a last read, and such a request was lost
      * in a reset.
      */
     @Test
-    void aCallThatLiesUnreadAtTheLastCallIsAnswered() throws Exception {
+    void unreadRequestIsAnsweredWhenConnectionsAreClosed() throws Exception {
         TestServer worker = worker((task, line) -> line.respondDone(task, "ok"));
         node = node(null, list(true, worker.entry("s-1", "in_service")), LIMITS);
         TestConnection client = client();
@@ -333,11 +334,11 @@
     }
 
     /**
-     * The thread stands still beyond the time that such a client may idle, and its call comes in the
+     * The thread stands still beyond the time that such a client may idle, and its request comes in the
      * meantime.
      */
     @Test
-    void aCallThatLiesUnreadWhenItsClientHasIdledTooLongIsAnswered() throws Exception {
+    void unreadRequestOfAClientThatIdledTooLongIsAnswered() throws Exception {
         TestServer worker = worker((task, line) -> line.respondDone(task, "ok"));
         node = node(null, list(true, worker.entry("s-1", "in_service")), LIMITS);
         TestConnection client = client();
@@ -351,11 +352,11 @@
     }
 
     /**
-     * Met by reading: the socket was closed in the turn in which the last idle connection was ended between
-     * calls.
+     * The socket was closed in the turn in which the last idle connection was ended between
+     * requests.
      */
     @Test
-    void aCallThatCrossedTheEndOfItsConnectionIsTakenOnTheNextOne() throws Exception {
+    void requestThatCrossedAConnectionCloseIsAnsweredOnTheNextOne() throws Exception {
         TestServer worker = worker((task, line) -> line.respondDone(task, "ok"));
         node = new DispatcherServer(Configuration.read(TestPeers
                 .configuration(null, list(true, worker.entry("s-1", "in_service")), LIMITS)
@@ -372,11 +373,11 @@
     }
 
     /**
-     * As with a watch told to go on elsewhere while it starts, the signal came before the part that acts on
+     * As with a watch switched while it starts, the signal came before the part that acts on
      * it stood.
      */
     @Test
-    void aStopThatComesBeforeTheStartIsOverEndsItInGoodOrder() throws Exception {
+    void stopDuringTheStartEndsInOrder() throws Exception {
         TestServer worker = worker((task, line) -> line.respondDone(task, "ok"));
         FutureTask<DispatcherServer> start =
                 new FutureTask<>(() -> node(null, list(true, worker.entry("s-1", "in_service")), LIMITS));
@@ -394,7 +395,7 @@
     }
 
     @Test
-    void whatMayRunAgainIsBouncedAtTheEndAndWhatMayHaveRunIsNot() throws Exception {
+    void idempotentTaskIsRejectedAtTheEndAndNonIdempotentOneIsFailed() throws Exception {
         TestServer worker = holder();
         node = new DispatcherServer(Configuration.read(TestPeers
                 .configuration(null, list(true, worker.entry("s-1", "in_service")), LIMITS)
@@ -411,9 +412,12 @@
         assertEquals(504, sell.read().status());
     }
 
-    /** Half of its worker's last line lies unread when a sale is given up, and the rest comes after that. */
+    /**
+     * Half of its worker's last line lies unread when a non-idempotent task is failed, and the rest comes
+     * after that.
+     */
     @Test
-    void halfALineFromAWorkerAtTheEndChangesNothing() throws Exception {
+    void halfAProgressLineAtTheEndChangesNothing() throws Exception {
         CountDownLatch half = new CountDownLatch(1);
         CountDownLatch rest = new CountDownLatch(1);
         TestServer worker = worker((task, line) -> {
@@ -445,7 +449,7 @@
     // ---- lists
 
     @Test
-    void aListMayComeIndented() throws Exception {
+    void indentedListIsRead() throws Exception {
         TestServer worker = worker((task, line) -> line.respondDone(task, "ok"));
         String body = list(true, worker.entry("s-1", "in_service")).replace("REV", "3")
                 .replace("{", "{\r\n  ").replace(",", " ,\n\t").replace(":", " : ")
@@ -465,7 +469,7 @@
      * and later.
      */
     @Test
-    void aListReadInTheMidstOfWhatAnOlderOneSetsOffWins() throws Exception {
+    void listReadWhileAnOlderOneIsAppliedWins() throws Exception {
         TestServer worker = worker((task, line) -> line.respondDone(task, "ok"));
         CountDownLatch tell = new CountDownLatch(1);
         TestServer agent = worker((message, line) -> {
@@ -507,7 +511,7 @@
      * nowhere else.
      */
     @Test
-    void oneCustomersSettingsLeaveNoTraceAtAnother() throws Exception {
+    void settingsOfTwoServersInOneProcessDoNotMix() throws Exception {
         ServerScript errs = (task, line) -> line.respondStatus(500, "");
         TestServer one = worker(errs);
         TestServer two = worker(errs);
--- a/src/test/java/rampshift/serve/FloodTest.java
+++ b/src/test/java/rampshift/serve/FloodTest.java
@@ -107,7 +107,8 @@
         ResponseCounter counter = new ResponseCounter();
         TestConnection client = client();
         NextTick nextTick = onThread(() -> {
-            node.dispatcher.clientListener.addPage("/count", () -> new StatusPage(200, counter.next()));
+            node.dispatcher.clientListener.addPage("/count",
+                    () -> new StatusPage(200, counter.next()));
             NextTick created = new NextTick(node.thread);
             created.run(() -> counter.afterPoll(created));
             client.write("GET /count HTTP/1.1\r\nHost: a\r\n\r\n".repeat(PIPELINED_REQUESTS));
--- a/src/test/java/rampshift/serve/ResponseDeliveryTest.java
+++ b/src/test/java/rampshift/serve/ResponseDeliveryTest.java
@@ -33,7 +33,9 @@
 import rampshift.settings.Configuration;
 import rampshift.time.NextTick;
 
-/** Whoever hands in a task gets its whole answer, or is told plainly that it was not taken, and in time. */
+/**
+ * Whoever hands in a task gets its complete answer, or is told plainly that it was not taken, and in time.
+ */
 class ResponseDeliveryTest extends ServerTestBase {
     private static final String LIMITS = "{\"memory_mb\":192,\"sockets\":1024}";
     /** 22 clients stay, and 2 more are taken. */
@@ -87,13 +89,13 @@
     // ---- closes that could swallow an answer
 
     /**
-     * Met by reading: an ending client made room at once and without a look, with bytes of its own unread;
+     * An ending client made room at once and without a last read, with bytes of its own unread;
      * that close is a
      * reset, and what its kernel had not taken of the answer went with it.
      */
     @ParameterizedTest
     @ValueSource(strings = {"", "POST /api HTTP/1.1\r\nHost: a\r\nX-Txn: next\r\n"})
-    void aClientThatMakesRoomStillReadsItsWholeAnswer(String sentOn) throws Exception {
+    void clientThatMakesRoomStillReadsItsCompleteAnswer(String sentOn) throws Exception {
         CountDownLatch go = new CountDownLatch(1);
         String result = "r".repeat(60_000);
         TestServer worker = worker((task, line) -> {
@@ -107,12 +109,12 @@
             return null;
         });
         client.line().write(
-                "POST /api HTTP/1.1\r\nHost: a\r\nX-Txn: t\r\nX-Lane: sell\r\nX-Remaining: 5.0\r\nConnection: close\r\n"
+                "POST /api HTTP/1.1\r\nHost: a\r\nX-Txn: t\r\nX-Lane: sell\r\nX-Remaining: 5.0\r\n"
+                        + "Connection: close\r\n"
                         + "Content-Length: 1\r\n\r\nx");
         until("it is out", () -> worker.received.size() == 1);
-        List<TestConnection> others = new ArrayList<>();
         for (int i = 0; i < 21; i++) {
-            others.add(client());
+            client();
         }
         until("all places are taken",
                 () -> onThread(() -> node.dispatcher.clientListener.connectionCount()) == 22);
@@ -149,12 +151,12 @@
     }
 
     /**
-     * A call comes between the last look at an idle connection and its close. That made the close a
+     * A request comes between the last look at an idle connection and its close. That made the close a
      * reset, and the client, which was still reading the answer before, lost what the kernel held of it.
      */
     @ParameterizedTest
     @ValueSource(booleans = {true, false})
-    void aCallThatCrossesTheCloseLeavesTheAnswerBeforeItWhole(boolean lastCall) throws Exception {
+    void requestThatCrossesTheCloseLeavesTheAnswerBeforeItComplete(boolean lastCall) throws Exception {
         node = node(null, list(true), LIMITS);
         String text = "r".repeat(60_000);
         Slow client = slow();
@@ -193,23 +195,23 @@
         return "and it ends in " + text.substring(Math.max(0, text.length() - 20));
     }
 
-    /** Met by reading: written once, and what the client's buffer did not take of it was left out. */
+    /** Written once, and what the client's buffer did not take of it was left out. */
     @ParameterizedTest
     @ValueSource(ints = {1, 20})
-    void aClientThatIsTurnedAwayReadsAllOfWhy(int width) throws Exception {
+    void refusedClientReadsTheCompleteReason(int width) throws Exception {
         node = node(null, list(true), LIMITS);
         HttpMessage answer = narrow(width).write("no call at all\r\n\r\n").read();
         assertEquals(400, answer.status());
         assertEquals("no call, or more bytes than its length said\n", answer.text());
     }
 
-    /** Half a word before the answer's head makes nonsense of both. */
+    /** Half an interim response before the answer's head makes nonsense of both. */
     @ParameterizedTest
     @ValueSource(ints = {1, 20})
-    void aClientThatWaitsForAWordReadsAllOfItAndThenItsAnswer(int width) throws Exception {
+    void clientThatExpectsContinueReadsAllOfItAndThenItsAnswer(int width) throws Exception {
         TestServer worker = worker((task, line) -> line.respondDone(task, "ok"));
         node = node(null, list(true, worker.entry("s-1", "in_service")), LIMITS);
-        // Body and all at once: it does not wait, and its call is whole before the word is written.
+        // Body and all at once: its request is complete before the interim response is written.
         TestConnection client =
                 narrow(width).write("POST /api HTTP/1.1\r\nHost: a\r\nX-Txn: b\r\nX-Lane: look\r\n"
                         + "X-Remaining: 5\r\nContent-Length: 3\r\nExpect: 100-continue\r\n\r\n").write("abc");
@@ -219,9 +221,10 @@
         }
         assertEquals(200, first.status());
         assertEquals("ok", first.text());
-        // The body comes after the word was begun, and before it is all said.
+        // The body comes after the interim response was begun, and before it is all written.
         client.write(
-                "POST /api HTTP/1.1\r\nHost: a\r\nX-Txn: c\r\nX-Lane: look\r\nX-Remaining: 5\r\nContent-Length: 3\r\nExpect: 100-continue\r\n\r\n");
+                "POST /api HTTP/1.1\r\nHost: a\r\nX-Txn: c\r\nX-Lane: look\r\nX-Remaining: 5\r\n"
+                        + "Content-Length: 3\r\nExpect: 100-continue\r\n\r\n");
         assertEquals("H", client.readUntil("H"));
         client.write("abc");
         assertEquals("TTP/1.1 100 Continue\r\n\r\n", client.readUntil("\r\n\r\n"));
@@ -229,12 +232,12 @@
     }
 
     /**
-     * Met by reading: whoever had connected 0.1 s before the last call was closed unheard, also in the midst
-     * of its call.
+     * Whoever had connected 0.1 s before the shutdown closed idle connections was closed unread, also in
+     * the midst of its request.
      */
     @ParameterizedTest
     @ValueSource(strings = {"", "POST /api HTTP/1.1\r\nHost: a\r\n"})
-    void whoIsOnItsWayToSendACallAtTheLastCallIsAnswered(String begun) throws Exception {
+    void clientThatIsAboutToSendARequestAtShutdownIsAnswered(String begun) throws Exception {
         TestServer worker = worker((task, line) -> line.respondDone(task, "ok"));
         node = node(null, list(true, worker.entry("s-1", "in_service")), LIMITS);
         TestConnection client = client().write(begun);
@@ -252,7 +255,7 @@
 
     /** What the system holds back of a small write is lost with a reset: no socket here has it do so. */
     @Test
-    void smallWritesLeaveAtOnceOnEverySocket() throws Exception {
+    void smallWritesAreSentAtOnceOnEverySocket() throws Exception {
         TestServer worker = worker((task, line) -> line.respondDone(task, "ok"));
         String known = list(true, worker.entry("s-1", "in_service"));
         TestServer agent = TestDiscovery.start(List.of(known));
@@ -266,9 +269,9 @@
             ((Map<?, ?>) field(field(node.dispatcher.clientListener, "table"), "connections")).keySet()
                     .forEach(c -> all.add((StreamConnection) c));
             assertEquals(1, all.size(), "of clients");
-            for (Object place : ((Map<?, ?>) field(field(node.dispatcher, "pool"), "places")).values()) {
-                for (Object kept : (Collection<?>) field(place, "idle")) {
-                    all.add((StreamConnection) field(kept, "channel"));
+            for (Object place : ((Map<?, ?>) field(field(node.dispatcher, "pool"), "endpoints")).values()) {
+                for (Object kept : (Collection<?>) field(place, "idleConnections")) {
+                    all.add((StreamConnection) field(field(kept, "connection"), "channel"));
                 }
             }
             assertEquals(2, all.size(), "with that to the worker");
@@ -289,11 +292,11 @@
     // ---- whose time it is
 
     /**
-     * Met by reading: the time of a call that waited behind another counted from its turn, and its worker was
+     * The time of a request that waited behind another counted from its turn, and its worker was
      * told so.
      */
     @Test
-    void theTimeOfACallThatWaitsItsTurnCountsFromWhenItCame() throws Exception {
+    void deadlineOfAPipelinedRequestCountsFromItsArrival() throws Exception {
         CountDownLatch go = new CountDownLatch(1);
         TestServer worker = worker((task, line) -> {
             go.await();
@@ -315,16 +318,16 @@
     }
 
     /**
-     * Met on a last reading: whoever connected ahead of its first call had the time between counted against
+     * Whoever connected ahead of its first request had the time between counted against
      * it.
      */
     @Test
-    void theTimeOfAFirstCallCountsFromItsBytesNotFromTheConnection() throws Exception {
+    void deadlineOfAFirstRequestCountsFromItsBytesNotFromTheConnection() throws Exception {
         TestServer worker = worker((task, line) -> line.respondDone(task, "ok"));
         node = node(null, list(true, worker.entry("s-1", "in_service")), LIMITS);
         TestConnection client = client();
         until("it is taken in", () -> onThread(() -> node.dispatcher.clientListener.connectionCount()) == 1);
-        Thread.sleep(400);      // the time itself is what the call must not be charged with, not an order
+        Thread.sleep(400);      // the time itself is what the request must not be charged with, not an order
         assertEquals(200, client.sendTask("t", "look", "x").read().status());
         double told = Double.parseDouble(worker.received.get(0).field("X-Remaining"));
         assertTrue(told > 4.7, "of 5 s its worker is told " + told);
@@ -335,7 +338,7 @@
     /** The end lies unread: the thread is at something else from before the close until an attempt is due. */
     @ParameterizedTest
     @ValueSource(strings = {"fin", "rst"})
-    void noAttemptBeginsOnceItsClientsEndIsThere(String how) throws Exception {
+    void noAttemptBeginsOnceItsClientHasLeft(String how) throws Exception {
         TestServer worker = worker((task, line) -> line.respondDone(task, "ok"));
         node = node(null, list(true, worker.entry("s-1", "in_service")), LIMITS);
         TestConnection client = client();
@@ -365,7 +368,7 @@
      * had left, its task was read, and sent on 0.66 s after the close, before the end behind it was read.
      */
     @Test
-    void aTaskWhoseClientLeftBeforeItWasReadIsNotSent() throws Exception {
+    void taskWhoseClientLeftBeforeItWasReadIsNotSent() throws Exception {
         TestServer worker = worker((task, line) -> line.respondDone(task, "ok"));
         node = node(null, list(true, worker.entry("s-1", "in_service")), LIMITS);
         // whose connection to the worker is kept
@@ -383,11 +386,11 @@
     }
 
     /**
-     * The last byte of a sale is held for a moment on a connection that was kept; its client leaves in that
-     * moment.
+     * The last byte of a non-idempotent task is held for a moment on a connection that was idle; its client
+     * leaves in that moment.
      */
     @Test
-    void noLastByteGoesOutOnceItsClientsEndIsThere() throws Exception {
+    void lastByteIsNotSentOnceItsClientHasLeft() throws Exception {
         TestServer worker = worker((task, line) -> line.respondDone(task, "ok"));
         node = node(null, list(true, worker.entry("s-1", "in_service")), LIMITS);
         TestConnection client = client();
@@ -421,7 +424,7 @@
      * before any socket was looked at, so that answers lay unread for 1.8 s.
      */
     @Test
-    void aRushOfClientsLeavesTheSocketsTheirTurn() throws Exception {
+    void burstOfClientsLeavesTheSocketsTheirTurn() throws Exception {
         node = node(null, list(true), LIMITS);
         int[] takenIn = {-1};
         NextTick[] turn = {null};
@@ -436,7 +439,7 @@
         });
         until("all are taken in",
                 () -> onThread(() -> node.dispatcher.clientListener.connectionCount()) == 150);
-        // 16 before that look, and 16 more if the door's own pipe was the first that the look found.
+        // 16 before that look, and 16 more if the listener's own pipe was the first that the look found.
         assertTrue(takenIn[0] >= 0 && takenIn[0] <= 32,
                 takenIn[0] + " were taken in before the sockets were looked at");
         onThread(() -> {
@@ -448,11 +451,11 @@
     // ---- descriptors
 
     /**
-     * Idle clients hold all their places while the list service is silent; all else that needs a descriptor
-     * has one.
+     * Idle clients hold all their places while the discovery agent is silent; all else that needs a
+     * descriptor has one.
      */
     @Test
-    void idleClientsMayFillTheDescriptorsWhileTheListServiceIsDown() throws Exception {
+    void idleClientsMayUseTheirDescriptorsWhileTheAgentIsDown() throws Exception {
         CountDownLatch back = new CountDownLatch(1);
         TestServer worker = worker((task, line) -> line.respondDone(task, "ok"));
         TestServer added = worker((task, line) -> line.respondDone(task, "added"));
--- a/src/test/java/rampshift/testbed/experiment/CpuProfileTest.java
+++ b/src/test/java/rampshift/testbed/experiment/CpuProfileTest.java
@@ -46,9 +46,9 @@
         CpuProfile.read(file).print(new PrintStream(out, true, StandardCharsets.UTF_8));
         String text = out.toString(StandardCharsets.UTF_8);
         // A dispatcher of an earlier story may still be stopping, on an I/O thread of its own.
-        Matcher fleet = Pattern.compile("([0-9.]+)%  fleet\n").matcher(text);
+        Matcher fleet = Pattern.compile("([0-9.]+)%  testbed\n").matcher(text);
         assertTrue(fleet.find() && Double.parseDouble(fleet.group(1)) > 85, text);
-        assertTrue(text.contains("fleet.trial.ProfileTest.works"), text);
+        assertTrue(text.contains("testbed.experiment.CpuProfileTest.works"), text);
         int samples = Integer.parseInt(text.split(" ")[0]);
         assertTrue(samples > 5 && samples < 90, "one thread's, not both: " + samples);
     }
