--- a/src/main/java/rampshift/connections/HttpConnection.java
+++ b/src/main/java/rampshift/connections/HttpConnection.java
@@ -16,6 +16,10 @@
  * byte of a request was written, which decides whether a task may have run (docs/design.md).
  */
 public final class HttpConnection {
+    /** What is read at one readiness event, so that a peer that never stops leaves time for the others. */
+    static final int MAX_BYTES_PER_READ_EVENT = 128 * 1024;
+    /** What is read at one {@link #poll()}: a whole endpoint list of the greatest size that is accepted. */
+    static final int MAX_BYTES_PER_POLL = 2 * 1024 * 1024;
     private static final int NANOS_PER_MICRO = 1000;
 
     private final Dialer dialer;
@@ -123,17 +127,19 @@
      */
     public void poll() {
         if (listener != null && requestWritten) {
-            read(dialer.pollBuffer, new byte[dialer.pollBuffer.capacity()]);
+            read(dialer.pollBuffer, new byte[dialer.pollBuffer.capacity()], MAX_BYTES_PER_POLL);
         }
     }
 
     private void read() {
-        read(dialer.readBuffer, dialer.readBytes);
+        read(dialer.readBuffer, dialer.readBytes, MAX_BYTES_PER_READ_EVENT);
     }
 
-    private void read(ByteBuffer buffer, byte[] bytes) {
+    /** Reads until nothing is left or the limit is reached; the selector reports what is left then. */
+    private void read(ByteBuffer buffer, byte[] bytes, int maxBytes) {
         try {
-            while (!closed) {
+            int total = 0;
+            while (!closed && total < maxBytes) {
                 buffer.clear();
                 int count = channel.getSourceChannel().read(buffer);
                 if (count == 0) {
@@ -143,6 +149,7 @@
                     onEndOfStream();
                     return;
                 }
+                total += count;
                 buffer.flip().get(bytes, 0, count);
                 onBytes(bytes, count);
             }
--- /dev/null
+++ b/src/test/java/rampshift/connections/HttpConnectionTest.java
@@ -0,0 +1,141 @@
+package rampshift.connections;
+
+import static org.junit.jupiter.api.Assertions.assertEquals;
+import static org.junit.jupiter.api.Assertions.assertTrue;
+
+import java.io.IOException;
+import java.net.InetSocketAddress;
+import java.nio.ByteBuffer;
+import java.nio.charset.StandardCharsets;
+import java.util.concurrent.CompletableFuture;
+import java.util.concurrent.TimeUnit;
+import org.junit.jupiter.api.AfterEach;
+import org.junit.jupiter.api.Test;
+import org.xnio.ChannelPipe;
+import org.xnio.FutureResult;
+import org.xnio.OptionMap;
+import org.xnio.Options;
+import org.xnio.StreamConnection;
+import org.xnio.Xnio;
+import org.xnio.XnioIoThread;
+import org.xnio.XnioWorker;
+import org.xnio.conduits.AbstractStreamSourceConduit;
+import org.xnio.conduits.StreamSourceConduit;
+import rampshift.time.Span;
+
+/** One connection over a pipe. */
+class HttpConnectionTest {
+    /** Far more than may be read at once; the end of the response, so that a failing test ends. */
+    private static final int RESPONSE_BYTES = 4 * HttpConnection.MAX_BYTES_PER_POLL;
+    private static final int TIMEOUT_SECONDS = 20;
+
+    private final XnioWorker xnio;
+    private final XnioIoThread thread;
+    private HttpConnection connection;
+
+    HttpConnectionTest() throws IOException {
+        xnio = Xnio.getInstance().createWorker(
+                OptionMap.create(Options.WORKER_IO_THREADS, 1, Options.THREAD_DAEMON, true));
+        thread = xnio.getIoThread(0);
+    }
+
+    @AfterEach
+    void stopThread() {
+        xnio.shutdownNow();
+    }
+
+    /** A peer that sent faster than it was read held the I/O thread for good. */
+    @Test
+    void aPeerThatAlwaysHasMoreToReadLeavesTheThreadToOthersAfterABoundedNumberOfBytes() throws Exception {
+        BodyCounter counter = new BodyCounter();
+        StreamConnection peer = startExchangeWithFloodingPeer(counter);
+        peer.getSinkChannel().write(ByteBuffer.wrap(new byte[]{'x'}));
+        int count = counter.bytesBeforeTheNextTask.get(TIMEOUT_SECONDS, TimeUnit.SECONDS);
+        assertTrue(count > 0 && count <= HttpConnection.MAX_BYTES_PER_READ_EVENT, "bytes: " + count);
+        assertEquals(RESPONSE_BYTES, counter.allBytes.get(TIMEOUT_SECONDS, TimeUnit.SECONDS),
+                "what is left is read later");
+    }
+
+    @Test
+    void aPollOfAPeerThatAlwaysHasMoreToReadEnds() throws Exception {
+        BodyCounter counter = new BodyCounter();
+        startExchangeWithFloodingPeer(counter);
+        CompletableFuture<Integer> polledBytes = new CompletableFuture<>();
+        thread.execute(() -> {
+            connection.poll();
+            polledBytes.complete(counter.count);
+        });
+        int count = polledBytes.get(TIMEOUT_SECONDS, TimeUnit.SECONDS);
+        assertTrue(count > 0 && count <= HttpConnection.MAX_BYTES_PER_POLL, "bytes: " + count);
+    }
+
+    private StreamConnection startExchangeWithFloodingPeer(ExchangeListener listener) throws Exception {
+        ChannelPipe<StreamConnection, StreamConnection> pipe = thread.createFullDuplexPipeConnection();
+        StreamConnection near = pipe.getLeftSide();
+        near.getSourceChannel().setConduit(new FloodingConduit(near.getSourceChannel().getConduit()));
+        CompletableFuture<Void> started = new CompletableFuture<>();
+        thread.execute(() -> {
+            connection = new HttpConnection(dialerOfOneOpenConnection(), near);
+            connection.exchange(listener, ByteBuffer.wrap(new byte[]{'x'}));
+            started.complete(null);
+        });
+        started.get(TIMEOUT_SECONDS, TimeUnit.SECONDS);
+        return pipe.getRightSide();
+    }
+
+    private Dialer dialerOfOneOpenConnection() {
+        Dialer dialer = new Dialer(thread, (address, listener) -> new FutureResult<StreamConnection>()
+                .getIoFuture());
+        dialer.dial(InetSocketAddress.createUnresolved("peer", 1), Span.ofMillis(1_000_000), null);
+        return dialer;
+    }
+
+    /** Counts the bytes of a body, and how many of them come before a task that is queued at the first. */
+    private final class BodyCounter implements ExchangeListener {
+        private final CompletableFuture<Integer> bytesBeforeTheNextTask = new CompletableFuture<>();
+        private final CompletableFuture<Integer> allBytes = new CompletableFuture<>();
+        private int count;
+
+        @Override
+        public void onBody(byte[] bytes, int offset, int length) {
+            if (count == 0) {
+                thread.execute(() -> bytesBeforeTheNextTask.complete(count));
+            }
+            count += length;
+        }
+
+        @Override
+        public void onComplete() {
+            allBytes.complete(count);
+        }
+
+        @Override
+        public void onFailure(String reason) {
+            allBytes.completeExceptionally(new IOException(reason));
+        }
+    }
+
+    /** Has a part of the response ready at each read, as if the peer had just sent it. */
+    private static final class FloodingConduit extends AbstractStreamSourceConduit<StreamSourceConduit> {
+        private static final String HEAD =
+                "HTTP/1.1 200 OK\r\nContent-Length: " + RESPONSE_BYTES + "\r\n\r\n";
+        private boolean headSent;
+
+        FloodingConduit(StreamSourceConduit next) {
+            super(next);
+        }
+
+        @Override
+        public int read(ByteBuffer target) {
+            if (!headSent) {
+                headSent = true;
+                byte[] head = HEAD.getBytes(StandardCharsets.US_ASCII);
+                target.put(head);
+                return head.length;
+            }
+            int count = target.remaining();
+            target.put(new byte[count]);
+            return count;
+        }
+    }
+}
