--- a/src/main/java/rampshift/membership/host/MembershipQuery.java
+++ b/src/main/java/rampshift/membership/host/MembershipQuery.java
@@ -32,6 +32,7 @@
      */
     public static String ask(InetSocketAddress address, String question) throws IOException {
         try (Socket socket = new Socket()) {
+            socket.setTcpNoDelay(true);
             socket.connect(address, TIMEOUT_MS);
             socket.setSoTimeout(TIMEOUT_MS);
             byte[] request = question.getBytes(StandardCharsets.UTF_8);
--- a/src/main/java/rampshift/policy/DecayingSamples.java
+++ b/src/main/java/rampshift/policy/DecayingSamples.java
@@ -9,8 +9,8 @@
     private final SampleWindow when;
     /** The last mean and what it was asked for: a task's candidates ask for the same one in turn. */
     private double mean = Double.NaN;
-    private Moment meanNow;
-    private Span meanFade;
+    private long meanNowMicros;
+    private long meanFadeMicros;
     private double meanPrior;
     private double meanPriorWeight;
 
@@ -40,8 +40,7 @@
 
     /** The mean by these weights, with a prior value of the stated weight. */
     double mean(Moment now, Span fade, double prior, double priorWeight) {
-        if (!Double.isNaN(mean) && now.equals(meanNow) && fade.equals(meanFade) && prior == meanPrior
-                && priorWeight == meanPriorWeight) {
+        if (isLastMeanOf(now, fade, prior, priorWeight)) {
             return mean;
         }
         double sum = prior * priorWeight;
@@ -51,14 +50,19 @@
             weights += weight;
             sum += weight * values.get(i);
         }
-        meanNow = now;
-        meanFade = fade;
+        meanNowMicros = now.micros();
+        meanFadeMicros = fade.micros();
         meanPrior = prior;
         meanPriorWeight = priorWeight;
         mean = sum / weights;
         return mean;
     }
 
+    private boolean isLastMeanOf(Moment now, Span fade, double prior, double priorWeight) {
+        return !Double.isNaN(mean) && now.micros() == meanNowMicros && fade.micros() == meanFadeMicros
+                && prior == meanPrior && priorWeight == meanPriorWeight;
+    }
+
     void clear() {
         mean = Double.NaN;
         values.clear();
--- a/src/main/java/rampshift/policy/RunTimes.java
+++ b/src/main/java/rampshift/policy/RunTimes.java
@@ -8,6 +8,8 @@
     private final List<TrafficType> types;
     private final SampleWindow all = new SampleWindow(64); // in milliseconds
     private final SampleWindow[] byType;
+    /** Null where not known since the last change: it is asked for many times a decision. */
+    private Span mean;
 
     RunTimes(List<TrafficType> types) {
         this.types = types;
@@ -17,7 +19,7 @@
     /** A task arrived; a hint of every one tells, not only the few that finish here. */
     void onTaskArrived(Task task) {
         if (task.runHint.micros() > 0) {
-            all.put(task.runHint.millis());
+            put(task.runHint);
         }
     }
 
@@ -25,13 +27,21 @@
     void onRun(Task task, Span ran) {
         byType[task.typeIndex].put(ran.millis());
         if (task.runHint.micros() == 0) {
-            all.put(ran.millis());
+            put(ran);
         }
     }
 
+    private void put(Span run) {
+        all.put(run.millis());
+        mean = null;
+    }
+
     /** The mean of all; the first type's due time until one is known. */
     Span mean() {
-        return Span.ofMillis(all.mean(types.get(0).due().millis()));
+        if (mean == null) {
+            mean = Span.ofMillis(all.mean(types.get(0).due().millis()));
+        }
+        return mean;
     }
 
     /** What the task is expected to run on a middling worker. */
