--- a/src/bench/java/rampshift/policy/DecisionBench.java
+++ b/src/bench/java/rampshift/policy/DecisionBench.java
@@ -49,14 +49,14 @@
     public void fill() {
         Settings s = new Settings();
         s.seed = 7;
-        s.mostAssignments = 5;
+        s.maxAttempts = 5;
         s.mayCancel = true;
-        s.secondCopies = true;
-        s.tellsStart = true;
+        s.mayHedge = true;
+        s.reportsStart = true;
         s.mayProbe = false;
         s.types.add(new TrafficType(1, 0, Span.ofMillis(200), 3, Span.ofMillis(5000),
                 TrafficType.Effect.IDEMPOTENT,
-                TrafficType.Group.ALL, Span.ofMillis(5000), null, null));
+                TrafficType.DeduplicationScope.ALL, Span.ofMillis(5000), null, null));
         policy = new DispatchPolicy(s, now);
         policy.setNow(now);
         policy.onEndpointListBegin(EndpointListKind.CACHED);
--- a/src/main/java/rampshift/extensions/LeaseExtension.java
+++ b/src/main/java/rampshift/extensions/LeaseExtension.java
@@ -50,7 +50,7 @@
                                 + job.trafficType() + "\", only " + String.join(", ", typeNames));
             }
             TrafficType type = types.get(index);
-            resolved.add(job.withTrafficType(type.effect() == TrafficType.Effect.IDEMPOTENT, type.expiry()));
+            resolved.add(job.withTrafficType(type.effect() == TrafficType.Effect.IDEMPOTENT, type.timeout()));
         }
         return resolved;
     }
--- a/src/main/java/rampshift/pipeline/EndpointListUpdater.java
+++ b/src/main/java/rampshift/pipeline/EndpointListUpdater.java
@@ -58,7 +58,7 @@
         return switch (state) {
             case READY -> EndpointState.READY;
             case DRAINING -> EndpointState.DRAINING;
-            case REMOVED -> EndpointState.GONE;
+            case REMOVED -> EndpointState.REMOVED;
         };
     }
 
--- a/src/main/java/rampshift/pipeline/RequestDecoder.java
+++ b/src/main/java/rampshift/pipeline/RequestDecoder.java
@@ -80,7 +80,7 @@
         checkIdempotencyKey(request, typeSettings);
         TaskLabels labels = TaskLabels.parse(request.field(LABELS_FIELD));
         TaskDescription description = new TaskDescription(transactionId, type, tenant(request),
-                typeSettings.effect() == TrafficType.Effect.SIDE_EFFECTING, deduplicationWindow(typeSettings),
+                typeSettings.effect() == TrafficType.Effect.NON_IDEMPOTENT, deduplicationWindow(typeSettings),
                 labels.slots(), labels.memory());
         Moment deadline = request.receivedAt().plus(waitingTime(remainingSeconds, typeSettings));
         lastTaskId++;
@@ -127,11 +127,11 @@
     }
 
     private static boolean isKeyed(TrafficType type) {
-        return type.effect() == TrafficType.Effect.FINGERPRINTED;
+        return type.effect() == TrafficType.Effect.KEYED;
     }
 
     private static Span deduplicationWindow(TrafficType type) {
-        return isKeyed(type) ? type.window() : null;
+        return isKeyed(type) ? type.deduplicationWindow() : null;
     }
 
     /** Tenants that are not configured share the index after all that are, and have no quota to exceed. */
@@ -141,7 +141,7 @@
 
     /** No client waits longer than the deadline of its traffic type, whatever it says. */
     private static Span waitingTime(double remainingSeconds, TrafficType type) {
-        Span longest = type.expiry();
+        Span longest = type.timeout();
         boolean isLimited = remainingSeconds > longest.millis() / 1000;
         return isLimited ? longest : Span.ofMillis(remainingSeconds * 1000);
     }
--- a/src/main/java/rampshift/policy/Admission.java
+++ b/src/main/java/rampshift/policy/Admission.java
@@ -36,7 +36,7 @@
     /** Whether the task is rejected rather than sent to the worker, at which it is worth this much. */
     boolean rejects(Task task, Worker worker, double worth) {
         return eligibility.mayReject(task) && (worth <= 0
-                || value.inTimeByLastStarts(task, worker) < MIN_IN_TIME + context.settings.tailWeight);
+                || value.inTimeByLastStarts(task, worker) < MIN_IN_TIME + context.settings.lateShareWeight);
     }
 
     /**
@@ -44,16 +44,16 @@
      * work for late answers. Drawback: where hints tell too little. What may not be rejected goes on.
      */
     boolean isLateForNothing(Task task, Worker worker) {
-        return task.runHint.micros() > 0 && task.type.lateEarnings() == 0 && eligibility.mayReject(task)
+        return task.runHint.micros() > 0 && task.type.lateValueShare() == 0 && eligibility.mayReject(task)
                 && value.timeLeft(task).micros() < 0 && estimates.wait(worker, task.slots).micros() > 0;
     }
 
     /** When the client of a rejected task may retry; zero where it is not told. */
     Span retryAfter() {
-        if (!context.settings.comeBackAdvice) {
+        if (!context.settings.retryAfterHints) {
             return Span.ZERO;
         }
         Span wait = context.runs.mean().times(1 + context.random.next());
-        return wait.orShorter(context.settings.longestComeBack);
+        return wait.orShorter(context.settings.maxRetryAfter);
     }
 }
--- a/src/main/java/rampshift/policy/Eligibility.java
+++ b/src/main/java/rampshift/policy/Eligibility.java
@@ -11,12 +11,12 @@
     /** Every rule that an attempt must keep; asked again right before each is sent. */
     boolean permits(Task task, Worker worker) {
         return !task.closed && worker.ready && hasAttemptsLeft(task) && !isOver(task)
-                && (task.openAttempts == 0 || context.settings.secondCopies) && slowStart.permits(worker)
+                && (task.openAttempts == 0 || context.settings.mayHedge) && slowStart.permits(worker)
                 && allowsRepeat(task, worker) && (task.attempts.isEmpty() || isWithinBudget(task));
     }
 
     private boolean hasAttemptsLeft(Task task) {
-        return task.attempts.size() < context.settings.mostAssignments;
+        return task.attempts.size() < context.settings.maxAttempts;
     }
 
     /** Its deadline is so near that only the final answer is left. */
@@ -37,7 +37,8 @@
         double left = budget.left(context.now());
         boolean hadOne = budget.isUsedBy(task.type);
         for (TrafficType other : context.settings.types) {
-            boolean goesFirst = other != task.type && (hadOne || other.earnings() > task.type.earnings());
+            boolean goesFirst =
+                    other != task.type && (hadOne || other.priorityWeight() > task.type.priorityWeight());
             left -= goesFirst && !budget.isUsedBy(other) ? 1 : 0;
         }
         return !budget.isStated() || left >= 1;
@@ -45,8 +46,8 @@
 
     /** Placement: where a traffic type may run at all. The draw goes by it, and each attempt asks again. */
     static boolean allowsPlacement(TrafficType type, Worker worker) {
-        return (type.zones() == null || type.zones().contains(worker.zone))
-                && (type.kinds() == null || type.kinds().contains(worker.kind));
+        return (type.allowedZones() == null || type.allowedZones().contains(worker.zone))
+                && (type.allowedKinds() == null || type.allowedKinds().contains(worker.kind));
     }
 
     /** What the traffic type allows at this worker, after the attempts so far. */
@@ -62,7 +63,8 @@
             if (runsThere || !task.type.mayRepeat()) {
                 return false;
             }
-            boolean isDropped = attempt.worker.sharesGroup(worker, task.type.group()) && isInWindow(attempt);
+            boolean isDropped =
+                    attempt.worker.sharesScope(worker, task.type.deduplicationScope()) && isInWindow(attempt);
             if (!task.type.isIdempotent() && !isDropped) {
                 return false;
             }
@@ -72,11 +74,12 @@
 
     private boolean isInWindow(Attempt attempt) {
         Span margin = context.settings.tick.times(MARGIN_TICKS);
-        return context.now().before(attempt.sentAt.plus(attempt.task.type.window()).minus(margin));
+        return context.now()
+                .before(attempt.sentAt.plus(attempt.task.type.deduplicationWindow()).minus(margin));
     }
 
     boolean mayHedge(Task task) {
-        return context.settings.mayCancel && context.settings.secondCopies && task.type.mayRepeat();
+        return context.settings.mayCancel && context.settings.mayHedge && task.type.mayRepeat();
     }
 
     /** It may queue at a second worker, whichever that is. */
@@ -100,9 +103,9 @@
         return task.type.mayRepeatAnywhere() || !task.mayHaveRun();
     }
 
-    /** Where only draining binds, a removed worker that is heard from may be sent to again. */
+    /** Where removal is advisory, a removed worker that is heard from may be sent to again. */
     void onContact(Worker worker) {
-        if (context.settings.onlyDrainingBinds && worker.removed && !worker.ready) {
+        if (context.settings.removalIsAdvisory && worker.removed && !worker.ready) {
             context.workers.setReady(worker, true);
         }
     }
--- a/src/main/java/rampshift/policy/EndpointListPolicy.java
+++ b/src/main/java/rampshift/policy/EndpointListPolicy.java
@@ -13,7 +13,7 @@
 
     EndpointListPolicy(PolicyContext context) {
         this.context = context;
-        if (context.settings.listOnRequest) {
+        if (context.settings.endpointListOnRequest) {
             subscribeAfter(Span.ZERO);
         }
     }
@@ -32,7 +32,7 @@
         if (kind == EndpointListKind.FAILED) {
             // Scattered, so that a restart of all dispatchers does not overload the list service.
             double spans = RESUBSCRIBE_ASK_SPANS * (0.5 + context.random.next());
-            subscribeAfter(context.settings.askWithin.times(spans));
+            subscribeAfter(context.settings.maxSubscribeDelay.times(spans));
         }
     }
 
--- a/src/main/java/rampshift/policy/EndpointState.java
+++ b/src/main/java/rampshift/policy/EndpointState.java
@@ -2,5 +2,5 @@
 
 /** What an endpoint list says of a worker. */
 public enum EndpointState {
-    READY, DRAINING, GONE
+    READY, DRAINING, REMOVED
 }
--- a/src/main/java/rampshift/policy/ExpectedValue.java
+++ b/src/main/java/rampshift/policy/ExpectedValue.java
@@ -28,14 +28,15 @@
 
     /** Until the task's latency objective, or its deadline where that is sooner; below zero: it is late. */
     Span timeLeft(Task task) {
-        Span objective = task.type.due().plus(context.runs.expected(task).times(task.type.stretch()));
+        Span objective = task.type.latencyObjective()
+                .plus(context.runs.expected(task).times(task.type.latencySlackFactor()));
         return task.firstAskedAt.plus(objective).orEarlier(task.deadline).since(context.now());
     }
 
     double ofTask(Task task) {
-        boolean byWork = context.settings.earningsByWork && task.runHint.micros() > 0;
+        boolean byWork = context.settings.valueScalesWithWork && task.runHint.micros() > 0;
         double work = byWork ? context.runs.expected(task).over(context.runs.mean()) : 1;
-        return task.type.earnings() * work * (1 - task.quotaDiscount);
+        return task.type.priorityWeight() * work * (1 - task.quotaDiscount);
     }
 
     boolean isGood(Task task, double worth) {
@@ -48,11 +49,12 @@
         Span run = estimates.run(worker, task);
         Span end = wait.plus(run);
         double inTime = inTime(task, wait, run);
-        double late = task.deadline.since(context.now()).longerThan(end) ? task.type.lateEarnings() : 0;
+        double late = task.deadline.since(context.now()).longerThan(end) ? task.type.lateValueShare() : 0;
         double value = ofTask(task);
         return value * (successShare(task, worker) * (inTime + (1 - inTime) * late)) - connectionCost(worker)
                 - queueCost(task, wait)
-                - SPAN_COST * value * Math.min(SPAN_COST_MAX_DUE_TIMES, end.over(task.type.due()));
+                - SPAN_COST * value
+                        * Math.min(SPAN_COST_MAX_DUE_TIMES, end.over(task.type.latencyObjective()));
     }
 
     private double successShare(Task task, Worker worker) {
@@ -68,9 +70,9 @@
     }
 
     private double connectionCost(Worker worker) {
-        double crossing = context.isOwnZone(worker) ? 0 : context.settings.crossingPrice;
-        boolean connected = worker.keepsConnection(context.now(), context.settings.connectionIdle);
-        double opening = connected ? 0 : context.settings.handshakePrice;
+        double crossing = context.isOwnZone(worker) ? 0 : context.settings.crossZoneCost;
+        boolean connected = worker.keepsConnection(context.now(), context.settings.connectionIdleTimeout);
+        double opening = connected ? 0 : context.settings.handshakeCost;
         return context.history.values.mean(1) * (crossing + opening);
     }
 
@@ -81,7 +83,7 @@
             // The last tasks tell of queues: by own slots alone wide ones were rejected by idle workers.
             double seenMs = estimates.shortTermMean(context.history.startDelaysMs, 0);
             Span seen = wait.orShorter(Span.ofMillis(seenMs));
-            Span due = Span.ofMillis(context.history.dueMs.mean(task.type.due().millis()));
+            Span due = Span.ofMillis(context.history.dueMs.mean(task.type.latencyObjective().millis()));
             double part = seen.over(seen.plus(due));
             share = QUEUE_COST * part * part; // little while waits are short against due times, then steep
         }
--- a/src/main/java/rampshift/policy/IdleConnections.java
+++ b/src/main/java/rampshift/policy/IdleConnections.java
@@ -16,7 +16,7 @@
     /** A connection to the worker has become idle. */
     void onIdle(Worker worker, Moment now) {
         worker.idleConnections.add(now);
-        if (settings.handshakePrice > 0) {
+        if (settings.handshakeCost > 0) {
             order.remove(worker);
             order.add(worker);
         }
@@ -24,9 +24,9 @@
 
     /** The workers to which one can be used again. */
     Stream<Worker> workers(Moment now) {
-        while (!order.isEmpty() && !order.peek().keepsConnection(now, settings.connectionIdle)) {
+        while (!order.isEmpty() && !order.peek().keepsConnection(now, settings.connectionIdleTimeout)) {
             order.poll();
         }
-        return order.stream().filter(worker -> worker.keepsConnection(now, settings.connectionIdle));
+        return order.stream().filter(worker -> worker.keepsConnection(now, settings.connectionIdleTimeout));
     }
 }
--- a/src/main/java/rampshift/policy/OutlierEjection.java
+++ b/src/main/java/rampshift/policy/OutlierEjection.java
@@ -117,7 +117,7 @@
             boolean heardSince = worker.lastContact != null && attempt.sentAt.before(worker.lastContact);
             Span quiet = context.since(heardSince ? worker.lastContact : attempt.sentAt);
             Span limit = attempt.predictedSpan.times(SILENCE_PREDICTED_SPANS)
-                    .orLonger(context.settings.progressEvery.times(SILENCE_PROGRESS_INTERVALS));
+                    .orLonger(context.settings.progressInterval.times(SILENCE_PROGRESS_INTERVALS));
             if (!attempt.cancelled && quiet.longerThan(limit)) {
                 return true;
             }
--- a/src/main/java/rampshift/policy/RetryBudget.java
+++ b/src/main/java/rampshift/policy/RetryBudget.java
@@ -16,13 +16,13 @@
 
     /** Whether there is such a rule. */
     boolean isStated() {
-        return settings.budgetSpan.micros() > 0;
+        return settings.retryBudgetWindow.micros() > 0;
     }
 
     void onTaskArrived(Moment now) {
         if (isStated()) {
             taken.add(now);
-            while (now.since(taken.peek()).longerThan(settings.budgetSpan)) {
+            while (now.since(taken.peek()).longerThan(settings.retryBudgetWindow)) {
                 taken.poll();
             }
         }
@@ -41,14 +41,14 @@
 
     /** How many more are lawful in the window that ends now; both its ends are a tick on the safe side. */
     double left(Moment now) {
-        Span span = settings.budgetSpan;
+        Span span = settings.retryBudgetWindow;
         while (!taken.isEmpty() && now.since(taken.peek()).longerThan(span.minus(settings.tick.times(2)))) {
             taken.poll();
         }
         while (!further.isEmpty() && now.since(further.peek().sentAt).longerThan(span.plus(settings.tick))) {
             further.poll();
         }
-        return settings.budgetFloor + settings.budgetShare * taken.size() - further.size();
+        return settings.retryBudgetMinimum + settings.retryBudgetRatio * taken.size() - further.size();
     }
 
     /** Whether a task of the type had a further attempt in the window. Two types may have equal rows. */
--- a/src/main/java/rampshift/policy/RetryPolicy.java
+++ b/src/main/java/rampshift/policy/RetryPolicy.java
@@ -32,7 +32,7 @@
         this.ejection = ejection;
         this.observer = observer;
         this.admission = admission;
-        hedgeTokens = Math.max(1, context.settings.wastePrice / CHEAP_WASTE_PRICE);
+        hedgeTokens = Math.max(1, context.settings.wastedWorkCost / CHEAP_WASTE_PRICE);
     }
 
     void onFirstAttempt() {
@@ -41,7 +41,7 @@
 
     /** Whether a hedge to the drawn worker is worth its price. */
     boolean hedgePays(Task task, Worker worker) {
-        boolean costsMuch = context.settings.crossingPrice > HEDGE_MAX_CROSSING_PRICE;
+        boolean costsMuch = context.settings.crossZoneCost > HEDGE_MAX_CROSSING_PRICE;
         if (!eligibility.mayHedge(task) || (costsMuch && !context.isOwnZone(worker))) {
             return false;
         }
@@ -96,7 +96,7 @@
 
     /** No answer will come: such counted as slow runs and full workers, and half of all was rejected. */
     private void noteLoss(Attempt attempt) {
-        Span every = context.settings.progressEvery;
+        Span every = context.settings.progressInterval;
         if (every.micros() > 0 && !attempt.lost
                 && context.since(attempt.lastToldAt()).longerThan(every.times(LOST_PROGRESS_INTERVALS))) {
             attempt.lost = true;
@@ -118,7 +118,7 @@
     }
 
     private double retryTokens(Attempt last) {
-        return last.startedAt != null ? hedgeTokens : context.settings.tellsStart ? QUEUE_PLACE_TOKENS : 1;
+        return last.startedAt != null ? hedgeTokens : context.settings.reportsStart ? QUEUE_PLACE_TOKENS : 1;
     }
 
     /** An attempt more is sent of a task in flight. */
--- a/src/main/java/rampshift/policy/RunTimes.java
+++ b/src/main/java/rampshift/policy/RunTimes.java
@@ -31,13 +31,13 @@
 
     /** The mean of all; the first type's due time until one is known. */
     Span mean() {
-        return Span.ofMillis(all.mean(types.get(0).due().millis()));
+        return Span.ofMillis(all.mean(types.get(0).latencyObjective().millis()));
     }
 
     /** What the task is expected to run on a middling worker. */
     Span expected(Task task) {
         return task.runHint.micros() > 0 ? task.runHint
-                : Span.ofMillis(byType[task.typeIndex].mean(task.type.due().millis()));
+                : Span.ofMillis(byType[task.typeIndex].mean(task.type.latencyObjective().millis()));
     }
 
     /** The last running times of the task's type, in milliseconds. */
--- a/src/main/java/rampshift/policy/SlowStart.java
+++ b/src/main/java/rampshift/policy/SlowStart.java
@@ -24,11 +24,11 @@
     /** The part of its full speed, over 0 to 1, that the worker has by its age. */
     double warmth(Worker worker) {
         Span age = context.since(worker.startedAt);
-        if (worker.startedAt.micros() <= 0 || !context.settings.coldFor.longerThan(age)) {
+        if (worker.startedAt.micros() <= 0 || !context.settings.slowStartDuration.longerThan(age)) {
             return 1;
         }
-        double from = context.settings.coldFrom;
-        return from + (1 - from) * Math.max(0, age.over(context.settings.coldFor));
+        double from = context.settings.slowStartInitialShare;
+        return from + (1 - from) * Math.max(0, age.over(context.settings.slowStartDuration));
     }
 
     boolean permits(Worker worker) {
@@ -37,7 +37,7 @@
 
     /** Sets the odds of cold workers in a draw that takes one in so many workers. */
     void beginDraw(double workersPerCandidate, double acceptedShare) {
-        double multiple = RUSH_MULTIPLE * context.settings.tipMultiple;
+        double multiple = RUSH_MULTIPLE * context.settings.slowStartMaxLoadMultiple;
         drawOdds = multiple * workersPerCandidate / context.workers.readyCount() * acceptedShare;
     }
 
@@ -48,7 +48,7 @@
 
     /** A first attempt was sent. What never ran earns nothing: it is taken back by a negative cost. */
     void earn(double costMeanRuns) {
-        double earned = CREDIT_SHARE * context.settings.tipMultiple * coldShare * costMeanRuns;
+        double earned = CREDIT_SHARE * context.settings.slowStartMaxLoadMultiple * coldShare * costMeanRuns;
         creditMeanRuns = Math.min(MAX_CREDIT_MEAN_RUNS, creditMeanRuns + earned);
     }
 
--- a/src/main/java/rampshift/policy/Task.java
+++ b/src/main/java/rampshift/policy/Task.java
@@ -53,7 +53,7 @@
         this.slots = Math.max(request.slots(), 1);
         this.memory = request.memory();
         this.deadline = now.plus(request.patience());
-        this.firstAskedAt = deadline.minus(type.expiry()).orEarlier(now);
+        this.firstAskedAt = deadline.minus(type.timeout()).orEarlier(now);
     }
 
     /** Forgets the candidates of the last draw. */
--- a/src/main/java/rampshift/policy/TaskHistory.java
+++ b/src/main/java/rampshift/policy/TaskHistory.java
@@ -20,7 +20,7 @@
     /** A task came that may earn so much. */
     void onTaskArrived(Task task, double value) {
         values.put(value);
-        dueMs.put(task.type.due().millis());
+        dueMs.put(task.type.latencyObjective().millis());
     }
 
     void onAttemptFinished(AttemptOutcome outcome, Moment now) {
--- a/src/main/java/rampshift/policy/TenantQuotas.java
+++ b/src/main/java/rampshift/policy/TenantQuotas.java
@@ -34,7 +34,7 @@
         // No quota for anybody: there is no share to go beyond, and nothing to divide by.
         double over =
                 quotas <= 0 ? 0 : 1 - settings.tenantQuotas.get(tenant) / quotas * here / rate(tenant, now);
-        return Math.max(0, over) * (1 - settings.excessEarnings);
+        return Math.max(0, over) * (1 - settings.overQuotaValueShare);
     }
 
     private double rate(int tenant, Moment now) {
--- a/src/main/java/rampshift/policy/Worker.java
+++ b/src/main/java/rampshift/policy/Worker.java
@@ -19,7 +19,7 @@
     boolean ready;
     /** Listed as draining, and not as ready since. */
     boolean draining;
-    /** Called gone by the last list that named it, or left out of a whole one, without having drained. */
+    /** Called removed by the last list that named it, or left out of a whole one, without having drained. */
     boolean removed;
     Moment startedAt = new Moment(0);
     /** Attempts still in flight, those cancelled included until their end is observed. */
@@ -120,8 +120,8 @@
     }
 
     /** Both drop a repeat of what the other has seen. */
-    boolean sharesGroup(Worker other, TrafficType.Group group) {
-        return switch (group) {
+    boolean sharesScope(Worker other, TrafficType.DeduplicationScope scope) {
+        return switch (scope) {
             case ALL -> true;
             case ZONE -> zone == other.zone;
             case CELL -> cell == other.cell;
--- a/src/main/java/rampshift/policy/WorkerEstimates.java
+++ b/src/main/java/rampshift/policy/WorkerEstimates.java
@@ -69,7 +69,7 @@
         boolean ranNone = worker.expectedRuns.count() == 0;
         double own = ranNone ? kind * warmth : worker.expectedRuns.sum() / worker.actualRuns.sum();
         for (Attempt attempt : worker.attempts) {
-            Moment startedAt = attempt.startedAt(context.settings.tellsStart);
+            Moment startedAt = attempt.startedAt(context.settings.reportsStart);
             if (startedAt != null && attempt.loadsWorker()) {
                 double due = context.runs.expected(attempt.task).millis();
                 double run = attempt.expectedRunMs(context.since(startedAt).millis());
@@ -139,7 +139,7 @@
         if (!context.settings.reportsLoad) {
             wait = wait.orLonger(startDelay(worker));
         }
-        if (context.settings.tellsStart) {
+        if (context.settings.reportsStart) {
             // An attempt that has not started shows the queue there, or a worker that hangs or is cut off.
             for (Attempt attempt : worker.attempts) {
                 if (attempt.startedAt == null && attempt.loadsWorker()) {
@@ -152,12 +152,12 @@
 
     /** How long an attempt may be out before a start message is missed: it queues, or is lost. */
     Span startLimit(Attempt attempt) {
-        return context.settings.tellsStart ? startLimit(attempt.task)
+        return context.settings.reportsStart ? startLimit(attempt.task)
                 : attempt.predictedSpan.times(OVERDUE_RUNS);
     }
 
     private static Span startLimit(Task task) {
-        return task.type.due().times(START_LIMIT_DUE_TIMES);
+        return task.type.latencyObjective().times(START_LIMIT_DUE_TIMES);
     }
 
     /** How long a worker is expected to be busy that has rejected an attempt as full. */
--- a/src/main/java/rampshift/policy/WorkerObserver.java
+++ b/src/main/java/rampshift/policy/WorkerObserver.java
@@ -28,7 +28,7 @@
     /** {@code share}: of its work that is done, 0 to 1. */
     void onAttemptProgress(Attempt attempt, double share) {
         if (attempt.startedAt == null) { // its start was not told: the first message comes so long after it
-            Moment from = context.now().minus(context.settings.progressEvery);
+            Moment from = context.now().minus(context.settings.progressInterval);
             attempt.startedAt = from.before(attempt.sentAt) ? attempt.sentAt : from;
         }
         attempt.progress = share;
@@ -47,7 +47,7 @@
 
     private void onRun(Attempt attempt) {
         Worker worker = attempt.worker;
-        Moment startedAt = attempt.startedAt(context.settings.tellsStart);
+        Moment startedAt = attempt.startedAt(context.settings.reportsStart);
         Span ran = context.since(startedAt != null ? startedAt : attempt.sentAt);
         if (startedAt != null) {
             // First, so that a type's first task does not make its worker look many times as fast or slow.
--- a/src/main/java/rampshift/policy/WorkerTable.java
+++ b/src/main/java/rampshift/policy/WorkerTable.java
@@ -73,9 +73,9 @@
         worker.kindStatistics = kinds.computeIfAbsent(entry.kind(), kind -> new KindStatistics());
         worker.kindStatistics.listedSize = Math.max(worker.kindStatistics.listedSize, entry.weight());
         worker.ready = entry.state() == EndpointState.READY;
-        boolean isGone = entry.state() == EndpointState.GONE;
-        worker.draining = entry.state() == EndpointState.DRAINING || (isGone && worker.draining);
-        worker.removed = isGone && !worker.draining;
+        boolean isRemoved = entry.state() == EndpointState.REMOVED;
+        worker.draining = entry.state() == EndpointState.DRAINING || (isRemoved && worker.draining);
+        worker.removed = isRemoved && !worker.draining;
         worker.startedAt = entry.startedAt();
         worker.servesBoundTypes = servesBoundTypes(worker);
         return worker;
--- a/src/main/java/rampshift/serve/Dispatcher.java
+++ b/src/main/java/rampshift/serve/Dispatcher.java
@@ -45,7 +45,7 @@
         Settings settings = configuration.settings().read(configuration.seed());
         HostSettings host = configuration.settings().hostSettings();
         ResourceLimits limits = ResourceLimits.of(configuration, host, extensionDescriptors);
-        longestDeadline = settings.types.stream().map(TrafficType::expiry).reduce(Span.ZERO, Span::orLonger);
+        longestDeadline = settings.types.stream().map(TrafficType::timeout).reduce(Span.ZERO, Span::orLonger);
         drainGrace = settings.drainGrace;
         pool = new ConnectionPool(thread, dialer, clock, host, counters, limits.workerConnections());
         tasks = new TaskRegistry();
--- a/src/main/java/rampshift/serve/ResourceLimits.java
+++ b/src/main/java/rampshift/serve/ResourceLimits.java
@@ -36,7 +36,7 @@
         int allClients = descriptors - workers;
         int spareClients = (int) (allClients * SPARE_CLIENT_SHARE);
         int clients = allClients - spareClients;
-        return new ResourceLimits(workers, clients, spareClients, Math.min(host.mostOpen(), clients),
+        return new ResourceLimits(workers, clients, spareClients, Math.min(host.maxConnections(), clients),
                 memoryShare(configuration, IN_FLIGHT_MEMORY_SHARE),
                 memoryShare(configuration, RECEIVING_MEMORY_SHARE));
     }
--- a/src/main/java/rampshift/settings/HostSettings.java
+++ b/src/main/java/rampshift/settings/HostSettings.java
@@ -11,10 +11,10 @@
  * @param types names of the traffic types, in that order
  * @param tenants names of the tenants, in that order
  * @param dialTimeout how long opening a connection to a worker may take
- * @param connectionIdle after which idle time a connection to a worker is closed
- * @param mostOpen how many connections to workers may be open at once, 1 or more
- * @param freeSlots the field of a load report that holds the free slots; null where there is none
- * @param freeMemory the field of a load report that holds the free memory; null where there is none
+ * @param connectionIdleTimeout after which idle time a connection to a worker is closed
+ * @param maxConnections how many connections to workers may be open at once, 1 or more
+ * @param freeSlotsField the field of a load report that holds the free slots; null where there is none
+ * @param freeMemoryField the field of a load report that holds the free memory; null where there is none
  */
 public record HostSettings(
         List<String> zones,
@@ -22,8 +22,8 @@
         List<String> types,
         List<String> tenants,
         Span dialTimeout,
-        Span connectionIdle,
-        int mostOpen,
-        String freeSlots,
-        String freeMemory) {
+        Span connectionIdleTimeout,
+        int maxConnections,
+        String freeSlotsField,
+        String freeMemoryField) {
 }
--- a/src/main/java/rampshift/settings/SettingsReader.java
+++ b/src/main/java/rampshift/settings/SettingsReader.java
@@ -53,7 +53,7 @@
         readDiscovery(settings);
         readFamily(settings, family, load);
         readCosts(settings, costs);
-        settings.connectionIdle = limits.span("ConnIdleMs", 0);
+        settings.connectionIdleTimeout = limits.span("ConnIdleMs", 0);
         readRules(settings, rules);
         readGoal(settings, root.object("Goal"));
         readSlowStart(settings, rules);
@@ -75,22 +75,22 @@
     }
 
     private static void readLimits(Settings settings, SettingsObject limits) {
-        settings.mostAssignments = (int) limits.requiredNumber("MostAssignments");
+        settings.maxAttempts = (int) limits.requiredNumber("MostAssignments");
         settings.mayProbe = limits.flag("MayProbe");
         settings.mayCancel = limits.flag("Cancel");
-        settings.secondCopies = limits.flag("SecondCopies");
-        settings.comeBackAdvice = limits.flag("RetryAfter");
-        settings.longestComeBack = limits.span("MaxRetryAfterMs", 0);
+        settings.mayHedge = limits.flag("SecondCopies");
+        settings.retryAfterHints = limits.flag("RetryAfter");
+        settings.maxRetryAfter = limits.span("MaxRetryAfterMs", 0);
     }
 
     private void readDiscovery(Settings settings) {
-        settings.listOnRequest = root.is("Discovery", "on_request");
+        settings.endpointListOnRequest = root.is("Discovery", "on_request");
         settings.liveWeights = root.is("WeightSource", "live");
     }
 
     private static void readFamily(Settings settings, SettingsObject family, SettingsObject load) {
-        settings.tellsStart = family.flag("TellsStart");
-        settings.progressEvery = family.span("ProgressMs", 0);
+        settings.reportsStart = family.flag("TellsStart");
+        settings.progressInterval = family.span("ProgressMs", 0);
         settings.reportsLoad = reportsLoad(load);
     }
 
@@ -105,21 +105,21 @@
     }
 
     private void readCosts(Settings settings, SettingsObject costs) {
-        settings.earningsByWork = root.is("EarningsBy", "work");
-        settings.excessEarnings = root.number("ExcessEarnings", 1);
-        settings.crossingPrice = costs.number("CrossZone", 0);
-        settings.wastePrice = costs.number("Waste", 0);
-        settings.handshakePrice = costs.number("Handshake", 0);
+        settings.valueScalesWithWork = root.is("EarningsBy", "work");
+        settings.overQuotaValueShare = root.number("ExcessEarnings", 1);
+        settings.crossZoneCost = costs.number("CrossZone", 0);
+        settings.wastedWorkCost = costs.number("Waste", 0);
+        settings.handshakeCost = costs.number("Handshake", 0);
     }
 
     private static void readRules(Settings settings, SettingsObject rules) {
-        settings.askWithin = rules.span("AskWithinMs", 0);
+        settings.maxSubscribeDelay = rules.span("AskWithinMs", 0);
         settings.drainGrace = rules.span("StopSendingWithinMs", 0);
-        settings.onlyDrainingBinds = rules.strictFlag("OnlyDrainingBinds");
+        settings.removalIsAdvisory = rules.strictFlag("OnlyDrainingBinds");
         if (rules.has("ExtraFloor") || rules.has("RepeatRatio")) {
-            settings.budgetFloor = rules.numberOfAtLeast(0, "ExtraFloor");
-            settings.budgetShare = rules.numberOfAtLeast(0, "RepeatRatio");
-            settings.budgetSpan = Span.ofMillis(rules.numberOfAtLeast(1, "RatioSpanMs"));
+            settings.retryBudgetMinimum = rules.numberOfAtLeast(0, "ExtraFloor");
+            settings.retryBudgetRatio = rules.numberOfAtLeast(0, "RepeatRatio");
+            settings.retryBudgetWindow = Span.ofMillis(rules.numberOfAtLeast(1, "RatioSpanMs"));
         }
     }
 
@@ -130,15 +130,15 @@
             for (String part : List.of("Whole", "WorstWindow", "WorstClass", "WorstTenant")) {
                 all += goal.number(part, 0);
             }
-            settings.tailWeight = kept / all;
-            settings.tailBorne = goal.numberOfAtLeast(0, "BorneMisses");
+            settings.lateShareWeight = kept / all;
+            settings.toleratedLateShare = goal.numberOfAtLeast(0, "BorneMisses");
         }
     }
 
     private static void readSlowStart(Settings settings, SettingsObject rules) {
-        settings.coldFrom = rules.number("ColdFrom", 1);
-        settings.coldFor = rules.span("ColdMs", 0);
-        settings.tipMultiple = rules.number("TipMultiple", 1);
+        settings.slowStartInitialShare = rules.number("ColdFrom", 1);
+        settings.slowStartDuration = rules.span("ColdMs", 0);
+        settings.slowStartMaxLoadMultiple = rules.number("TipMultiple", 1);
     }
 
     private void readTrafficTypes(Settings settings, SettingsObject family) {
--- a/src/main/java/rampshift/settings/TrafficTypeReader.java
+++ b/src/main/java/rampshift/settings/TrafficTypeReader.java
@@ -22,16 +22,16 @@
     TrafficType read(int index, Object value) {
         SettingsObject row = SettingsObject.of("TrafficTypes", value);
         Set<Integer> kinds = kinds(index, row);
-        double latencySlack = row.number("AimStretch", family.element("ClassStretch", index, 0));
+        double latencySlackFactor = row.number("AimStretch", family.element("ClassStretch", index, 0));
         double priorityWeight = row.number("Earnings", 1);
-        double lateWeight = row.number("TardyEarnings", 0);
+        double lateValueShare = row.number("TardyEarnings", 0);
         Span latencyObjective = Span.ofMillis(row.requiredNumber("DueTimeMs"));
-        Span deadline = Span.ofMillis(row.requiredNumber("ExpiryMs"));
-        Span idempotencyWindow = row.span("WindowMs", 0);
+        Span timeout = Span.ofMillis(row.requiredNumber("ExpiryMs"));
+        Span deduplicationWindow = row.span("WindowMs", 0);
         Set<Integer> zones = row.indexes("RunsIn", zoneCount);
-        return new TrafficType(priorityWeight, lateWeight, latencyObjective, latencySlack, deadline,
+        return new TrafficType(priorityWeight, lateValueShare, latencyObjective, latencySlackFactor, timeout,
                 effect(row),
-                group(row), idempotencyWindow, zones, kinds);
+                deduplicationScope(row), deduplicationWindow, zones, kinds);
     }
 
     /** The kinds of workers that may run the type; null for any. */
@@ -52,14 +52,15 @@
         if (row.is("Effect", "safe")) {
             return TrafficType.Effect.IDEMPOTENT;
         }
-        return row.is("Effect", "keyed") ? TrafficType.Effect.FINGERPRINTED
-                : TrafficType.Effect.SIDE_EFFECTING;
+        return row.is("Effect", "keyed") ? TrafficType.Effect.KEYED
+                : TrafficType.Effect.NON_IDEMPOTENT;
     }
 
-    private static TrafficType.Group group(SettingsObject row) {
+    private static TrafficType.DeduplicationScope deduplicationScope(SettingsObject row) {
         if (row.is("DedupScope", "all")) {
-            return TrafficType.Group.ALL;
+            return TrafficType.DeduplicationScope.ALL;
         }
-        return row.is("DedupScope", "zone") ? TrafficType.Group.ZONE : TrafficType.Group.CELL;
+        return row.is("DedupScope", "zone") ? TrafficType.DeduplicationScope.ZONE
+                : TrafficType.DeduplicationScope.CELL;
     }
 }
--- a/src/main/java/rampshift/simulator/PolicyInstance.java
+++ b/src/main/java/rampshift/simulator/PolicyInstance.java
@@ -125,7 +125,7 @@
         return switch (code) {
             case "IN" -> EndpointState.READY;
             case "LAME" -> EndpointState.DRAINING;
-            default -> EndpointState.GONE;
+            default -> EndpointState.REMOVED;
         };
     }
 
--- a/src/main/java/rampshift/workers/ConnectionPool.java
+++ b/src/main/java/rampshift/workers/ConnectionPool.java
@@ -55,9 +55,9 @@
         this.settings = settings;
         this.counters = counters;
         this.maxConnections = maxConnections;
-        loadReportReader = new LoadReportReader(settings.freeSlots(), settings.freeMemory());
+        loadReportReader = new LoadReportReader(settings.freeSlotsField(), settings.freeMemoryField());
         idleConnections = new IdleConnectionCache(endpoints.values(), clock, counters,
-                settings.connectionIdle().times(MAX_IDLE_SHARE));
+                settings.connectionIdleTimeout().times(MAX_IDLE_SHARE));
         lingeringExchanges = new LingeringExchanges(clock);
         scheduleCleanup();
     }
@@ -199,7 +199,8 @@
     /** Whether an idle connection has turned out to be stale lately. */
     boolean hasRecentStaleConnection() {
         return lastStaleAt != null
-                && !clock.now().since(lastStaleAt).longerThan(settings.connectionIdle().times(STALE_SHARE));
+                && !clock.now().since(lastStaleAt)
+                        .longerThan(settings.connectionIdleTimeout().times(STALE_SHARE));
     }
 
     /** An idle connection to the worker was stale: the others may have been reset too and are closed. */
--- a/src/test/java/rampshift/FileCompatibilityTest.java
+++ b/src/test/java/rampshift/FileCompatibilityTest.java
@@ -56,7 +56,7 @@
         assertEquals(192, configuration.memoryMb());
         assertEquals(1024, configuration.sockets());
         assertEquals(List.of("one", "two"), configuration.settings().hostSettings().zones());
-        assertTrue(configuration.settings().read(configuration.seed()).tellsStart);
+        assertTrue(configuration.settings().read(configuration.seed()).reportsStart);
         byte[] known = configuration.knownEndpoints();
         assertEquals(8, EndpointListParser.parse(known, known.length).endpoints().size());
         assertArrayEquals("{\"rev\":1,".getBytes(StandardCharsets.UTF_8), Arrays.copyOf(known, 9));
--- a/src/test/java/rampshift/migrate/MigrateCommandTest.java
+++ b/src/test/java/rampshift/migrate/MigrateCommandTest.java
@@ -87,9 +87,9 @@
         var settings = read(migrated).settings().read(1);
         assertFalse(settings.reportsLoad);
         assertFalse(settings.liveWeights);
-        assertTrue(settings.listOnRequest);
+        assertTrue(settings.endpointListOnRequest);
         assertEquals(2, settings.zone);
-        assertEquals(4000, settings.askWithin.millis());
+        assertEquals(4000, settings.maxSubscribeDelay.millis());
         assertNull(read(migrated).knownEndpoints(), "workers of the old house");
         assertArrayEquals(before, Files.readAllBytes(old), "the old one is the way back");
         assertEquals("rw-r-----", PosixFilePermissions.toString(Files.getPosixFilePermissions(migrated)));
--- a/src/test/java/rampshift/policy/AdmissionTest.java
+++ b/src/test/java/rampshift/policy/AdmissionTest.java
@@ -34,7 +34,7 @@
     @CsvSource({"0,0", "0.2,1"})
     void whereTheTailCountsWhatIsLikelyLateIsRejected(double tail, int bounces) {
         FakeHost host = new FakeHost();
-        host.settings.tailWeight = tail;
+        host.settings.lateShareWeight = tail;
         host.fleet(1).train(NON_IDEMPOTENT, 40, 100);
         host.task(NON_IDEMPOTENT, 0, 5000 - 312);     // 88 ms are left for a run of 100
         assertEquals(bounces, host.count("reject"), "about a third in time");
@@ -49,7 +49,8 @@
     void aTaskWorthLessThanItsCapacityIsRejectedWhereCapacityIsShort(int full, int dear) {
         FakeHost host = new FakeHost();
         host.settings.types.add(new TrafficType(8, 0, Span.ofMillis(100), 3, Span.ofMillis(5000),
-                TrafficType.Effect.SIDE_EFFECTING, TrafficType.Group.ALL, Span.ofMillis(1000), null, null));
+                TrafficType.Effect.NON_IDEMPOTENT, TrafficType.DeduplicationScope.ALL, Span.ofMillis(1000),
+                null, null));
         host.fleet(6).train(4, 30, 50).train(NON_IDEMPOTENT, 30, 50);
         for (int i = 0; i < full; i++) {
             long id = host.task(4);
--- a/src/test/java/rampshift/policy/CandidateSamplerTest.java
+++ b/src/test/java/rampshift/policy/CandidateSamplerTest.java
@@ -16,8 +16,8 @@
 
     private static int workersUsed(double price, double idleMs) {
         FakeHost host = new FakeHost();
-        host.settings.handshakePrice = price;
-        host.settings.connectionIdle = Span.ofMillis(idleMs);
+        host.settings.handshakeCost = price;
+        host.settings.connectionIdleTimeout = Span.ofMillis(idleMs);
         host.fleet(40);
         for (int w = 1; w <= 40; w++) {
             host.free(w, 4);
@@ -52,7 +52,7 @@
         for (int full = 0; full < 2; full++) {
             FakeHost host = new FakeHost();
             host.settings.mayProbe = true;
-            host.bound(SAFE, TrafficType.Group.ALL, null, Set.of(1));
+            host.bound(SAFE, TrafficType.DeduplicationScope.ALL, null, Set.of(1));
             host.places(HERE, OTHER_KIND, HERE, OTHER_KIND, HERE, OTHER_KIND, HERE, OTHER_KIND);
             for (int round = 0; round < 8; round++) {
                 for (long id = 1; id <= 8; id++) {
--- a/src/test/java/rampshift/policy/EligibilityTest.java
+++ b/src/test/java/rampshift/policy/EligibilityTest.java
@@ -73,7 +73,7 @@
             host.finished(id, n, AttemptOutcome.ERRED);
         }
         assertTrue(host.count("forward " + id + " ") > 1);
-        assertTrue(host.count("forward " + id + " ") <= host.settings.mostAssignments);
+        assertTrue(host.count("forward " + id + " ") <= host.settings.maxAttempts);
         assertEquals(1, host.count("reject " + id + " "));
     }
 
@@ -91,11 +91,11 @@
     }
 
     @ParameterizedTest
-    @CsvSource({"GONE,true,true", "GONE,false,false", "DRAINING,true,false"})
+    @CsvSource({"REMOVED,true,true", "REMOVED,false,false", "DRAINING,true,false"})
     void aRemovedWorkerThatIsHeardFromIsSentToWhereOnlyDrainingBinds(EndpointState state, boolean only,
             boolean sent) {
         FakeHost host = new FakeHost();
-        host.settings.onlyDrainingBinds = only;
+        host.settings.removalIsAdvisory = only;
         long id = host.fleet(1).task(NON_IDEMPOTENT);
         host.change(1, state, 0).task(NON_IDEMPOTENT);
         assertEquals(1, host.count("forward"), "nothing was heard of it since");
@@ -106,9 +106,9 @@
     @Test
     void aWorkerThatDrainedBeforeItWasRemovedIsNotSentTo() {
         FakeHost host = new FakeHost();
-        host.settings.onlyDrainingBinds = true;
+        host.settings.removalIsAdvisory = true;
         long id = host.fleet(1).task(NON_IDEMPOTENT);
-        host.change(1, EndpointState.DRAINING, 0).change(1, EndpointState.GONE, 0)
+        host.change(1, EndpointState.DRAINING, 0).change(1, EndpointState.REMOVED, 0)
                 .started(id, 0)
                 .task(NON_IDEMPOTENT);
         assertEquals(1, host.count("forward"));
@@ -116,9 +116,9 @@
 
     private static FakeHost budgeted() {
         FakeHost host = new FakeHost();
-        host.settings.budgetFloor = 2;
-        host.settings.budgetShare = 0.1;
-        host.settings.budgetSpan = Span.ofMillis(5000);
+        host.settings.retryBudgetMinimum = 2;
+        host.settings.retryBudgetRatio = 0.1;
+        host.settings.retryBudgetWindow = Span.ofMillis(5000);
         return host;
     }
 
@@ -203,7 +203,7 @@
     private static void relist(FakeHost host, String story) {
         switch (story) {
             case "drains" -> host.place(4, 1, 2, 0, EndpointState.DRAINING, 0);
-            case "gone" -> host.place(4, 1, 2, 0, EndpointState.GONE, 0);
+            case "gone" -> host.place(4, 1, 2, 0, EndpointState.REMOVED, 0);
             case "is listed elsewhere" -> host.place(4, 0, 2, 0, EndpointState.READY, 0);
             case "is listed as another kind" -> host.place(4, 1, 2, 1, EndpointState.READY, 0);
             default -> {
@@ -220,9 +220,9 @@
             "is listed as another kind"})
     void aBoundTaskGoesNowhereElseWhateverHappensToTheOnlyWorkerThatItMayGoTo(String what) {
         FakeHost host = new FakeHost();
-        host.settings.coldFrom = 0.1;
-        host.settings.coldFor = Span.ofMillis(60_000);
-        int type = host.bound(SAFE, TrafficType.Group.ALL, Set.of(1), Set.of(0));
+        host.settings.slowStartInitialShare = 0.1;
+        host.settings.slowStartDuration = Span.ofMillis(60_000);
+        int type = host.bound(SAFE, TrafficType.DeduplicationScope.ALL, Set.of(1), Set.of(0));
         host.places(HERE, HERE, OTHER_KIND, THERE, new int[]{1, 2, 1}).train(IDEMPOTENT, 20, 50);
         if (what.equals("is cold")) {
             host.place(4, 1, 2, 0, EndpointState.READY, host.now());
@@ -255,7 +255,7 @@
     @Test
     void hedgesKeepToThePlacement() {
         FakeHost host = new FakeHost();
-        int type = host.bound(SAFE, TrafficType.Group.ALL, null, Set.of(1));
+        int type = host.bound(SAFE, TrafficType.DeduplicationScope.ALL, null, Set.of(1));
         host.places(HERE, HERE, HERE, OTHER_KIND, HERE, OTHER_KIND).train(NON_IDEMPOTENT, 40, 50);
         Set<Long> used = new HashSet<>();
         int most = 0;
@@ -276,7 +276,8 @@
     @Test
     void aBoundTaskThatMayHaveRunFailsWhereNoAllowedWorkerIsLeft() {
         FakeHost host = new FakeHost();
-        int type = host.bound(TrafficType.Effect.SIDE_EFFECTING, TrafficType.Group.ALL, Set.of(1), null);
+        int type = host.bound(TrafficType.Effect.NON_IDEMPOTENT, TrafficType.DeduplicationScope.ALL,
+                Set.of(1), null);
         host.places(HERE, HERE, HERE, THERE);
         long id = host.task(type);
         assertEquals(4, host.worker(id, 0));
@@ -294,7 +295,7 @@
     @Test
     void aKeyedTaskIsRetriedNeitherOutsideItsGroupNorItsPlacement() {
         FakeHost host = new FakeHost();
-        int type = host.bound(TrafficType.Effect.FINGERPRINTED, TrafficType.Group.CELL, null, Set.of(1));
+        int type = host.bound(TrafficType.Effect.KEYED, TrafficType.DeduplicationScope.CELL, null, Set.of(1));
         host.places(HERE, OTHER_KIND, new int[]{0, 2, 1}, new int[]{0, 3, 1}).train(NON_IDEMPOTENT, 20, 50);
         for (int i = 0; i < 10; i++) {
             long id = host.task(type);
@@ -311,7 +312,7 @@
     void aWorkerRelistedAsAnotherKindAfterTheDrawGetsNoBoundTask() {
         FakeHost host = new FakeHost();
         host.settings.mayProbe = true;
-        int type = host.bound(SAFE, TrafficType.Group.ALL, null, Set.of(1));
+        int type = host.bound(SAFE, TrafficType.DeduplicationScope.ALL, null, Set.of(1));
         host.places(HERE, OTHER_KIND);
         long id = host.task(type);
         assertEquals(1, host.count("probe 2"));
@@ -324,7 +325,8 @@
     @Test
     void placementGoesByZoneAndKind() {
         TrafficType type = new TrafficType(1, 0, Span.ofMillis(100), 3, Span.ofMillis(5000),
-                TrafficType.Effect.IDEMPOTENT, TrafficType.Group.ALL, Span.ZERO, Set.of(1), Set.of(0, 2));
+                TrafficType.Effect.IDEMPOTENT, TrafficType.DeduplicationScope.ALL, Span.ZERO, Set.of(1),
+                Set.of(0, 2));
         Worker worker = new Worker(1);
         worker.zone = 1;
         worker.kind = 2;
--- a/src/test/java/rampshift/policy/EndpointListPolicyTest.java
+++ b/src/test/java/rampshift/policy/EndpointListPolicyTest.java
@@ -12,8 +12,8 @@
     @Test
     void aLostSubscriptionIsRenewedSpacedOutAndInTime() {
         FakeHost host = new FakeHost();
-        host.settings.listOnRequest = true;
-        host.settings.askWithin = Span.ofMillis(10_000);
+        host.settings.endpointListOnRequest = true;
+        host.settings.maxSubscribeDelay = Span.ofMillis(10_000);
         host.fleet(2);
         assertEquals(1, host.count("subscribe"));
         host.policy().onEndpointListBegin(EndpointListKind.FAILED);
--- a/src/test/java/rampshift/policy/ExpectedValueTest.java
+++ b/src/test/java/rampshift/policy/ExpectedValueTest.java
@@ -22,7 +22,7 @@
         int[] rejected = new int[2];
         for (int tenant = 0; tenant < 2; tenant++) {
             FakeHost host = new FakeHost();
-            host.settings.excessEarnings = 0.1;
+            host.settings.overQuotaValueShare = 0.1;
             host.settings.tenantQuotas.add(1000.0);
             host.settings.tenantQuotas.add(1.0);
             host.fleet(1).train(NON_IDEMPOTENT, 30, 100).free(1, 2);
@@ -42,7 +42,7 @@
     @Test
     void aCostlyCrossingIsMadeOnlyWhenTheOwnZoneWouldBeLate() {
         FakeHost host = new FakeHost();
-        host.settings.crossingPrice = 0.2;
+        host.settings.crossZoneCost = 0.2;
         host.policy().onEndpointListBegin(EndpointListKind.CACHED);
         host.policy().onEndpoint(new ListedWorker(1, 0, 1, 0, EndpointState.READY, host.longAgo(), 1));
         host.policy().onEndpoint(new ListedWorker(2, 1, 2, 0, EndpointState.READY, host.longAgo(), 1));
@@ -64,7 +64,7 @@
     void withoutAnyQuotaTheIdleCandidateIsStillTheBest() {
         FakeHost host = new FakeHost();
         host.settings.tenantQuotas.add(0.0);
-        host.settings.excessEarnings = 0;
+        host.settings.overQuotaValueShare = 0;
         host.fleet(6).train(NON_IDEMPOTENT, 40, 50);
         for (int i = 0; i < 10; i++) {
             for (int w = 1; w <= 5; w++) {
@@ -82,7 +82,7 @@
         FakeHost host = new FakeHost();
         host.settings.tenantQuotas.add(50.0);
         host.settings.tenantQuotas.add(50.0);
-        host.settings.excessEarnings = 0;
+        host.settings.overQuotaValueShare = 0;
         host.fleet(6);
         for (int i = 0; i < 100; i++) {
             long id = host.after(1).task(NON_IDEMPOTENT, i % 2);
@@ -95,7 +95,8 @@
     void aLongTaskDoesNotQueueWhereAShortOneWould() {
         FakeHost host = new FakeHost();
         host.settings.types.add(new TrafficType(1, 0, Span.ofMillis(4000), 3, Span.ofMillis(20_000),
-                TrafficType.Effect.SIDE_EFFECTING, TrafficType.Group.ALL, Span.ZERO, null, null));
+                TrafficType.Effect.NON_IDEMPOTENT, TrafficType.DeduplicationScope.ALL, Span.ZERO, null,
+                null));
         host.fleet(1).train(NON_IDEMPOTENT, 30, 50).train(4, 3, 1000).free(1, 2);
         host.task(NON_IDEMPOTENT);
         host.task(NON_IDEMPOTENT);
@@ -112,7 +113,7 @@
     @Test
     void aTypeThatAWorkerLosesGoesElsewhereAndOnlyThat() {
         FakeHost host = new FakeHost();
-        host.settings.progressEvery = Span.ofMillis(1000);
+        host.settings.progressInterval = Span.ofMillis(1000);
         host.fleet(2).train(NON_IDEMPOTENT, 40, 50).train(IDEMPOTENT, 40, 50);
         long lost = host.worker(host.task(NON_IDEMPOTENT), 0);
         for (int i = 0; i < 40; i++) {
@@ -140,8 +141,8 @@
     @CsvSource({"false,1", "true,0"})
     void whereValueGoesByWorkALightTaskIsWorthLessThanAHeavyOne(boolean byWork, int light) {
         FakeHost host = new FakeHost();
-        host.settings.earningsByWork = byWork;
-        host.settings.crossingPrice = 0.05;
+        host.settings.valueScalesWithWork = byWork;
+        host.settings.crossZoneCost = 0.05;
         host.places(THERE, THERE);
         for (int i = 0; i < 20; i++) {
             long id = host.hinted(IDEMPOTENT, 100, 5000);
--- a/src/test/java/rampshift/policy/FakeHost.java
+++ b/src/test/java/rampshift/policy/FakeHost.java
@@ -22,21 +22,22 @@
 
     FakeHost() {
         settings.seed = 7;
-        settings.mostAssignments = 5;
+        settings.maxAttempts = 5;
         settings.mayCancel = true;
-        settings.secondCopies = true;
-        settings.tellsStart = true;
-        settings.comeBackAdvice = true;
-        settings.longestComeBack = Span.ofMillis(2000);
-        bound(TrafficType.Effect.IDEMPOTENT, TrafficType.Group.ALL, null, null);
-        bound(TrafficType.Effect.FINGERPRINTED, TrafficType.Group.CELL, null, null);
-        bound(TrafficType.Effect.SIDE_EFFECTING, TrafficType.Group.ALL, null, null);
-        bound(TrafficType.Effect.FINGERPRINTED, TrafficType.Group.ALL, null, null);
+        settings.mayHedge = true;
+        settings.reportsStart = true;
+        settings.retryAfterHints = true;
+        settings.maxRetryAfter = Span.ofMillis(2000);
+        bound(TrafficType.Effect.IDEMPOTENT, TrafficType.DeduplicationScope.ALL, null, null);
+        bound(TrafficType.Effect.KEYED, TrafficType.DeduplicationScope.CELL, null, null);
+        bound(TrafficType.Effect.NON_IDEMPOTENT, TrafficType.DeduplicationScope.ALL, null, null);
+        bound(TrafficType.Effect.KEYED, TrafficType.DeduplicationScope.ALL, null, null);
     }
 
     /** Adds a type that may go only to these zones and kinds; null: any. The result is its number. */
-    int bound(TrafficType.Effect effect, TrafficType.Group group, Set<Integer> zones, Set<Integer> kinds) {
-        settings.types.add(new TrafficType(1, 0, Span.ofMillis(100), 3, Span.ofMillis(5000), effect, group,
+    int bound(TrafficType.Effect effect, TrafficType.DeduplicationScope scope, Set<Integer> zones,
+            Set<Integer> kinds) {
+        settings.types.add(new TrafficType(1, 0, Span.ofMillis(100), 3, Span.ofMillis(5000), effect, scope,
                 Span.ofMillis(1000), zones, kinds));
         return settings.types.size() - 1;
     }
--- a/src/test/java/rampshift/policy/OutlierEjectionTest.java
+++ b/src/test/java/rampshift/policy/OutlierEjectionTest.java
@@ -97,7 +97,7 @@
     @Test
     void tasksThatFailAnywhereCostOneAttemptOnceThatIsKnown() {
         FakeHost host = new FakeHost();
-        host.settings.secondCopies = false;
+        host.settings.mayHedge = false;
         failing(host.fleet(12), 3);
         int known = host.count("forward");
         failing(host, 10);
@@ -147,7 +147,7 @@
     void aWorkerIsSilentOnceNothingWasHeardForSeveralPredictedSpans() {
         Settings settings = new Settings();
         settings.types.add(new TrafficType(1, 0, Span.ofMillis(100), 3, Span.ofMillis(5000),
-                TrafficType.Effect.IDEMPOTENT, TrafficType.Group.ALL, Span.ZERO, null, null));
+                TrafficType.Effect.IDEMPOTENT, TrafficType.DeduplicationScope.ALL, Span.ZERO, null, null));
         PolicyContext context = new PolicyContext(settings, Moment.ofMillis(1000));
         OutlierEjection ejection =
                 new OutlierEjection(context, new WorkerEstimates(context, new SlowStart(context)));
--- a/src/test/java/rampshift/policy/RetryPolicyTest.java
+++ b/src/test/java/rampshift/policy/RetryPolicyTest.java
@@ -22,7 +22,7 @@
     @Test
     void costlyWasteLimitsHedgesButNotPlacesInQueues() {
         FakeHost host = new FakeHost();
-        host.settings.wastePrice = 0.5;
+        host.settings.wastedWorkCost = 0.5;
         host.fleet(6).train(IDEMPOTENT, 200, 50);
         assertTrue(host.count("forward") <= 200 + 200 / 5 / 5, "a tenth of the fifth");
         long id = host.task(IDEMPOTENT);
@@ -35,7 +35,7 @@
     void noHedgesWhereCancelsOrHedgesAreNotAllowed(boolean cancel, boolean copies) {
         FakeHost host = new FakeHost();
         host.settings.mayCancel = cancel;
-        host.settings.secondCopies = copies;
+        host.settings.mayHedge = copies;
         host.fleet(6).train(IDEMPOTENT, 50, 50);
         assertEquals(50, host.count("forward"));
     }
@@ -56,8 +56,8 @@
     @Test
     void aTaskWhoseAnswerIsLostIsGivenUpAtOnceWhereNoRetryIsLawful() {
         FakeHost host = new FakeHost();
-        host.settings.progressEvery = Span.ofMillis(1000);
-        host.settings.mostAssignments = 1;
+        host.settings.progressInterval = Span.ofMillis(1000);
+        host.settings.maxAttempts = 1;
         host.fleet(3);
         long sale = host.task(NON_IDEMPOTENT);
         long look = host.task(IDEMPOTENT);
@@ -75,7 +75,7 @@
     @CsvSource({"1,fail", "3,reject"})
     void aLostKeyedTaskIsGivenUpWhenItsWindowIsOver(int type, String answer) {
         FakeHost host = new FakeHost();
-        host.settings.progressEvery = Span.ofMillis(500);
+        host.settings.progressInterval = Span.ofMillis(500);
         host.fleet(1);
         long id = host.task(type);
         host.started(id, 0);
@@ -92,7 +92,7 @@
     @Test
     void aQueuedTaskIsNotGivenUpWhileItsWorkerIsHeardFrom() {
         FakeHost host = new FakeHost();
-        host.settings.progressEvery = Span.ofMillis(500);
+        host.settings.progressInterval = Span.ofMillis(500);
         host.fleet(1);
         long runs = host.task(NON_IDEMPOTENT);
         host.started(runs, 0);
@@ -112,7 +112,7 @@
     @Test
     void aStuckTaskIsRetriedAtAnyWorkerThatIsWorthItsCost() {
         FakeHost host = new FakeHost();
-        host.settings.handshakePrice = 0.6;
+        host.settings.handshakeCost = 0.6;
         host.fleet(4).train(NON_IDEMPOTENT, 20, 50);
         long id = host.task(IDEMPOTENT);
         host.after(40);
--- a/src/test/java/rampshift/policy/SlowStartFleetTest.java
+++ b/src/test/java/rampshift/policy/SlowStartFleetTest.java
@@ -98,19 +98,19 @@
         Dispatcher(long seed) {
             Settings s = new Settings();
             s.seed = seed;
-            s.mostAssignments = 3;
+            s.maxAttempts = 3;
             s.mayCancel = true;
-            s.secondCopies = true;
-            s.tellsStart = true;
-            s.comeBackAdvice = true;
-            s.longestComeBack = Span.ofMillis(2000);
-            s.coldFrom = FROM;
-            s.coldFor = Span.ofMillis(COLD_MS);
-            s.tipMultiple = TIP;
+            s.mayHedge = true;
+            s.reportsStart = true;
+            s.retryAfterHints = true;
+            s.maxRetryAfter = Span.ofMillis(2000);
+            s.slowStartInitialShare = FROM;
+            s.slowStartDuration = Span.ofMillis(COLD_MS);
+            s.slowStartMaxLoadMultiple = TIP;
             for (TrafficType.Effect e : new TrafficType.Effect[]{TrafficType.Effect.IDEMPOTENT,
-                    TrafficType.Effect.SIDE_EFFECTING}) {
+                    TrafficType.Effect.NON_IDEMPOTENT}) {
                 s.types.add(new TrafficType(1, 0, Span.ofMillis(150), 3, Span.ofMillis(3000), e,
-                        TrafficType.Group.ALL, Span.ofMillis(1000), null, null));
+                        TrafficType.DeduplicationScope.ALL, Span.ofMillis(1000), null, null));
             }
             policy = new DispatchPolicy(s, Moment.ofMillis(now));
             list(EndpointListKind.CACHED, machines);
--- a/src/test/java/rampshift/policy/SlowStartTest.java
+++ b/src/test/java/rampshift/policy/SlowStartTest.java
@@ -18,9 +18,9 @@
     @Test
     void aFleetThatIsColdAsAWholeGetsWhatItCanDoNow() {
         FakeHost host = new FakeHost();
-        host.settings.coldFrom = 0.5;
-        host.settings.coldFor = Span.ofMillis(1_000_000);
-        host.settings.tipMultiple = 2;
+        host.settings.slowStartInitialShare = 0.5;
+        host.settings.slowStartDuration = Span.ofMillis(1_000_000);
+        host.settings.slowStartMaxLoadMultiple = 2;
         host.settings.reportsLoad = false;
         host.fleet(0).change(1, true, host.now() - 1).change(2, true, host.now() - 1);
         host.train(IDEMPOTENT, 100, 50);
@@ -33,9 +33,9 @@
     @ValueSource(ints = {20, 300})
     void aColdWorkerGetsItsPartOfWhatThisDispatcherSendsHoweverManyOthersThereAre(int tasks) {
         FakeHost host = new FakeHost();
-        host.settings.coldFrom = 0.5;
-        host.settings.coldFor = Span.ofMillis(1_000_000);
-        host.settings.tipMultiple = 4;
+        host.settings.slowStartInitialShare = 0.5;
+        host.settings.slowStartDuration = Span.ofMillis(1_000_000);
+        host.settings.slowStartMaxLoadMultiple = 4;
         host.settings.reportsLoad = false;
         host.fleet(9).change(10, true, host.now() - 1);
         host.train(IDEMPOTENT, tasks, 50);
@@ -51,9 +51,9 @@
         for (int seed = 0; seed < 300; seed++) {
             FakeHost host = new FakeHost();
             host.settings.seed = seed;
-            host.settings.coldFrom = 0.5;
-            host.settings.coldFor = Span.ofMillis(1_000_000);
-            host.settings.tipMultiple = 4;
+            host.settings.slowStartInitialShare = 0.5;
+            host.settings.slowStartDuration = Span.ofMillis(1_000_000);
+            host.settings.slowStartMaxLoadMultiple = 4;
             host.settings.reportsLoad = false;
             host.fleet(9).train(NON_IDEMPOTENT, 40, 50);
             for (int i = 0; i < 12; i++) {
@@ -74,9 +74,9 @@
     @Test
     void rejectedAttemptsEarnColdWorkersNothing() {
         FakeHost host = new FakeHost();
-        host.settings.coldFrom = 0.5;
-        host.settings.coldFor = Span.ofMillis(1_000_000);
-        host.settings.tipMultiple = 4;
+        host.settings.slowStartInitialShare = 0.5;
+        host.settings.slowStartDuration = Span.ofMillis(1_000_000);
+        host.settings.slowStartMaxLoadMultiple = 4;
         host.fleet(9).change(10, true, host.now() - 1);
         int ran = 0;
         for (int i = 0; i < 400; i++) {
@@ -110,9 +110,9 @@
         for (int seed = 1; seed <= 60; seed++) {
             FakeHost host = new FakeHost();
             host.settings.seed = seed;
-            host.settings.coldFrom = 0.5;
-            host.settings.coldFor = Span.ofMillis(600_000);
-            host.settings.tipMultiple = 3;
+            host.settings.slowStartInitialShare = 0.5;
+            host.settings.slowStartDuration = Span.ofMillis(600_000);
+            host.settings.slowStartMaxLoadMultiple = 3;
             host.fleet(40);
             for (int id = 2; id <= 40; id += 2) {
                 host.change(id, true, host.now());
@@ -131,8 +131,8 @@
     @Test
     void warmthGrowsWithTheAgeOfTheProcess() {
         Settings settings = new Settings();
-        settings.coldFrom = 0.2;
-        settings.coldFor = Span.ofMillis(1000);
+        settings.slowStartInitialShare = 0.2;
+        settings.slowStartDuration = Span.ofMillis(1000);
         SlowStart slowStart = new SlowStart(new PolicyContext(settings, Moment.ofMillis(10_000)));
         Worker worker = new Worker(1);
         assertEquals(1, slowStart.warmth(worker), "it is not told when it started");
@@ -145,9 +145,9 @@
     @Test
     void aColdWorkerIsPermittedWhileThereIsCreditForIt() {
         Settings settings = new Settings();
-        settings.coldFrom = 0.2;
-        settings.coldFor = Span.ofMillis(1000);
-        settings.tipMultiple = 4;
+        settings.slowStartInitialShare = 0.2;
+        settings.slowStartDuration = Span.ofMillis(1000);
+        settings.slowStartMaxLoadMultiple = 4;
         SlowStart slowStart = new SlowStart(new PolicyContext(settings, Moment.ofMillis(10_000)));
         Worker worker = new Worker(1);
         assertTrue(slowStart.permits(worker), "it is warm");
--- a/src/test/java/rampshift/policy/TaskQueueTest.java
+++ b/src/test/java/rampshift/policy/TaskQueueTest.java
@@ -14,7 +14,7 @@
 
     private static Task task(long id) {
         TrafficType type = new TrafficType(1, 0, Span.ofMillis(100), 3, Span.ofMillis(5000),
-                TrafficType.Effect.IDEMPOTENT, TrafficType.Group.ALL, Span.ZERO, null, null);
+                TrafficType.Effect.IDEMPOTENT, TrafficType.DeduplicationScope.ALL, Span.ZERO, null, null);
         return new Task(id, type, new TaskRequest(0, 0, Span.ZERO, 1, 0, Span.ofMillis(5000)), new Moment(0));
     }
 
--- a/src/test/java/rampshift/policy/WorkerEstimatesTest.java
+++ b/src/test/java/rampshift/policy/WorkerEstimatesTest.java
@@ -101,7 +101,7 @@
     @Test
     void attemptsWhoseAnswersAreLostDoNotMakeTheirWorkersLookSlowAndFull() {
         FakeHost host = new FakeHost();
-        host.settings.progressEvery = Span.ofMillis(1000);
+        host.settings.progressInterval = Span.ofMillis(1000);
         host.fleet(2).train(NON_IDEMPOTENT, 40, 50);
         for (int i = 0; i < 6; i++) {
             host.started(host.task(NON_IDEMPOTENT), 0);
@@ -122,8 +122,8 @@
         for (int seed = 1; seed <= 8; seed++) {
             FakeHost host = new FakeHost();
             host.settings.seed = seed;
-            host.settings.tellsStart = false;
-            host.settings.progressEvery = Span.ofMillis(progress ? 50 : 0);
+            host.settings.reportsStart = false;
+            host.settings.progressInterval = Span.ofMillis(progress ? 50 : 0);
             host.fleet(2).free(1, 4).free(2, 4);
             for (int i = 0; i < 20; i++) {
                 long id = host.task(NON_IDEMPOTENT);
@@ -150,7 +150,7 @@
         for (int seed = 1; seed <= 5; seed++) {
             FakeHost host = new FakeHost();
             host.settings.seed = seed;
-            host.settings.tellsStart = false;
+            host.settings.reportsStart = false;
             host.fleet(2);
             for (int i = 0; i < 40; i++) {
                 host.policy().onLoadReport(1, 4, Double.NaN, 0, Double.NaN);
--- a/src/test/java/rampshift/settings/ConfigurationTest.java
+++ b/src/test/java/rampshift/settings/ConfigurationTest.java
@@ -120,7 +120,7 @@
                 {"AllowedOn":[0,2],"RunsIn":[0,1],""";
         var types = read(VALID.replace("\"TrafficTypes\":[{", rows)).settings().read(1).types;
         assertEquals(List.of("null null", "[1] null", "[0, 1] [0, 2]"),
-                types.stream().map(type -> type.zones() + " " + type.kinds()).toList());
+                types.stream().map(type -> type.allowedZones() + " " + type.allowedKinds()).toList());
     }
 
     @Test
@@ -129,15 +129,15 @@
                 "Rules":{"ExtraFloor":2,"RepeatRatio":0.1,"RatioSpanMs":5000,"OnlyDrainingBinds":true},\
                 "Goal":{"Whole":0.6,"KeptPromises":0.2,"BorneMisses":0.02},""";
         var settings = read(VALID.replace(TRAFFIC_TYPES, more + TRAFFIC_TYPES)).settings().read(1);
-        assertEquals(2, settings.budgetFloor);
-        assertEquals(0.1, settings.budgetShare);
-        assertEquals(5000, settings.budgetSpan.millis());
-        assertTrue(settings.onlyDrainingBinds);
-        assertEquals(0.25, settings.tailWeight, 1e-9);
-        assertEquals(0.02, settings.tailBorne);
+        assertEquals(2, settings.retryBudgetMinimum);
+        assertEquals(0.1, settings.retryBudgetRatio);
+        assertEquals(5000, settings.retryBudgetWindow.millis());
+        assertTrue(settings.removalIsAdvisory);
+        assertEquals(0.25, settings.lateShareWeight, 1e-9);
+        assertEquals(0.02, settings.toleratedLateShare);
         var plain = read(VALID).settings().read(0);
-        assertEquals(0, plain.budgetSpan.micros() + plain.tailWeight);
-        assertFalse(plain.onlyDrainingBinds);
+        assertEquals(0, plain.retryBudgetWindow.micros() + plain.lateShareWeight);
+        assertFalse(plain.removalIsAdvisory);
     }
 
     @ParameterizedTest
--- a/src/test/java/rampshift/settings/SiteSettingsTest.java
+++ b/src/test/java/rampshift/settings/SiteSettingsTest.java
@@ -116,8 +116,8 @@
     }
 
     private static void assertRules(JsonNode site, Settings settings) {
-        assertEquals(site.path("allow").path("max_attempts").asInt(), settings.mostAssignments);
-        assertEquals(site.path("allow").path("second_copies").asBoolean(), settings.secondCopies);
+        assertEquals(site.path("allow").path("max_attempts").asInt(), settings.maxAttempts);
+        assertEquals(site.path("allow").path("second_copies").asBoolean(), settings.mayHedge);
         assertEquals(site.path("rules").path("drain_grace_ms").asDouble(), settings.drainGrace.millis());
     }
 
@@ -127,12 +127,13 @@
             JsonNode row = site.path("class").get(i);
             TrafficType type = settings.types.get(i);
             assertEquals(row.get("name").asText(), hostSettings.types().get(i));
-            assertEquals(row.get("deadline_ms").asDouble(), type.expiry().millis());
-            assertEquals(row.get("worth").asDouble(), type.earnings());
+            assertEquals(row.get("deadline_ms").asDouble(), type.timeout().millis());
+            assertEquals(row.get("worth").asDouble(), type.priorityWeight());
             assertEquals(effect(row.get("effect").asText()), type.effect());
             if (row.has("group")) {
-                assertEquals(row.get("group").asText().toUpperCase(Locale.ROOT), type.group().name());
-                assertEquals(row.get("window_ms").asDouble(), type.window().millis());
+                assertEquals(row.get("group").asText().toUpperCase(Locale.ROOT),
+                        type.deduplicationScope().name());
+                assertEquals(row.get("window_ms").asDouble(), type.deduplicationWindow().millis());
             }
         }
     }
@@ -140,8 +141,8 @@
     private static TrafficType.Effect effect(String word) {
         return switch (word) {
             case "safe" -> TrafficType.Effect.IDEMPOTENT;
-            case "keyed" -> TrafficType.Effect.FINGERPRINTED;
-            default -> TrafficType.Effect.SIDE_EFFECTING;
+            case "keyed" -> TrafficType.Effect.KEYED;
+            default -> TrafficType.Effect.NON_IDEMPOTENT;
         };
     }
 }
