--- a/src/main/java/rampshift/policy/RunTimes.java
+++ b/src/main/java/rampshift/policy/RunTimes.java
@@ -39,7 +39,7 @@
     /** The mean of all; the first type's due time until one is known. */
     Span mean() {
         if (mean == null) {
-            mean = Span.ofMillis(all.mean(types.get(0).due().millis()));
+            mean = Span.ofMillis(all.mean(types.get(0).latencyObjective().millis()));
         }
         return mean;
     }
@@ -47,7 +47,7 @@
     /** What the task is expected to run on a middling worker. */
     Span expected(Task task) {
         return task.runHint.micros() > 0 ? task.runHint
-                : Span.ofMillis(byType[task.typeIndex].mean(task.type.due().millis()));
+                : Span.ofMillis(byType[task.typeIndex].mean(task.type.latencyObjective().millis()));
     }
 
     /** The last running times of the task's type, in milliseconds. */
