--- a/src/main/java/rampshift/migrate/TargetDeployment.java
+++ b/src/main/java/rampshift/migrate/TargetDeployment.java
@@ -2,10 +2,13 @@
 
 import java.io.IOException;
 import java.math.BigDecimal;
+import java.util.Arrays;
 import java.util.HashSet;
 import java.util.List;
+import java.util.Locale;
 import java.util.Map;
 import java.util.Set;
+import java.util.stream.Collectors;
 import rampshift.settings.Configuration;
 import rampshift.settings.ConfigurationException;
 import rampshift.settings.JsonTree;
@@ -19,8 +22,8 @@
  * @param listen its address with a port, or null for the old one
  * @param discovery the endpoint list's address with a port, or null for the old one
  * @param dispatchers how many there are, or null where that is left out
- * @param reports how workers report their load: off, inline or on_probe
- * @param list how the endpoint list comes: on_request or pushed
+ * @param reports how workers report their load
+ * @param list how the endpoint list comes
  * @param askWithinMs how long a dispatcher may go without polling the list, 1 or more, or null for the old
  * figure
  * @param probes whether workers may be probed, or null for what the old configuration says
@@ -32,14 +35,33 @@
         String listen,
         String discovery,
         BigDecimal dispatchers,
-        String reports,
-        String list,
+        LoadReports reports,
+        ListDelivery list,
         BigDecimal askWithinMs,
         Boolean probes) {
 
-    private static final Set<String> KEYS =
-            Set.of("zones", "zone", "name", "listen", "discovery", "dispatchers",
-                    "reports", "list", "ask_within_ms", "probes");
+    /** A value that files spell as a word in lower case. */
+    private interface Word {
+        String name();
+
+        /** The value as files spell it. */
+        default String word() {
+            return name().toLowerCase(Locale.ROOT);
+        }
+    }
+
+    /** How workers report their load: not at all, with answers, or when probed. */
+    enum LoadReports implements Word {
+        OFF, INLINE, ON_PROBE
+    }
+
+    /** Whether a dispatcher polls for the endpoint list or is sent it. */
+    enum ListDelivery implements Word {
+        ON_REQUEST, PUSHED
+    }
+
+    private static final Set<String> KEYS = Set.of("zones", "zone", "name", "listen", "discovery",
+            "dispatchers", "reports", "list", "ask_within_ms", "probes");
     private static final BigDecimal MAX_NUMBER = new BigDecimal(1_000_000_000);
 
     /**
@@ -62,9 +84,8 @@
         checkAddress(tree, "discovery");
         return new TargetDeployment(zones, zone, text(tree, "name", null), text(tree, "listen", null),
                 text(tree, "discovery", null), number(tree, "dispatchers"),
-                oneOf(tree, "reports", "off", "inline", "on_probe"),
-                oneOf(tree, "list", "on_request", "pushed"), number(tree, "ask_within_ms"),
-                flag(tree, "probes"));
+                oneOf(tree, "reports", LoadReports.values()), oneOf(tree, "list", ListDelivery.values()),
+                number(tree, "ask_within_ms"), flag(tree, "probes"));
     }
 
     private static List<String> zones(Object value) {
@@ -90,14 +111,16 @@
         return value == null ? ifAbsent : (String) value;
     }
 
-    /** One of these words, the first where the key is absent. */
-    private static String oneOf(Map<String, Object> tree, String key, String... words) {
-        String word = text(tree, key, words[0]);
-        if (!List.of(words).contains(word)) {
-            throw ConfigurationException.ofKey(key,
-                    key + " is " + word + ", none of " + String.join(", ", words));
+    /** The value of that word, the first one where the key is absent. */
+    private static <W extends Word> W oneOf(Map<String, Object> tree, String key, W[] values) {
+        String word = text(tree, key, values[0].word());
+        for (W value : values) {
+            if (value.word().equals(word)) {
+                return value;
+            }
         }
-        return word;
+        String words = Arrays.stream(values).map(Word::word).collect(Collectors.joining(", "));
+        throw ConfigurationException.ofKey(key, key + " is " + word + ", none of " + words);
     }
 
     private static BigDecimal number(Map<String, Object> tree, String key) {
