--- /dev/null
+++ b/src/test/java/rampshift/policy/TaskPolicyTest.java
@@ -0,0 +1,129 @@
+package rampshift.policy;
+
+import static org.junit.jupiter.api.Assertions.assertEquals;
+import static org.junit.jupiter.api.Assertions.assertTrue;
+import static rampshift.policy.FakeHost.IDEMPOTENT;
+import static rampshift.policy.FakeHost.KEYED;
+import static rampshift.policy.FakeHost.NON_IDEMPOTENT;
+
+import org.junit.jupiter.api.Test;
+
+/**
+ * The order in which a task's questions are asked: is its deadline over, is an endpoint list awaited, would
+ * it fail anywhere, is it to be placed or reviewed. A wrong order sends an attempt that is not allowed, or
+ * keeps a client waiting for an answer that is known.
+ */
+class TaskPolicyTest {
+    /** Of the tasks that {@link FakeHost#task(int)} hands in. */
+    private static final double PATIENCE_MS = 5000;
+    /** Less than the time in which a repeat of a task with an idempotency key is dropped. */
+    private static final double SHORT_PATIENCE_MS = 500;
+    /** Within the two ticks before the deadline that are left to the final answer. */
+    private static final double LAST_TICK_MS = 1;
+    /** Long after the time at which an untried task counts as late. */
+    private static final double LATE_MS = 1000;
+    private static final int FAILED_TASKS = 5;
+
+    @Test
+    void idempotentTaskIsRetriedAtOnceAfterAFailure() {
+        FakeHost host = new FakeHost().fleet(4);
+        long id = host.task(IDEMPOTENT);
+        host.finished(id, 0, AttemptOutcome.BROKEN);
+        assertEquals(2, attempts(host, id));
+        assertEquals(0, finalAnswers(host));
+    }
+
+    /** It may have run: neither another attempt nor a rejection, after which its client would retry. */
+    @Test
+    void nonIdempotentTaskThatMayHaveRunIsFailedAtOnceAndNotRetried() {
+        FakeHost host = new FakeHost().fleet(4);
+        long id = host.task(NON_IDEMPOTENT);
+        host.finished(id, 0, AttemptOutcome.BROKEN);
+        assertEquals(1, attempts(host, id));
+        assertEquals(1, host.count("fail " + id + " "));
+        assertEquals(0, host.count("reject"));
+    }
+
+    @Test
+    void nonIdempotentTaskThatNeverRanIsRetriedAtOnce() {
+        FakeHost host = new FakeHost().fleet(4);
+        long id = host.task(NON_IDEMPOTENT);
+        host.finished(id, 0, AttemptOutcome.FULL);
+        assertEquals(2, attempts(host, id));
+        assertEquals(0, finalAnswers(host));
+    }
+
+    /** While errors repeat at the next worker, the next task with an error is answered and not retried. */
+    @Test
+    void taskThatWouldFailAnywhereIsAnsweredAtOnceAfterItsFirstError() {
+        FakeHost host = new FakeHost().fleet(8);
+        for (int i = 0; i < FAILED_TASKS; i++) {
+            long failing = host.task(IDEMPOTENT);
+            host.finished(failing, 0, AttemptOutcome.ERRED).finished(failing, 1, AttemptOutcome.ERRED);
+        }
+        long id = host.task(IDEMPOTENT);
+        host.finished(id, 0, AttemptOutcome.ERRED);
+        assertEquals(1, attempts(host, id));
+        assertEquals(1, host.count("reject " + id + " "));
+    }
+
+    @Test
+    void taskThatComesAtItsDeadlineIsAnsweredAtOnceAndNotSent() {
+        FakeHost host = new FakeHost().fleet(4);
+        long id = host.task(IDEMPOTENT, 0, LAST_TICK_MS);
+        assertEquals(0, attempts(host, id));
+        assertEquals(1, host.count("reject " + id + " "));
+    }
+
+    /**
+     * The task may be retried and must not be rejected: only its deadline keeps it from being sent again. Its
+     * client has little patience; the task before it, taken for a late retry, is rejected on arrival.
+     */
+    @Test
+    void nothingIsSentAfterTheDeadline() {
+        FakeHost host = new FakeHost().fleet(4);
+        host.task(KEYED, 0, SHORT_PATIENCE_MS);
+        long id = host.task(KEYED, 0, SHORT_PATIENCE_MS);
+        host.after(SHORT_PATIENCE_MS - LAST_TICK_MS);
+        int sent = attempts(host, id);
+        assertTrue(sent > 0);
+        for (int number = 0; number < sent; number++) {
+            host.finished(id, number, AttemptOutcome.ERRED);
+        }
+        host.after(LATE_MS);
+        assertEquals(sent, attempts(host, id));
+        assertEquals(1, host.count("fail " + id + " "), "one final answer");
+    }
+
+    /** A list that does not come must not keep a client beyond its deadline. */
+    @Test
+    void finalAnswerDoesNotWaitForTheEndpointList() {
+        FakeHost host = new FakeHost().fleet(4);
+        long id = host.task(NON_IDEMPOTENT);
+        host.policy().onEndpointListAwaited(true);
+        host.after(PATIENCE_MS - LATE_MS);
+        assertEquals(0, finalAnswers(host), "its attempt may still be answered");
+        host.after(LATE_MS - LAST_TICK_MS);
+        assertEquals(1, host.count("fail " + id + " "));
+    }
+
+    /** The known list is too old to send by: a failed task waits, and is retried with the new list. */
+    @Test
+    void retryWaitsForTheEndpointList() {
+        FakeHost host = new FakeHost().fleet(4);
+        long id = host.task(IDEMPOTENT);
+        host.policy().onEndpointListAwaited(true);
+        host.finished(id, 0, AttemptOutcome.BROKEN);
+        assertEquals(1, attempts(host, id));
+        host.change(1, true, 0);
+        assertEquals(2, attempts(host, id));
+    }
+
+    private static int attempts(FakeHost host, long task) {
+        return host.count("forward " + task + " ");
+    }
+
+    private static int finalAnswers(FakeHost host) {
+        return host.count("fail") + host.count("reject");
+    }
+}
