--- a/src/main/java/rampshift/testbed/clients/Arrivals.java
+++ b/src/main/java/rampshift/testbed/clients/Arrivals.java
@@ -7,102 +7,127 @@
 import rampshift.time.Span;
 
 /**
- * The tasks that come, one after the other, as a plan and a seed have it: the same whatever the dispatchers
- * do with
- * them. No I/O, no clock.
+ * The arrivals at the clients of one load process. They depend on the plan and the seed alone, not on what
+ * the dispatchers do with earlier tasks. Bursts are made by thinning: candidates are drawn at the highest
+ * rate that any burst can reach, and are dropped in proportion where the rate is lower. No I/O, no clock.
  */
 final class Arrivals {
-    /** At: since the start. Work: on a machine of speed 1. Object: -1 for none. */
-    record Arrival(Span at, int site, int type, Span work, int object) {}
+    private static final double MICROS_PER_SECOND = 1e6;
+    /** The work of a type with a narrow spread lies between this share of the mean and that share plus 1. */
+    private static final double MIN_NARROW_WORK = 0.5;
 
     private final FleetPlan plan;
-    private final double most;
-    private final UniformRandomProvider when;
-    private final UniformRandomProvider what;
-    private final ZigguratSampler.Exponential gaps;
-    private final ZigguratSampler.Exponential works;
-    private final double siteShares;
-    private final double typeShares;
-    private double micros;
+    private final double maxRatePerSecond;
+    private final UniformRandomProvider timeRandom;
+    private final UniformRandomProvider taskRandom;
+    private final ZigguratSampler.Exponential gapSampler;
+    private final ZigguratSampler.Exponential workSampler;
+    private final WeightedChoice siteChoice;
+    private final WeightedChoice typeChoice;
+    private double candidateMicros;
 
-    /** The part of one load process among so many. */
+    /**
+     * Creates the arrivals of one load process.
+     *
+     * @param plan what arrives at all processes together
+     * @param seed the seed of the run
+     * @param process the number of the process, from 0
+     */
     Arrivals(FleetPlan plan, long seed, int process) {
         this.plan = plan;
-        when = RandomStreams.of(seed, "arrivals " + process);
-        what = RandomStreams.of(seed, "tasks " + process);
-        gaps = ZigguratSampler.Exponential.of(when);
-        works = ZigguratSampler.Exponential.of(what);
-        double times = 1;
+        timeRandom = RandomStreams.of(seed, "arrivals " + process);
+        taskRandom = RandomStreams.of(seed, "tasks " + process);
+        gapSampler = ZigguratSampler.Exponential.of(timeRandom);
+        workSampler = ZigguratSampler.Exponential.of(taskRandom);
+        maxRatePerSecond = baseRatePerSecond() * maxBurstFactor();
+        siteChoice = new WeightedChoice(plan.sites().stream().mapToDouble(FleetPlan.Site::share));
+        typeChoice = new WeightedChoice(plan.types().stream().mapToDouble(FleetPlan.Type::share));
+    }
+
+    private double baseRatePerSecond() {
+        return plan.arrivals().rate() / plan.clients().processes();
+    }
+
+    /** The factor if all bursts that raise the rate come at once. */
+    private double maxBurstFactor() {
+        double factor = 1;
         for (FleetPlan.Burst burst : plan.arrivals().bursts()) {
-            times *= Math.max(1, burst.times());
+            factor *= Math.max(1, burst.times());
         }
-        most = plan.arrivals().rate() / plan.clients().processes() * times;
-        siteShares = plan.sites().stream().mapToDouble(FleetPlan.Site::share).sum();
-        typeShares = plan.types().stream().mapToDouble(FleetPlan.Type::share).sum();
+        return factor;
     }
 
-    /** The next one, or null where none comes any more. */
+    /** The next arrival; null once the length of the plan is over, or if nothing ever arrives. */
     Arrival next() {
-        if (most <= 0 || siteShares <= 0 || typeShares <= 0) {
+        if (maxRatePerSecond <= 0 || siteChoice.isEmpty() || typeChoice.isEmpty()) {
             return null;
         }
         while (true) {
-            micros += (plan.arrivals().even() ? 1 : gaps.sample()) * 1e6 / most;
-            Span at = new Span(Math.round(micros));
+            Span at = nextCandidate();
             if (!plan.length().longerThan(at)) {
                 return null;
             }
-            // As many candidates as ever come at once; outside of bursts most of them are left out.
-            int site = site();
-            if (when.nextDouble() * most <= rate(at, site)) {
-                return draw(at, site);
+            int site = siteChoice.draw(timeRandom);
+            boolean accepted = timeRandom.nextDouble() * maxRatePerSecond <= ratePerSecond(at, site);
+            if (accepted) {
+                return drawTask(at, site);
             }
         }
     }
 
-    /** One that comes at that time, drawn like the others. */
-    Arrival draw(Span at) {
-        return draw(at, site());
+    private Span nextCandidate() {
+        double gap = plan.arrivals().even() ? 1 : gapSampler.sample();
+        candidateMicros += gap * MICROS_PER_SECOND / maxRatePerSecond;
+        return new Span(Math.round(candidateMicros));
     }
 
-    private Arrival draw(Span at, int site) {
-        int number = 0;
-        for (double left = what.nextDouble() * typeShares; number < plan.types().size() - 1; number++) {
-            left -= plan.types().get(number).share();
-            if (left < 0) {
-                break;
+    private double ratePerSecond(Span at, int site) {
+        double rate = baseRatePerSecond();
+        for (FleetPlan.Burst burst : plan.arrivals().bursts()) {
+            if (isActive(burst, at) && appliesTo(burst, site)) {
+                rate *= burst.times();
             }
         }
-        FleetPlan.Type type = plan.types().get(number);
-        double times = switch (type.spread()) {
-            case FIXED -> 1;
-            case EXPONENTIAL -> works.sample();
-            case NARROW -> 0.5 + what.nextDouble();
-        };
-        int objects = plan.arrivals().objects();
-        return new Arrival(at, site, number, type.work().times(times),
-                objects == 0 ? -1 : what.nextInt(objects));
+        return rate;
     }
 
-    private int site() {
-        int site = 0;
-        for (double left = when.nextDouble() * siteShares; site < plan.sites().size() - 1; site++) {
-            left -= plan.sites().get(site).share();
-            if (left < 0) {
-                break;
-            }
-        }
-        return site;
+    private static boolean isActive(FleetPlan.Burst burst, Span at) {
+        boolean started = !burst.at().longerThan(at);
+        boolean ended = !burst.at().plus(burst.length()).longerThan(at);
+        return started && !ended;
     }
 
-    private double rate(Span at, int site) {
-        double rate = plan.arrivals().rate() / plan.clients().processes();
-        for (FleetPlan.Burst b : plan.arrivals().bursts()) {
-            boolean on = !b.at().longerThan(at) && b.at().plus(b.length()).longerThan(at);
-            if (on && (b.site().isEmpty() || b.site().equals(plan.sites().get(site).name()))) {
-                rate *= b.times();
-            }
-        }
-        return rate;
+    private boolean appliesTo(FleetPlan.Burst burst, int site) {
+        return burst.site().isEmpty() || burst.site().equals(plan.sites().get(site).name());
+    }
+
+    /**
+     * Draws an arrival at a given time, with a site and a task like those of the others.
+     *
+     * @param at the time since the start of the run
+     */
+    Arrival draw(Span at) {
+        int site = siteChoice.draw(timeRandom);
+        return drawTask(at, site);
+    }
+
+    private Arrival drawTask(Span at, int site) {
+        int typeIndex = typeChoice.draw(taskRandom);
+        FleetPlan.Type type = plan.types().get(typeIndex);
+        Span work = type.work().times(drawWorkFactor(type.spread()));
+        return new Arrival(at, site, typeIndex, work, drawObject());
+    }
+
+    private double drawWorkFactor(FleetPlan.Type.Spread spread) {
+        return switch (spread) {
+            case FIXED -> 1;
+            case EXPONENTIAL -> workSampler.sample();
+            case NARROW -> MIN_NARROW_WORK + taskRandom.nextDouble();
+        };
+    }
+
+    private int drawObject() {
+        int objects = plan.arrivals().objects();
+        return objects == 0 ? Arrival.NO_OBJECT : taskRandom.nextInt(objects);
     }
 }
--- /dev/null
+++ b/src/main/java/rampshift/testbed/clients/Attempt.java
@@ -0,0 +1,176 @@
+package rampshift.testbed.clients;
+
+import org.xnio.XnioExecutor;
+import rampshift.eventlog.EventClock;
+import rampshift.testbed.wire.Message;
+import rampshift.time.Moment;
+import rampshift.time.Span;
+
+/**
+ * One attempt of a client to have a task run: from the choice of a dispatcher until there is a response or
+ * none is awaited any longer. It is used on the I/O thread alone.
+ */
+final class Attempt implements DispatcherConnection.ExchangeListener {
+    /** For how long after the client's timeout a response is still awaited, to tell a late one from none. */
+    private static final Span LATE_RESPONSE_WAIT = Span.ofMillis(400);
+
+    /** Receives what becomes of an attempt. */
+    interface Listener {
+        /** The request is about to be sent for the first time; not called if nobody could be reached. */
+        void onSent(Attempt attempt, Moment now);
+
+        /** The attempt has ended. Called once. */
+        void onEnded(Attempt attempt, AttemptResult result);
+    }
+
+    private final ClientTask task;
+    private final int number;
+    private final Dispatcher dispatcher;
+    private final ConnectionOwner connections;
+    private final AttemptContext context;
+    private final Listener listener;
+    private final Moment dueAt;
+    private final TaskRequest request;
+    private final String id;
+    private DispatcherConnection connection;
+    private XnioExecutor.Key timer;
+    private boolean sent;
+    private boolean sentAgain;
+    private boolean timedOut;
+    private boolean ended;
+
+    /**
+     * Creates an attempt, which does nothing before {@link #start}.
+     *
+     * @param task the task
+     * @param number 0 for the first attempt, which is due when the task is; a retry is due now
+     * @param dispatcher where to send the task
+     * @param connections lends a connection and takes it back
+     * @param context what all attempts use
+     * @param listener receives the end
+     */
+    Attempt(ClientTask task, int number, Dispatcher dispatcher, ConnectionOwner connections,
+            AttemptContext context, Listener listener) {
+        this.task = task;
+        this.number = number;
+        this.dispatcher = dispatcher;
+        this.connections = connections;
+        this.context = context;
+        this.listener = listener;
+        dueAt = number == 0 ? task.dueAt() : EventClock.now();
+        id = context.tasks().newAttemptId();
+        Span timeout = task.type().expiry().times(context.plan().clients().patience());
+        request = new TaskRequest(task, id, number, timeout);
+    }
+
+    /** The task. */
+    ClientTask task() {
+        return task;
+    }
+
+    /** 0 for the first attempt, above 0 for retries. */
+    int number() {
+        return number;
+    }
+
+    /** When the client wanted to send it; its latency counts from then. */
+    Moment dueAt() {
+        return dueAt;
+    }
+
+    /** Sends the task on an open connection, or on a new one if there is none. */
+    void start() {
+        DispatcherConnection open = connections.poll(dispatcher);
+        if (open == null) {
+            sendOnNewConnection(this::onUnreachable);
+        } else {
+            send(open);
+        }
+    }
+
+    private void sendOnNewConnection(Runnable onUnreachable) {
+        context.connector().open(dispatcher, connections, this::onConnected, onUnreachable);
+    }
+
+    private void onConnected(DispatcherConnection opened) {
+        if (ended) {
+            opened.close();
+        } else {
+            send(opened);
+        }
+    }
+
+    private void onUnreachable() {
+        context.frontProxy().onFailure(dispatcher, EventClock.now());
+        context.eventLog().onUnreachable(id, dispatcher);
+        end(AttemptResult.withoutResponse(AttemptOutcome.UNREACHABLE, true));
+    }
+
+    private void send(DispatcherConnection open) {
+        connection = open;
+        if (!sent) {
+            sent = true;
+            Moment now = EventClock.now();
+            listener.onSent(this, now);
+            timer = IoTimers.runAfter(context.thread(), request.timeout(), this::onTimeout);
+            context.eventLog().onSent(now, request, dispatcher);
+        }
+        connection.exchange(request, this);
+    }
+
+    @Override
+    public void onResponse(Message response) {
+        if (ended) {
+            return;
+        }
+        context.eventLog().onResponse(EventClock.now(), id, response);
+        if (timedOut) {
+            end(AttemptResult.withoutResponse(AttemptOutcome.TIMED_OUT, false));
+        } else {
+            end(AttemptResult.ofResponse(response, task.isRepeatable()));
+        }
+    }
+
+    @Override
+    public void onFailure(ConnectionFailure failure, boolean maybeStale) {
+        if (ended) {
+            return;
+        }
+        if (maybeStale && !sentAgain && !timedOut) {
+            sentAgain = true;
+            context.eventLog().onStaleConnection(EventClock.now(), id, failure);
+            sendOnNewConnection(() -> onConnectionLost(ConnectionFailure.UNREACHABLE));
+        } else {
+            onConnectionLost(failure);
+        }
+    }
+
+    private void onConnectionLost(ConnectionFailure failure) {
+        Moment now = EventClock.now();
+        context.frontProxy().onFailure(dispatcher, now);
+        context.eventLog().onConnectionLost(now, id, failure);
+        end(AttemptResult.withoutResponse(AttemptOutcome.CONNECTION_LOST, task.isRepeatable()));
+    }
+
+    private void onTimeout() {
+        timedOut = true;
+        timer = IoTimers.runAfter(context.thread(), LATE_RESPONSE_WAIT, this::onLateResponseTimeout);
+    }
+
+    private void onLateResponseTimeout() {
+        context.eventLog().onTimeout(id);
+        end(AttemptResult.withoutResponse(AttemptOutcome.TIMED_OUT, task.isRepeatable()));
+        connection.close();
+    }
+
+    private void end(AttemptResult result) {
+        if (ended) {
+            return;
+        }
+        ended = true;
+        if (timer != null) {
+            timer.remove();
+        }
+        listener.onEnded(this, result);
+    }
+}
--- /dev/null
+++ b/src/main/java/rampshift/testbed/clients/ClientTasks.java
@@ -0,0 +1,139 @@
+package rampshift.testbed.clients;
+
+import java.util.concurrent.CountDownLatch;
+import org.apache.commons.rng.UniformRandomProvider;
+import rampshift.eventlog.EventClock;
+import rampshift.testbed.plan.FleetPlan;
+import rampshift.time.Moment;
+import rampshift.time.Span;
+
+/**
+ * The tasks of a run from their arrival to their last attempt: sends them, retries them, and passes what is
+ * measured to the statistics. It is used on the I/O thread alone, but for {@link #await}.
+ */
+final class ClientTasks implements Attempt.Listener {
+    private final FleetPlan.Clients settings;
+    private final AttemptContext context;
+    private final LoadStatistics statistics;
+    private final UniformRandomProvider random;
+    private final Runnable onTaskEnded;
+    private final ConnectionPool connections;
+    private final CountDownLatch unfinished = new CountDownLatch(1);
+    private Moment startedAt;
+    private int inFlight;
+    private boolean arrivalsEnded;
+
+    /**
+     * Creates clients without tasks.
+     *
+     * @param context what all attempts use
+     * @param statistics receives all tasks that arrive after the warm-up
+     * @param random the source of the waits before retries
+     * @param onTaskEnded called after each task's last attempt
+     */
+    ClientTasks(AttemptContext context, LoadStatistics statistics, UniformRandomProvider random,
+            Runnable onTaskEnded) {
+        settings = context.plan().clients();
+        this.context = context;
+        this.statistics = statistics;
+        this.random = random;
+        this.onTaskEnded = onTaskEnded;
+        connections = new ConnectionPool(settings.keep());
+    }
+
+    /** Sets the start of the run, before the first arrival. */
+    void start(Moment when) {
+        startedAt = when;
+    }
+
+    /** A task has arrived, and its first attempt starts. */
+    void onArrival(Arrival arrival, Moment dueAt) {
+        ClientTask task = context.tasks().create(arrival, dueAt);
+        if (isMeasured(task)) {
+            statistics.onArrival(arrival);
+        }
+        inFlight++;
+        startAttempt(task, 0, dueAt);
+    }
+
+    /** No more tasks arrive. Attempts that end from now on are not retried. */
+    void endArrivals() {
+        arrivalsEnded = true;
+        checkFinished();
+    }
+
+    /** Whether no more tasks arrive. */
+    boolean haveArrivalsEnded() {
+        return arrivalsEnded;
+    }
+
+    /** Whether all tasks have arrived and ended. */
+    boolean isFinished() {
+        return arrivalsEnded && inFlight == 0;
+    }
+
+    /** Blocks until all tasks have arrived and ended; may be called on any thread. */
+    void await() throws InterruptedException {
+        unfinished.await();
+    }
+
+    private void checkFinished() {
+        if (isFinished()) {
+            unfinished.countDown();
+        }
+    }
+
+    private boolean isMeasured(ClientTask task) {
+        return !task.dueAt().before(startedAt.plus(settings.warmUp()));
+    }
+
+    private void startAttempt(ClientTask task, int number, Moment now) {
+        Dispatcher dispatcher = context.frontProxy().pick(task.arrival().site(), now);
+        new Attempt(task, number, dispatcher, connections, context, this).start();
+    }
+
+    @Override
+    public void onSent(Attempt attempt, Moment now) {
+        if (isMeasured(attempt.task())) {
+            statistics.onSent(now.since(startedAt), now.since(attempt.dueAt()));
+        }
+    }
+
+    @Override
+    public void onEnded(Attempt attempt, AttemptResult result) {
+        if (isMeasured(attempt.task())) {
+            recordEnd(attempt, result);
+        }
+        if (mayRetry(attempt, result)) {
+            scheduleRetry(attempt, result);
+            return;
+        }
+        inFlight--;
+        onTaskEnded.run();
+        checkFinished();
+    }
+
+    private void recordEnd(Attempt attempt, AttemptResult result) {
+        ClientTask task = attempt.task();
+        Moment now = EventClock.now();
+        Span at = now.since(startedAt);
+        statistics.onAttemptEnded(task.arrival().type(), result, at, now.since(attempt.dueAt()));
+        if (result.outcome() == AttemptOutcome.FINISHED) {
+            statistics.onTaskFinished(task.arrival(), at, now.since(task.dueAt()));
+        }
+    }
+
+    private boolean mayRetry(Attempt attempt, AttemptResult result) {
+        boolean attemptsLeft = attempt.number() < settings.retries();
+        return result.retryable() && attemptsLeft && !arrivalsEnded;
+    }
+
+    private void scheduleRetry(Attempt attempt, AttemptResult result) {
+        Span delay = settings.pause().at(random.nextDouble());
+        if (settings.honourReturn()) {
+            delay = delay.orLonger(result.retryAfter());
+        }
+        IoTimers.runAfter(context.thread(), delay,
+                () -> startAttempt(attempt.task(), attempt.number() + 1, EventClock.now()));
+    }
+}
--- /dev/null
+++ b/src/main/java/rampshift/testbed/clients/DispatcherConnector.java
@@ -0,0 +1,44 @@
+package rampshift.testbed.clients;
+
+import java.util.function.Consumer;
+import org.xnio.XnioIoThread;
+
+/** Opens connections on which tasks are sent, and counts them. */
+final class DispatcherConnector {
+    private final XnioIoThread thread;
+    private final Dialer dialer;
+    private final ClientEventLog eventLog;
+    private final LoadStatistics statistics;
+
+    /**
+     * Creates a connector.
+     *
+     * @param thread the I/O thread on which the connections are used
+     * @param dialer opens the sockets
+     * @param eventLog receives what arrives unexpectedly
+     * @param statistics counts the connections
+     */
+    DispatcherConnector(XnioIoThread thread, Dialer dialer, ClientEventLog eventLog,
+            LoadStatistics statistics) {
+        this.thread = thread;
+        this.dialer = dialer;
+        this.eventLog = eventLog;
+        this.statistics = statistics;
+    }
+
+    /**
+     * Opens a connection. Just one of the two callbacks is called, on the I/O thread.
+     *
+     * @param dispatcher the dispatcher to connect to
+     * @param owner decides what becomes of the connection between exchanges
+     * @param onConnected receives the connection
+     * @param onUnreachable called if there is none in time
+     */
+    void open(Dispatcher dispatcher, ConnectionOwner owner, Consumer<DispatcherConnection> onConnected,
+            Runnable onUnreachable) {
+        dialer.dial(dispatcher.address(), stream -> {
+            statistics.connectionOpened();
+            onConnected.accept(new DispatcherConnection(dispatcher, owner, eventLog, stream, thread));
+        }, onUnreachable);
+    }
+}
--- a/src/main/java/rampshift/testbed/clients/FrontProxy.java
+++ b/src/main/java/rampshift/testbed/clients/FrontProxy.java
@@ -2,83 +2,97 @@
 
 import java.net.InetSocketAddress;
 import java.util.ArrayList;
+import java.util.HashMap;
 import java.util.List;
+import java.util.Map;
 import org.apache.commons.rng.UniformRandomProvider;
 import rampshift.testbed.plan.FleetPlan;
 import rampshift.time.Moment;
 
 /**
- * The plain layer before the dispatchers: it deals tasks out among those of a site, and goes on sending to a
- * dead
- * one until it has noticed. No I/O, no clock.
+ * A model of the load balancer in front of the dispatchers. It spreads tasks uniformly over the dispatchers
+ * of a site and, like a real one, keeps choosing a failed dispatcher until its health check has noticed. It
+ * has no I/O and no clock.
  */
 final class FrontProxy {
-    /** One dispatcher as the front knows it. */
-    static final class Member {
-        final int number;
-        final int site;
-        final InetSocketAddress address;
-        private Moment outFrom;
-
-        Member(int number, int site, InetSocketAddress address) {
-            this.number = number;
-            this.site = site;
-            this.address = address;
-        }
-    }
-
     private final FleetPlan plan;
-    private final List<Member> members;
-    private final UniformRandomProvider chance;
+    private final List<Dispatcher> dispatchers;
+    private final UniformRandomProvider random;
+    /** From when on each failed dispatcher is no longer chosen; those that are healthy are absent. */
+    private final Map<Dispatcher, Moment> excludedFrom = new HashMap<>();
 
-    FrontProxy(FleetPlan plan, List<InetSocketAddress> addresses, UniformRandomProvider chance) {
+    /**
+     * Assigns the dispatchers to the sites in the order of the plan.
+     *
+     * @param plan how many dispatchers each site has, and how long a failure stays unnoticed
+     * @param addresses where the dispatchers listen; those beyond the number in the plan are not used
+     * @param random the source of all choices
+     */
+    FrontProxy(FleetPlan plan, List<InetSocketAddress> addresses, UniformRandomProvider random) {
         this.plan = plan;
-        this.chance = chance;
-        members = new ArrayList<>();
-        for (int s = 0; s < plan.sites().size(); s++) {
-            for (int i = 0; i < plan.sites().get(s).dispatchers() && members.size() < addresses.size(); i++) {
-                members.add(new Member(members.size(), s, addresses.get(members.size())));
+        this.random = random;
+        dispatchers = new ArrayList<>();
+        for (int site = 0; site < plan.sites().size(); site++) {
+            int count = Math.min(plan.sites().get(site).dispatchers(), addresses.size() - dispatchers.size());
+            for (int i = 0; i < count; i++) {
+                int number = dispatchers.size();
+                dispatchers.add(new Dispatcher(number, site, addresses.get(number)));
             }
         }
     }
 
-    /** One of the site's; one of another site's where the site has none that is known to live. */
-    Member pick(int site, Moment now) {
-        List<Member> own = new ArrayList<>();
-        List<Member> others = new ArrayList<>();
-        for (Member m : members) {
-            if (m.outFrom == null || now.before(m.outFrom)) {
-                (m.site == site ? own : others).add(m);
+    /**
+     * Chooses a dispatcher of a site; one of another site if all of its own are excluded, and any one if all
+     * are.
+     */
+    Dispatcher pick(int site, Moment now) {
+        List<Dispatcher> local = new ArrayList<>();
+        List<Dispatcher> remote = new ArrayList<>();
+        for (Dispatcher dispatcher : dispatchers) {
+            if (!isExcluded(dispatcher, now)) {
+                List<Dispatcher> group = dispatcher.site() == site ? local : remote;
+                group.add(dispatcher);
             }
         }
-        List<Member> from = !own.isEmpty() ? own : !others.isEmpty() ? others : members;
-        return from.get(chance.nextInt(from.size()));
+        List<Dispatcher> candidates = firstNonEmpty(local, remote);
+        return candidates.get(random.nextInt(candidates.size()));
     }
 
-    /** A connection to it was refused or broke: some time from now it is left out. */
-    void failed(Member m, Moment now) {
-        if (m.outFrom == null) {
-            m.outFrom = now.plus(plan.clients().deadFront().at(chance.nextDouble()));
-        }
+    private boolean isExcluded(Dispatcher dispatcher, Moment now) {
+        Moment from = excludedFrom.get(dispatcher);
+        return from != null && !now.before(from);
     }
 
-    /** It has said that it is ready. */
-    void ready(Member m) {
-        m.outFrom = null;
+    private List<Dispatcher> firstNonEmpty(List<Dispatcher> local, List<Dispatcher> remote) {
+        if (!local.isEmpty()) {
+            return local;
+        }
+        return remote.isEmpty() ? dispatchers : remote;
     }
 
-    /** Those that have failed and have not been ready since. */
-    List<Member> suspects() {
-        List<Member> suspects = new ArrayList<>();
-        for (Member m : members) {
-            if (m.outFrom != null) {
-                suspects.add(m);
-            }
+    /**
+     * Reports that a connection to a dispatcher was refused or lost. It is excluded after the delay of the
+     * plan, drawn at its first failure.
+     */
+    void onFailure(Dispatcher dispatcher, Moment now) {
+        if (!excludedFrom.containsKey(dispatcher)) {
+            Moment from = now.plus(plan.clients().deadFront().at(random.nextDouble()));
+            excludedFrom.put(dispatcher, from);
         }
-        return suspects;
     }
 
-    List<Member> members() {
-        return members;
+    /** Reports that a dispatcher has passed its health check. It is chosen again from now on. */
+    void onReady(Dispatcher dispatcher) {
+        excludedFrom.remove(dispatcher);
+    }
+
+    /** The dispatchers that have failed and have not passed a health check since, by number. */
+    List<Dispatcher> failedDispatchers() {
+        return dispatchers.stream().filter(excludedFrom::containsKey).toList();
+    }
+
+    /** All dispatchers, by number. */
+    List<Dispatcher> dispatchers() {
+        return dispatchers;
     }
 }
--- /dev/null
+++ b/src/main/java/rampshift/testbed/clients/IdleConnections.java
@@ -0,0 +1,100 @@
+package rampshift.testbed.clients;
+
+import java.util.ArrayList;
+import java.util.List;
+import java.util.concurrent.CountDownLatch;
+import java.util.concurrent.TimeUnit;
+import rampshift.eventlog.EventClock;
+import rampshift.time.Moment;
+import rampshift.time.Span;
+
+/**
+ * Connections that each send one task and then stay open and idle. Their tasks are in no statistics; how many
+ * connections the dispatchers close is.
+ */
+final class IdleConnections implements ConnectionOwner, Attempt.Listener {
+    /** Between the first tasks of two connections, so that opening them does not disturb the run. */
+    private static final Span OPEN_INTERVAL = Span.ofMillis(10);
+    private static final Span TASK_WORK = Span.ofMillis(1);
+    private static final int TASK_TYPE = 0;
+
+    private final int count;
+    private final AttemptContext context;
+    private final LoadStatistics statistics;
+    private final List<DispatcherConnection> idle = new ArrayList<>();
+    private final CountDownLatch unfinished;
+
+    /**
+     * Creates connections that are opened later.
+     *
+     * @param count how many
+     * @param context what all attempts use
+     * @param statistics counts the connections that are lost
+     */
+    IdleConnections(int count, AttemptContext context, LoadStatistics statistics) {
+        this.count = count;
+        this.context = context;
+        this.statistics = statistics;
+        unfinished = new CountDownLatch(count);
+    }
+
+    /**
+     * Opens the connections one after the other, and waits until all their tasks have ended.
+     *
+     * @param timeout the longest wait after the last one has been started; what is unfinished then goes on
+     */
+    void open(Span timeout) {
+        List<Dispatcher> dispatchers = context.frontProxy().dispatchers();
+        for (int i = 0; i < count; i++) {
+            Dispatcher dispatcher = dispatchers.get(i % dispatchers.size());
+            long delayMillis = Math.round(i * OPEN_INTERVAL.millis());
+            context.thread().executeAfter(() -> sendTask(dispatcher), delayMillis, TimeUnit.MILLISECONDS);
+        }
+        try {
+            long timeoutMicros = timeout.micros() + count * OPEN_INTERVAL.micros();
+            unfinished.await(timeoutMicros, TimeUnit.MICROSECONDS);
+        } catch (InterruptedException e) {
+            Thread.currentThread().interrupt();
+        }
+    }
+
+    private void sendTask(Dispatcher dispatcher) {
+        Arrival arrival =
+                new Arrival(Span.ZERO, dispatcher.site(), TASK_TYPE, TASK_WORK, Arrival.NO_OBJECT);
+        ClientTask task = context.tasks().create(arrival, EventClock.now());
+        new Attempt(task, 0, dispatcher, this, context, this).start();
+    }
+
+    /** Each task gets a connection of its own. */
+    @Override
+    public DispatcherConnection poll(Dispatcher dispatcher) {
+        return null;
+    }
+
+    @Override
+    public void onExchangeCompleted(DispatcherConnection connection, boolean persistent) {
+        idle.add(connection);
+    }
+
+    @Override
+    public void onClosedByPeer(DispatcherConnection connection) {
+        if (idle.remove(connection)) {
+            statistics.idleConnectionLost();
+        }
+    }
+
+    @Override
+    public void onClosedByClient(DispatcherConnection connection) {
+        idle.remove(connection);
+    }
+
+    @Override
+    public void onSent(Attempt attempt, Moment now) {
+        // These tasks are in no statistics.
+    }
+
+    @Override
+    public void onEnded(Attempt attempt, AttemptResult result) {
+        unfinished.countDown();
+    }
+}
--- a/src/main/java/rampshift/testbed/clients/LoadStatistics.java
+++ b/src/main/java/rampshift/testbed/clients/LoadStatistics.java
@@ -1,183 +1,163 @@
 package rampshift.testbed.clients;
 
-import com.fasterxml.jackson.databind.ObjectMapper;
-import com.fasterxml.jackson.databind.node.ArrayNode;
-import com.fasterxml.jackson.databind.node.ObjectNode;
-import java.io.FileNotFoundException;
-import java.io.IOException;
-import java.nio.file.Path;
 import java.util.ArrayList;
 import java.util.List;
 import org.HdrHistogram.Histogram;
-import org.HdrHistogram.HistogramLogWriter;
 import rampshift.testbed.plan.FleetPlan;
 import rampshift.time.Span;
 
-/** What one load process counts: by traffic type and by second, and full histograms in microseconds. */
+/**
+ * What one load process has measured: by traffic type, by second of the run, and of the process itself. It is
+ * changed on the I/O thread alone; {@link #progress} may be read on others and then lag behind.
+ */
 final class LoadStatistics {
-    /** How a try ended, as its client saw it. */
-    enum End {
-        FINISHED, BOUNCED, ABANDONED, TURNED_DOWN, BROKEN, UNREACHABLE, NO_ANSWER
-    }
-
-    private static final long LONGEST_US = 120_000_000;
-
-    private final FleetPlan plan;
-    private final long[][] ends;
-    private final long[] tasks;
-    private final long[] inTime;
-    private final double[] asked;
-    private final double[] earned;
-    private final List<double[]> seconds = new ArrayList<>();
-    private final Histogram[] latency;
-    private final Histogram[] added;
-    private final Histogram bounces = new Histogram(LONGEST_US, 3);
-    private final Histogram late = new Histogram(LONGEST_US, 3);
-    long opened;
-    long idleLost;
-
+    private static final long MICROS_PER_SECOND = 1_000_000;
+
+    private final Span maxSendDelay;
+    private final List<TypeStatistics> types;
+    private final List<SecondStatistics> seconds = new ArrayList<>();
+    private final Histogram rejectionLatency = MicrosHistogram.create();
+    private final Histogram sendDelay = MicrosHistogram.create();
+    private long openedConnections;
+    private long lostIdleConnections;
+
+    /**
+     * Creates empty statistics.
+     *
+     * @param plan the traffic types, and by how much the process itself may be late
+     */
     LoadStatistics(FleetPlan plan) {
-        this.plan = plan;
-        int types = plan.types().size();
-        ends = new long[types][End.values().length];
-        tasks = new long[types];
-        inTime = new long[types];
-        asked = new double[types];
-        earned = new double[types];
-        latency = new Histogram[types];
-        added = new Histogram[types];
-        for (int i = 0; i < types; i++) {
-            latency[i] = new Histogram(LONGEST_US, 3);
-            added[i] = new Histogram(LONGEST_US, 3);
+        maxSendDelay = plan.clients().mostLate();
+        types = plan.types().stream().map(TypeStatistics::new).toList();
+    }
+
+    private SecondStatistics second(Span at) {
+        int index = (int) Math.max(0, at.micros() / MICROS_PER_SECOND);
+        while (seconds.size() <= index) {
+            seconds.add(new SecondStatistics());
         }
+        return seconds.get(index);
     }
 
-    private static void record(Histogram in, long micros) {
-        in.recordValue(Math.max(0, Math.min(LONGEST_US, micros)));
+    /** A task has arrived. */
+    void onArrival(Arrival arrival) {
+        double offered = types.get(arrival.type()).onArrival();
+        second(arrival.at()).onArrival(offered);
     }
 
-    /** Of each second: asked, earned, sent, finished, bounced, not answered well. */
-    private double[] second(Span at) {
-        int second = (int) Math.max(0, at.micros() / 1_000_000);
-        while (seconds.size() <= second) {
-            seconds.add(new double[6]);
-        }
-        return seconds.get(second);
-    }
-
-    void task(int type, Span at) {
-        tasks[type]++;
-        asked[type] += plan.types().get(type).earnings();
-        second(at)[0] += plan.types().get(type).earnings();
-    }
-
-    void sent(Span at, Span lateBy) {
-        second(at)[2]++;
-        record(late, lateBy.micros());
-    }
-
-    /** A task has come to a good end. Since its client first wanted to send it. */
-    void earns(int type, Span at, Span since, Span dueIn) {
-        FleetPlan.Type row = plan.types().get(type);
-        boolean good = !since.longerThan(dueIn);
-        inTime[type] += good ? 1 : 0;
-        double worth = good ? row.earnings() : row.earnings() * row.lateEarnings();
-        earned[type] += worth;
-        second(at)[1] += worth;
-    }
-
-    /** Took: at the worker, or below 0 where that is not known. */
-    void ended(int type, End end, Span at, Span latencySpan, long tookMicros) {
-        ends[type][end.ordinal()]++;
-        switch (end) {
-            case FINISHED -> {
-                second(at)[3]++;
-                record(latency[type], latencySpan.micros());
-                if (tookMicros >= 0) {
-                    record(added[type], latencySpan.micros() - tookMicros);
-                }
-            }
-            case BOUNCED -> {
-                second(at)[4]++;
-                record(bounces, latencySpan.micros());
-            }
-            default -> second(at)[5]++;
-        }
+    /**
+     * An attempt is being sent.
+     *
+     * @param at when, since the start of the run
+     * @param delay since it was due
+     */
+    void onSent(Span at, Span delay) {
+        second(at).onSent();
+        MicrosHistogram.record(sendDelay, delay);
     }
 
-    long count(End end) {
-        long sum = 0;
-        for (long[] type : ends) {
-            sum += type[end.ordinal()];
+    /**
+     * An attempt has ended.
+     *
+     * @param type the index of the traffic type
+     * @param result what it came to
+     * @param at when, since the start of the run
+     * @param latency since it was due
+     */
+    void onAttemptEnded(int type, AttemptResult result, Span at, Span latency) {
+        types.get(type).onAttemptEnded(result, latency);
+        second(at).onAttemptEnded(result.outcome());
+        if (result.outcome() == AttemptOutcome.REJECTED) {
+            MicrosHistogram.record(rejectionLatency, latency);
         }
-        return sum;
     }
 
-    long sent() {
-        return late.getTotalCount();
+    /**
+     * A task has finished.
+     *
+     * @param arrival its arrival
+     * @param at when it finished, since the start of the run
+     * @param latency since its first attempt was due
+     */
+    void onTaskFinished(Arrival arrival, Span at, Span latency) {
+        double earned = types.get(arrival.type()).onTaskFinished(arrival.work(), latency);
+        second(at).onTaskFinished(earned);
     }
 
-    /** Share of the sends that were later than allowed. */
-    double lateShare() {
-        long all = late.getTotalCount();
-        long most = plan.clients().mostLate().micros();
-        return all == 0 ? 0 : (all - late.getCountBetweenValues(0, most)) / (double) all;
+    /** A connection for tasks has been opened. */
+    void connectionOpened() {
+        openedConnections++;
     }
 
-    double earnedShare() {
-        double a = 0;
-        double e = 0;
-        for (int i = 0; i < asked.length; i++) {
-            a += asked[i];
-            e += earned[i];
-        }
-        return a == 0 ? 1 : e / a;
-    }
-
-    void write(Path json, Path log) throws IOException {
-        ObjectMapper mapper = new ObjectMapper();
-        ObjectNode root = mapper.createObjectNode();
-        ObjectNode types = root.putObject("types");
-        for (int i = 0; i < plan.types().size(); i++) {
-            ObjectNode type = types.putObject(plan.types().get(i).name());
-            type.put("tasks", tasks[i]).put("in_time", inTime[i]).put("asked", asked[i]).put("earned",
-                    earned[i]);
-            for (End end : End.values()) {
-                type.put(end.name().toLowerCase(java.util.Locale.ROOT), ends[i][end.ordinal()]);
-            }
-        }
-        ArrayNode rows = root.putArray("seconds");
-        for (double[] second : seconds) {
-            ArrayNode row = rows.addArray();
-            for (double figure : second) {
-                row.add(figure);
-            }
+    /** A dispatcher has closed a connection that was meant to stay idle. */
+    void idleConnectionLost() {
+        lostIdleConnections++;
+    }
+
+    /** The counts so far. */
+    LoadProgress progress() {
+        long failed = count(AttemptOutcome.SERVER_ERROR) + count(AttemptOutcome.CONNECTION_LOST)
+                + count(AttemptOutcome.UNREACHABLE) + count(AttemptOutcome.TIMED_OUT);
+        return new LoadProgress(sentCount(), count(AttemptOutcome.FINISHED), count(AttemptOutcome.REJECTED),
+                failed, earnedShare(), lateShare());
+    }
+
+    private long count(AttemptOutcome outcome) {
+        return types.stream().mapToLong(type -> type.count(outcome)).sum();
+    }
+
+    private double earnedShare() {
+        double offered = 0;
+        double earned = 0;
+        for (TypeStatistics type : types) {
+            offered += type.offeredEarnings();
+            earned += type.earnings();
         }
-        root.put("sent", sent()).put("late_share", lateShare()).put("opened", opened).put("idle_lost",
-                idleLost);
-        mapper.writeValue(json.toFile(), root);
-        histograms(log);
-    }
-
-    private void histograms(Path log) throws FileNotFoundException {
-        HistogramLogWriter out = new HistogramLogWriter(log.toFile());
-        try {
-            out.outputLogFormatVersion();
-            for (int i = 0; i < latency.length; i++) {
-                one(out, "latency." + plan.types().get(i).name(), latency[i]);
-                one(out, "added." + plan.types().get(i).name(), added[i]);
-            }
-            one(out, "bounces", bounces);
-            one(out, "late", late);
-        } finally {
-            out.close();
+        return offered == 0 ? 1 : earned / offered;
+    }
+
+    /** How many attempts have been sent. */
+    long sentCount() {
+        return sendDelay.getTotalCount();
+    }
+
+    /** The share of the attempts that were sent later than the plan allows, 0 to 1. */
+    double lateShare() {
+        long total = sendDelay.getTotalCount();
+        if (total == 0) {
+            return 0;
         }
+        long onTime = sendDelay.getCountBetweenValues(0, maxSendDelay.micros());
+        return (total - onTime) / (double) total;
+    }
+
+    /** By traffic type, in the order of the plan. */
+    List<TypeStatistics> types() {
+        return types;
+    }
+
+    /** By second of the run, from its start. */
+    List<SecondStatistics> seconds() {
+        return seconds;
+    }
+
+    /** From when an attempt was due until it was rejected, in microseconds. */
+    Histogram rejectionLatency() {
+        return rejectionLatency;
+    }
+
+    /** From when an attempt was due until it was sent, in microseconds. */
+    Histogram sendDelay() {
+        return sendDelay;
+    }
+
+    /** How many connections have been opened for tasks. */
+    long openedConnections() {
+        return openedConnections;
     }
 
-    private static void one(HistogramLogWriter out, String tag, Histogram histogram) {
-        histogram.setTag(tag);
-        histogram.setStartTimeStamp(0);
-        histogram.setEndTimeStamp(1);
-        out.outputIntervalHistogram(histogram);
+    /** How many connections that were meant to stay idle the dispatchers have closed. */
+    long lostIdleConnections() {
+        return lostIdleConnections;
     }
 }
--- a/src/test/java/rampshift/testbed/clients/LoadGeneratorTest.java
+++ b/src/test/java/rampshift/testbed/clients/LoadGeneratorTest.java
@@ -10,13 +10,16 @@
 import java.nio.file.Path;
 import java.util.ArrayList;
 import java.util.List;
+import java.util.Set;
 import java.util.concurrent.TimeUnit;
 import java.util.concurrent.atomic.AtomicInteger;
+import org.HdrHistogram.EncodableHistogram;
 import org.HdrHistogram.Histogram;
 import org.HdrHistogram.HistogramLogReader;
 import org.junit.jupiter.api.AfterEach;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.io.TempDir;
+import rampshift.HttpMessage;
 import rampshift.ServerScript;
 import rampshift.TestConnection;
 import rampshift.TestServer;
@@ -25,20 +28,31 @@
 import rampshift.testbed.plan.FleetPlan;
 import rampshift.testbed.plan.FleetPlanReader;
 import rampshift.testbed.wire.LoopbackNetwork;
+import rampshift.time.Span;
 
-/** Clients before a dispatcher that does what the story says. */
+/** Clients of one emulated dispatcher, which answers as each test has it. */
 class LoadGeneratorTest {
+    private static final Span IDLE_TIMEOUT = Span.ofMillis(5000);
+    private static final ServerScript FINISH = (request, connection) -> respondOk(connection, "w/t/0");
+
     @TempDir
     Path folder;
     private TestServer dispatcher;
 
-    /** Plays a plan with ten tasks a second, evenly, for half a second. */
-    private JsonNode play(String effect, String more, ServerScript script) throws Exception {
-        dispatcher = new TestServer((message, line) -> {
-            if (message.startLine().startsWith("GET")) {
-                ok(line, "ready");      // the front asks whoever has failed
+    /**
+     * Runs a plan with ten tasks a second, evenly, for half a second, unless it has arrivals of its own.
+     *
+     * @param effect the effect of the one traffic type
+     * @param more what follows that type's settings in the plan
+     * @param script what the dispatcher does with tasks; health checks it answers with 200
+     * @return the statistics file
+     */
+    private JsonNode run(String effect, String more, ServerScript script) throws Exception {
+        dispatcher = new TestServer((request, connection) -> {
+            if (request.startLine().startsWith("GET")) {
+                respondOk(connection, "ready");
             } else {
-                script.handle(message, line);
+                script.handle(request, connection);
             }
         });
         FleetPlan plan = FleetPlanReader.read("f.toml", """
@@ -58,11 +72,10 @@
                 rate = 10
                 even = true
                 """), null);
-        try (EventLog ledger = new EventLog(folder.resolve("load.ledger"))) {
-            LoadGenerator load =
-                    new LoadGenerator(plan, 1, 0, List.of(LoopbackNetwork.address(dispatcher.port())),
-                            ledger);
-            load.openIdle(rampshift.time.Span.ofMillis(5000));
+        try (EventLog eventLog = new EventLog(folder.resolve("load.ledger"))) {
+            LoadGenerator load = new LoadGenerator(plan, 1, 0,
+                    List.of(LoopbackNetwork.address(dispatcher.port())), eventLog);
+            load.openIdle(IDLE_TIMEOUT);
             load.start(EventClock.now());
             load.await();
             load.write(folder);
@@ -76,174 +89,227 @@
         dispatcher.close();
     }
 
-    private String ledger() throws IOException {
-        return Files.readString(folder.resolve("load.ledger"));
+    private long eventCount(String word) throws IOException {
+        return Files.readString(folder.resolve("load.ledger")).lines()
+                .filter(line -> line.split(" ")[1].equals(word)).count();
     }
 
-    private long lines(String word) throws IOException {
-        return ledger().lines().filter(l -> l.split(" ")[1].equals(word)).count();
+    private List<String> receivedFields(String name) {
+        return dispatcher.received.stream().map(request -> request.field(name)).toList();
     }
 
-    private static void ok(TestConnection line, String result) throws IOException {
-        line.write("HTTP/1.1 200 OK\r\nContent-Length: " + result.length() + "\r\n\r\n" + result);
+    private static void respondOk(TestConnection connection, String result) throws IOException {
+        connection.write(
+                "HTTP/1.1 200 OK\r\nContent-Length: " + result.length() + "\r\n\r\n" + result);
     }
 
     private Histogram histogram(String tag) throws IOException {
-        try (HistogramLogReader in = new HistogramLogReader(folder.resolve("load-0.hlog").toFile())) {
-            for (var h = in.nextIntervalHistogram(); h != null; h = in.nextIntervalHistogram()) {
-                if (tag.equals(h.getTag())) {
-                    return (Histogram) h;
+        try (HistogramLogReader reader = new HistogramLogReader(folder.resolve("load-0.hlog").toFile())) {
+            EncodableHistogram next = reader.nextIntervalHistogram();
+            while (next != null) {
+                if (tag.equals(next.getTag())) {
+                    return (Histogram) next;
                 }
+                next = reader.nextIntervalHistogram();
             }
         }
         throw new AssertionError("no histogram " + tag);
     }
 
     @Test
-    void tasksGoOutByTheProtocolOnOneConnectionAndAreCounted() throws Exception {
-        JsonNode sum = play("fingerprinted", "", (m, line) -> {
+    void tasksAreSentOnOneConnectionAndCounted() throws Exception {
+        JsonNode statistics = run("fingerprinted", "", (request, connection) -> {
             // it says that it took 1 ms; without this an answer in 0.9 ms left less than nothing
             Thread.sleep(2);
-            ok(line, "w/t/1000");
+            respondOk(connection, "w/t/1000");
         });
-        assertEquals(4, sum.at("/types/x/finished").asInt());
-        assertEquals(12, sum.at("/types/x/earned").asInt());
-        assertEquals(1, sum.path("opened").asInt());
+        assertEquals(4, statistics.at("/types/x/finished").asInt());
+        assertEquals(12, statistics.at("/types/x/earned").asInt());
+        assertEquals(1, statistics.path("opened").asInt());
         var first = dispatcher.received.get(0);
         assertTrue(first.startLine().matches("POST /api/[0-9a-f]+ HTTP/1.1"), first.startLine());
         assertEquals("0.600", first.field("X-Remaining"));
         assertEquals("x", first.field("X-Lane"));
         assertEquals(32, first.field("Idempotency-Key").length());
-        assertEquals(4, dispatcher.received.stream().map(m -> m.field("X-Txn")).distinct().count());
+        assertEquals(4, receivedFields("X-Txn").stream().distinct().count());
         long latency = histogram("latency.x").getMaxValue();
         assertEquals(latency - 1000.0, (double) histogram("added.x").getMaxValue(), 20,
                 "less what it took at the worker");
     }
 
     @Test
-    void whatComesWhileThingsWarmUpIsSentAndCountsInNoFigure() throws Exception {
-        JsonNode sum = play("idempotent", "[clients]\nwarm_up = \"250ms\"\n", (m, line) -> ok(line, "w/t/0"));
+    void tasksOfTheWarmUpAreSentButNotCounted() throws Exception {
+        JsonNode statistics = run("idempotent", "[clients]\nwarm_up = \"250ms\"\n", FINISH);
         assertEquals(4, dispatcher.received.size());
-        assertEquals(2, sum.at("/types/x/tasks").asInt());
-        assertEquals(2, sum.at("/types/x/finished").asInt());
-        assertEquals(6, sum.at("/types/x/asked").asInt());
+        assertEquals(2, statistics.at("/types/x/tasks").asInt());
+        assertEquals(2, statistics.at("/types/x/finished").asInt());
+        assertEquals(6, statistics.at("/types/x/asked").asInt());
         assertEquals(2, histogram("latency.x").getTotalCount());
     }
 
     /** A closed loop would have sent one task in this time, and shown one slow answer. */
     @Test
-    void aStallCountsFromWhenEachTaskWasDueToBeSent() throws Exception {
+    void latencyCountsFromWhenATaskWasDue() throws Exception {
         long end = System.nanoTime() + 700_000_000L;
-        JsonNode sum = play("idempotent", "", (m, line) -> {
+        JsonNode statistics = run("idempotent", "", (request, connection) -> {
             TimeUnit.NANOSECONDS.sleep(end - System.nanoTime());
-            ok(line, "w/t/0");
+            respondOk(connection, "w/t/0");
         });
-        assertEquals(4, sum.path("opened").asInt(), "others don't wait for the stalled one");
+        assertEquals(4, statistics.path("opened").asInt(), "others don't wait for the stalled one");
         assertTrue(histogram("latency.x").getValueAtPercentile(50) > 250_000, "they all show it");
-        assertTrue(sum.at("/types/x/in_time").asInt() < 4);
+        assertTrue(statistics.at("/types/x/in_time").asInt() < 4);
     }
 
     @Test
-    void aBouncedTaskComesBackWhenItIsToldToUnderANewIdAndEarnsOnce() throws Exception {
-        AtomicInteger number = new AtomicInteger();
+    void aRejectedTaskIsRetriedAfterRetryAfterWithANewIdAndEarnsOnce() throws Exception {
+        AtomicInteger requests = new AtomicInteger();
         List<Long> times = new ArrayList<>();
-        JsonNode sum = play("side-effecting", """
+        JsonNode statistics = run("side-effecting", """
                 due = "500ms"
                 [clients]
                 wait = "10ms"
                 [arrivals]
                 rate = 3
                 even = true
-                """, (m, line) -> {
+                """, (request, connection) -> {
             times.add(System.nanoTime());
-            if (number.getAndIncrement() == 0) {
-                line.write("HTTP/1.1 503 No\r\nRetry-After: 0.12\r\nContent-Length: 0\r\n\r\n");
+            if (requests.getAndIncrement() == 0) {
+                connection.write("HTTP/1.1 503 No\r\nRetry-After: 0.12\r\nContent-Length: 0\r\n\r\n");
             } else {
-                ok(line, "w/t/0");
+                respondOk(connection, "w/t/0");
             }
         });
-        assertEquals(1, sum.at("/types/x/tasks").asInt());
-        assertEquals(1, sum.at("/types/x/bounced").asInt());
-        assertEquals(1, sum.at("/types/x/finished").asInt());
-        assertEquals(3, sum.at("/types/x/earned").asInt());
+        assertEquals(1, statistics.at("/types/x/tasks").asInt());
+        assertEquals(1, statistics.at("/types/x/bounced").asInt());
+        assertEquals(1, statistics.at("/types/x/finished").asInt());
+        assertEquals(3, statistics.at("/types/x/earned").asInt());
         assertTrue(times.get(1) - times.get(0) >= 115_000_000L, "not sooner");
         assertEquals("1", dispatcher.received.get(1).field("X-Resent"));
-        assertEquals(2, dispatcher.received.stream().map(m -> m.field("X-Txn")).distinct().count());
+        assertEquals(2, receivedFields("X-Txn").stream().distinct().count());
     }
 
     @Test
-    void aSaleThatMayHaveRunIsNotTriedAgainOthersAre() throws Exception {
+    void onlyARepeatableTaskIsRetriedAfterItMayHaveRun() throws Exception {
         String few = "[clients]\nwait = \"10ms\"\n[arrivals]\nrate = 3\neven = true\n";
-        ServerScript abandons = (m, line) -> line.write("HTTP/1.1 504 Late\r\nContent-Length: 0\r\n\r\n");
-        assertEquals(1, play("side-effecting", few, abandons).at("/types/x/abandoned").asInt());
+        ServerScript timesOut = (request, connection) -> connection.respondStatus(504, "");
+        assertEquals(1, run("side-effecting", few, timesOut).at("/types/x/abandoned").asInt());
         dispatcher.close();
-        assertEquals(3, play("idempotent", few, abandons).at("/types/x/abandoned").asInt());
+        assertEquals(3, run("idempotent", few, timesOut).at("/types/x/abandoned").asInt());
     }
 
     @Test
-    void aConnectionEndedBetweenTasksIsNoLossTheTaskGoesOnceMore() throws Exception {
-        AtomicInteger number = new AtomicInteger();
-        JsonNode sum = play("side-effecting", "", (m, line) -> {
-            if (number.getAndIncrement() == 1) {
-                line.close();
+    void aTaskOnAStaleConnectionIsSentAgainAsTheSameAttempt() throws Exception {
+        AtomicInteger requests = new AtomicInteger();
+        JsonNode statistics = run("side-effecting", "", (request, connection) -> {
+            if (requests.getAndIncrement() == 1) {
+                connection.close();
             } else {
-                ok(line, "w/t/0");
+                respondOk(connection, "w/t/0");
             }
         });
-        assertEquals(4, sum.at("/types/x/finished").asInt());
-        assertEquals(1, lines("crossed"));
+        assertEquals(4, statistics.at("/types/x/finished").asInt());
+        assertEquals(1, eventCount("crossed"));
         assertEquals(dispatcher.received.get(1).field("X-Txn"), dispatcher.received.get(2).field("X-Txn"));
-        assertEquals(0, lines("broken"));
+        assertEquals(0, eventCount("broken"));
     }
 
     @Test
-    void whatBreaksOrNeverComesIsWrittenDown() throws Exception {
-        AtomicInteger number = new AtomicInteger();
-        JsonNode sum = play("side-effecting", "", (m, line) -> {
-            switch (number.getAndIncrement()) {
-                case 0 -> line.write("HTTP/1.1 200 OK\r\nContent-Length: 9\r\n\r\nha");
-                case 1 -> ok(line, "w/t/0");
+    void lostConnectionsUnexpectedBytesAndMissingResponsesAreLogged() throws Exception {
+        AtomicInteger requests = new AtomicInteger();
+        JsonNode statistics = run("side-effecting", "", (request, connection) -> {
+            switch (requests.getAndIncrement()) {
+                case 0 -> connection.write("HTTP/1.1 200 OK\r\nContent-Length: 9\r\n\r\nha");
+                case 1 -> respondOk(connection, "w/t/0");
                 case 2 -> {
-                    ok(line, "w/t/0");
+                    respondOk(connection, "w/t/0");
                     Thread.sleep(20);
-                    ok(line, "w/t/0");
+                    respondOk(connection, "w/t/0");
                 }
-                default -> ok(line, "w/t/0");
+                default -> respondOk(connection, "w/t/0");
             }
-            if (number.get() == 1) {
-                line.close();
+            if (requests.get() == 1) {
+                connection.close();
             }
         });
-        assertEquals(1, sum.at("/types/x/broken").asInt());
-        assertEquals(1, lines("broken"));
-        assertEquals(1, lines("unasked"), "the second answer of a connection");
+        assertEquals(1, statistics.at("/types/x/broken").asInt());
+        assertEquals(1, eventCount("broken"));
+        assertEquals(1, eventCount("unasked"), "the second answer of a connection");
         dispatcher.close();
-        sum = play("side-effecting", "", (m, line) -> {});
-        assertEquals(4, sum.at("/types/x/no_answer").asInt());
-        assertEquals(4, lines("none"));
+        statistics = run("side-effecting", "", (request, connection) -> {});
+        assertEquals(4, statistics.at("/types/x/no_answer").asInt());
+        assertEquals(4, eventCount("none"));
     }
 
     @Test
-    void idleConnectionsSendOneTaskEachAndAreCountedWhenTheyAreLost() throws Exception {
-        AtomicInteger number = new AtomicInteger();
-        JsonNode sum = play("idempotent", "[clients]\nidle = 20\n", (m, line) -> {
-            ok(line, "w/t/0");
-            if (number.getAndIncrement() == 5) {
+    void idleConnectionsSendOneTaskEachAndAreCountedWhenLost() throws Exception {
+        AtomicInteger requests = new AtomicInteger();
+        JsonNode statistics = run("idempotent", "[clients]\nidle = 20\n", (request, connection) -> {
+            respondOk(connection, "w/t/0");
+            if (requests.getAndIncrement() == 5) {
                 Thread.sleep(100);
-                line.close();
+                connection.close();
             }
         });
         assertEquals(24, dispatcher.received.size());
-        assertEquals(1, sum.path("idle_lost").asInt());
-        assertEquals(4, sum.path("sent").asInt(), "they are no part of the run");
+        assertEquals(1, statistics.path("idle_lost").asInt());
+        assertEquals(4, statistics.path("sent").asInt(), "they are no part of the run");
+    }
+
+    @Test
+    void aClosedLoopSendsTheNextTaskWhenOneHasEnded() throws Exception {
+        AtomicInteger inFlight = new AtomicInteger();
+        AtomicInteger maxInFlight = new AtomicInteger();
+        JsonNode statistics =
+                run("idempotent", "[clients]\nin_hand = 2\n", (request, connection) -> {
+                    maxInFlight.accumulateAndGet(inFlight.incrementAndGet(), Math::max);
+                    Thread.sleep(20);
+                    inFlight.decrementAndGet();
+                    respondOk(connection, "w/t/0");
+                });
+        assertEquals(2, maxInFlight.get());
+        assertEquals(2, statistics.path("opened").asInt());
+        int tasks = statistics.at("/types/x/tasks").asInt();
+        assertTrue(tasks > 4 && tasks <= 52, tasks + " tasks of 20 ms in 500 ms, two at a time");
+        assertEquals(tasks, statistics.at("/types/x/finished").asInt());
+    }
+
+    /** So that a run can be repeated with a later version: the values are those of earlier versions. */
+    @Test
+    void aSeedGivesTheSameRequestsAsInEarlierVersions() throws Exception {
+        run("fingerprinted", """
+                work = "3ms"
+                spread = "exponential"
+                slots = 0.5
+                memory = 2
+                body = 60
+                [clients]
+                idle = 2
+                [arrivals]
+                rate = 10
+                even = true
+                objects = 100
+                """, FINISH);
+        assertEquals(
+                Set.of("d0a42b832744990b6bc5", "27f8fa1afd55d70ca21a", "793883e862de0cfdf7f9",
+                        "56f67176bd6665c2c451", "5fd851f1415214122450", "b3800389719b627bd19c"),
+                Set.copyOf(receivedFields("X-Txn")));
+        HttpMessage firstOfRun = dispatcher.received.stream()
+                .filter(request -> request.field("X-Txn").equals("793883e862de0cfdf7f9")).findFirst()
+                .orElseThrow();
+        assertEquals(
+                List.of("POST /api/48 HTTP/1.1", "Host: fleet", "X-Txn: 793883e862de0cfdf7f9", "X-Lane: x",
+                        "X-Remaining: 0.600", "Idempotency-Key: fb74b20f823e9de128708bcc89f219df",
+                        "X-Labels: slots=0.5,memory=2.0", "Content-Length: 60"),
+                firstOfRun.head());
+        assertEquals("work=1028,0.5,2.0;" + ".".repeat(42), firstOfRun.text());
     }
 
     @Test
-    void aToolThatFallsBehindItsOwnPlanKnowsIt() throws Exception {
-        assertEquals(1, play("idempotent", "[clients]\nmost_late = \"1us\"\n", (m, line) -> ok(line, "w/t/0"))
+    void lateSendsAreCounted() throws Exception {
+        assertEquals(1, run("idempotent", "[clients]\nmost_late = \"1us\"\n", FINISH)
                 .path("late_share").asDouble());
         dispatcher.close();
-        assertEquals(0, play("idempotent", "[clients]\nmost_late = \"2s\"\n", (m, line) -> ok(line, "w/t/0"))
+        assertEquals(0, run("idempotent", "[clients]\nmost_late = \"2s\"\n", FINISH)
                 .path("late_share").asDouble());
     }
 }
