--- a/src/main/java/rampshift/testbed/random/RandomStreams.java
+++ b/src/main/java/rampshift/testbed/random/RandomStreams.java
@@ -6,19 +6,25 @@
 import org.apache.commons.rng.simple.RandomSource;
 
 /**
- * Random numbers: a stream of its own for each actor, drawn from the run's seed and the actor's name. So an
- * actor
- * more, or one that draws more often, changes nothing for the others, and paired runs stay alike.
+ * Independent streams of random numbers. Each consumer has a stream of its own, which depends only on the
+ * seed of the run and on the consumer's name: one more consumer, or one that draws more often, changes
+ * nothing for the others, and paired runs stay alike.
  */
 public final class RandomStreams {
     private RandomStreams() {}
 
-    public static UniformRandomProvider of(long seed, String actor) {
-        CRC32 crc = new CRC32();
-        crc.update(actor.getBytes(StandardCharsets.UTF_8));
-        // The first of the four is only an odd step, of which the last bit is lost: with the seed there, 2
-        // and 3 gave the
-        // same numbers, and every seed the same first one.
-        return RandomSource.L64_X128_MIX.create(new long[]{actor.length(), seed, crc.getValue(), ~seed});
+    /**
+     * Creates the stream of a consumer, from its beginning.
+     *
+     * @param seed the seed of the run
+     * @param consumer the name of the consumer
+     */
+    public static UniformRandomProvider of(long seed, String consumer) {
+        CRC32 checksum = new CRC32();
+        checksum.update(consumer.getBytes(StandardCharsets.UTF_8));
+        // The generator uses the first of the four numbers only as an increment, and drops its last bit. With
+        // the seed there, seeds 2 and 3 gave the same stream, and all seeds the same first number.
+        return RandomSource.L64_X128_MIX
+                .create(new long[]{consumer.length(), seed, checksum.getValue(), ~seed});
     }
 }
