--- a/src/main/java/rampshift/testbed/discovery/DiscoveryAgent.java
+++ b/src/main/java/rampshift/testbed/discovery/DiscoveryAgent.java
@@ -6,232 +6,186 @@
 import java.util.Collection;
 import java.util.LinkedHashSet;
 import java.util.List;
+import java.util.Locale;
+import java.util.Optional;
 import java.util.Set;
 import java.util.concurrent.TimeUnit;
-import java.util.regex.Matcher;
-import java.util.regex.Pattern;
 import org.apache.commons.rng.UniformRandomProvider;
 import org.xnio.ChannelListener;
 import org.xnio.IoUtils;
 import org.xnio.OptionMap;
 import org.xnio.Options;
 import org.xnio.StreamConnection;
-import org.xnio.XnioExecutor;
 import org.xnio.XnioIoThread;
 import org.xnio.XnioWorker;
 import org.xnio.channels.AcceptingChannel;
 import rampshift.eventlog.EventClock;
 import rampshift.eventlog.EventLog;
-import rampshift.testbed.wire.FaultyConnection;
 import rampshift.testbed.wire.LoopbackNetwork;
-import rampshift.testbed.wire.Message;
-import rampshift.testbed.wire.MessageReader;
 import rampshift.time.Moment;
 import rampshift.time.Span;
 import rampshift.toml.Range;
 
-/** Discovery as one dispatcher sees it: the agent on its machine, which is sent changes late. */
+/**
+ * The discovery agent of one dispatcher. It receives changes of the endpoint list with a delay and answers
+ * the long polls of its dispatcher. It is created and changed on the I/O thread alone.
+ */
 public final class DiscoveryAgent {
-    private static final Pattern WATCH = Pattern.compile("/v1/endpoints\\?index=(\\d{1,18})&wait=(\\d{1,9})");
-    private static final long LONGEST_WAIT_MS = 60_000;
+    private static final int BACKLOG = 128;
 
     private final int dispatcher;
     private final XnioIoThread thread;
-    private final EventLog ledger;
+    private final EventLog eventLog;
     private final Range delay;
-    private final UniformRandomProvider chance;
-    private final ListHistory versions;
-    private final AcceptingChannel<StreamConnection> socket;
-    private final Set<Talk> talks = new LinkedHashSet<>();
-    private Moment lastDue = new Moment(0);
-    private Span old = Span.ZERO;
-    private boolean restates;
+    private final UniformRandomProvider random;
+    private final ListHistory history;
+    private final AcceptingChannel<StreamConnection> server;
+    private final Set<WatchConnection> connections = new LinkedHashSet<>();
+    private Moment lastArrival = new Moment(0);
+    private Span staleness = Span.ZERO;
+    /** Whether the first response on each new connection is the whole list. */
+    private boolean restatesList;
     private boolean silent;
 
-    public DiscoveryAgent(int dispatcher, XnioWorker worker, int port, EventLog ledger, Range delay,
-            UniformRandomProvider chance, Collection<WorkerEntry> first) throws IOException {
+    /**
+     * Opens the agent's port of 127.0.0.1.
+     *
+     * @param dispatcher the index of the dispatcher
+     * @param worker its first I/O thread serves the agent
+     * @param port the port; 0 for any free one
+     * @param eventLog receives what the dispatcher is told
+     * @param delay the range of the time that a change takes to reach the agent
+     * @param random draws the delays
+     * @param initial the endpoint list at the start
+     * @throws IOException if the port cannot be opened
+     */
+    public DiscoveryAgent(int dispatcher, XnioWorker worker, int port, EventLog eventLog, Range delay,
+            UniformRandomProvider random, Collection<WorkerEntry> initial) throws IOException {
         this.dispatcher = dispatcher;
         thread = worker.getIoThread(0);
-        this.ledger = ledger;
+        this.eventLog = eventLog;
         this.delay = delay;
-        this.chance = chance;
-        versions = new ListHistory(first);
-        ChannelListener<AcceptingChannel<StreamConnection>> accept = this::accept;
+        this.random = random;
+        history = new ListHistory(initial);
+        ChannelListener<AcceptingChannel<StreamConnection>> onConnection = this::accept;
         LoopbackNetwork.requireFreePort(port);
-        socket = worker.createStreamConnectionServer(LoopbackNetwork.address(port), accept,
-                OptionMap.builder()
-                        .set(Options.TCP_NODELAY, true).set(Options.REUSE_ADDRESSES, true)
-                        .set(Options.BACKLOG, 128).getMap());
-        socket.resumeAccepts();
+        server = worker.createStreamConnectionServer(LoopbackNetwork.address(port), onConnection,
+                OptionMap.builder().set(Options.TCP_NODELAY, true).set(Options.REUSE_ADDRESSES, true)
+                        .set(Options.BACKLOG, BACKLOG).getMap());
+        server.resumeAccepts();
     }
 
+    /** The port of 127.0.0.1 at which the agent listens. */
     public int port() {
-        return ((InetSocketAddress) socket.getLocalAddress()).getPort();
+        return ((InetSocketAddress) server.getLocalAddress()).getPort();
     }
 
-    /** The whole list in discovery's form. */
+    /** The whole endpoint list in JSON, as the dispatcher would receive it now without faults. */
     public String list() {
-        return json(versions.version(), true, versions.whole());
+        return toJson(new EndpointUpdate(history.version(), true, history.entries()));
     }
 
-    /** Something has changed in the world: the agent is sent it after a while, and never out of order. */
-    public void changed(Collection<WorkerEntry> entries, boolean late) {
+    /** Sends changed entries to the agent; they arrive after a delay, and never out of order. */
+    public void publish(Collection<WorkerEntry> changed) {
         Moment now = EventClock.now();
-        Span wait = late ? delay.at(chance.nextDouble()) : Span.ZERO;
-        Moment due = now.plus(wait);
-        lastDue = due.before(lastDue) ? lastDue : due;
-        List<WorkerEntry> copy = List.copyOf(entries);
+        Moment arrival = now.plus(delay.at(random.nextDouble()));
+        lastArrival = arrival.before(lastArrival) ? lastArrival : arrival;
+        List<WorkerEntry> copy = List.copyOf(changed);
         thread.executeAfter(() -> {
-            versions.apply(copy, EventClock.now());
-            tell();
-        }, Math.round(lastDue.since(now).millis()), TimeUnit.MILLISECONDS);
+            history.apply(copy, EventClock.now());
+            answerWatches();
+        }, Math.round(lastArrival.since(now).millis()), TimeUnit.MILLISECONDS);
     }
 
-    /** It says nothing at all, or speaks again. */
-    public void silent(boolean on) {
-        silent = on;
-        tell();
+    /** Stops the agent from answering, or lets it answer again. */
+    public void setSilent(boolean silent) {
+        this.silent = silent;
+        answerWatches();
     }
 
     /**
-     * It breaks all watches, and tells whoever asks then what the list was so long ago, version by version as
-     * they age;
-     * ZERO: the same with the truth. A watch that goes on would never hear of it: it asks only for what is
-     * newer than
-     * what it has.
+     * Makes the agent answer with the list as it was some time ago; zero makes it answer with the latest
+     * list again. It closes all connections: a watch that went on would ask only for later versions than it
+     * has, and never learn of an older list.
      */
-    public void old(Span ago) {
-        old = ago;
-        restates = true;
-        for (Talk talk : new ArrayList<>(talks)) {
-            talk.drop();
+    public void setStaleness(Span staleness) {
+        this.staleness = staleness;
+        restatesList = true;
+        for (WatchConnection connection : new ArrayList<>(connections)) {
+            connection.close();
         }
     }
 
-    private void tell() {
-        for (Talk talk : new ArrayList<>(talks)) {
-            talk.look(false);
+    private void answerWatches() {
+        for (WatchConnection connection : new ArrayList<>(connections)) {
+            connection.answerIfChanged();
         }
     }
 
-    private String json(long version, boolean whole, List<WorkerEntry> entries) {
-        StringBuilder text = new StringBuilder(64 + entries.size() * 160);
-        text.append("{\"rev\":").append(version).append(",\"all\":").append(whole).append(",\"targets\":[");
-        for (int i = 0; i < entries.size(); i++) {
-            text.append(i == 0 ? "" : ",").append(entries.get(i).json(dispatcher));
-        }
-        return text.append("]}").toString();
-    }
-
-    private void accept(AcceptingChannel<StreamConnection> from) {
+    private void accept(AcceptingChannel<StreamConnection> acceptor) {
         try {
-            for (StreamConnection c = from.accept(); c != null; c = from.accept()) {
-                new Talk(c);
+            for (StreamConnection peer = acceptor.accept(); peer != null; peer = acceptor.accept()) {
+                WatchConnection connection = new WatchConnection(this, peer, thread, restatesList);
+                connections.add(connection);
+                connection.start();
             }
         } catch (IOException e) {
-            // Closed while this was under way.
+            // The server was closed meanwhile.
         }
     }
 
-    private final class Talk implements FaultyConnection.Listener {
-        private final FaultyConnection line;
-        private final MessageReader reader = new MessageReader(this::asked);
-        private boolean waits;
-        private boolean restate = restates;
-        private long known;
-        private XnioExecutor.Key timer;
-
-        Talk(StreamConnection connection) {
-            line = new FaultyConnection(connection, thread, this);
-            talks.add(this);
-            line.start();
-        }
+    boolean isSilent() {
+        return silent;
+    }
 
-        @Override
-        public void onBytes(byte[] bytes, int count) {
-            try {
-                reader.read(bytes, 0, count, EventClock.now());
-            } catch (IOException e) {
-                drop();
-            }
-        }
+    void remove(WatchConnection connection) {
+        connections.remove(connection);
+    }
 
-        private void asked(Message message) {
-            Matcher watch = WATCH.matcher(message.target());
-            waits = true;
-            if (watch.matches()) {
-                known = Long.parseLong(watch.group(1));
-                long wait = Math.min(LONGEST_WAIT_MS, Long.parseLong(watch.group(2)));
-                timer = thread.executeAfter(() -> look(true), wait, TimeUnit.MILLISECONDS);
-            } else {
-                known = -1;
-            }
-            look(false);
+    /**
+     * What there is to tell a dispatcher.
+     *
+     * @param knownVersion the version that the dispatcher has; negative if it has none
+     */
+    EndpointUpdate updateSince(long knownVersion) {
+        boolean stale = staleness.micros() > 0;
+        Moment asOf = EventClock.now().minus(staleness);
+        long version = stale ? history.versionAt(asOf) : history.version();
+        if (stale && knownVersion > version) {
+            return new EndpointUpdate(version, false, List.of());
         }
-
-        /** Answers if there is something to say, or the wait is over. */
-        void look(boolean over) {
-            if (!waits || silent) {
-                return;
-            }
-            long version = old.micros() > 0 ? versions.version(old, EventClock.now()) : versions.version();
-            List<WorkerEntry> news = known < 0 || restate ? null
-                    : old.micros() > 0 && known > version ? List.of() : versions.since(known, version);
-            restate = false;
-            if (news != null && news.isEmpty() && !over) {
-                return;
-            }
-            waits = false;
-            if (timer != null) {
-                timer.remove();
-            }
-            boolean whole = news == null;
-            if (whole) {
-                news = old.micros() > 0 ? versions.whole(old, EventClock.now()) : versions.whole();
-            }
-            String body = json(version, whole, news);
-            line.write("HTTP/1.1 200 OK\r\nContent-Type: application/json\r\nContent-Length: " + body.length()
-                    + "\r\n\r\n" + body);
-            told(whole, news);
+        Optional<List<WorkerEntry>> changes = history.changesBetween(knownVersion, version);
+        if (changes.isPresent()) {
+            return new EndpointUpdate(version, false, changes.get());
         }
+        return new EndpointUpdate(version, true, stale ? history.entriesAt(asOf) : history.entries());
+    }
 
-        private void told(boolean whole, List<WorkerEntry> entries) {
-            Moment now = EventClock.now();
-            if (whole) {
-                ledger.append(now, "told-whole", dispatcher);
-            }
-            for (WorkerEntry entry : entries) {
-                ledger.append(now, "told", dispatcher, entry.uid(),
-                        entry.state().name().toLowerCase(java.util.Locale.ROOT));
-            }
-            if (whole) {
-                ledger.append(now, "told-end", dispatcher);
-            }
-        }
+    /** The JSON object in which the dispatcher receives an update. */
+    String toJson(EndpointUpdate update) {
+        return update.toJson(dispatcher);
+    }
 
-        void drop() {
-            line.close();
-            over();
+    /** Records that an update was sent to the dispatcher. */
+    void recordSent(EndpointUpdate update) {
+        Moment now = EventClock.now();
+        if (update.complete()) {
+            eventLog.append(now, "told-whole", dispatcher);
         }
-
-        @Override
-        public void onClosed(boolean reset) {
-            over();
+        for (WorkerEntry entry : update.entries()) {
+            String state = entry.state().name().toLowerCase(Locale.ROOT);
+            eventLog.append(now, "told", dispatcher, entry.uid(), state);
         }
-
-        private void over() {
-            talks.remove(this);
-            waits = false;
-            if (timer != null) {
-                timer.remove();
-            }
+        if (update.complete()) {
+            eventLog.append(now, "told-end", dispatcher);
         }
     }
 
+    /** Closes the port and all connections. */
     public void close() {
-        IoUtils.safeClose(socket);
-        for (Talk talk : new ArrayList<>(talks)) {
-            talk.drop();
+        IoUtils.safeClose(server);
+        for (WatchConnection connection : new ArrayList<>(connections)) {
+            connection.close();
         }
     }
 }
--- a/src/main/java/rampshift/testbed/discovery/ListHistory.java
+++ b/src/main/java/rampshift/testbed/discovery/ListHistory.java
@@ -6,36 +6,44 @@
 import java.util.LinkedHashMap;
 import java.util.List;
 import java.util.Map;
+import java.util.Optional;
 import rampshift.time.Moment;
-import rampshift.time.Span;
 
 /**
- * The list of workers as one dispatcher's agent has been sent it, version by version, with what it was a
- * while
- * ago. No I/O, no clock.
+ * The versions of the endpoint list that the agent of one dispatcher has received. It has no I/O and no
+ * clock.
  */
 final class ListHistory {
-    private static final int MOST_CHANGES = 20_000;
+    private static final int MAX_CHANGES = 20_000;
 
-    /** One change as a dispatcher is told of it; the version is the one that it made. */
+    /**
+     * One change of the list.
+     *
+     * @param version the version that the change made
+     * @param when when the agent received it
+     * @param entry the changed entry; its state is GONE if the change removed it
+     */
     private record Change(long version, Moment when, WorkerEntry entry) {}
 
     private final Map<String, WorkerEntry> entries = new LinkedHashMap<>();
-    private final Map<String, WorkerEntry> atStart = new LinkedHashMap<>();
+    /** The list before the first of the changes that are kept, with entries that are gone. */
+    private final Map<String, WorkerEntry> oldestEntries = new LinkedHashMap<>();
     private final ArrayDeque<Change> changes = new ArrayDeque<>();
     private long version = 1;
-    private long oldest = 1;
+    private long oldestVersion = 1;
 
-    ListHistory(Collection<WorkerEntry> first) {
-        first.forEach(e -> entries.put(e.uid(), e));
-        atStart.putAll(entries);
+    /** Starts with a list, which becomes version 1. */
+    ListHistory(Collection<WorkerEntry> initial) {
+        initial.forEach(entry -> entries.put(entry.uid(), entry));
+        oldestEntries.putAll(entries);
     }
 
+    /** The latest version. */
     long version() {
         return version;
     }
 
-    /** Several changes that come together make one version. */
+    /** Applies changes that arrive together; they make one version. */
     void apply(Collection<WorkerEntry> changed, Moment now) {
         version++;
         for (WorkerEntry entry : changed) {
@@ -46,49 +54,58 @@
             }
             changes.add(new Change(version, now, entry));
         }
-        while (changes.size() > MOST_CHANGES) {
-            Change lost = changes.poll();
-            oldest = lost.version();
-            atStart.put(lost.entry().uid(), lost.entry());
+        while (changes.size() > MAX_CHANGES) {
+            Change oldest = changes.poll();
+            oldestVersion = oldest.version();
+            oldestEntries.put(oldest.entry().uid(), oldest.entry());
         }
     }
 
-    /** The version that was the last so long ago. */
-    long version(Span ago, Moment now) {
-        long then = oldest;
+    /** The version that was the latest at a time in the past. */
+    long versionAt(Moment time) {
+        long latest = oldestVersion;
         for (Change change : changes) {
-            then = now.minus(ago).before(change.when()) ? then : change.version();
+            if (!time.before(change.when())) {
+                latest = change.version();
+            }
         }
-        return then;
+        return latest;
     }
 
-    /** What changed between two versions, the last state of each; null: too long ago, or never so. */
-    List<WorkerEntry> since(long known, long upTo) {
-        if (known > upTo || known < oldest) {
-            return null;
+    /**
+     * The entries that changed between two versions, each in its last state.
+     *
+     * @param known the version after which changes count
+     * @param upTo the last version whose changes count
+     * @return empty if the changes since the known version are not kept, or if that version is later
+     */
+    Optional<List<WorkerEntry>> changesBetween(long known, long upTo) {
+        if (known > upTo || known < oldestVersion) {
+            return Optional.empty();
         }
-        Map<String, WorkerEntry> last = new LinkedHashMap<>();
+        Map<String, WorkerEntry> latest = new LinkedHashMap<>();
         for (Change change : changes) {
             if (change.version() > known && change.version() <= upTo) {
-                last.put(change.entry().uid(), change.entry());
+                latest.put(change.entry().uid(), change.entry());
             }
         }
-        return new ArrayList<>(last.values());
+        return Optional.of(new ArrayList<>(latest.values()));
     }
 
-    List<WorkerEntry> whole() {
+    /** The whole list of the latest version. */
+    List<WorkerEntry> entries() {
         return new ArrayList<>(entries.values());
     }
 
-    /** The whole list as it was so long ago. */
-    List<WorkerEntry> whole(Span ago, Moment now) {
-        Map<String, WorkerEntry> then = new LinkedHashMap<>(atStart);
+    /** The whole list as it was at a time in the past. */
+    List<WorkerEntry> entriesAt(Moment time) {
+        Map<String, WorkerEntry> past = new LinkedHashMap<>(oldestEntries);
         for (Change change : changes) {
-            if (!now.minus(ago).before(change.when())) {
-                then.put(change.entry().uid(), change.entry());
+            if (!time.before(change.when())) {
+                past.put(change.entry().uid(), change.entry());
             }
         }
-        then.values().removeIf(e -> e.state() == WorkerEntry.State.GONE);
-        return new ArrayList<>(then.values());
+        past.values().removeIf(entry -> entry.state() == WorkerEntry.State.GONE);
+        return new ArrayList<>(past.values());
     }
 }
--- a/src/main/java/rampshift/testbed/faults/FaultInjector.java
+++ b/src/main/java/rampshift/testbed/faults/FaultInjector.java
@@ -1,11 +1,10 @@
 package rampshift.testbed.faults;
 
 import java.util.List;
+import java.util.Locale;
 import java.util.concurrent.TimeUnit;
-import java.util.function.Consumer;
 import rampshift.eventlog.EventClock;
 import rampshift.eventlog.EventLog;
-import rampshift.testbed.links.LinkFaults;
 import rampshift.testbed.links.LinkProxy;
 import rampshift.testbed.plan.FleetPlan;
 import rampshift.testbed.random.RandomStreams;
@@ -13,151 +12,159 @@
 import rampshift.time.Moment;
 import rampshift.time.Span;
 
-/** Brings the plan's troubles over a fleet, each at its time, and takes them away again. */
+/**
+ * Starts and ends the faults of a plan at their times. Faults of dispatchers' processes are left to whoever
+ * started these.
+ */
 public final class FaultInjector {
-    private static final double NARROWEST = 1000;       // bytes a second, times the factor
-    private static final double PAUSE_EVERY = 20;       // pauses' lengths apart
+    /** The bandwidth of a narrow link whose factor is 1. */
+    private static final double NARROW_LINK_BYTES_PER_SECOND = 1000;
+    /** The time from one pause to the next, as a multiple of the length of a pause. */
+    private static final double PAUSE_INTERVAL_FACTOR = 20;
+    /** So many names at most are recorded one by one. */
+    private static final int MAX_RECORDED_NAMES = 3;
 
     private final FleetPlan plan;
     private final Fleet fleet;
-    private final EventLog ledger;
-    private final LinkProxy ways;
-
-    /** Ways: null where the dispatchers don't know each other. */
-    public FaultInjector(FleetPlan plan, Fleet fleet, LinkProxy ways, EventLog ledger) {
+    private final DispatcherLinks links;
+    private final EventLog eventLog;
+
+    /**
+     * Creates an injector.
+     *
+     * @param plan the plan of the fleet
+     * @param fleet the workers and discovery agents
+     * @param proxy the links between dispatchers; null if they do not know each other
+     * @param eventLog receives when faults start and end
+     */
+    public FaultInjector(FleetPlan plan, Fleet fleet, LinkProxy proxy, EventLog eventLog) {
         this.plan = plan;
         this.fleet = fleet;
-        this.ways = ways;
-        this.ledger = ledger;
+        this.eventLog = eventLog;
+        links = new DispatcherLinks(proxy, fleet.dispatcherSites().stream()
+                .map(site -> plan.sites().get(site).name()).toList());
     }
 
-    /** Begins to count at that moment. */
-    public void start(long seed, Moment zero) {
+    /**
+     * Schedules all faults; called on any thread.
+     *
+     * @param seed the seed of the run, from which targets are drawn
+     * @param startTime the time from which the plan counts
+     */
+    public void start(long seed, Moment startTime) {
         int number = 0;
-        for (FleetPlan.Trouble trouble : plan.troubles()) {
+        for (FleetPlan.Trouble fault : plan.troubles()) {
             number++;
-            if (trouble.ofDispatchers()) {
+            if (fault.ofDispatchers()) {
                 continue;
             }
-            List<String> names = ofDispatchersNamed(trouble) ? trouble.names()
-                    : FaultTargets.of(trouble, fleet.names(trouble.site()),
+            List<String> targets = namesDispatchers(fault) ? fault.names()
+                    : FaultTargets.of(fault, fleet.workerNames(fault.site()),
                             RandomStreams.of(seed, "trouble " + number));
-            at(zero.plus(trouble.at()), () -> begin(trouble, names));
-            at(zero.plus(trouble.at()).plus(trouble.length()), () -> end(trouble, names));
+            Moment begin = startTime.plus(fault.at());
+            runAt(begin, () -> begin(fault, targets));
+            runAt(begin.plus(fault.length()), () -> end(fault, targets));
         }
     }
 
-    private static boolean ofDispatchersNamed(FleetPlan.Trouble trouble) {
-        return trouble.ofWays() || trouble.what() == FleetPlan.Trouble.Kind.ROSTER_SILENT
-                || trouble.what() == FleetPlan.Trouble.Kind.ROSTER_OLD;
-    }
-
-    private void at(Moment when, Runnable what) {
-        fleet.thread().executeAfter(what, Math.max(0, Math.round(when.since(EventClock.now()).millis())),
-                TimeUnit.MILLISECONDS);
+    /** Whether the names of a fault are not those of workers. */
+    private static boolean namesDispatchers(FleetPlan.Trouble fault) {
+        return fault.ofWays() || fault.what() == FleetPlan.Trouble.Kind.ROSTER_SILENT
+                || fault.what() == FleetPlan.Trouble.Kind.ROSTER_OLD;
     }
 
-    private void begin(FleetPlan.Trouble trouble, List<String> names) {
-        mark(trouble, "begins", names);
-        switch (trouble.what()) {
-            case DRAIN -> names.forEach(fleet::drain);
-            case LEAVE, CRASH -> names.forEach(fleet::leave);
-            case CUT -> {
-                fleet.cut(trouble.site(), true);
-                ways(trouble, w -> w.setCut(true));
-            }
-            case ROSTER_SILENT -> fleet.rosterSilent(names, true);
-            case ROSTER_OLD -> fleet.rosterOld(names, trouble.delay());
-            case WAY_CUT -> ways(trouble, w -> w.setCut(true));
-            case WAY_FLAPPING -> flap(trouble, true, EventClock.now().plus(trouble.length()));
-            case WAY_LOSSY -> ways(trouble, w -> w.setLossShare(trouble.rate()));
-            case WAY_SLOW -> ways(trouble, w -> w.setDelay(trouble.delay()));
-            case WAY_SCATTERED -> ways(trouble, w -> w.setJitter(trouble.delay()));
-            case WAY_REPEATING -> ways(trouble, w -> w.setDuplicateShare(trouble.rate()));
-            case WAY_NARROW -> ways(trouble, w -> w.setBandwidth(NARROWEST * trouble.factor()));
-            case PAUSES -> pause(trouble, names, EventClock.now().plus(trouble.length()));
-            default -> names.forEach(n -> fleet.ill(n, trouble, true));
-        }
+    private void runAt(Moment when, Runnable action) {
+        long delayMs = Math.max(0, Math.round(when.since(EventClock.now()).millis()));
+        fleet.thread().executeAfter(action, delayMs, TimeUnit.MILLISECONDS);
     }
 
-    private void end(FleetPlan.Trouble trouble, List<String> names) {
-        mark(trouble, "ends", names);
-        switch (trouble.what()) {
-            case DRAIN -> names.stream().filter(n -> !fleet.down(n)).forEach(fleet::leave);
-            case LEAVE -> {
+    private void begin(FleetPlan.Trouble fault, List<String> targets) {
+        logTransition(fault, "begins", targets);
+        switch (fault.what()) {
+            case DRAIN -> targets.forEach(fleet::drain);
+            case LEAVE, CRASH -> targets.forEach(fleet::terminate);
+            case CUT -> setSiteCut(fault, true);
+            case ROSTER_SILENT -> fleet.setDiscoverySilent(targets, true);
+            case ROSTER_OLD -> fleet.setDiscoveryStaleness(targets, fault.delay());
+            case WAY_CUT -> setLinksCut(fault, true);
+            case WAY_FLAPPING -> flap(fault, true, EventClock.now().plus(fault.length()));
+            case WAY_LOSSY -> links.changeFaults(fault, link -> link.setLossShare(fault.rate()));
+            case WAY_SLOW -> links.changeFaults(fault, link -> link.setDelay(fault.delay()));
+            case WAY_SCATTERED -> links.changeFaults(fault, link -> link.setJitter(fault.delay()));
+            case WAY_REPEATING -> links.changeFaults(fault, link -> link.setDuplicateShare(fault.rate()));
+            case WAY_NARROW -> {
+                double bytesPerSecond = NARROW_LINK_BYTES_PER_SECOND * fault.factor();
+                links.changeFaults(fault, link -> link.setBandwidth(bytesPerSecond));
             }
-            case CRASH -> names.forEach(fleet::comeBack);
-            case CUT -> {
-                fleet.cut(trouble.site(), false);
-                ways(trouble, w -> w.setCut(false));
-            }
-            case ROSTER_SILENT -> fleet.rosterSilent(names, false);
-            case ROSTER_OLD -> fleet.rosterOld(names, Span.ZERO);
-            case WAY_CUT, WAY_FLAPPING -> ways(trouble, w -> w.setCut(false));
-            case WAY_LOSSY -> ways(trouble, w -> w.setLossShare(0));
-            case WAY_SLOW -> ways(trouble, w -> w.setDelay(Span.ZERO));
-            case WAY_SCATTERED -> ways(trouble, w -> w.setJitter(Span.ZERO));
-            case WAY_REPEATING -> ways(trouble, w -> w.setDuplicateShare(0));
-            case WAY_NARROW -> ways(trouble, w -> w.setBandwidth(0));
-            case PAUSES -> {
-            }
-            default -> names.forEach(n -> fleet.ill(n, trouble, false));
+            case PAUSES -> pause(fault, targets, EventClock.now().plus(fault.length()));
+            default -> setWorkerFault(fault, targets, true);
         }
     }
 
-    /** Of a site: all ways between its dispatchers and the others, both directions. */
-    private void ways(FleetPlan.Trouble trouble, Consumer<LinkFaults> change) {
-        int[] siteOf = fleet.siteOfDispatchers();
-        for (int from = 0; ways != null && from < siteOf.length; from++) {
-            for (int to = 0; to < siteOf.length; to++) {
-                boolean ofSite = !trouble.site().isEmpty()
-                        && here(trouble, siteOf[from]) != here(trouble, siteOf[to]);
-                int a = from;
-                int b = to;
-                if (a != b && (ofSite || trouble.names().stream().anyMatch(p -> pair(p, a, b)))) {
-                    ways.changeFaults(a, b, change);
-                }
+    private void end(FleetPlan.Trouble fault, List<String> targets) {
+        logTransition(fault, "ends", targets);
+        switch (fault.what()) {
+            case DRAIN -> targets.stream().filter(uid -> !fleet.isDown(uid)).forEach(fleet::terminate);
+            case CRASH -> targets.forEach(fleet::restart);
+            case CUT -> setSiteCut(fault, false);
+            case ROSTER_SILENT -> fleet.setDiscoverySilent(targets, false);
+            case ROSTER_OLD -> fleet.setDiscoveryStaleness(targets, Span.ZERO);
+            case WAY_CUT, WAY_FLAPPING -> setLinksCut(fault, false);
+            case WAY_LOSSY -> links.changeFaults(fault, link -> link.setLossShare(0));
+            case WAY_SLOW -> links.changeFaults(fault, link -> link.setDelay(Span.ZERO));
+            case WAY_SCATTERED -> links.changeFaults(fault, link -> link.setJitter(Span.ZERO));
+            case WAY_REPEATING -> links.changeFaults(fault, link -> link.setDuplicateShare(0));
+            case WAY_NARROW -> links.changeFaults(fault, link -> link.setBandwidth(0));
+            case LEAVE, PAUSES -> {
+                // A worker that left stays away, and each pause ends by itself.
             }
+            default -> setWorkerFault(fault, targets, false);
         }
     }
 
-    private boolean here(FleetPlan.Trouble trouble, int site) {
-        return plan.sites().get(site).name().equals(trouble.site());
+    private void setSiteCut(FleetPlan.Trouble fault, boolean cut) {
+        fleet.setCut(fault.site(), cut);
+        setLinksCut(fault, cut);
     }
 
-    private static boolean pair(String pair, int from, int to) {
-        int mark = Math.max(pair.indexOf('>'), pair.indexOf('='));
-        String left = pair.substring(0, mark);
-        String right = pair.substring(mark + 1);
-        return (is(left, from) && is(right, to))
-                || (pair.charAt(mark) == '=' && is(left, to) && is(right, from));
+    private void setLinksCut(FleetPlan.Trouble fault, boolean cut) {
+        links.changeFaults(fault, link -> link.setCut(cut));
     }
 
-    private static boolean is(String name, int dispatcher) {
-        return name.equals("*") || name.equals("d" + (dispatcher + 1));
+    private void setWorkerFault(FleetPlan.Trouble fault, List<String> targets, boolean active) {
+        targets.forEach(uid -> fleet.setFault(uid, fault, active));
     }
 
-    private void flap(FleetPlan.Trouble trouble, boolean cut, Moment until) {
-        if (EventClock.now().before(until)) {
-            ways(trouble, w -> w.setCut(cut));
-            at(EventClock.now().plus(trouble.delay()), () -> flap(trouble, !cut, until));
+    /** Cuts links and restores them in turn, until the fault ends. */
+    private void flap(FleetPlan.Trouble fault, boolean cut, Moment end) {
+        Moment now = EventClock.now();
+        if (now.before(end)) {
+            setLinksCut(fault, cut);
+            runAt(now.plus(fault.delay()), () -> flap(fault, !cut, end));
         }
     }
 
-    private void pause(FleetPlan.Trouble trouble, List<String> names, Moment until) {
-        if (!EventClock.now().before(until)) {
+    /** Pauses workers for a short time, and again until the fault ends. */
+    private void pause(FleetPlan.Trouble fault, List<String> targets, Moment end) {
+        Moment now = EventClock.now();
+        if (!now.before(end)) {
             return;
         }
-        names.forEach(n -> fleet.ill(n, trouble, true));
-        at(EventClock.now().plus(trouble.delay()), () -> names.forEach(n -> fleet.ill(n, trouble, false)));
-        at(EventClock.now().plus(trouble.delay().times(PAUSE_EVERY)), () -> pause(trouble, names, until));
+        setWorkerFault(fault, targets, true);
+        runAt(now.plus(fault.delay()), () -> setWorkerFault(fault, targets, false));
+        runAt(now.plus(fault.delay().times(PAUSE_INTERVAL_FACTOR)), () -> pause(fault, targets, end));
     }
 
-    private void mark(FleetPlan.Trouble trouble, String which, List<String> names) {
-        ledger.append(EventClock.now(), "trouble", trouble.what().name().toLowerCase(java.util.Locale.ROOT),
-                which,
-                names.isEmpty() ? trouble.site()
-                        : names.size() > 3 ? names.size() + "-workers"
-                                : String.join(",", names));
+    private void logTransition(FleetPlan.Trouble fault, String transition, List<String> targets) {
+        String kind = fault.what().name().toLowerCase(Locale.ROOT);
+        eventLog.append(EventClock.now(), "trouble", kind, transition, describe(fault, targets));
+    }
+
+    private static String describe(FleetPlan.Trouble fault, List<String> targets) {
+        if (targets.isEmpty()) {
+            return fault.site();
+        }
+        return targets.size() > MAX_RECORDED_NAMES ? targets.size() + "-workers"
+                : String.join(",", targets);
     }
 }
--- a/src/main/java/rampshift/testbed/faults/FaultTargets.java
+++ b/src/main/java/rampshift/testbed/faults/FaultTargets.java
@@ -5,28 +5,43 @@
 import org.apache.commons.rng.UniformRandomProvider;
 import rampshift.testbed.plan.FleetPlan;
 
-/** Whom a trouble befalls: those it names, or a share of all, drawn by the seed. */
+/** Selects what a fault affects: those that it names, and a share of all that is drawn at random. */
 public final class FaultTargets {
+    private static final String WILDCARD = "*";
+
     private FaultTargets() {}
 
     /**
-     * At least one where the share is above 0. A name may stand for all that begin with it, as {@code
-     * north-*}.
+     * Selects the targets of a fault. Besides those that it names, a share above 0 selects at least one.
+     *
+     * @param fault the fault; a name such as {@code north-*} stands for all that begin with {@code north-}
+     * @param candidates the names of all that it may affect
+     * @param random draws the targets that are not named
+     * @return the named ones in the order of the candidates, then the drawn ones
      */
-    public static List<String> of(FleetPlan.Trouble trouble, List<String> all, UniformRandomProvider chance) {
-        List<String> drawn = new ArrayList<>();
-        for (String one : all) {
-            if (trouble.names().stream().anyMatch(n -> n.equals(one)
-                    || (n.endsWith("*") && one.startsWith(n.substring(0, n.length() - 1))))) {
-                drawn.add(one);
+    public static List<String> of(FleetPlan.Trouble fault, List<String> candidates,
+            UniformRandomProvider random) {
+        List<String> targets = new ArrayList<>();
+        for (String candidate : candidates) {
+            if (fault.names().stream().anyMatch(pattern -> matches(pattern, candidate))) {
+                targets.add(candidate);
             }
         }
-        List<String> left = new ArrayList<>(all);
-        left.removeAll(drawn);
-        long count = trouble.share() == 0 ? 0 : Math.max(1, Math.round(trouble.share() * all.size()));
-        for (long i = 0; i < count && !left.isEmpty(); i++) {
-            drawn.add(left.remove(chance.nextInt(left.size())));
+        List<String> others = new ArrayList<>(candidates);
+        others.removeAll(targets);
+        long count =
+                fault.share() == 0 ? 0 : Math.max(1, Math.round(fault.share() * candidates.size()));
+        for (long i = 0; i < count && !others.isEmpty(); i++) {
+            targets.add(others.remove(random.nextInt(others.size())));
+        }
+        return targets;
+    }
+
+    private static boolean matches(String pattern, String name) {
+        if (pattern.endsWith(WILDCARD)) {
+            String prefix = pattern.substring(0, pattern.length() - WILDCARD.length());
+            return name.startsWith(prefix);
         }
-        return drawn;
+        return name.equals(pattern);
     }
 }
--- /dev/null
+++ b/src/main/java/rampshift/testbed/workers/EffectGuard.java
@@ -0,0 +1,43 @@
+package rampshift.testbed.workers;
+
+import java.util.List;
+import rampshift.testbed.plan.FleetPlan;
+import rampshift.time.Moment;
+
+/** Decides for one worker whether a task that starts may have its effect, and records the decision. */
+final class EffectGuard {
+    private final List<FleetPlan.Type> types;
+    private final List<IdempotencyKeys> keys;
+    private final FencingTokens fencingTokens;
+    private final WorkerEventLog events;
+
+    /**
+     * Creates a guard.
+     *
+     * @param types the types of the plan
+     * @param keys for each type the keys that this worker remembers together with others
+     * @param fencingTokens the tokens that all workers have received
+     * @param events receives the decisions
+     */
+    EffectGuard(List<FleetPlan.Type> types, List<IdempotencyKeys> keys, FencingTokens fencingTokens,
+            WorkerEventLog events) {
+        this.types = types;
+        this.keys = keys;
+        this.fencingTokens = fencingTokens;
+        this.events = events;
+    }
+
+    /** Whether a task that starts now has its effect: it is no repetition, and its token is not refused. */
+    boolean permits(Task task, Moment now) {
+        FleetPlan.Type type = types.get(task.type());
+        boolean repeated = type.effect() == FleetPlan.Type.Effect.FINGERPRINTED
+                && keys.get(task.type()).isRepeated(task.idempotencyKey(), type.window(), now);
+        if (repeated || task.leaseToken() == null) {
+            events.taskStarted(now, task, type, repeated);
+            return !repeated;
+        }
+        boolean accepted = fencingTokens.accept(task.leaseToken());
+        events.leasedTaskStarted(now, task, type, !accepted);
+        return accepted;
+    }
+}
--- a/src/main/java/rampshift/testbed/workers/EmulatedWorker.java
+++ b/src/main/java/rampshift/testbed/workers/EmulatedWorker.java
@@ -1,472 +1,217 @@
 package rampshift.testbed.workers;
 
 import java.io.IOException;
-import java.nio.charset.StandardCharsets;
 import java.util.ArrayList;
 import java.util.List;
+import java.util.Optional;
 import java.util.concurrent.TimeUnit;
 import org.apache.commons.rng.UniformRandomProvider;
 import org.xnio.StreamConnection;
 import org.xnio.XnioExecutor;
-import org.xnio.XnioIoThread;
 import rampshift.eventlog.EventClock;
-import rampshift.eventlog.EventLog;
 import rampshift.testbed.plan.FleetPlan;
-import rampshift.testbed.wire.FaultyConnection;
-import rampshift.testbed.wire.Message;
-import rampshift.testbed.wire.MessageReader;
 import rampshift.time.Moment;
 import rampshift.time.Span;
 
-/** One worker: its machine, and how it speaks our protocol. */
+/**
+ * An emulated worker: it runs the tasks of its connections on the model of a machine, with the faults that it
+ * has now. It is used on the I/O thread alone.
+ */
 final class EmulatedWorker {
-    final String uid;
-    final int site;
-    final int cell;
-    final FleetPlan.Machine kind;
-    final WorkerFaults ill = new WorkerFaults();
-    final List<Link> links = new ArrayList<>();
-    final LoadReports reports;
-    private final FleetPlan plan;
-    private final IdempotencyKeys[] groups;
-    private final FencingTokens tokens;
-    private final StallMonitor beat;
-    private final XnioIoThread thread;
-    private final EventLog ledger;
-    private final UniformRandomProvider chance;
-    private final Runnable taskCame;
-    private final WorkerModel machine;
-    private final List<Talk> talks = new ArrayList<>();
-    private XnioExecutor.Key look;
+    private static final long MICROS_PER_MILLI = 1000;
+
+    /** What became of a job that was offered to a worker. */
+    enum Admission {
+        /** It runs or waits, or is over already. */
+        ACCEPTED,
+        /** There was no room for it. */
+        REJECTED,
+        /** The worker has crashed under it. */
+        CRASHED
+    }
+
+    private final WorkerContext context;
+    private final EffectGuard effectGuard;
+    private final List<Link> links = new ArrayList<>();
+    private final List<WorkerConnection> connections = new ArrayList<>();
+    private XnioExecutor.Key updateTimer;
     private boolean down;
 
-    /** Groups: for each traffic type, what this worker remembers together with others. */
-    EmulatedWorker(String uid, int site, int cell, FleetPlan.Machine kind, FleetPlan plan,
-            IdempotencyKeys[] groups,
-            FencingTokens tokens, StallMonitor beat, XnioIoThread thread, EventLog ledger,
-            UniformRandomProvider chance,
-            Runnable taskCame) {
-        this.taskCame = taskCame;
-        this.uid = uid;
-        this.site = site;
-        this.cell = cell;
-        this.kind = kind;
-        this.plan = plan;
-        this.groups = groups;
-        this.tokens = tokens;
-        this.beat = beat;
-        this.thread = thread;
-        this.ledger = ledger;
-        this.chance = chance;
-        reports = new LoadReports(plan.reports());
-        machine = new WorkerModel(kind, plan.workers().inOrder(), plan.cold(), EventClock.now(), null);
+    /**
+     * Creates a worker that is warm and has no links.
+     *
+     * @param fleet what all workers share
+     * @param identity which worker it is
+     * @param keys for each type of the plan the keys that it remembers together with others
+     * @param random decides whom its faults affect
+     */
+    EmulatedWorker(FleetContext fleet, WorkerIdentity identity, List<IdempotencyKeys> keys,
+            UniformRandomProvider random) {
+        context = WorkerContext.create(fleet, identity, random);
+        effectGuard =
+                new EffectGuard(fleet.plan().types(), keys, fleet.fencingTokens(), context.events());
+        context.events().processStarted(EventClock.now(), false);
+    }
+
+    /** Opens the link to the next dispatcher. */
+    void openLink(Span delay) throws IOException {
+        links.add(new Link(links.size(), context.fleet().ioWorker(), delay, this::accept));
     }
 
-    Moment born() {
-        return machine.born();
+    WorkerIdentity identity() {
+        return context.identity();
     }
 
-    boolean down() {
+    /** The links to it, by the index of the dispatcher. */
+    List<Link> links() {
+        return links;
+    }
+
+    /** Whether its process has ended and was not restarted. */
+    boolean isDown() {
         return down;
     }
 
-    /** As lists tell it: lowered while it holds much, where the plan says so. */
+    /** The weight that discovery tells: its capacity, reduced while it holds jobs if the plan says so. */
     double weight() {
-        return plan.roster().liveWeights()
-                ? machine.nominal() * kind.slots() / (kind.slots() + machine.held())
-                : machine.nominal();
+        double capacity = context.model().nominalCapacity();
+        int slots = identity().machine().slots();
+        return context.fleet().plan().roster().liveWeights()
+                ? capacity * slots / (slots + context.model().heldJobs())
+                : capacity;
     }
 
-    /** A dispatcher has opened a connection. */
-    void opened(Link link, StreamConnection connection) {
-        Talk talk = new Talk(link, connection);
-        talks.add(talk);
-        link.add(talk.line);
-        talk.line.start();
+    private void accept(Link link, StreamConnection peer) {
+        WorkerConnection connection = new WorkerConnection(this, context, link, peer);
+        connections.add(connection);
+        connection.start();
     }
 
-    // ---- troubles
+    /** Forgets a connection that has ended. */
+    void remove(WorkerConnection connection) {
+        connections.remove(connection);
+    }
 
-    /** Sets its speed from what is wrong with it. */
-    void changed() {
+    /** Starts or ends a fault of this worker. */
+    void setFault(FleetPlan.Trouble fault, boolean active) {
+        WorkerFaults faults = context.faults();
+        faults.set(fault, active);
+        context.reports().setDelay(faults.reportDelay());
         Moment now = EventClock.now();
-        machine.factor(ill.speed, now);
-        machine.stand(ill.hangs, now);
-        work();
+        context.model().setSpeedFactor(faults.speedFactor(), now);
+        context.model().setPaused(faults.isHanging(), now);
+        update();
     }
 
+    /** Ends its process: all jobs are lost, connections are reset and new ones refused. */
     void crash() {
         down = true;
-        machine.restart(EventClock.now());
-        links.forEach(Link::shut);      // it resets what it still knows, so before that is forgotten
-        for (Talk talk : new ArrayList<>(talks)) {
-            talk.forget();
+        context.model().restart(EventClock.now());
+        // Links reset the connections that they know; release() makes them forget one.
+        links.forEach(Link::shutDown);
+        for (WorkerConnection connection : new ArrayList<>(connections)) {
+            connection.release();
         }
     }
 
-    void comeBack() {
+    /** Starts its process again, cold and at the same addresses. */
+    void restart() {
         down = false;
-        machine.restart(EventClock.now());
-        ledger.append(EventClock.now(), "boot", uid, "cold");
-        links.forEach(Link::open);
-        work();
+        Moment now = EventClock.now();
+        context.model().restart(now);
+        context.events().processStarted(now, true);
+        links.forEach(Link::reopen);
+        update();
     }
 
-    // ---- its work
-
-    private void work() {
-        Moment now = EventClock.now();
-        machine.advance(now);
-        for (Job job = machine.nextBegun(); job != null; job = machine.nextBegun()) {
-            begins(job, now);
-        }
-        for (Job job = machine.nextDone(); job != null; job = machine.nextDone()) {
-            Talk talk = talkOf(job);
-            if (talk != null) {
-                talk.done(now);
-            }
+    /** Offers a job to the machine and starts it if there is a free slot. */
+    Admission offer(Job job, Moment now) {
+        boolean hadCrashed = context.model().hasCrashed();
+        if (context.model().offer(job, now)) {
+            update();
+            return Admission.ACCEPTED;
         }
-        if (look != null) {
-            look.remove();
-            look = null;
-        }
-        Moment next = machine.nextLook();
-        if (next != null) {
-            look = thread.executeAfter(() -> {
-                look = null;
-                work();
-            }, Math.max(0, next.since(now).micros() + 999) / 1000, TimeUnit.MILLISECONDS);
+        if (context.model().hasCrashed() && !hadCrashed) {
+            context.events().crashedByOverload(now);
+            crash();
+            return Admission.CRASHED;
         }
+        return Admission.REJECTED;
     }
 
-    private Talk talkOf(Job job) {
-        for (Talk talk : talks) {
-            if (talk.job == job) {
-                return talk;
-            }
+    /** The dispatcher has closed the connection of a job; one that has started may run on regardless. */
+    void abandon(Job job) {
+        context.events().taskAbandoned(EventClock.now(), job);
+        if (!job.isStarted() || context.fleet().plan().workers().stops()) {
+            context.model().cancel(job, EventClock.now());
         }
-        return null;
+        update();
     }
 
-    private void begins(Job job, Moment now) {
-        FleetPlan.Type type = plan.types().get(job.type);
-        boolean repeat = type.effect() == FleetPlan.Type.Effect.FINGERPRINTED
-                && groups[job.type].repeat(job.key, type.window(), now);
-        if (!repeat && job.lease != null) {
-            repeat = !tokens.take(job.lease, job.token);
-            ledger.append(now, repeat ? "refused" : "effect", job.lease, job.token, uid, job.txn, job.key,
-                    type.effect().name().toLowerCase(java.util.Locale.ROOT));
-        } else {
-            ledger.append(now, repeat ? "dropped" : "began", uid, job.txn, job.key, type.name());
-        }
-        Talk talk = talkOf(job);
-        if (talk == null) {
-            return;
+    /** Advances the machine, responds to what has happened, and schedules the next update. */
+    private void update() {
+        Moment now = EventClock.now();
+        WorkerModel model = context.model();
+        model.advance(now);
+        for (Job job = model.pollStarted(); job != null; job = model.pollStarted()) {
+            onStarted(job, now);
         }
-        if (repeat) {
-            job.left = 1;
+        for (Job job = model.pollCompleted(); job != null; job = model.pollCompleted()) {
+            findConnection(job).ifPresent(connection -> connection.complete(now));
         }
-        if (hit(ill.resetAfter)) {
-            machine.remove(job, now);
-            talk.line.reset();
-            talk.forget();
-        } else if (hit(ill.errors)) {
-            machine.remove(job, now);
-            talk.errs(now);
-        } else if (plan.workers().tellsStart()) {
-            talk.note("\"started\"");
-            talk.progressLater();
+        cancelUpdate();
+        Moment next = model.nextUpdate();
+        if (next != null) {
+            updateTimer = context.fleet().thread().executeAfter(() -> {
+                updateTimer = null;
+                update();
+            }, roundUpToMillis(next.since(now)), TimeUnit.MILLISECONDS);
         }
     }
 
-    private boolean hit(double share) {
-        return share > 0 && chance.nextDouble() < share;
+    private static long roundUpToMillis(Span span) {
+        return Math.max(0, span.micros() + MICROS_PER_MILLI - 1) / MICROS_PER_MILLI;
     }
 
-    private final class Talk implements FaultyConnection.Listener {
-        final Link link;
-        final FaultyConnection line;
-        private final MessageReader reader = new MessageReader(this::message);
-        private Job job;
-        private Moment tookAt;
-        private Moment idleSince = EventClock.now();
-        private boolean answering;
-        private boolean first = true;
-        private boolean silent;
-        private XnioExecutor.Key progress;
-        private XnioExecutor.Key idle;
-
-        Talk(Link link, StreamConnection connection) {
-            this.link = link;
-            line = new FaultyConnection(connection, thread, this);
-            line.setDelay(link.crossing());
-            idleLater();
-        }
-
-        @Override
-        public void onBytes(byte[] bytes, int count) {
-            Moment now = EventClock.now();
-            boolean begins = !reader.isInMessage();
-            if (begins && hit(ill.resetBefore)) {
-                ledger.append(now, "part", uid, link.dispatcher);
-                line.reset();
-                forget();
-                return;
-            }
-            try {
-                reader.read(bytes, 0, count, beat.earliest(line.earliestSendTime()));
-            } catch (IOException e) {
-                ledger.append(now, "odd", uid, link.dispatcher);
-                line.close();
-                forget();
-            }
-        }
-
-        private void message(Message message) {
-            Moment now = EventClock.now();
-            idleSince = now;
-            if (message.method().equals("GET")) {
-                page(message, now);
-                return;
-            }
-            Span wait = first ? plan.workers().connectionCost() : Span.ZERO;
-            first = false;
-            if (wait.micros() > 0) {
-                thread.executeAfter(() -> {
-                    if (!line.isClosed()) {
-                        task(message, EventClock.now());
-                    }
-                }, Math.max(1, Math.round(wait.millis())), TimeUnit.MILLISECONDS);
-            } else {
-                task(message, now);
-            }
-        }
-
-        private void page(Message message, Moment now) {
-            if (ill.hangs) {
-                return;
-            }
-            String report = reports.now(machine, now);
-            ledger.append(now, "probe", uid, link.dispatcher);
-            if (message.target().equals("/status/load") || message.target().equals("/health")) {
-                String body = message.target().equals("/health") || report == null ? "" : report;
-                line.write("HTTP/1.1 200 OK\r\nContent-Length: " + body.length() + "\r\n\r\n" + body);
-            } else {
-                line.write("HTTP/1.1 404 Not Found\r\nContent-Length: 0\r\n\r\n");
-            }
-        }
-
-        private void task(Message message, Moment now) {
-            String txn = message.field("X-Txn");
-            Job came = job(message, txn);
-            if (came == null || job != null) {
-                ledger.append(now, "odd", uid, link.dispatcher);
-                line.write("HTTP/1.1 400 Bad Request\r\nContent-Length: 0\r\n\r\n");
-                return;
-            }
-            ledger.append(now, "took", uid, link.dispatcher, txn, came.key,
-                    plan.types().get(came.type).name(),
-                    message.startedAt().micros(), machine.cold() ? "cold" : "warm");
-            if (came.lease != null) {
-                ledger.append(now, "acted", txn);
-            }
-            taskCame.run();
-            tookAt = now;
-            answering = false;
-            silent = hit(ill.silent);
-            line.setByteInterval(ill.drip);
-            job = came;
-            boolean fell = machine.fallen();
-            if (machine.offer(came, now)) {
-                work();
-                return;
-            }
-            job = null;
-            if (machine.fallen() && !fell) {
-                ledger.append(now, "fell", uid);
-                crash();
-            } else {
-                turnAway(came, now);
-            }
-        }
-
-        private void turnAway(Job came, Moment now) {
-            ledger.append(now, "away", uid, came.txn);
-            String report =
-                    plan.reports().how() == FleetPlan.Reports.How.INLINE ? reports.now(machine, now) : null;
-            line.write("HTTP/1.1 503 Service Unavailable\r\nX-Turned-Away: 1\r\n"
-                    + (report == null ? "" : "X-Pressure: " + report + "\r\n") + "Content-Length: 0\r\n\r\n");
-        }
-
-        private Job job(Message message, String txn) {
-            String name = message.field("X-Lane");
-            int type = -1;
-            for (int i = 0; i < plan.types().size(); i++) {
-                type = plan.types().get(i).name().equals(name) ? i : type;
-            }
-            String body = message.text();
-            int end = body.indexOf(';');
-            if (txn == null || type < 0 || !body.startsWith("work=") || end < 0) {
-                return null;
-            }
-            String key = message.field("Idempotency-Key");
-            try {
-                String[] figures = body.substring(5, end).split(",");
-                String[] under = message.field("Rampshift-Token") == null ? null
-                        : message.field("Rampshift-Token").split(" ");
-                return new Job(txn, key == null ? "-" : key, type, new Span(Long.parseLong(figures[0])),
-                        Double.parseDouble(figures[1]), Double.parseDouble(figures[2]),
-                        under == null ? null : under[0],
-                        under == null ? 0 : Long.parseLong(under[1]));
-            } catch (NumberFormatException | ArrayIndexOutOfBoundsException e) {
-                return null;
-            }
-        }
-
-        // ---- its answer
-
-        private void begin() {
-            if (!answering) {
-                answering = true;
-                send("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n");
-            }
-        }
-
-        private void send(String text) {
-            if (!silent) {
-                line.write(text);
-            }
-        }
-
-        void note(String state) {
-            begin();
-            send(chunk("{\"id\":\"" + job.txn + "\",\"from\":\"" + uid + "\",\"state\":" + state + "}\n"));
-        }
-
-        private static String chunk(String text) {
-            return Integer.toHexString(text.getBytes(StandardCharsets.UTF_8).length) + "\r\n" + text + "\r\n";
-        }
-
-        void progressLater() {
-            Span every = plan.workers().progress();
-            if (every.micros() > 0) {
-                progress = thread.executeAfter(() -> {
-                    if (job != null && !line.isClosed()) {
-                        if (!ill.hangs) {
-                            machine.advance(EventClock.now());
-                            note("\"running\",\"share\":" + Math.round(job.share() * 1000) / 1000.0);
-                        }
-                        progressLater();
-                    }
-                }, Math.max(1, Math.round(every.millis())), TimeUnit.MILLISECONDS);
-            }
-        }
-
-        private String load(Moment now) {
-            String report =
-                    plan.reports().how() == FleetPlan.Reports.How.INLINE ? reports.now(machine, now) : null;
-            return report == null ? "" : ",\"load\":" + report;
-        }
-
-        void errs(Moment now) {
-            ledger.append(now, "erred", uid, job.txn);
-            if (answering) {
-                note("\"failed\"" + load(now));
-                send("0\r\n\r\n");
-            } else {
-                send("HTTP/1.1 500 Internal Server Error\r\nContent-Length: 0\r\n\r\n");
-            }
-            over(now);
-        }
-
-        /**
-         * The result says who made it, and how long it took here: what is added can be told from what is
-         * work.
-         */
-        void done(Moment now) {
-            String result = uid + "/" + job.txn + "/" + now.since(tookAt).micros();
-            ledger.append(now, "done", uid, job.txn, result);
-            begin();
-            String last = chunk(
-                    "{\"id\":\"" + job.txn + "\",\"from\":\"" + uid + "\",\"state\":\"done\"" + load(now)
-                            + ",\"result\":\"" + result + "\"}\n")
-                    + "0\r\n\r\n";
-            if (hit(ill.resetWithin)) {
-                send(last.substring(0, last.length() / 2));
-                job = null;
-                thread.executeAfter(() -> {
-                    line.reset();
-                    forget();
-                }, 2, TimeUnit.MILLISECONDS);
-                return;
-            }
-            if (hit(ill.halfAnswers)) {
-                send(last.substring(0, last.length() / 2));
-                line.closeAfterWrites();
-                over(now);
-                return;
-            }
-            send(last);
-            over(now);
-        }
-
-        private void over(Moment now) {
-            job = null;
-            answering = false;
-            idleSince = now;
-            if (progress != null) {
-                progress.remove();
-            }
+    private void cancelUpdate() {
+        if (updateTimer != null) {
+            updateTimer.remove();
+            updateTimer = null;
         }
+    }
 
-        // ---- its end
+    private Optional<WorkerConnection> findConnection(Job job) {
+        return connections.stream().filter(connection -> connection.serves(job)).findFirst();
+    }
 
-        private void idleLater() {
-            Span most = plan.workers().idle();
-            idle = thread.executeAfter(() -> {
-                if (job == null && !reader.isInMessage()
-                        && !most.longerThan(EventClock.now().since(idleSince))) {
-                    line.close();
-                    forget();
-                } else {
-                    idleLater();
-                }
-            }, Math.max(1, Math.round(most.millis() / 2)), TimeUnit.MILLISECONDS);
+    private void onStarted(Job job, Moment now) {
+        boolean hasEffect = effectGuard.permits(job.task(), now);
+        Optional<WorkerConnection> found = findConnection(job);
+        if (found.isEmpty()) {
+            return;
         }
-
-        @Override
-        public void onClosed(boolean reset) {
-            Job had = job;
-            forget();
-            if (had != null) {
-                ledger.append(EventClock.now(), "off", uid, had.txn, had.begun ? "begun" : "unbegun");
-                if (!had.begun || plan.workers().stops()) {
-                    machine.remove(had, EventClock.now());
-                }
-                work();
-            }
+        WorkerConnection connection = found.get();
+        if (!hasEffect) {
+            job.skipWork();
         }
-
-        /** The one place where a connection's timers and its place in the link are given back. */
-        void forget() {
-            link.remove(line);
-            talks.remove(this);
-            if (progress != null) {
-                progress.remove();
-            }
-            idle.remove();
-            job = null;
+        WorkerFaults faults = context.faults();
+        if (context.happens(faults.resetAfterTaskProbability())) {
+            context.model().cancel(job, now);
+            connection.reset();
+        } else if (context.happens(faults.errorProbability())) {
+            context.model().cancel(job, now);
+            connection.fail(now);
+        } else if (context.fleet().plan().workers().tellsStart()) {
+            connection.sendStarted();
         }
     }
 
+    /** Closes its links and connections. */
     void close() {
-        if (look != null) {
-            look.remove();
-        }
-        for (Talk talk : new ArrayList<>(talks)) {
-            talk.line.close();
-            talk.forget();
+        cancelUpdate();
+        for (WorkerConnection connection : new ArrayList<>(connections)) {
+            connection.close();
         }
-        links.forEach(Link::close);
+        links.forEach(Link::shutDown);
     }
 }
--- a/src/main/java/rampshift/testbed/workers/FencingTokens.java
+++ b/src/main/java/rampshift/testbed/workers/FencingTokens.java
@@ -4,20 +4,25 @@
 import java.util.Map;
 
 /**
- * What takes effects under leases, for all workers together: no effect under a lower token than it has seen.
+ * The highest fencing token that workers have received under each lease. All workers of a fleet share one,
+ * as if the effects of their tasks went to one store.
  */
 final class FencingTokens {
     private final boolean checked;
     private final Map<String, Long> highest = new HashMap<>();
 
-    /** Checked: false for a taker that can't tell tokens, which takes all. */
+    /**
+     * Starts without any token.
+     *
+     * @param checked whether tokens are compared; false for a store that accepts every effect
+     */
     FencingTokens(boolean checked) {
         this.checked = checked;
     }
 
-    /** Whether an effect is taken. */
-    boolean take(String lease, long token) {
-        long seen = highest.merge(lease, token, Math::max);
-        return !checked || token >= seen;
+    /** Records a token; returns false if the effect must be refused since a higher one was received. */
+    boolean accept(LeaseToken token) {
+        long highestSeen = highest.merge(token.lease(), token.number(), Math::max);
+        return !checked || token.number() >= highestSeen;
     }
 }
--- a/src/main/java/rampshift/testbed/workers/Fleet.java
+++ b/src/main/java/rampshift/testbed/workers/Fleet.java
@@ -2,53 +2,69 @@
 
 import java.io.IOException;
 import java.util.ArrayList;
+import java.util.LinkedHashMap;
 import java.util.List;
+import java.util.Map;
+import java.util.NoSuchElementException;
 import java.util.concurrent.Callable;
 import java.util.concurrent.ExecutionException;
 import java.util.concurrent.FutureTask;
 import java.util.concurrent.TimeUnit;
-import org.apache.commons.rng.UniformRandomProvider;
+import java.util.concurrent.TimeoutException;
 import org.xnio.XnioIoThread;
 import org.xnio.XnioWorker;
 import rampshift.eventlog.EventClock;
 import rampshift.eventlog.EventLog;
 import rampshift.testbed.discovery.DiscoveryAgent;
+import rampshift.testbed.discovery.EndpointRegistry;
 import rampshift.testbed.discovery.WorkerEntry;
 import rampshift.testbed.plan.FleetPlan;
-import rampshift.testbed.random.RandomStreams;
 import rampshift.testbed.wire.LoopbackNetwork;
 import rampshift.time.Span;
 
-/** The workers and the roster of a plan, all on one I/O thread of one process. */
+/**
+ * The emulated workers of a plan and the discovery agents that tell dispatchers of them, on one I/O thread.
+ * Methods that change workers or discovery, or read what faults change, are called on that thread, see
+ * {@link #thread}; all others on any thread.
+ */
 public final class Fleet {
+    private static final long CLOSE_TIMEOUT_SECONDS = 5;
+    private static final long MICROS_PER_MILLI = 1000;
+
     private final FleetPlan plan;
-    private final XnioWorker worker;
+    private final EventLog eventLog;
+    private final XnioWorker ioWorker;
     private final XnioIoThread thread;
-    private StallMonitor beat;
-    private final EventLog ledger;
-    private final List<EmulatedWorker> standIns = new ArrayList<>();
-    private final List<DiscoveryAgent> agents = new ArrayList<>();
-    private final List<WorkerEntry> entries = new ArrayList<>();
-    private Runnable firstTask;
+    private final Map<String, EmulatedWorker> workers = new LinkedHashMap<>();
+    private StallMonitor stallMonitor;
+    private EndpointRegistry registry;
+    private Runnable onFirstTask;
 
-    /** Opens everything; throws where a port or a descriptor can't be had. */
-    public Fleet(FleetPlan plan, long seed, EventLog ledger) throws IOException {
+    /**
+     * Starts all workers and agents.
+     *
+     * @param plan the plan of the fleet
+     * @param seed the seed of the run
+     * @param eventLog receives what workers and agents observe
+     * @throws IOException if a port or a file descriptor cannot be opened
+     */
+    public Fleet(FleetPlan plan, long seed, EventLog eventLog) throws IOException {
         this.plan = plan;
-        this.ledger = ledger;
-        worker = LoopbackNetwork.createWorker("fleet");
-        thread = worker.getIoThread(0);
+        this.eventLog = eventLog;
+        ioWorker = LoopbackNetwork.createWorker("fleet");
+        thread = ioWorker.getIoThread(0);
         Callable<Void> opening = () -> {
             open(seed);
             return null;
         };
-        FutureTask<Void> start = new FutureTask<>(opening);
-        thread.execute(start);
+        FutureTask<Void> opened = new FutureTask<>(opening);
+        thread.execute(opened);
         try {
-            start.get();
+            opened.get();
         } catch (ExecutionException e) {
-            worker.shutdownNow();
-            if (e.getCause() instanceof IOException io) {
-                throw io;
+            ioWorker.shutdownNow();
+            if (e.getCause() instanceof IOException cause) {
+                throw cause;
             }
             throw new IllegalStateException(e.getCause());
         } catch (InterruptedException e) {
@@ -57,256 +73,188 @@
     }
 
     private void open(long seed) throws IOException {
-        IdempotencyKeys[] all = fingerprints();
-        beat = new StallMonitor(thread);
-        FencingTokens tokens = new FencingTokens(plan.leases().checked());
-        int[] siteOf = siteOfDispatchers();
-        int cell = 0;
-        for (int s = 0; s < plan.sites().size(); s++) {
-            FleetPlan.Site site = plan.sites().get(s);
-            IdempotencyKeys[] ofSite = fingerprints();
-            IdempotencyKeys[] ofCell = null;
-            int inCell = 0;
-            int number = 0;
-            for (FleetPlan.WorkerGroup group : site.workers()) {
-                FleetPlan.Machine kind = machine(group.machine());
-                for (int i = 0; i < group.count(); i++) {
-                    if (ofCell == null || inCell == plan.workers().cell()) {
-                        ofCell = fingerprints();
-                        inCell = 0;
-                        cell++;
-                    }
-                    inCell++;
-                    String uid = site.name() + "-" + group.machine() + "-" + ++number;
-                    EmulatedWorker one =
-                            new EmulatedWorker(uid, s, cell, kind, plan, groups(all, ofSite, ofCell), tokens,
-                                    beat, thread, ledger,
-                                    RandomStreams.of(seed, uid), this::taskCame);
-                    UniformRandomProvider chance = RandomStreams.of(seed, "link " + uid);
-                    int[] ports = new int[siteOf.length];
-                    for (int d = 0; d < siteOf.length; d++) {
-                        Span crossing = siteOf[d] == s ? Span.ZERO
-                                : plan.network().crossing().at(chance.nextDouble());
-                        Link link = new Link(d, worker, crossing, one::opened);
-                        one.links.add(link);
-                        ports[d] = link.port();
-                    }
-                    standIns.add(one);
-                    entries.add(
-                            new WorkerEntry(uid, site.name(), kind.name(), cell, WorkerEntry.State.READY,
-                                    one.weight(), 0,
-                                    ports));
-                    ledger.append(EventClock.now(), "boot", uid, "warm");
-                }
-            }
-        }
-        for (int d = 0; d < siteOf.length; d++) {
-            agents.add(new DiscoveryAgent(d, worker, plan.roster().port() == 0 ? 0 : plan.roster().port() + d,
-                    ledger,
-                    plan.roster().delay(), RandomStreams.of(seed, "agent " + d), entries));
+        stallMonitor = new StallMonitor(thread);
+        FleetContext context = new FleetContext(plan, ioWorker, eventLog, stallMonitor,
+                new FencingTokens(plan.leases().checked()), new TaskReader(plan.types()),
+                this::onTaskReceived);
+        List<WorkerEntry> entries = new ArrayList<>();
+        for (EmulatedWorker worker : new WorkerFactory(context, seed, dispatcherSites()).createAll()) {
+            workers.put(worker.identity().uid(), worker);
+            entries.add(createEntry(worker));
         }
+        registry = new EndpointRegistry(plan.roster(), ioWorker, eventLog, seed, plan.dispatcherCount(),
+                entries);
         if (plan.roster().liveWeights()) {
-            weighLater();
+            registry.refreshWeights(uid -> find(uid).weight());
         }
     }
 
-    /** Once, when the first task reaches a worker. */
-    public void whenFirstTask(Runnable told) {
-        thread.execute(() -> firstTask = told);
+    private WorkerEntry createEntry(EmulatedWorker worker) {
+        WorkerIdentity identity = worker.identity();
+        List<Integer> ports = worker.links().stream().map(Link::port).toList();
+        return new WorkerEntry(identity.uid(), siteName(identity.site()), identity.machine().name(),
+                identity.cell(), WorkerEntry.State.READY, worker.weight(), 0, ports);
     }
 
-    private void taskCame() {
-        if (firstTask != null) {
-            Runnable told = firstTask;
-            firstTask = null;
-            told.run();
-        }
+    /** The name of a dispatcher in plans and reports, by its index from 0: {@code d1} for the first. */
+    public static String dispatcherName(int dispatcher) {
+        return "d" + (dispatcher + 1);
     }
 
-    private FleetPlan.Machine machine(String name) {
-        return plan.machines().stream().filter(m -> m.name().equals(name)).findFirst().orElseThrow();
+    /** Sets an action that is run once, when the next task reaches a worker. */
+    public void whenFirstTask(Runnable action) {
+        thread.execute(() -> onFirstTask = action);
     }
 
-    private IdempotencyKeys[] fingerprints() {
-        IdempotencyKeys[] each = new IdempotencyKeys[plan.types().size()];
-        for (int i = 0; i < each.length; i++) {
-            each[i] = new IdempotencyKeys();
+    private void onTaskReceived() {
+        if (onFirstTask != null) {
+            Runnable action = onFirstTask;
+            onFirstTask = null;
+            action.run();
         }
-        return each;
     }
 
-    private IdempotencyKeys[] groups(IdempotencyKeys[] all, IdempotencyKeys[] ofSite,
-            IdempotencyKeys[] ofCell) {
-        IdempotencyKeys[] mine = new IdempotencyKeys[all.length];
-        for (int i = 0; i < mine.length; i++) {
-            mine[i] = switch (plan.types().get(i).group()) {
-                case ALL -> all[i];
-                case SITE -> ofSite[i];
-                case CELL -> ofCell[i];
-            };
-        }
-        return mine;
-    }
-
-    /** The place of each dispatcher's site, in the plan's order. */
-    public int[] siteOfDispatchers() {
-        int[] sites = new int[plan.dispatcherCount()];
-        int next = 0;
-        for (int s = 0; s < plan.sites().size(); s++) {
-            for (int i = 0; i < plan.sites().get(s).dispatchers(); i++) {
-                sites[next++] = s;
+    /** The index of each dispatcher's site in the plan. */
+    public List<Integer> dispatcherSites() {
+        List<Integer> sites = new ArrayList<>();
+        for (int site = 0; site < plan.sites().size(); site++) {
+            for (int i = 0; i < plan.sites().get(site).dispatchers(); i++) {
+                sites.add(site);
             }
         }
         return sites;
     }
 
+    private String siteName(int site) {
+        return plan.sites().get(site).name();
+    }
+
+    /** The port of 127.0.0.1 of a dispatcher's discovery agent, by the dispatcher's index. */
     public int agentPort(int dispatcher) {
-        return agents.get(dispatcher).port();
+        return registry.agent(dispatcher).port();
     }
 
-    /** The list in discovery's form, as that dispatcher would be told it. */
+    /** The endpoint list in JSON, as a dispatcher would receive it now without faults. */
     public String list(int dispatcher) {
-        return agents.get(dispatcher).list();
+        return registry.agent(dispatcher).list();
     }
 
+    /** The I/O thread of all workers and agents. */
     public XnioIoThread thread() {
         return thread;
     }
 
-    // ---- what troubles do; all on the I/O thread
+    /** The uids of the workers of a site, in the order of the plan; of all sites if the name is empty. */
+    public List<String> workerNames(String site) {
+        return workers.values().stream().map(EmulatedWorker::identity)
+                .filter(identity -> site.isEmpty() || siteName(identity.site()).equals(site))
+                .map(WorkerIdentity::uid).toList();
+    }
 
-    public List<String> names(String site) {
-        List<String> names = new ArrayList<>();
-        for (EmulatedWorker one : standIns) {
-            if (site.isEmpty() || plan.sites().get(one.site).name().equals(site)) {
-                names.add(one.uid);
-            }
-        }
-        return names;
+    /**
+     * Starts or ends a fault of a worker.
+     *
+     * @param uid the worker
+     * @param fault the fault
+     * @param active whether it starts
+     * @throws IllegalArgumentException if the fault is none of a worker
+     */
+    public void setFault(String uid, FleetPlan.Trouble fault, boolean active) {
+        find(uid).setFault(fault, active);
     }
 
-    public void ill(String name, FleetPlan.Trouble t, boolean on) {
-        EmulatedWorker one = find(name);
-        WorkerFaults ill = one.ill;
-        double rate = on ? t.rate() : 0;
-        switch (t.what()) {
-            case SLOW -> ill.speed = on ? 1 / t.factor() : 1;
-            case NEIGHBOUR -> ill.speed = 1 - rate;
-            case HANG, PAUSES -> ill.hangs = on;
-            case ERRORS -> ill.errors = rate;
-            case RESET_BEFORE -> ill.resetBefore = rate;
-            case RESET_AFTER -> ill.resetAfter = rate;
-            case RESET_WITHIN -> ill.resetWithin = rate;
-            case HALF_ANSWER -> ill.halfAnswers = rate;
-            case SILENT -> ill.silent = rate;
-            case SLOW_BYTES -> ill.drip = on ? t.delay() : Span.ZERO;
-            case LATE_REPORTS -> one.reports.late(on ? t.delay() : Span.ZERO);
-            default -> throw new IllegalArgumentException(t.what().name());
-        }
-        one.changed();
+    /** Publishes that a worker is draining; it goes on with the tasks it has and takes others. */
+    public void drain(String uid) {
+        registry.publish(registry.entry(uid).withState(WorkerEntry.State.DRAINING));
     }
 
-    /** It drains: it goes on with what it has, and the roster tells of it. */
-    public void drain(String name) {
-        publish(name, entry(name).with(WorkerEntry.State.DRAINING));
+    /** Ends the process of a worker and publishes that it is gone. */
+    public void terminate(String uid) {
+        find(uid).crash();
+        registry.publish(registry.entry(uid).withState(WorkerEntry.State.GONE));
     }
 
-    /** It is gone in order, as far as the roster knows. */
-    public void leave(String name) {
-        find(name).crash();
-        publish(name, entry(name).with(WorkerEntry.State.GONE));
+    /** Starts the process of a worker again, cold, and publishes that it is ready. */
+    public void restart(String uid) {
+        find(uid).restart();
+        registry.publish(registry.entry(uid).restartedAt(EventClock.now().micros() / MICROS_PER_MILLI));
     }
 
-    public void comeBack(String name) {
-        EmulatedWorker one = find(name);
-        one.comeBack();
-        publish(name, entry(name).bornAt(EventClock.now().micros() / 1000));
+    /** Whether the process of a worker has crashed or was ended, and was not restarted. */
+    public boolean isDown(String uid) {
+        return find(uid).isDown();
     }
 
-    /** The site and the others can't hear one another. Its dispatchers still reach its own workers. */
-    public void cut(String site, boolean on) {
-        int[] siteOf = siteOfDispatchers();
-        for (EmulatedWorker one : standIns) {
-            for (Link link : one.links) {
-                boolean here = plan.sites().get(one.site).name().equals(site);
-                boolean from = plan.sites().get(siteOf[link.dispatcher]).name().equals(site);
-                if (here != from) {
-                    link.cut(on);
+    /**
+     * Cuts all links between dispatchers and workers of which just one is in a site, or restores them. Links
+     * within the site, and those between other sites, are not affected.
+     */
+    public void setCut(String site, boolean cut) {
+        List<Integer> dispatcherSites = dispatcherSites();
+        for (EmulatedWorker worker : workers.values()) {
+            boolean workerIsInside = siteName(worker.identity().site()).equals(site);
+            for (Link link : worker.links()) {
+                int dispatcherSite = dispatcherSites.get(link.dispatcher());
+                boolean dispatcherIsInside = siteName(dispatcherSite).equals(site);
+                if (workerIsInside != dispatcherIsInside) {
+                    link.setCut(cut);
                 }
             }
         }
     }
 
-    /** The agents of the dispatchers named; of all where none is. */
-    public void rosterSilent(List<String> dispatchers, boolean on) {
-        of(dispatchers).forEach(a -> a.silent(on));
+    /**
+     * Stops discovery agents from answering, or lets them answer again.
+     *
+     * @param dispatchers the names of their dispatchers; empty for all
+     */
+    public void setDiscoverySilent(List<String> dispatchers, boolean silent) {
+        selectAgents(dispatchers).forEach(agent -> agent.setSilent(silent));
     }
 
-    public void rosterOld(List<String> dispatchers, Span ago) {
-        of(dispatchers).forEach(a -> a.old(ago));
+    /**
+     * Makes discovery agents answer with the endpoint list as it was some time ago.
+     *
+     * @param dispatchers the names of their dispatchers; empty for all
+     * @param staleness how long ago; zero for the latest list
+     */
+    public void setDiscoveryStaleness(List<String> dispatchers, Span staleness) {
+        selectAgents(dispatchers).forEach(agent -> agent.setStaleness(staleness));
     }
 
-    private List<DiscoveryAgent> of(List<String> dispatchers) {
-        List<DiscoveryAgent> some = new ArrayList<>();
-        for (int d = 0; d < agents.size(); d++) {
-            if (dispatchers.isEmpty() || dispatchers.contains("d" + (d + 1))) {
-                some.add(agents.get(d));
+    private List<DiscoveryAgent> selectAgents(List<String> dispatchers) {
+        List<DiscoveryAgent> selected = new ArrayList<>();
+        for (int dispatcher = 0; dispatcher < plan.dispatcherCount(); dispatcher++) {
+            if (dispatchers.isEmpty() || dispatchers.contains(dispatcherName(dispatcher))) {
+                selected.add(registry.agent(dispatcher));
             }
         }
-        return some;
-    }
-
-    private EmulatedWorker find(String name) {
-        return standIns.stream().filter(s -> s.uid.equals(name)).findFirst().orElseThrow();
-    }
-
-    private WorkerEntry entry(String name) {
-        return entries.stream().filter(e -> e.uid().equals(name)).findFirst().orElseThrow();
-    }
-
-    private void publish(String name, WorkerEntry entry) {
-        entries.replaceAll(e -> e.uid().equals(name) ? entry : e);
-        agents.forEach(a -> a.changed(List.of(entry), true));
+        return selected;
     }
 
-    private void weighLater() {
-        thread.executeAfter(() -> {
-            List<WorkerEntry> changed = new ArrayList<>();
-            for (int i = 0; i < entries.size(); i++) {
-                WorkerEntry old = entries.get(i);
-                double weight = standIns.get(i).weight();
-                if (old.state() == WorkerEntry.State.READY
-                        && Math.abs(weight - old.weight()) > 0.01 * weight) {
-                    entries.set(i, old.weighing(weight));
-                    changed.add(entries.get(i));
-                }
-            }
-            if (!changed.isEmpty()) {
-                agents.forEach(a -> a.changed(changed, true));
-            }
-            weighLater();
-        }, Math.max(10, Math.round(plan.roster().refresh().millis())), TimeUnit.MILLISECONDS);
-    }
-
-    /** Whether it fell over, or is out for another reason. */
-    public boolean down(String name) {
-        return find(name).down();
+    private EmulatedWorker find(String uid) {
+        EmulatedWorker worker = workers.get(uid);
+        if (worker == null) {
+            throw new NoSuchElementException("no worker " + uid);
+        }
+        return worker;
     }
 
+    /** Stops all workers and agents; called on any thread but the I/O thread. */
     public void close() {
-        FutureTask<Void> end = new FutureTask<>(() -> {
-            standIns.forEach(EmulatedWorker::close);
-            agents.forEach(DiscoveryAgent::close);
-            beat.stop();
+        FutureTask<Void> closing = new FutureTask<>(() -> {
+            workers.values().forEach(EmulatedWorker::close);
+            registry.close();
+            stallMonitor.stop();
         }, null);
-        thread.execute(end);
+        thread.execute(closing);
         try {
-            end.get(5, TimeUnit.SECONDS);
-        } catch (ExecutionException | java.util.concurrent.TimeoutException e) {
+            closing.get(CLOSE_TIMEOUT_SECONDS, TimeUnit.SECONDS);
+        } catch (ExecutionException | TimeoutException e) {
             // The process ends anyhow.
         } catch (InterruptedException e) {
             Thread.currentThread().interrupt();
         }
-        worker.shutdownNow();
+        ioWorker.shutdownNow();
     }
 }
--- a/src/main/java/rampshift/testbed/workers/IdempotencyKeys.java
+++ b/src/main/java/rampshift/testbed/workers/IdempotencyKeys.java
@@ -6,26 +6,34 @@
 import rampshift.time.Moment;
 import rampshift.time.Span;
 
-/** The marks of fingerprinted tasks that one group of workers remembers together, each for its window. */
+/** The idempotency keys that a group of workers remembers together, each for a limited time. */
 final class IdempotencyKeys {
-    private record Seen(String key, Moment until) {}
+    /** A key, and the last moment at which a task with it is a repetition. */
+    private record RememberedKey(String key, Moment until) {}
 
-    private final Map<String, Moment> until = new HashMap<>();
-    private final ArrayDeque<Seen> order = new ArrayDeque<>();
+    private final Map<String, Moment> rememberedUntil = new HashMap<>();
+    private final ArrayDeque<RememberedKey> oldestFirst = new ArrayDeque<>();
 
-    /** Whether it is a repeat; if not, it is remembered from now on. */
-    boolean repeat(String key, Span window, Moment now) {
-        while (!order.isEmpty() && order.peek().until().before(now)) {
-            Seen old = order.poll();
-            until.remove(old.key(), old.until());
+    /**
+     * Looks a key up, and remembers it if it is new.
+     *
+     * @param key the key of a task that is about to run
+     * @param window how long a new key is remembered
+     * @param now the present time
+     * @return whether the task is a repetition and must not run
+     */
+    boolean isRepeated(String key, Span window, Moment now) {
+        while (!oldestFirst.isEmpty() && oldestFirst.peek().until().before(now)) {
+            RememberedKey expired = oldestFirst.poll();
+            rememberedUntil.remove(expired.key(), expired.until());
         }
-        Moment known = until.get(key);
+        Moment known = rememberedUntil.get(key);
         if (known != null && !known.before(now)) {
             return true;
         }
-        Moment end = now.plus(window);
-        until.put(key, end);
-        order.add(new Seen(key, end));
+        Moment until = now.plus(window);
+        rememberedUntil.put(key, until);
+        oldestFirst.add(new RememberedKey(key, until));
         return false;
     }
 }
--- a/src/main/java/rampshift/testbed/workers/Link.java
+++ b/src/main/java/rampshift/testbed/workers/Link.java
@@ -21,148 +21,174 @@
 import rampshift.time.Span;
 
 /**
- * The way from one dispatcher to one worker: an address of its own, all connections to it, and what becomes
- * of
- * them. So it is known who sent what, and one way can be cut while others stay.
+ * The network link from one dispatcher to one worker: a listening address that only this dispatcher knows,
+ * and all connections to it. So the worker knows which dispatcher sent a request, and one link can be cut
+ * while others work. It is used on the I/O thread alone.
  */
 final class Link {
     private static final int BACKLOG = 511;
-    private static final int TRIES = 1000;          // a millisecond apart, to bind a port again
-
-    final int dispatcher;
-    private final XnioWorker worker;
-    private final Span crossing;
-    private final BiConsumer<Link, StreamConnection> opened;
-    private final Set<FaultyConnection> lines = new LinkedHashSet<>();
+    /** What the kernel accepts as the shortest queue of connections that nobody has accepted. */
+    private static final int MIN_BACKLOG = 1;
+    /** So many connections fill the shortest queue. */
+    private static final int FILLER_COUNT = 3;
+    private static final int MAX_BIND_RETRIES = 1000;
+    private static final long BIND_RETRY_INTERVAL_MS = 1;
+
+    private final int dispatcher;
+    private final XnioWorker ioWorker;
+    private final Span delay;
+    private final BiConsumer<Link, StreamConnection> onAccepted;
+    private final Set<FaultyConnection> connections = new LinkedHashSet<>();
     private final List<SocketChannel> fillers = new ArrayList<>();
-    private InetSocketAddress address;
-    private AcceptingChannel<StreamConnection> socket;
+    private final InetSocketAddress address;
+    private AcceptingChannel<StreamConnection> server;
+    /** Counts how often the server was closed, so that a delayed retry of an earlier bind ends. */
     private int generation;
     private boolean cut;
-    private boolean shut;
+    private boolean shutDown;
 
-    Link(int dispatcher, XnioWorker worker, Span crossing, BiConsumer<Link, StreamConnection> opened)
+    /**
+     * Opens a link at any free port of 127.0.0.1.
+     *
+     * @param dispatcher the index of the dispatcher
+     * @param ioWorker its first I/O thread serves the link
+     * @param delay by how much bytes are delayed in each direction
+     * @param onAccepted receives each new connection
+     * @throws IOException if the port cannot be opened
+     */
+    Link(int dispatcher, XnioWorker ioWorker, Span delay, BiConsumer<Link, StreamConnection> onAccepted)
             throws IOException {
         this.dispatcher = dispatcher;
-        this.worker = worker;
-        this.crossing = crossing;
-        this.opened = opened;
-        address = LoopbackNetwork.address(0);
-        socket = listen(BACKLOG);
-        address = (InetSocketAddress) socket.getLocalAddress();
-        socket.resumeAccepts();
+        this.ioWorker = ioWorker;
+        this.delay = delay;
+        this.onAccepted = onAccepted;
+        server = listen(LoopbackNetwork.address(0), BACKLOG);
+        address = (InetSocketAddress) server.getLocalAddress();
+        server.resumeAccepts();
     }
 
+    /** The index of the dispatcher. */
+    int dispatcher() {
+        return dispatcher;
+    }
+
+    /** The port of 127.0.0.1 at which the dispatcher reaches the worker. */
     int port() {
         return address.getPort();
     }
 
-    Span crossing() {
-        return crossing;
+    /** By how much bytes are delayed in each direction. */
+    Span delay() {
+        return delay;
     }
 
-    void add(FaultyConnection line) {
-        lines.add(line);
-        line.setBlocked(cut);
+    /** Makes a connection share the faults of the link until it is removed. */
+    void addConnection(FaultyConnection connection) {
+        connections.add(connection);
+        connection.setBlocked(cut);
     }
 
-    void remove(FaultyConnection line) {
-        lines.remove(line);
+    /** Forgets a connection. */
+    void removeConnection(FaultyConnection connection) {
+        connections.remove(connection);
     }
 
-    private AcceptingChannel<StreamConnection> listen(int backlog) throws IOException {
-        ChannelListener<AcceptingChannel<StreamConnection>> accept = this::accept;
-        return worker.createStreamConnectionServer(address, accept, OptionMap.builder()
-                .set(Options.TCP_NODELAY, true).set(Options.REUSE_ADDRESSES, true)
-                .set(Options.BACKLOG, backlog).getMap());
+    private AcceptingChannel<StreamConnection> listen(InetSocketAddress where, int backlog)
+            throws IOException {
+        ChannelListener<AcceptingChannel<StreamConnection>> onConnection = this::accept;
+        return ioWorker.createStreamConnectionServer(where, onConnection,
+                OptionMap.builder().set(Options.TCP_NODELAY, true).set(Options.REUSE_ADDRESSES, true)
+                        .set(Options.BACKLOG, backlog).getMap());
     }
 
-    private void accept(AcceptingChannel<StreamConnection> from) {
+    private void accept(AcceptingChannel<StreamConnection> acceptor) {
         try {
-            for (StreamConnection c = from.accept(); c != null; c = from.accept()) {
-                opened.accept(this, c);
+            for (StreamConnection peer = acceptor.accept(); peer != null; peer = acceptor.accept()) {
+                onAccepted.accept(this, peer);
             }
         } catch (IOException e) {
-            // The listener was closed while this was under way.
+            // The server was closed meanwhile.
         }
     }
 
-    /** Nothing comes through and nothing is reset: open connections fall silent, new ones never come up. */
-    void cut(boolean on) {
-        if (cut == on) {
+    /**
+     * Cuts the link, so that nothing gets through and nothing is reset, or restores it. While it is cut,
+     * nothing arrives on open connections, and new ones are never established.
+     */
+    void setCut(boolean cut) {
+        if (this.cut == cut) {
             return;
         }
-        cut = on;
-        for (FaultyConnection line : new ArrayList<>(lines)) {
-            line.setBlocked(on);
+        this.cut = cut;
+        for (FaultyConnection connection : new ArrayList<>(connections)) {
+            connection.setBlocked(cut);
         }
-        if (!shut) {
+        if (!shutDown) {
             rebind();
         }
     }
 
-    /** The process is gone: connections are reset, new ones refused. */
-    void shut() {
-        shut = true;
-        generation++;
-        dropFillers();
-        IoUtils.safeClose(socket);
-        for (FaultyConnection line : new ArrayList<>(lines)) {
-            line.reset();
+    /** Resets all connections and refuses new ones, as when the worker's process has ended. */
+    void shutDown() {
+        shutDown = true;
+        closeServer();
+        for (FaultyConnection connection : new ArrayList<>(connections)) {
+            connection.reset();
         }
-        lines.clear();
+        connections.clear();
     }
 
-    /** It is back, at the same address. */
-    void open() {
-        shut = false;
+    /** Accepts connections again after {@link #shutDown}, at the same address. */
+    void reopen() {
+        shutDown = false;
         rebind();
     }
 
+    private void closeServer() {
+        generation++;
+        for (SocketChannel filler : fillers) {
+            IoUtils.safeClose(filler);
+        }
+        fillers.clear();
+        IoUtils.safeClose(server);
+    }
+
     /**
-     * A listener that nobody accepts on still completes connections, as many as its queue holds. So a cut one
-     * has
-     * the shortest queue there is, filled by ourselves; the kernel then drops what comes, as a cut would.
+     * Opens the server anew, in the way that a link which is cut or not cut needs. The kernel establishes
+     * connections also where nobody accepts them, until the queue is full. So a cut link has the shortest
+     * queue and fills it with connections of its own; the kernel then drops what arrives, as in a real cut.
      */
     private void rebind() {
-        int mine = ++generation;
-        dropFillers();
-        IoUtils.safeClose(socket);
-        bind(mine, TRIES);
+        closeServer();
+        bind(generation, MAX_BIND_RETRIES);
     }
 
-    private void bind(int mine, int tries) {
-        if (mine != generation) {
+    private void bind(int boundGeneration, int retriesLeft) {
+        if (boundGeneration != generation) {
             return;
         }
         try {
-            socket = listen(cut ? 1 : BACKLOG);
+            server = listen(address, cut ? MIN_BACKLOG : BACKLOG);
             if (cut) {
-                for (int i = 0; i < 3; i++) {
-                    SocketChannel filler = SocketChannel.open();
-                    filler.configureBlocking(false);
-                    filler.connect(address);
-                    fillers.add(filler);
-                }
+                fillQueue();
             } else {
-                socket.resumeAccepts();
+                server.resumeAccepts();
             }
         } catch (IOException e) {
-            // The old one is given back by its selector a moment later.
-            if (tries > 0) {
-                worker.getIoThread(0).executeAfter(() -> bind(mine, tries - 1), 1, TimeUnit.MILLISECONDS);
+            // The selector frees the port of the closed server a moment later.
+            if (retriesLeft > 0) {
+                ioWorker.getIoThread(0).executeAfter(() -> bind(boundGeneration, retriesLeft - 1),
+                        BIND_RETRY_INTERVAL_MS, TimeUnit.MILLISECONDS);
             }
         }
     }
 
-    private void dropFillers() {
-        for (SocketChannel filler : fillers) {
-            IoUtils.safeClose(filler);
+    private void fillQueue() throws IOException {
+        for (int i = 0; i < FILLER_COUNT; i++) {
+            SocketChannel filler = SocketChannel.open();
+            filler.configureBlocking(false);
+            filler.connect(address);
+            fillers.add(filler);
         }
-        fillers.clear();
-    }
-
-    void close() {
-        shut();
     }
 }
--- a/src/main/java/rampshift/testbed/workers/LoadReports.java
+++ b/src/main/java/rampshift/testbed/workers/LoadReports.java
@@ -2,61 +2,75 @@
 
 import java.util.ArrayDeque;
 import java.util.Locale;
+import java.util.Optional;
 import rampshift.testbed.plan.FleetPlan;
 import rampshift.time.Moment;
 import rampshift.time.Span;
 
-/** What a worker tells of its load: figures taken now and then, and told late where a trouble says so. */
+/** The load reports of one worker: measured at intervals, and sent with a delay where a fault says so. */
 final class LoadReports {
-    private record Taken(Moment when, String text) {}
+    private static final int REPORT_CHARS = 64;
 
-    private final FleetPlan.Reports plan;
-    private final ArrayDeque<Taken> taken = new ArrayDeque<>();
-    private Span late = Span.ZERO;
+    /** A report, as a JSON object, and when it was measured. */
+    private record Report(Moment measuredAt, String json) {}
 
-    LoadReports(FleetPlan.Reports plan) {
-        this.plan = plan;
+    private final FleetPlan.Reports settings;
+    /** The report to send first, then later ones that are still delayed. */
+    private final ArrayDeque<Report> reports = new ArrayDeque<>();
+    private Span delay = Span.ZERO;
+
+    LoadReports(FleetPlan.Reports settings) {
+        this.settings = settings;
     }
 
-    /** Reports come so much later than usual. */
-    void late(Span span) {
-        late = span;
+    /** Sets how long after its measurement a report is sent. */
+    void setDelay(Span delay) {
+        this.delay = delay;
     }
 
-    /** The newest that may be told now, as a JSON object; null where workers tell nothing. */
-    String now(WorkerModel machine, Moment now) {
-        if (plan.how() == FleetPlan.Reports.How.NONE || plan.figures().isEmpty()) {
-            return null;
+    /**
+     * The latest report that may be sent now, as a JSON object; it is measured if the last one is old.
+     *
+     * @return empty if workers send no reports
+     */
+    Optional<String> current(WorkerModel model, Moment now) {
+        if (settings.how() == FleetPlan.Reports.How.NONE || settings.figures().isEmpty()) {
+            return Optional.empty();
         }
-        if (taken.isEmpty() || !now.before(taken.peekLast().when().plus(plan.refresh()))) {
-            taken.add(new Taken(now, text(machine)));
+        if (reports.isEmpty() || !now.before(reports.peekLast().measuredAt().plus(settings.refresh()))) {
+            reports.add(new Report(now, measure(model)));
         }
-        while (taken.size() > 1) {
-            Taken first = taken.poll();
-            if (now.before(taken.peek().when().plus(late))) {
-                taken.addFirst(first);
+        while (reports.size() > 1) {
+            Report first = reports.poll();
+            if (now.before(reports.peek().measuredAt().plus(delay))) {
+                reports.addFirst(first);
                 break;
             }
         }
-        return taken.peek().text();
+        return Optional.of(reports.peek().json());
     }
 
-    private String text(WorkerModel machine) {
-        StringBuilder text = new StringBuilder(64);
-        for (FleetPlan.Reports.Figure figure : plan.figures()) {
-            text.append(text.length() == 0 ? "{\"" : ",\"");
-            text.append(wireName(figure)).append("\":").append(switch (figure) {
-                case FREE_SLOTS -> String.format(Locale.ROOT, "%.2f", machine.freeSlots());
-                case WAITING -> machine.waiting();
-                case HELD -> machine.held();
-                case FREE_MEMORY -> String.format(Locale.ROOT, "%.2f", machine.freeMemory());
-            });
+    private String measure(WorkerModel model) {
+        StringBuilder json = new StringBuilder(REPORT_CHARS);
+        String separator = "{\"";
+        for (FleetPlan.Reports.Figure figure : settings.figures()) {
+            json.append(separator).append(wireName(figure)).append("\":").append(value(figure, model));
+            separator = ",\"";
         }
-        return text.append('}').toString();
+        return json.append('}').toString();
+    }
+
+    private static String value(FleetPlan.Reports.Figure figure, WorkerModel model) {
+        return switch (figure) {
+            case FREE_SLOTS -> String.format(Locale.ROOT, "%.2f", model.freeSlots());
+            case WAITING -> String.valueOf(model.waitingJobs());
+            case HELD -> String.valueOf(model.heldJobs());
+            case FREE_MEMORY -> String.format(Locale.ROOT, "%.2f", model.freeMemory());
+        };
     }
 
-    /** As the settings tell dispatchers to read it. */
-    static String wireName(FleetPlan.Reports.Figure figure) {
+    /** The name of a figure by which the dispatchers' settings know it. */
+    private static String wireName(FleetPlan.Reports.Figure figure) {
         return switch (figure) {
             case FREE_SLOTS -> "x0";
             case FREE_MEMORY -> "x1";
--- a/src/main/java/rampshift/testbed/workers/StallMonitor.java
+++ b/src/main/java/rampshift/testbed/workers/StallMonitor.java
@@ -8,50 +8,50 @@
 import rampshift.time.Span;
 
 /**
- * Tells when the workers' own thread stood still, as on a machine that others use: what it reads right after
- * may have
- * been written at any time since, and a send is not to count as late for that. All on that thread.
+ * Detects when the workers' I/O thread did not run, as on a machine with other load. What the thread reads
+ * right after a stall may have been sent at any time since its start, and must not count as sent late. It is
+ * used on that thread alone.
  */
 final class StallMonitor {
-    private static final Span EVERY = Span.ofMillis(5);
-    private static final Span STILL = Span.ofMillis(20);    // between two beats: it stood still
-    private static final Span READS_OFF = Span.ofMillis(20);    // after it went on
+    private static final Span TICK_INTERVAL = Span.ofMillis(5);
+    /** The time between two ticks beyond which the thread stalled. */
+    private static final Span MIN_STALL = Span.ofMillis(20);
+    /** How long after a stall the thread may still read what arrived in it. */
+    private static final Span CATCH_UP = Span.ofMillis(20);
 
     private final XnioIoThread thread;
-    private XnioExecutor.Key next;
-    private Moment last;
-    private Moment stoodFrom;
-    private Moment stoodTo;
+    private XnioExecutor.Key nextTick;
+    private Moment lastTick;
+    private Moment stallStart;
+    private Moment stallEnd;
 
+    /** Starts to monitor a thread; called on that thread. */
     StallMonitor(XnioIoThread thread) {
         this.thread = thread;
-        beat();
+        tick();
     }
 
-    private void beat() {
-        beat(EventClock.now());
-        next = thread.executeAfter(this::beat, EVERY.micros(), TimeUnit.MICROSECONDS);
+    private void tick() {
+        Moment now = EventClock.now();
+        if (lastTick != null && now.since(lastTick).longerThan(MIN_STALL)) {
+            stallStart = lastTick;
+            stallEnd = now;
+        }
+        lastTick = now;
+        nextTick = thread.executeAfter(this::tick, TICK_INTERVAL.micros(), TimeUnit.MICROSECONDS);
     }
 
     void stop() {
-        next.remove();
-    }
-
-    private void beat(Moment now) {
-        if (last != null && now.since(last).longerThan(STILL)) {
-            stoodFrom = last;
-            stoodTo = now;
-        }
-        last = now;
+        nextTick.remove();
     }
 
-    /** When what is read at that moment may have been written, at the earliest. */
-    Moment earliest(Moment read) {
-        if (read.since(last).longerThan(STILL)) {
-            return last;
+    /** The earliest time at which bytes that are read now may have been sent. */
+    Moment earliestSendTime(Moment readAt) {
+        if (readAt.since(lastTick).longerThan(MIN_STALL)) {
+            return lastTick;
         }
-        boolean readsOff =
-                stoodTo != null && !read.before(stoodFrom) && READS_OFF.longerThan(read.since(stoodTo));
-        return readsOff ? stoodFrom : read;
+        boolean catchesUp = stallEnd != null && !readAt.before(stallStart)
+                && CATCH_UP.longerThan(readAt.since(stallEnd));
+        return catchesUp ? stallStart : readAt;
     }
 }
--- /dev/null
+++ b/src/main/java/rampshift/testbed/workers/TaskExchange.java
@@ -0,0 +1,127 @@
+package rampshift.testbed.workers;
+
+import org.xnio.XnioExecutor;
+import rampshift.eventlog.EventClock;
+import rampshift.testbed.wire.FaultyConnection;
+import rampshift.time.Moment;
+import rampshift.time.Span;
+
+/**
+ * The response to one task: states of the task, one JSON object a chunk, the last one with the result. It is
+ * used on the I/O thread alone.
+ */
+final class TaskExchange {
+    private static final double SHARE_SCALE = 1000;
+
+    private final WorkerContext context;
+    private final FaultyConnection connection;
+    private final Job job;
+    private final Moment receivedAt;
+    /** Whether a fault keeps it from sending anything. */
+    private final boolean silent;
+    private boolean headSent;
+    private boolean ended;
+    private XnioExecutor.Key progressTimer;
+
+    TaskExchange(WorkerContext context, FaultyConnection connection, Job job, Moment receivedAt,
+            boolean silent) {
+        this.context = context;
+        this.connection = connection;
+        this.job = job;
+        this.receivedAt = receivedAt;
+        this.silent = silent;
+    }
+
+    Job job() {
+        return job;
+    }
+
+    /** Sends that the task has started, and from then on its progress, as often as the plan says. */
+    void sendStarted() {
+        sendState("\"started\"");
+        scheduleProgress();
+    }
+
+    private void scheduleProgress() {
+        Span interval = context.fleet().plan().workers().progress();
+        if (interval.micros() > 0) {
+            progressTimer = context.fleet().runAfter(interval, this::sendProgress);
+        }
+    }
+
+    private void sendProgress() {
+        if (ended || connection.isClosed()) {
+            return;
+        }
+        if (!context.faults().isHanging()) {
+            context.model().advance(EventClock.now());
+            double share = Math.round(job.completedShare() * SHARE_SCALE) / SHARE_SCALE;
+            sendState("\"running\",\"share\":" + share);
+        }
+        scheduleProgress();
+    }
+
+    /** Sends that the task has failed. */
+    void sendFailure(Moment now) {
+        context.events().taskFailed(now, job.task());
+        if (headSent) {
+            sendState("\"failed\"" + loadMember(now));
+            send(WorkerResponses.LAST_CHUNK);
+        } else {
+            send(WorkerResponses.SERVER_ERROR);
+        }
+    }
+
+    /**
+     * Sends the result. It tells which worker made it and for how many microseconds the worker had the task,
+     * so that what the dispatcher adds can be told from what the worker took.
+     *
+     * @param truncated whether only the first half of the last part is sent
+     */
+    void sendResult(Moment now, boolean truncated) {
+        String uid = context.identity().uid();
+        String transactionId = job.task().transactionId();
+        String result = uid + "/" + transactionId + "/" + now.since(receivedAt).micros();
+        context.events().taskCompleted(now, job.task(), result);
+        sendHead();
+        String lastPart = stateChunk("\"done\"" + loadMember(now) + ",\"result\":\"" + result + "\"")
+                + WorkerResponses.LAST_CHUNK;
+        send(truncated ? lastPart.substring(0, lastPart.length() / 2) : lastPart);
+    }
+
+    /** Stops sending progress; to be called once the response or its connection has ended. */
+    void end() {
+        ended = true;
+        if (progressTimer != null) {
+            progressTimer.remove();
+        }
+    }
+
+    /** Sends a state, with the members of the JSON object that follow it. */
+    private void sendState(String state) {
+        sendHead();
+        send(stateChunk(state));
+    }
+
+    private String stateChunk(String state) {
+        return WorkerResponses.chunk("{\"id\":\"" + job.task().transactionId() + "\",\"from\":\""
+                + context.identity().uid() + "\",\"state\":" + state + "}\n");
+    }
+
+    private String loadMember(Moment now) {
+        return context.inlineReport(now).map(report -> ",\"load\":" + report).orElse("");
+    }
+
+    private void sendHead() {
+        if (!headSent) {
+            headSent = true;
+            send(WorkerResponses.CHUNKED_HEAD);
+        }
+    }
+
+    private void send(String text) {
+        if (!silent) {
+            connection.write(text);
+        }
+    }
+}
--- a/src/main/java/rampshift/testbed/workers/WorkerModel.java
+++ b/src/main/java/rampshift/testbed/workers/WorkerModel.java
@@ -9,240 +9,236 @@
 import rampshift.time.Span;
 
 /**
- * What a worker's machine does with the jobs it is given: it runs as many as fit, lets others wait, turns the
- * rest
- * away, is slow while it is cold and falls over when it is given too much then. No I/O, no clock: its host
- * tells
- * the time with each call, and pulls what has begun and what is done.
+ * A model of a worker's machine. It runs as many jobs as fit, lets others wait and rejects the rest. While it
+ * is cold it is slow, and it crashes if it receives too much work then. It has no I/O and no clock: its host
+ * passes the time with each call, and polls which jobs have started and which are complete.
  */
 final class WorkerModel {
-    /** While it warms up its speed changes all the time: looked at so many times on the way. */
-    private static final int COLD_LOOKS = 200;
+    /** The speed of a cold worker rises all the time; so many updates approximate this. */
+    private static final int UPDATES_WHILE_COLD = 200;
 
-    private final FleetPlan.Machine kind;
+    private final FleetPlan.Machine machine;
     private final boolean inOrder;
-    private final FleetPlan.Cold cold;
+    private final FleetPlan.Cold coldStart;
+    private final OverloadDetector overloadDetector;
     private final List<Job> running = new ArrayList<>();
     private final ArrayDeque<Job> waiting = new ArrayDeque<>();
-    private final ArrayDeque<Job> begun = new ArrayDeque<>();
-    private final ArrayDeque<Job> done = new ArrayDeque<>();
-    private final ArrayDeque<Sent> sent = new ArrayDeque<>();
-    private double sentWork;
+    private final ArrayDeque<Job> started = new ArrayDeque<>();
+    private final ArrayDeque<Job> completed = new ArrayDeque<>();
     private Moment now;
-    private Moment born;
+    /** When the process started; null if that was so long ago that it is warm. */
+    private Moment processStart;
     private double usedSlots;
     private double usedMemory;
-    private double factor = 1;
-    private boolean stands;
-    private boolean fallen;
+    private double speedFactor = 1;
+    private boolean paused;
+    private boolean crashed;
 
-    /** Work that came, in slot-microseconds. */
-    private record Sent(Moment when, double work) {}
-
-    /** Born null: warm for long. */
-    WorkerModel(FleetPlan.Machine kind, boolean inOrder, FleetPlan.Cold cold, Moment now, Moment born) {
-        this.kind = kind;
+    /**
+     * Creates a model of a warm worker without jobs.
+     *
+     * @param machine its kind of machine
+     * @param inOrder whether jobs start in the order in which they were offered, even if a later one fits
+     * @param coldStart how it behaves after a restart
+     * @param now the present time
+     */
+    WorkerModel(FleetPlan.Machine machine, boolean inOrder, FleetPlan.Cold coldStart, Moment now) {
+        this.machine = machine;
         this.inOrder = inOrder;
-        this.cold = cold;
+        this.coldStart = coldStart;
         this.now = now;
-        this.born = born;
+        overloadDetector = new OverloadDetector(coldStart);
     }
 
-    // ---- what is told
-
-    /** A job has come. False: there is no room for it, and it never began. */
+    /** Offers a job; returns false if there is no room for it, or if it crashed the worker. */
     boolean offer(Job job, Moment when) {
         advance(when);
-        weigh(job);     // it was sent, whether it finds room or not
-        if (fallen || (waiting.size() >= kind.waiting() && !fits(job)) || job.memory > kind.memory()) {
+        recordReceived(job.task());
+        boolean queueIsFull = waiting.size() >= machine.waiting() && !fits(job.task());
+        if (crashed || queueIsFull || job.task().memory() > machine.memory()) {
             return false;
         }
         waiting.add(job);
-        start();
+        startJobs();
         return true;
     }
 
-    /** It is taken back, or its connection has ended. */
-    void remove(Job job, Moment when) {
+    /** Removes a job that was cancelled, whether it waits, runs or is complete. */
+    void cancel(Job job, Moment when) {
         advance(when);
         if (running.remove(job)) {
-            free(job);
+            releaseCapacity(job.task());
         }
         waiting.remove(job);
-        done.remove(job);
-        job.over = true;
-        start();
+        completed.remove(job);
+        startJobs();
     }
 
-    /** From now on it works at such a share of its speed. */
-    void factor(double share, Moment when) {
+    /** Sets the share of its speed at which it runs jobs from now on. */
+    void setSpeedFactor(double factor, Moment when) {
         advance(when);
-        factor = share;
+        speedFactor = factor;
     }
 
-    /** It stands still, and begins nothing; or goes on. */
-    void stand(boolean still, Moment when) {
+    /** Pauses it, so that it neither runs nor starts jobs, or lets it go on. */
+    void setPaused(boolean pause, Moment when) {
         advance(when);
-        stands = still;
-        start();
+        paused = pause;
+        startJobs();
     }
 
-    /** All it held is lost, and it starts anew, cold. */
+    /** Restarts it: all jobs are lost, and it is cold. */
     void restart(Moment when) {
         running.clear();
         waiting.clear();
-        begun.clear();
-        done.clear();
-        sent.clear();
-        sentWork = 0;
+        started.clear();
+        completed.clear();
+        overloadDetector.clear();
         usedSlots = 0;
         usedMemory = 0;
-        fallen = false;
+        crashed = false;
         now = when;
-        born = when;
+        processStart = when;
     }
 
+    /** Runs jobs up to a moment, at the speed that holds at its end. */
     void advance(Moment when) {
         if (!now.before(when)) {
             return;
         }
-        double work = when.since(now).micros() * rate(when);
+        double micros = when.since(now).micros() * speed(when);
         now = when;
-        if (work <= 0) {
+        if (micros <= 0) {
             return;
         }
-        for (Iterator<Job> i = running.iterator(); i.hasNext();) {
-            Job job = i.next();
-            job.left -= work;
-            // Less than a microsecond is the rounding of the host's timers.
-            if (job.left < 1) {
-                i.remove();
-                free(job);
-                done.add(job);
+        for (Iterator<Job> jobs = running.iterator(); jobs.hasNext();) {
+            Job job = jobs.next();
+            job.run(micros);
+            if (job.isComplete()) {
+                jobs.remove();
+                releaseCapacity(job.task());
+                completed.add(job);
             }
         }
-        start();
+        startJobs();
     }
 
-    // ---- what is pulled
-
-    /** A job that has begun to run since, or null. */
-    Job nextBegun() {
-        return begun.poll();
+    /** Takes the next of the jobs that have started; null if there is none. */
+    Job pollStarted() {
+        return started.poll();
     }
 
-    /** A job that is done, or null. */
-    Job nextDone() {
-        return done.poll();
+    /** Takes the next of the jobs that are complete; null if there is none. */
+    Job pollCompleted() {
+        return completed.poll();
     }
 
-    /** When to look again; null: not before something comes. */
-    Moment nextLook() {
-        double rate = rate(now);
-        if (running.isEmpty() || rate <= 0) {
+    /** When it must be advanced next; null if not before the next call that changes it. */
+    Moment nextUpdate() {
+        double speed = speed(now);
+        if (running.isEmpty() || speed <= 0) {
             return null;
         }
-        double least = Double.MAX_VALUE;
+        double leastMicros = Double.MAX_VALUE;
         for (Job job : running) {
-            least = Math.min(least, job.left);
+            leastMicros = Math.min(leastMicros, job.remainingMicros());
         }
-        Moment end = now.plus(new Span((long) Math.ceil(least / rate)));
-        return cold() ? end.orEarlier(now.plus(cold.warm().times(1.0 / COLD_LOOKS))) : end;
+        Moment nextCompletion = now.plus(new Span((long) Math.ceil(leastMicros / speed)));
+        return isCold() ? nextCompletion.orEarlier(now.plus(coldStart.warm().times(1.0 / UPDATES_WHILE_COLD)))
+                : nextCompletion;
     }
 
-    boolean fallen() {
-        return fallen;
+    /** Whether it has crashed under too much work, and was not restarted since. */
+    boolean hasCrashed() {
+        return crashed;
     }
 
-    boolean cold() {
-        return born != null && cold.warm().longerThan(now.since(born));
+    /** Whether it is not yet at full speed after a restart. */
+    boolean isCold() {
+        return processStart != null && coldStart.warm().longerThan(now.since(processStart));
     }
 
+    /** The slots that neither running nor waiting jobs need. */
     double freeSlots() {
-        return Math.max(0, kind.slots() - usedSlots - waiting.stream().mapToDouble(j -> j.slots).sum());
+        double waitingSlots = waiting.stream().mapToDouble(job -> job.task().slots()).sum();
+        return Math.max(0, machine.slots() - usedSlots - waitingSlots);
     }
 
+    /** The memory that running jobs leave free, in the unit of the plan. */
     double freeMemory() {
-        return Math.max(0, kind.memory() - usedMemory);
+        return Math.max(0, machine.memory() - usedMemory);
     }
 
-    int waiting() {
+    /** The number of waiting jobs. */
+    int waitingJobs() {
         return waiting.size();
     }
 
-    int held() {
+    /** The number of waiting and running jobs. */
+    int heldJobs() {
         return waiting.size() + running.size();
     }
 
-    Moment born() {
-        return born;
+    /** What it does in a second when warm and without faults, relative to one slot of speed 1. */
+    double nominalCapacity() {
+        return machine.slots() * machine.speed();
     }
 
-    /** Work a second that it can do when warm and alone. */
-    double nominal() {
-        return kind.slots() * kind.speed();
-    }
-
-    // ---- within
-
+    /** The share of its speed that it has when warm, 0 to 1. */
     private double warmth(Moment when) {
-        if (born == null) {
+        if (processStart == null) {
             return 1;
         }
-        double way = cold.warm().micros() == 0 ? 1 : Math.min(1, when.since(born).over(cold.warm()));
-        return cold.from() + (1 - cold.from()) * way;
+        double elapsedShare = coldStart.warm().micros() == 0 ? 1
+                : Math.min(1, when.since(processStart).over(coldStart.warm()));
+        return coldStart.from() + (1 - coldStart.from()) * elapsedShare;
     }
 
-    private double rate(Moment when) {
-        return stands || fallen ? 0 : kind.speed() * warmth(when) * factor;
+    /** The speed of each slot. */
+    private double speed(Moment when) {
+        return paused || crashed ? 0 : machine.speed() * warmth(when) * speedFactor;
     }
 
-    private boolean fits(Job job) {
-        return (usedSlots == 0 && running.isEmpty())
-                || (usedSlots + job.slots <= kind.slots() && usedMemory + job.memory <= kind.memory());
+    private boolean fits(Task task) {
+        boolean isIdle = usedSlots == 0 && running.isEmpty();
+        return isIdle || (usedSlots + task.slots() <= machine.slots()
+                && usedMemory + task.memory() <= machine.memory());
     }
 
-    private void start() {
-        if (stands || fallen) {
+    private void startJobs() {
+        if (paused || crashed) {
             return;
         }
-        for (Iterator<Job> i = waiting.iterator(); i.hasNext();) {
-            Job job = i.next();
-            if (fits(job)) {
-                i.remove();
-                usedSlots += job.slots;
-                usedMemory += job.memory;
-                job.begun = true;
+        for (Iterator<Job> jobs = waiting.iterator(); jobs.hasNext();) {
+            Job job = jobs.next();
+            if (fits(job.task())) {
+                jobs.remove();
+                usedSlots += job.task().slots();
+                usedMemory += job.task().memory();
+                job.start();
                 running.add(job);
-                begun.add(job);
+                started.add(job);
             } else if (inOrder) {
                 return;
             }
         }
     }
 
-    private void free(Job job) {
-        usedSlots = running.isEmpty() ? 0 : usedSlots - job.slots;
-        usedMemory = running.isEmpty() ? 0 : usedMemory - job.memory;
+    /** Gives back what a job took, after its removal; sums start anew from zero once nothing runs. */
+    private void releaseCapacity(Task task) {
+        usedSlots = running.isEmpty() ? 0 : usedSlots - task.slots();
+        usedMemory = running.isEmpty() ? 0 : usedMemory - task.memory();
     }
 
-    /**
-     * Sent more than the stated multiple of what it can do now, for the stated time, a cold one falls over.
-     */
-    private void weigh(Job job) {
-        if (!cold()) {
-            sent.clear();
-            sentWork = 0;
+    /** Counts what was received towards an overload, whether there is room for it or not. */
+    private void recordReceived(Task task) {
+        if (!isCold()) {
+            overloadDetector.clear();
             return;
         }
-        sent.add(new Sent(now, job.work.micros() * job.slots));
-        sentWork += job.work.micros() * job.slots;
-        while (now.since(sent.peek().when()).longerThan(cold.fall())) {
-            sentWork -= sent.poll().work();
-        }
-        double can = kind.slots() * kind.speed() * warmth(now) * cold.fall().micros();
-        if (sentWork > cold.tip() * can) {
-            fallen = true;
+        double capacity = nominalCapacity() * warmth(now);
+        if (overloadDetector.isOverloadedBy(now, task.work().micros() * task.slots(), capacity)) {
+            crashed = true;
         }
     }
 }
--- a/src/test/java/rampshift/testbed/discovery/ListHistoryTest.java
+++ b/src/test/java/rampshift/testbed/discovery/ListHistoryTest.java
@@ -1,45 +1,50 @@
 package rampshift.testbed.discovery;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
-import static org.junit.jupiter.api.Assertions.assertNull;
 
 import java.util.List;
+import java.util.Optional;
 import org.junit.jupiter.api.Test;
 import rampshift.time.Moment;
-import rampshift.time.Span;
 
 class ListHistoryTest {
-    private static final WorkerEntry A =
-            new WorkerEntry("a", "s", "m", 1, WorkerEntry.State.READY, 4, 0, new int[]{1});
-    private static final WorkerEntry B =
-            new WorkerEntry("b", "s", "m", 1, WorkerEntry.State.READY, 4, 0, new int[]{2});
+    private static final WorkerEntry ENTRY_A =
+            new WorkerEntry("a", "s", "m", 1, WorkerEntry.State.READY, 4, 0, List.of(1));
+    private static final WorkerEntry ENTRY_B =
+            new WorkerEntry("b", "s", "m", 1, WorkerEntry.State.READY, 4, 0, List.of(2));
 
-    private static String names(List<WorkerEntry> entries) {
-        return String.join(" ", entries.stream().map(e -> e.uid() + ":" + e.state()).toList());
+    private static String describe(List<WorkerEntry> entries) {
+        return String.join(" ", entries.stream().map(entry -> entry.uid() + ":" + entry.state()).toList());
+    }
+
+    private static String changesSince(long known, ListHistory history) {
+        return describe(history.changesBetween(known, history.version()).orElseThrow());
     }
 
     @Test
-    void aWatchGetsTheLastStateOfWhatHasChangedAndAStrangerTheWholeList() {
-        ListHistory v = new ListHistory(List.of(A, B));
-        long first = v.version();
-        v.apply(List.of(A.with(WorkerEntry.State.DRAINING)), Moment.ofMillis(1));
-        long second = v.version();
-        v.apply(List.of(A.with(WorkerEntry.State.GONE)), Moment.ofMillis(2));
-        assertEquals("a:GONE", names(v.since(first, v.version())));
-        assertEquals("a:GONE", names(v.since(second, v.version())));
-        assertEquals("", names(v.since(v.version(), v.version())));
-        assertEquals("b:READY", names(v.whole()));
-        assertNull(v.since(v.version() + 1, v.version()), "a version that was never given");
-        assertNull(v.since(0, v.version()));
+    void aKnownVersionGetsTheLastStateOfWhatChangedAndAnUnknownOneTheWholeList() {
+        ListHistory history = new ListHistory(List.of(ENTRY_A, ENTRY_B));
+        long first = history.version();
+        history.apply(List.of(ENTRY_A.withState(WorkerEntry.State.DRAINING)), Moment.ofMillis(1));
+        long second = history.version();
+        history.apply(List.of(ENTRY_A.withState(WorkerEntry.State.GONE)), Moment.ofMillis(2));
+        long third = history.version();
+        assertEquals("a:GONE", changesSince(first, history));
+        assertEquals("a:GONE", changesSince(second, history));
+        assertEquals("", changesSince(third, history));
+        assertEquals("b:READY", describe(history.entries()));
+        assertEquals(Optional.empty(), history.changesBetween(third + 1, third),
+                "a version that was never given");
+        assertEquals(Optional.empty(), history.changesBetween(0, third));
     }
 
     @Test
-    void oldNewsIsTheListAsItWas() {
-        ListHistory v = new ListHistory(List.of(A));
-        v.apply(List.of(B), Moment.ofMillis(100));
-        v.apply(List.of(A.with(WorkerEntry.State.GONE)), Moment.ofMillis(200));
-        assertEquals("b:READY", names(v.whole(Span.ofMillis(0), Moment.ofMillis(200))));
-        assertEquals("a:READY b:READY", names(v.whole(Span.ofMillis(50), Moment.ofMillis(200))));
-        assertEquals("a:READY", names(v.whole(Span.ofMillis(150), Moment.ofMillis(200))));
+    void aPastListIsTheListAsItWas() {
+        ListHistory history = new ListHistory(List.of(ENTRY_A));
+        history.apply(List.of(ENTRY_B), Moment.ofMillis(100));
+        history.apply(List.of(ENTRY_A.withState(WorkerEntry.State.GONE)), Moment.ofMillis(200));
+        assertEquals("b:READY", describe(history.entriesAt(Moment.ofMillis(200))));
+        assertEquals("a:READY b:READY", describe(history.entriesAt(Moment.ofMillis(150))));
+        assertEquals("a:READY", describe(history.entriesAt(Moment.ofMillis(50))));
     }
 }
--- a/src/test/java/rampshift/testbed/workers/FleetTest.java
+++ b/src/test/java/rampshift/testbed/workers/FleetTest.java
@@ -22,6 +22,7 @@
 import org.junit.jupiter.api.io.TempDir;
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
+import rampshift.HttpMessage;
 import rampshift.TestConnection;
 import rampshift.eventlog.EventClock;
 import rampshift.eventlog.EventLog;
@@ -29,12 +30,15 @@
 import rampshift.testbed.plan.FleetPlan;
 import rampshift.testbed.plan.FleetPlanReader;
 
-/** Workers and roster as a dispatcher meets them, in good and bad health. */
+/** Emulated workers and discovery agents as a dispatcher sees them, with and without faults. */
 class FleetTest {
+    private static final String LAST_CHUNK = "\r\n0\r\n\r\n";
+    private static final String WHOLE_LIST_REQUEST = "GET /v1/endpoints HTTP/1.1\r\n\r\n";
+
     @TempDir
     Path folder;
-    private final List<TestConnection> lines = new ArrayList<>();
-    private EventLog ledger;
+    private final List<TestConnection> connections = new ArrayList<>();
+    private EventLog eventLog;
     private Fleet fleet;
 
     private void open(String more) throws IOException {
@@ -58,18 +62,18 @@
                 figures = ["free-slots", "waiting"]
                 refresh = "0ms"
                 """ + more, null);
-        ledger = new EventLog(folder.resolve("fleet.ledger"));
-        fleet = new Fleet(plan, 1, ledger);
-        new FaultInjector(plan, fleet, null, ledger).start(1, EventClock.now());
+        eventLog = new EventLog(folder.resolve("fleet.ledger"));
+        fleet = new Fleet(plan, 1, eventLog);
+        new FaultInjector(plan, fleet, null, eventLog).start(1, EventClock.now());
     }
 
     @AfterEach
     void close() throws IOException {
-        for (TestConnection line : lines) {
-            line.close();
+        for (TestConnection connection : connections) {
+            connection.close();
         }
         fleet.close();
-        ledger.close();
+        eventLog.close();
     }
 
     private JsonNode target(int dispatcher, int worker) throws IOException {
@@ -83,71 +87,73 @@
     private TestConnection dial(int port) throws IOException {
         Socket socket = new Socket();
         socket.connect(new InetSocketAddress(InetAddress.getByName("127.0.0.1"), port), 300);
-        TestConnection line = new TestConnection(socket);
-        lines.add(line);
-        return line;
+        TestConnection connection = new TestConnection(socket);
+        connections.add(connection);
+        return connection;
     }
 
-    private TestConnection task(TestConnection line, String txn, String type, int workMs) throws IOException {
+    private TestConnection task(TestConnection connection, String transactionId, String type, int workMs)
+            throws IOException {
         String body = "work=" + workMs * 1000 + ",1.0,0.0;";
-        return line.write("POST /api HTTP/1.1\r\nX-Txn: " + txn + "\r\nX-Lane: " + type
+        return connection.write("POST /api HTTP/1.1\r\nX-Txn: " + transactionId + "\r\nX-Lane: " + type
                 + "\r\nIdempotency-Key: k\r\nContent-Length: " + body.length() + "\r\n\r\n" + body);
     }
 
-    private String ledger() throws IOException {
+    private String logged() throws IOException {
         return Files.readString(folder.resolve("fleet.ledger"));
     }
 
     @Test
-    void aTaskIsRunAndToldOfWithTheLoad() throws Exception {
+    void aTaskIsRunAndAnsweredWithItsStatesAndTheLoad() throws Exception {
         open("");
-        String answer = task(dial(port(0, 0)), "t", "look", 20).readUntil("\r\n0\r\n\r\n");
+        String answer = task(dial(port(0, 0)), "t", "look", 20).readUntil(LAST_CHUNK);
         assertTrue(answer.contains("{\"id\":\"t\",\"from\":\"a-m-1\",\"state\":\"started\"}"), answer);
+        String load = "\\{\"x0\":1.00,\"queue\":0\\}";
         assertTrue(answer.matches(
-                "(?s).*\"state\":\"done\",\"load\":\\{\"x0\":1.00,\"queue\":0\\},\"result\":\"a-m-1/t/\\d+\".*"),
-                answer);
-        until("it is in the ledger", () -> ledger().contains(" done a-m-1 t a-m-1/t/"));
-        assertTrue(ledger().contains(" took a-m-1 0 t k look "), ledger());
+                "(?s).*\"state\":\"done\",\"load\":" + load + ",\"result\":\"a-m-1/t/\\d+\".*"), answer);
+        until("it is in the event log", () -> logged().contains(" done a-m-1 t a-m-1/t/"));
+        assertTrue(logged().contains(" took a-m-1 0 t k look "), logged());
     }
 
     @Test
-    void whatFindsNoRoomIsTurnedAwayUnbegunAndAClosedConnectionTakesItsJobBack() throws Exception {
+    void aTaskWithoutRoomIsRejectedAndAClosedConnectionCancelsItsJob() throws Exception {
         open("");
         TestConnection first = task(dial(port(0, 0)), "a", "look", 10_000);
         first.readUntil("started");
         TestConnection second = task(dial(port(0, 0)), "b", "look", 10_000);
-        until("it waits", () -> ledger().contains(" took a-m-1 0 b "));
-        var away = task(dial(port(0, 0)), "c", "look", 1).read();
-        assertEquals(503, away.status());
-        assertEquals("1", away.field("X-Turned-Away"));
-        assertEquals("{\"x0\":0.00,\"queue\":1}", away.field("X-Pressure"));
+        until("it waits", () -> logged().contains(" took a-m-1 0 b "));
+        HttpMessage rejected = task(dial(port(0, 0)), "c", "look", 1).read();
+        assertEquals(503, rejected.status());
+        assertEquals("1", rejected.field("X-Turned-Away"));
+        assertEquals("{\"x0\":0.00,\"queue\":1}", rejected.field("X-Pressure"));
         first.close();
-        assertTrue(second.readUntil("started").contains("\"id\":\"b\""), "the waiting one has its place");
-        until("told", () -> ledger().contains(" off a-m-1 a begun"));
-        assertFalse(ledger().contains(" began a-m-1 c"));
+        assertTrue(second.readUntil("started").contains("\"id\":\"b\""),
+                "the waiting one starts in its place");
+        until("it is logged", () -> logged().contains(" off a-m-1 a begun"));
+        assertFalse(logged().contains(" began a-m-1 c"));
     }
 
     @Test
-    void probesTellTheLoadAndStrangeTasksAreTurnedDown() throws Exception {
+    void probesAreAnsweredWithTheLoadAndInvalidTasksAreRefused() throws Exception {
         open("");
-        TestConnection line = dial(port(0, 0));
+        TestConnection connection = dial(port(0, 0));
         assertEquals("{\"x0\":1.00,\"queue\":0}",
-                line.write("GET /status/load HTTP/1.1\r\n\r\n").read().text());
-        assertEquals(200, line.write("GET /health HTTP/1.1\r\n\r\n").read().status());
-        assertEquals(404, line.write("GET /else HTTP/1.1\r\n\r\n").read().status());
-        assertEquals(400, task(line, "t", "nothing", 1).read().status());
+                connection.write("GET /status/load HTTP/1.1\r\n\r\n").read().text());
+        assertEquals(200, connection.write("GET /health HTTP/1.1\r\n\r\n").read().status());
+        assertEquals(404, connection.write("GET /else HTTP/1.1\r\n\r\n").read().status());
+        assertEquals(400, task(connection, "t", "nothing", 1).read().status());
     }
 
     @Test
-    void aRepeatIsDroppedWithinItsCellAndRunsOutsideOfIt() throws Exception {
+    void aRepetitionIsDroppedWithinItsCellAndRunsOutsideOfIt() throws Exception {
         open("");
         for (int worker = 0; worker < 3; worker++) {
-            task(dial(port(0, worker)), "t" + worker, "mark", 1).readUntil("\r\n0\r\n\r\n");
+            task(dial(port(0, worker)), "t" + worker, "mark", 1).readUntil(LAST_CHUNK);
         }
-        until("all are told of", () -> ledger().contains(" done a-m-3 t2"));
-        assertTrue(ledger().contains(" began a-m-1 t0 k mark"));
-        assertTrue(ledger().contains(" dropped a-m-2 t1 k mark"), "of the same cell");
-        assertTrue(ledger().contains(" began a-m-3 t2 k mark"));
+        until("all are logged", () -> logged().contains(" done a-m-3 t2"));
+        assertTrue(logged().contains(" began a-m-1 t0 k mark"));
+        assertTrue(logged().contains(" dropped a-m-2 t1 k mark"), "of the same cell");
+        assertTrue(logged().contains(" began a-m-3 t2 k mark"));
     }
 
     @ParameterizedTest
@@ -163,52 +169,53 @@
             "what = \"slow\"; factor = 200      | done                  | [SILENCE]",
             "what = \"slow-bytes\"; delay = \"500ms\" | done               | [SILENCE]",
     })
-    void eachTroubleShowsAndPassesAgain(String trouble, String without, String with) throws Exception {
-        open("[[trouble]]\nnames = [\"a-m-1\"]\nlength = \"700ms\"\n" + trouble.replace("; ", "\n"));
+    void eachFaultShowsAndEndsAgain(String fault, String without, String with) throws Exception {
+        open("[[trouble]]\nnames = [\"a-m-1\"]\nlength = \"700ms\"\n" + fault.replace("; ", "\n"));
         Thread.sleep(60);
-        TestConnection line = dial(port(0, 0)).readTimeout(400);
-        String answer = task(line, "t", "look", 10).readUntil("\r\n0\r\n\r\n");
+        TestConnection connection = dial(port(0, 0)).readTimeout(400);
+        String answer = task(connection, "t", "look", 10).readUntil(LAST_CHUNK);
         assertTrue(answer.contains(with), answer);
         assertFalse(answer.contains(without), answer);
-        until("it is over", () -> ledger().contains(" ends a-m-1"));
-        String good = task(dial(port(0, 0)), "u", "look", 10).readUntil("\r\n0\r\n\r\n");
+        until("it is over", () -> logged().contains(" ends a-m-1"));
+        String good = task(dial(port(0, 0)), "u", "look", 10).readUntil(LAST_CHUNK);
         assertTrue(good.contains("\"result\":\"a-m-1/u"), good);
     }
 
     @Test
-    void aResetBeforeTheTaskIsWholeIsNoTaskTaken() throws Exception {
+    void aResetBeforeTheTaskIsCompleteIsLoggedAsNoTask() throws Exception {
         open("[[trouble]]\nwhat = \"reset-before\"\nrate = 1\nnames = [\"a-m-1\"]");
         Thread.sleep(60);
         assertEquals("[RESET]", dial(port(0, 0)).write("POST /api HTTP/1.1\r\n").readUntil("x"));
-        until("it is told", () -> ledger().contains(" part a-m-1 0"));
+        until("it is logged", () -> logged().contains(" part a-m-1 0"));
     }
 
     @Test
-    void acrossACutNothingComesThroughAndNothingIsResetAndThenAllGoesOn() throws Exception {
+    void acrossACutNothingGetsThroughAndNothingIsResetAndThenAllGoesOn() throws Exception {
         open("[[trouble]]\nwhat = \"cut\"\nsite = \"b\"\nat = \"300ms\"\nlength = \"900ms\"");
         TestConnection before = task(dial(port(1, 0)), "t", "look", 500);
         before.readUntil("started");
         TestConnection idle = dial(port(1, 0));
-        until("it is cut", () -> ledger().contains("cut begins"));
+        until("it is cut", () -> logged().contains("cut begins"));
         Thread.sleep(50);
         long written = EventClock.now().micros();
         task(idle, "w", "look", 1);
         int port = port(1, 0);
-        assertThrows(SocketTimeoutException.class, () -> dial(port), "a new connection never comes up");
+        assertThrows(SocketTimeoutException.class, () -> dial(port), "a new connection is never established");
         assertFalse(before.readTimeout(300).readUntil("[no end]").contains("done"),
                 "an open one falls silent");
-        assertTrue(task(dial(port(0, 1)), "u", "look", 1).readUntil("\r\n0\r\n\r\n").contains("a-m-2/u"),
+        assertTrue(task(dial(port(0, 1)), "u", "look", 1).readUntil(LAST_CHUNK).contains("a-m-2/u"),
                 "within the site");
         assertTrue(before.readTimeout(5000).readUntil("done").contains("done"),
-                "what was held back comes after all");
-        until("so does what was written in it", () -> ledger().contains(" 1 w "));
-        String[] took = ledger().lines().filter(l -> l.contains(" took ") && l.contains(" 1 w ")).findFirst()
-                .orElseThrow().split(" ");
+                "what was held back arrives after all");
+        until("so does what was written in it", () -> logged().contains(" 1 w "));
+        String[] took =
+                logged().lines().filter(line -> line.contains(" took ") && line.contains(" 1 w ")).findFirst()
+                        .orElseThrow().split(" ");
         assertTrue(Long.parseLong(took[7]) <= written && Long.parseLong(took[0]) > written + 300_000,
-                "it counts from when it may have been written: " + took[7] + ", " + written + ", " + took[0]);
-        until("new ones come up again", () -> {
+                "it counts from when it may have been sent: " + took[7] + ", " + written + ", " + took[0]);
+        until("new ones are established again", () -> {
             try {
-                return task(dial(port(1, 0)), "v", "look", 1).readUntil("\r\n0\r\n\r\n").contains("a-m-1/v");
+                return task(dial(port(1, 0)), "v", "look", 1).readUntil(LAST_CHUNK).contains("a-m-1/v");
             } catch (IOException e) {
                 return false;
             }
@@ -216,7 +223,7 @@
     }
 
     @Test
-    void aCrashResetsAllAndTheWorkerComesBackColdAndFallsOverWhenOverfed() throws Exception {
+    void aCrashResetsAllAndTheWorkerComesBackColdAndCrashesWhenOverloaded() throws Exception {
         open("""
                 [cold]
                 from = 0.1
@@ -231,33 +238,35 @@
                 [roster]
                 delay = "10ms"
                 """);
-        TestConnection line = task(dial(port(0, 0)), "t", "look", 10_000);
-        line.readUntil("started");
-        assertTrue(line.readUntil("never").endsWith("[RESET]"));
+        TestConnection connection = task(dial(port(0, 0)), "t", "look", 10_000);
+        connection.readUntil("started");
+        assertTrue(connection.readUntil("never").endsWith("[RESET]"));
         assertThrows(IOException.class, () -> dial(port(0, 0)).readUntil("x").charAt(99), "refused");
-        until("it is back, and said to be new", () -> fleet.list(0).matches(".*a-m-1.*\"boot_ms\":[1-9].*"));
-        until("it listens", () -> {
-            try {
-                return dial(portOf("a-m-1")).write("GET /health HTTP/1.1\r\n\r\n").read().status() == 200;
-            } catch (IOException e) {
-                return false;
-            }
-        });
+        until("it is back, and listed as new", () -> fleet.list(0).matches(".*a-m-1.*\"boot_ms\":[1-9].*"));
+        until("it listens", () -> isHealthy("a-m-1"));
         int port = portOf("a-m-1");
-        TestConnection eats = task(dial(port), "u", "look", 70);
-        eats.readUntil("started");
-        TestConnection much = task(dial(port), "v", "look", 70);
-        assertTrue(much.readUntil("never").contains("[RESET]"),
+        TestConnection first = task(dial(port), "u", "look", 70);
+        first.readUntil("started");
+        TestConnection second = task(dial(port), "v", "look", 70);
+        assertTrue(second.readUntil("never").contains("[RESET]"),
                 "140 ms of work where a tenth of 200 can be done");
-        assertTrue(eats.readUntil("never").contains("[RESET]"));
-        until("told", () -> ledger().contains(" fell a-m-1"));
+        assertTrue(first.readUntil("never").contains("[RESET]"));
+        until("it is logged", () -> logged().contains(" fell a-m-1"));
         assertThrows(IOException.class, () -> dial(port));
     }
 
+    private boolean isHealthy(String uid) {
+        try {
+            return dial(portOf(uid)).write("GET /health HTTP/1.1\r\n\r\n").read().status() == 200;
+        } catch (IOException e) {
+            return false;
+        }
+    }
+
     private int portOf(String uid) throws IOException {
-        for (JsonNode t : new ObjectMapper().readTree(fleet.list(0)).path("targets")) {
-            if (t.path("uid").asText().equals(uid)) {
-                return Integer.parseInt(t.path("endpoint").asText().split(":")[1]);
+        for (JsonNode target : new ObjectMapper().readTree(fleet.list(0)).path("targets")) {
+            if (target.path("uid").asText().equals(uid)) {
+                return Integer.parseInt(target.path("endpoint").asText().split(":")[1]);
             }
         }
         throw new IOException("not listed");
@@ -266,18 +275,18 @@
     @Test
     void idleConnectionsAreClosedAndNewOnesCostTime() throws Exception {
         open("[workers]\nidle = \"200ms\"\nconnection_cost = \"150ms\"");
-        TestConnection line = dial(port(0, 0));
-        long begun = System.nanoTime();
-        task(line, "t", "look", 1).readUntil("\r\n0\r\n\r\n");
-        long first = System.nanoTime();
-        task(line, "u", "look", 1).readUntil("\r\n0\r\n\r\n");
-        assertTrue(first - begun > 150_000_000L, "the first one on it");
-        assertTrue(System.nanoTime() - first < 140_000_000L, "not the second");
-        assertTrue(line.closedByPeer());
+        TestConnection connection = dial(port(0, 0));
+        long start = System.nanoTime();
+        task(connection, "t", "look", 1).readUntil(LAST_CHUNK);
+        long firstEnd = System.nanoTime();
+        task(connection, "u", "look", 1).readUntil(LAST_CHUNK);
+        assertTrue(firstEnd - start > 150_000_000L, "the first one on it");
+        assertTrue(System.nanoTime() - firstEnd < 140_000_000L, "not the second");
+        assertTrue(connection.closedByPeer());
     }
 
     @Test
-    void theRosterTellsLateFallsSilentAndTellsOldNews() throws Exception {
+    void discoveryTellsLateFallsSilentAndTellsOldLists() throws Exception {
         open("""
                 [roster]
                 delay = "150ms"
@@ -297,33 +306,43 @@
                 length = "400ms"
                 """);
         TestConnection watch = dial(fleet.agentPort(0));
-        String whole = watch.write("GET /v1/endpoints HTTP/1.1\r\n\r\n").read().text();
+        assertDrainIsToldLate(watch);
+        until("silence", () -> logged().contains("roster_silent begins"));
+        watch.readTimeout(200).write(WHOLE_LIST_REQUEST);
+        assertEquals("[SILENCE]", watch.readUntil("HTTP"));
+        until("old lists", () -> logged().contains("roster_old begins"));
+        assertOldListIsToldOnce(dial(fleet.agentPort(0)));
+        until("their end", () -> logged().contains("roster_old ends"));
+        assertTrue(dial(fleet.agentPort(0)).write(WHOLE_LIST_REQUEST).read().text().contains("terminating"));
+        until("what was told is logged", () -> logged().contains(" told 0 a-m-1 draining"));
+    }
+
+    private static String poll(TestConnection watch, int version, int waitMs) throws IOException {
+        return watch.write("GET /v1/endpoints?index=" + version + "&wait=" + waitMs + " HTTP/1.1\r\n\r\n")
+                .read()
+                .text();
+    }
+
+    private static void assertDrainIsToldLate(TestConnection watch) throws IOException {
+        String whole = watch.write(WHOLE_LIST_REQUEST).read().text();
         assertTrue(whole.startsWith("{\"rev\":1,\"all\":true") && whole.contains("a-m-3"), whole);
-        long asked = System.nanoTime();
-        String change = watch.write("GET /v1/endpoints?index=1&wait=20000 HTTP/1.1\r\n\r\n").read().text();
+        long askedAt = System.nanoTime();
+        String change = poll(watch, 1, 20_000);
         assertTrue(change.startsWith("{\"rev\":2,\"all\":false") && change.contains("terminating"), change);
-        assertTrue(System.nanoTime() - asked > 50_000_000L, "late");
-        assertTrue(watch.write("GET /v1/endpoints?index=2&wait=50 HTTP/1.1\r\n\r\n").read().text()
-                .endsWith("\"targets\":[]}"), "nothing new");
-        until("silence", () -> ledger().contains("roster_silent begins"));
-        watch.readTimeout(200).write("GET /v1/endpoints HTTP/1.1\r\n\r\n");
-        assertEquals("[SILENCE]", watch.readUntil("HTTP"));
-        until("old news", () -> ledger().contains("roster_old begins"));
-        TestConnection again = dial(fleet.agentPort(0));
-        String old = again.write("GET /v1/endpoints?index=2&wait=20000 HTTP/1.1\r\n\r\n").read().text();
+        assertTrue(System.nanoTime() - askedAt > 50_000_000L, "late");
+        assertTrue(poll(watch, 2, 50).endsWith("\"targets\":[]}"), "nothing new");
+    }
+
+    private static void assertOldListIsToldOnce(TestConnection watch) throws IOException {
+        String old = poll(watch, 2, 20_000);
         assertTrue(old.contains("\"all\":true") && !old.contains("terminating"), old);
-        assertTrue(again.write("GET /v1/endpoints?index=2&wait=50 HTTP/1.1\r\n\r\n").read().text()
-                .endsWith("\"targets\":[]}"), "told once, not on and on");
-        until("its end", () -> ledger().contains("roster_old ends"));
-        assertTrue(dial(fleet.agentPort(0)).write("GET /v1/endpoints HTTP/1.1\r\n\r\n").read().text()
-                .contains("terminating"));
-        until("what was told is written down", () -> ledger().contains(" told 0 a-m-1 draining"));
+        assertTrue(poll(watch, 2, 50).endsWith("\"targets\":[]}"), "told once, not again and again");
     }
 
     @Test
-    void aThousandWorkersStandInOneProcess() throws Exception {
+    void aThousandWorkersRunInOneProcess() throws Exception {
         open("[[site]]\nname = \"c\"\ndispatchers = 0\nworkers = [{ machine = \"m\", count = 1000 }]");
         assertTrue(
-                task(dial(port(0, 1002)), "t", "look", 1).readUntil("\r\n0\r\n\r\n").contains("c-m-1000/t"));
+                task(dial(port(0, 1002)), "t", "look", 1).readUntil(LAST_CHUNK).contains("c-m-1000/t"));
     }
 }
--- a/src/test/java/rampshift/testbed/workers/WorkerModelTest.java
+++ b/src/test/java/rampshift/testbed/workers/WorkerModelTest.java
@@ -7,6 +7,7 @@
 
 import java.util.ArrayList;
 import java.util.List;
+import java.util.Optional;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
@@ -15,170 +16,173 @@
 import rampshift.time.Span;
 
 class WorkerModelTest {
-    private static final FleetPlan.Machine KIND = new FleetPlan.Machine("m", 2, 1, 2, 10);
-    private static final FleetPlan.Cold COLD =
+    private static final FleetPlan.Machine MACHINE = new FleetPlan.Machine("m", 2, 1, 2, 10);
+    private static final FleetPlan.Cold COLD_START =
             new FleetPlan.Cold(0.25, Span.ofMillis(1000), 4, Span.ofMillis(100));
-    private final List<String> begun = new ArrayList<>();
-    private final List<String> done = new ArrayList<>();
+    private final List<String> started = new ArrayList<>();
+    private final List<String> completed = new ArrayList<>();
 
-    private static Moment at(double ms) {
-        return Moment.ofMillis(ms);
+    private static Moment at(double millis) {
+        return Moment.ofMillis(millis);
     }
 
-    private static Job job(String txn, double ms, double slots) {
-        return new Job(txn, "-", 0, Span.ofMillis(ms), slots, 1, null, 0);
+    private static Job job(String id, double millis, double slots) {
+        return new Job(new Task(id, "-", 0, Span.ofMillis(millis), slots, 1, null));
     }
 
-    private static WorkerModel warm(boolean inOrder) {
-        return new WorkerModel(KIND, inOrder, COLD, at(0), null);
+    private static WorkerModel warmModel(boolean inOrder) {
+        return new WorkerModel(MACHINE, inOrder, COLD_START, at(0));
     }
 
-    /** What it says up to that time, told whenever it wants to be looked at. */
-    private void play(WorkerModel machine, double ms) {
+    private static WorkerModel coldModel() {
+        WorkerModel model = warmModel(true);
+        model.restart(at(0));
+        return model;
+    }
+
+    /** Runs a model up to a time, with all updates that it asks for, and notes what started and completed. */
+    private void run(WorkerModel model, double millis) {
         while (true) {
-            for (Job j = machine.nextBegun(); j != null; j = machine.nextBegun()) {
-                begun.add(j.txn);
+            for (Job job = model.pollStarted(); job != null; job = model.pollStarted()) {
+                started.add(job.task().transactionId());
             }
-            for (Job j = machine.nextDone(); j != null; j = machine.nextDone()) {
-                done.add(j.txn);
+            for (Job job = model.pollCompleted(); job != null; job = model.pollCompleted()) {
+                completed.add(job.task().transactionId());
             }
-            Moment next = machine.nextLook();
-            if (next == null || at(ms).before(next)) {
-                machine.advance(at(ms));
+            Moment next = model.nextUpdate();
+            if (next == null || at(millis).before(next)) {
+                model.advance(at(millis));
                 return;
             }
-            machine.advance(next);
+            model.advance(next);
         }
     }
 
     @Test
-    void asManyRunAsFitOthersWaitAndWhatIsTooMuchNeverBegins() {
-        WorkerModel m = warm(true);
-        assertTrue(m.offer(job("a", 100, 1), at(0)));
-        assertTrue(m.offer(job("b", 50, 1), at(0)));
-        assertTrue(m.offer(job("c", 10, 1), at(0)));
-        assertTrue(m.offer(job("d", 10, 1), at(0)));
-        assertFalse(m.offer(job("e", 10, 1), at(0)), "no room to wait");
-        assertEquals(2, m.waiting());
-        play(m, 55);
-        assertEquals(List.of("a", "b", "c"), begun);
-        assertEquals(List.of("b"), done);
-        play(m, 200);
-        assertEquals(List.of("b", "c", "d", "a"), done);
+    void jobsRunIfTheyFitOrWaitOrAreRejected() {
+        WorkerModel model = warmModel(true);
+        assertTrue(model.offer(job("a", 100, 1), at(0)));
+        assertTrue(model.offer(job("b", 50, 1), at(0)));
+        assertTrue(model.offer(job("c", 10, 1), at(0)));
+        assertTrue(model.offer(job("d", 10, 1), at(0)));
+        assertFalse(model.offer(job("e", 10, 1), at(0)), "no room to wait");
+        assertEquals(2, model.waitingJobs());
+        run(model, 55);
+        assertEquals(List.of("a", "b", "c"), started);
+        assertEquals(List.of("b"), completed);
+        run(model, 200);
+        assertEquals(List.of("b", "c", "d", "a"), completed);
     }
 
     @ParameterizedTest
     @CsvSource({"true,'a'", "false,'a,small'"})
-    void theFirstWaitsUntilItFitsOrAnyThatFitsBegins(boolean inOrder, String expected) {
-        WorkerModel m = warm(inOrder);
-        m.offer(job("a", 100, 1), at(0));
-        m.offer(job("wide", 100, 2), at(0));
-        m.offer(job("small", 100, 1), at(0));
-        play(m, 1);
-        assertEquals(List.of(expected.split(",")), begun);
+    void theFirstJobWaitsUntilItFitsOrAnyJobThatFitsStarts(boolean inOrder, String expected) {
+        WorkerModel model = warmModel(inOrder);
+        model.offer(job("a", 100, 1), at(0));
+        model.offer(job("wide", 100, 2), at(0));
+        model.offer(job("small", 100, 1), at(0));
+        run(model, 1);
+        assertEquals(List.of(expected.split(",")), started);
     }
 
     @Test
-    void aWorkerThatSlowsDownMidwayEndsItsJobsLaterAndOneThatStandsStillNever() {
-        WorkerModel m = warm(true);
-        m.offer(job("a", 100, 1), at(0));
-        m.factor(0.5, at(50));
-        play(m, 149);
-        assertEquals(List.of(), done);
-        m.stand(true, at(149));
-        assertNull(m.nextLook());
-        play(m, 500);
-        m.stand(false, at(500));
-        play(m, 502);
-        assertEquals(List.of("a"), done);
+    void aSlowedDownWorkerCompletesItsJobsLaterAndAPausedOneNever() {
+        WorkerModel model = warmModel(true);
+        model.offer(job("a", 100, 1), at(0));
+        model.setSpeedFactor(0.5, at(50));
+        run(model, 149);
+        assertEquals(List.of(), completed);
+        model.setPaused(true, at(149));
+        assertNull(model.nextUpdate());
+        run(model, 500);
+        model.setPaused(false, at(500));
+        run(model, 502);
+        assertEquals(List.of("a"), completed);
     }
 
     @Test
-    void aColdOneWorksAtPartOfItsSpeedUntilItIsWarm() {
-        WorkerModel m = warm(true);
-        m.restart(at(0));
-        m.offer(job("a", 100, 1), at(0));
-        play(m, 200);
-        assertEquals(List.of(), done, "a quarter of its speed, rising");
-        play(m, 300);
-        assertEquals(List.of("a"), done);
-        assertTrue(m.cold());
-        m.advance(at(1001));
-        assertFalse(m.cold());
+    void aColdWorkerRunsAtAShareOfItsSpeedUntilItIsWarm() {
+        WorkerModel model = coldModel();
+        model.offer(job("a", 100, 1), at(0));
+        run(model, 200);
+        assertEquals(List.of(), completed, "a quarter of its speed, rising");
+        run(model, 300);
+        assertEquals(List.of("a"), completed);
+        assertTrue(model.isCold());
+        model.advance(at(1001));
+        assertFalse(model.isCold());
     }
 
     @Test
-    void sentMoreThanTheStatedMultipleWhileColdItFallsOverAndStaysDown() {
-        WorkerModel m = warm(true);
-        m.restart(at(0));
+    void aColdWorkerThatReceivesTooMuchWorkCrashesAndStaysDown() {
+        WorkerModel model = coldModel();
         // It can do a quarter of two slots for 100 ms: 50; four times that is 200.
-        assertTrue(m.offer(job("a", 100, 1), at(0)));
-        assertTrue(m.offer(job("b", 90, 1), at(1)));
-        assertFalse(m.fallen());
-        m.offer(job("c", 90, 1), at(102));
-        assertFalse(m.fallen(), "the first was long enough ago");
-        m.offer(job("d", 90, 1), at(103));
-        m.offer(job("e", 90, 1), at(104));
-        assertTrue(m.fallen());
-        assertFalse(m.offer(job("f", 1, 1), at(105)));
-        m.advance(at(5000));
-        assertNull(m.nextDone());
-        assertFalse(m.offer(job("g", 1, 1), at(5000)), "it does not get up by itself");
+        assertTrue(model.offer(job("a", 100, 1), at(0)));
+        assertTrue(model.offer(job("b", 90, 1), at(1)));
+        assertFalse(model.hasCrashed());
+        model.offer(job("c", 90, 1), at(102));
+        assertFalse(model.hasCrashed(), "the first was long enough ago");
+        model.offer(job("d", 90, 1), at(103));
+        model.offer(job("e", 90, 1), at(104));
+        assertTrue(model.hasCrashed());
+        assertFalse(model.offer(job("f", 1, 1), at(105)));
+        model.advance(at(5000));
+        assertNull(model.pollCompleted());
+        assertFalse(model.offer(job("g", 1, 1), at(5000)), "it does not restart by itself");
     }
 
     @Test
-    void theSameToAWarmOneIsNoMatter() {
-        WorkerModel m = warm(true);
+    void aWarmWorkerThatReceivesTooMuchWorkDoesNotCrash() {
+        WorkerModel model = warmModel(true);
         for (int i = 0; i < 4; i++) {
-            assertTrue(m.offer(job("j" + i, 1000, 1), at(i)));
+            assertTrue(model.offer(job("j" + i, 1000, 1), at(i)));
         }
-        assertFalse(m.fallen());
+        assertFalse(model.hasCrashed());
     }
 
     @Test
-    void aJobTakenBackGivesItsPlaceToTheNext() {
-        WorkerModel m = warm(true);
-        Job a = job("a", 100, 2);
-        m.offer(a, at(0));
-        m.offer(job("b", 10, 1), at(0));
-        m.remove(a, at(20));
-        play(m, 31);
-        assertEquals(List.of("b"), done);
-        assertEquals(2, m.freeSlots());
-        assertEquals(10, m.freeMemory());
-        assertEquals(0, m.held());
+    void aCancelledJobMakesRoomForTheNext() {
+        WorkerModel model = warmModel(true);
+        Job cancelled = job("a", 100, 2);
+        model.offer(cancelled, at(0));
+        model.offer(job("b", 10, 1), at(0));
+        model.cancel(cancelled, at(20));
+        run(model, 31);
+        assertEquals(List.of("b"), completed);
+        assertEquals(2, model.freeSlots());
+        assertEquals(10, model.freeMemory());
+        assertEquals(0, model.heldJobs());
     }
 
     @Test
-    void fingerprintsAreKnownWithinTheirWindowAndForgottenAfterIt() {
-        IdempotencyKeys prints = new IdempotencyKeys();
+    void idempotencyKeysAreKnownWithinTheirWindowAndForgottenAfterIt() {
+        IdempotencyKeys keys = new IdempotencyKeys();
         Span window = Span.ofMillis(100);
-        assertFalse(prints.repeat("k", window, at(0)));
-        assertTrue(prints.repeat("k", window, at(100)));
-        assertFalse(prints.repeat("k", window, at(101)));
-        assertTrue(prints.repeat("k", window, at(150)));
+        assertFalse(keys.isRepeated("k", window, at(0)));
+        assertTrue(keys.isRepeated("k", window, at(100)));
+        assertFalse(keys.isRepeated("k", window, at(101)));
+        assertTrue(keys.isRepeated("k", window, at(150)));
     }
 
     @Test
-    void reportsAreAsOldAsTheirRefreshAndAsLateAsATroubleSays() {
-        FleetPlan.Reports plan = new FleetPlan.Reports(FleetPlan.Reports.How.INLINE,
-                List.of(FleetPlan.Reports.Figure.FREE_SLOTS,
-                        FleetPlan.Reports.Figure.WAITING, FleetPlan.Reports.Figure.HELD,
-                        FleetPlan.Reports.Figure.FREE_MEMORY),
+    void reportsAreAsOldAsTheirRefreshAndADelayByAFaultAllow() {
+        FleetPlan.Reports settings = new FleetPlan.Reports(FleetPlan.Reports.How.INLINE,
+                List.of(FleetPlan.Reports.Figure.FREE_SLOTS, FleetPlan.Reports.Figure.WAITING,
+                        FleetPlan.Reports.Figure.HELD, FleetPlan.Reports.Figure.FREE_MEMORY),
                 Span.ofMillis(100));
-        LoadReports reports = new LoadReports(plan);
-        WorkerModel m = warm(true);
-        String empty = "{\"x0\":2.00,\"queue\":0,\"inflight\":0,\"x1\":10.00}";
-        String one = "{\"x0\":1.00,\"queue\":0,\"inflight\":1,\"x1\":9.00}";
-        assertEquals(empty, reports.now(m, at(0)));
-        m.offer(job("a", 10_000, 1), at(10));
-        assertEquals(empty, reports.now(m, at(99)));
-        assertEquals(one, reports.now(m, at(100)));
-        m.offer(job("b", 10_000, 1), at(110));
-        reports.late(Span.ofMillis(500));
-        assertEquals(one, reports.now(m, at(700)), "it is older than the newest by the time that it is late");
-        assertNull(new LoadReports(
-                new FleetPlan.Reports(FleetPlan.Reports.How.NONE, plan.figures(), plan.refresh())).now(m,
-                        at(0)));
+        LoadReports reports = new LoadReports(settings);
+        WorkerModel model = warmModel(true);
+        Optional<String> empty = Optional.of("{\"x0\":2.00,\"queue\":0,\"inflight\":0,\"x1\":10.00}");
+        Optional<String> one = Optional.of("{\"x0\":1.00,\"queue\":0,\"inflight\":1,\"x1\":9.00}");
+        assertEquals(empty, reports.current(model, at(0)));
+        model.offer(job("a", 10_000, 1), at(10));
+        assertEquals(empty, reports.current(model, at(99)));
+        assertEquals(one, reports.current(model, at(100)));
+        model.offer(job("b", 10_000, 1), at(110));
+        reports.setDelay(Span.ofMillis(500));
+        assertEquals(one, reports.current(model, at(700)), "it is older than the latest by the delay");
+        FleetPlan.Reports noReports = new FleetPlan.Reports(FleetPlan.Reports.How.NONE, settings.figures(),
+                settings.refresh());
+        assertEquals(Optional.empty(), new LoadReports(noReports).current(model, at(0)));
     }
 }
