--- a/src/test/java/rampshift/policy/SimulatedDispatcher.java
+++ b/src/test/java/rampshift/policy/SimulatedDispatcher.java
@@ -95,7 +95,7 @@
         report(() -> {
             boolean idempotent = simulation.random.nextInt(TASKS_PER_NON_IDEMPOTENT) != 0;
             int type = idempotent ? IDEMPOTENT : NON_IDEMPOTENT;
-            policy.onTaskArrived(id, new TaskRequest(type, 0, Span.ZERO, 1, 0, EXPIRY));
+            policy.onTaskArrived(id, new TaskRequest(type, 0, Span.ZERO, 1, 0, TIMEOUT));
         });
     }
 
