--- a/src/main/java/rampshift/testbed/experiment/FaultCampaign.java
+++ b/src/main/java/rampshift/testbed/experiment/FaultCampaign.java
@@ -40,7 +40,7 @@
             throw new ConfigurationException(
                     "--seeds is \"" + seeds + "\", expected a number, or the first and the last as 5-9");
         }
-        if (!plan.members().on()) {
+        if (!plan.members().enabled()) {
             throw new ConfigurationException(
                     file + ": has no [members]: its dispatchers don't know each other");
         }
--- a/src/main/java/rampshift/testbed/experiment/FleetRun.java
+++ b/src/main/java/rampshift/testbed/experiment/FleetRun.java
@@ -157,7 +157,7 @@
 
     private ChildProcesses.Child startDispatcher(int d) throws IOException {
         List<String> command = ProcessLauncher.dispatcher(plan.dispatchers(), folder);
-        if (plan.members().on()) {
+        if (plan.members().enabled()) {
             command.addAll(List.of("--operator", Configurations.operatorFile(folder, d).toString()));
         }
         return children.start(Configurations.name(d), command,
--- a/src/main/java/rampshift/testbed/experiment/RunProcesses.java
+++ b/src/main/java/rampshift/testbed/experiment/RunProcesses.java
@@ -31,7 +31,7 @@
     static void fleet(FleetPlan plan, long seed, Path folder, boolean steered, PrintStream out)
             throws IOException {
         List<InetSocketAddress> members =
-                plan.members().on() ? LoopbackNetwork.findDedicatedAddresses(plan.dispatcherCount())
+                plan.members().enabled() ? LoopbackNetwork.findDedicatedAddresses(plan.dispatcherCount())
                         : List.of();
         try (EventLog ledger = new EventLog(folder.resolve("fleet.ledger"));
                 LinkProxy ways =
--- a/src/main/java/rampshift/testbed/plan/FleetPlan.java
+++ b/src/main/java/rampshift/testbed/plan/FleetPlan.java
@@ -129,7 +129,8 @@
      * know that
      * one has failed; agree by: from the last fault until all agree. Both are what the judge asks for.
      */
-    public record Members(boolean on, Span period, Span forget, boolean news, Span knownBy, Span agreeBy) {}
+    public record Members(boolean enabled, Span period, Span forget, boolean news, Span knownBy,
+            Span agreeBy) {}
 
     /**
      * Leases among dispatchers that know each other: the first so many keep them. Checked: workers refuse an
