--- a/src/test/java/rampshift/testbed/plan/FleetPlanReaderTest.java
+++ b/src/test/java/rampshift/testbed/plan/FleetPlanReaderTest.java
@@ -12,6 +12,7 @@
 import rampshift.settings.ConfigurationException;
 import rampshift.time.Span;
 
+/** What a fleet file may say, and the messages on what it may not. */
 class FleetPlanReaderTest {
     private static final String GOOD = """
             length = "3s"
@@ -37,13 +38,13 @@
             set = { "length.x" = 1 }
             """;
 
-    private static String fault(String text) {
+    private static String messageOn(String text) {
         return assertThrows(ConfigurationException.class, () -> FleetPlanReader.read("f.toml", text, null))
                 .getMessage();
     }
 
     @Test
-    void aSoundFileIsReadAndAnArmSetsWhatItNames() {
+    void soundFileIsReadAndAnArmReplacesWhatItNames() {
         FleetPlan plan = FleetPlanReader.read("f.toml", GOOD, null);
         assertEquals(Span.ofMillis(3000), plan.length());
         assertEquals(3, plan.workerCount());
@@ -60,45 +61,50 @@
                         .getMessage());
     }
 
-    /** A hundred were the most; the operators run up to 120, and nothing here is to be under 1,024. */
+    /** Operators run up to 120; no limit here is to be under 1,024. */
     @Test
-    void aSiteMayHaveAThousandDispatchers() {
+    void siteMayHave1024Dispatchers() {
         FleetPlan plan = FleetPlanReader.read("f.toml",
                 GOOD.replace("name = \"a\"", "name = \"a\"\ndispatchers = 1024"), null);
         assertEquals(1024, plan.sites().get(0).dispatchers());
     }
 
     @ParameterizedTest
-    @CsvSource(delimiter = '|', value = {
-            "rate = 50          | rate = -1            | f.toml:12: arrivals.rate is -1, expected a number from 0 to 1000000",
-            "rate = 50          | raet = 50            | f.toml:12: arrivals.raet is not known; the nearest key here is rate",
-            "due = \"100ms\"    | due = \"fast\"       | f.toml:10: type[0].due is \"fast\", expected a span such as \"250ms\" or \"1.5s\"",
-            "what = \"slow\"    | what = \"slaw\"      | f.toml:14: trouble[0].what is \"slaw\", expected one of slow, hang",
-            "slots = 2          | slots = 2.5          | f.toml:4: machine[0].slots is 2.5, expected a whole number from 1 to 10000",
-            "machine = \"m\", c | machine = \"n\", c   | f.toml:7: site[0].workers[0].machine is \"n\", which no [[machine]] is named",
-            "count = 3          | cuont = 3            | f.toml:7: site[0].workers[0].cuont is not known; the nearest key here is count",
-            "name = \"a\"       | name = \"a\"~dispatchers = 1025 | f.toml:7: site[0].dispatchers is 1025, expected a whole number from 0 to 1024",
-            "share = 0.5        | share = 0.5 x        | f.toml:15: ",
-            "name = \"look\"    | name = \"a b\"       | f.toml:9: type[0].name is \"a b\", expected a name",
-            "rate = 50          | [clients]~warm_up = \"3s\" | f.toml:1: length is to be longer than clients.warm_up",
-            "what = \"slow\"    | what = \"cut\"       | f.toml:13: trouble[0].site is missing: a cut is of one site",
-    })
-    void whatIsWrongIsSaidWithItsLineAndWhatWasExpected(String good, String bad, String said) {
-        String told = fault(GOOD.replace(good, bad.replace('~', '\n')));
-        assertTrue(told.startsWith(said), told);
+    @CsvSource(delimiter = '|', textBlock = """
+            rate = 50 | rate = -1 | f.toml:12: arrivals.rate is -1, expected a number from 0 to 1000000
+            rate = 50 | raet = 50 | f.toml:12: arrivals.raet is not known; the nearest key here is rate
+            due = "100ms" | due = "fast" | \
+                f.toml:10: type[0].due is "fast", expected a span such as "250ms" or "1.5s"
+            what = "slow" | what = "slaw" | f.toml:14: trouble[0].what is "slaw", expected one of slow, hang
+            slots = 2 | slots = 2.5 | \
+                f.toml:4: machine[0].slots is 2.5, expected a whole number from 1 to 10000
+            machine = "m", c | machine = "n", c | \
+                f.toml:7: site[0].workers[0].machine is "n", which no [[machine]] is named
+            count = 3 | cuont = 3 | \
+                f.toml:7: site[0].workers[0].cuont is not known; the nearest key here is count
+            name = "a" | name = "a"~dispatchers = 1025 | \
+                f.toml:7: site[0].dispatchers is 1025, expected a whole number from 0 to 1024
+            share = 0.5 | share = 0.5 x | f.toml:15:
+            name = "look" | name = "a b" | f.toml:9: type[0].name is "a b", expected a name
+            rate = 50 | [clients]~warm_up = "3s" | f.toml:1: length is to be longer than clients.warm_up
+            what = "slow" | what = "cut" | f.toml:13: trouble[0].site is missing: a cut is of one site
+            """)
+    void faultIsReportedWithItsLineAndWhatWasExpected(String good, String bad, String expected) {
+        String message = messageOn(GOOD.replace(good, bad.replace('~', '\n')));
+        assertTrue(message.startsWith(expected), message);
     }
 
     @Test
-    void allFaultsAreToldAtOnce() {
-        String told = fault(GOOD.replace("rate = 50", "rate = \"x\"").replace("slots = 2", "slots = 0")
+    void allFaultsAreReportedAtOnce() {
+        String message = messageOn(GOOD.replace("rate = 50", "rate = \"x\"").replace("slots = 2", "slots = 0")
                 .replace("[[type]]", "[[typo]]"));
-        assertEquals(4, told.lines().count(), told);
-        assertTrue(told.contains("f.toml:8: typo is not known; the nearest key here is type"), told);
-        assertTrue(told.contains("the file lacks at least one traffic type"), told);
+        assertEquals(4, message.lines().count(), message);
+        assertTrue(message.contains("f.toml:8: typo is not known; the nearest key here is type"), message);
+        assertTrue(message.contains("the file lacks at least one traffic type"), message);
     }
 
     @Test
-    void thePlanThatComesWithTheProgramIsSound() throws IOException {
+    void bundledPlanIsSound() throws IOException {
         try (var in = FleetPlanReader.class.getResourceAsStream("/rampshift/testbed/try.toml")) {
             FleetPlan plan =
                     FleetPlanReader.read("try.toml", new String(in.readAllBytes(), StandardCharsets.UTF_8),
