--- a/src/test/java/rampshift/policy/SimulatedDispatcher.java
+++ b/src/test/java/rampshift/policy/SimulatedDispatcher.java
@@ -68,7 +68,8 @@
     }
 
     private static TrafficType type(TrafficType.Effect effect) {
-        return new TrafficType(1, 0, LATENCY_OBJECTIVE, LATENCY_SLACK_FACTOR, TIMEOUT, effect, TrafficType.DeduplicationScope.ALL, IDEMPOTENCY_WINDOW,
+        return new TrafficType(1, 0, LATENCY_OBJECTIVE, LATENCY_SLACK_FACTOR, TIMEOUT, effect,
+                TrafficType.DeduplicationScope.ALL, IDEMPOTENCY_WINDOW,
                 null, null);
     }
 
