--- a/src/test/java/rampshift/leases/LeaseManagerTest.java
+++ b/src/test/java/rampshift/leases/LeaseManagerTest.java
@@ -49,11 +49,24 @@
         return simulation.dispatchers.get(simulation.actor(LEASE));
     }
 
-    private static void restoreCopy(Dispatcher dispatcher, Map<String, byte[]> disk, long recordCount) {
-        dispatcher.kill();
-        dispatcher.disk = new TreeMap<>(disk);
-        dispatcher.recordCount = recordCount;
-        dispatcher.start();
+    /** What a dispatcher had on its disk at some time. */
+    private record DiskCopy(Map<String, byte[]> files, long recordCount) {
+        /** Copies the disk, then restarts the dispatcher and lets it run, so that the copy is old. */
+        static DiskCopy takeBeforeRestart(LeaseSimulation simulation, Dispatcher dispatcher) {
+            DiskCopy copy = new DiskCopy(new TreeMap<>(dispatcher.disk), dispatcher.recordCount);
+            dispatcher.kill();
+            dispatcher.start();
+            simulation.run(3);
+            return copy;
+        }
+
+        /** Restarts the dispatcher with the copy in place of its disk. */
+        void restore(Dispatcher dispatcher) {
+            dispatcher.kill();
+            dispatcher.disk = new TreeMap<>(files);
+            dispatcher.recordCount = recordCount;
+            dispatcher.start();
+        }
     }
 
     @Test
@@ -137,7 +150,7 @@
     void anAcceptorWithALostDiskDoesNotVoteBeforeAReconfigurationTakesItIn() {
         LeaseSimulation simulation = five();
         Dispatcher lost = simulation.dispatcher(1);
-        restoreCopy(lost, new TreeMap<>(), 0);
+        new DiskCopy(new TreeMap<>(), 0).restore(lost);
         simulation.run(3);
         assertTrue(lost.events.contains(LOST), lost.events.toString());
         simulation.dispatcher(2).kill();
@@ -162,12 +175,8 @@
     void anAcceptorWithAnOldCopyOfItsDiskDoesNotVote() {
         LeaseSimulation simulation = five();
         Dispatcher old = simulation.dispatcher(1);
-        TreeMap<String, byte[]> copy = new TreeMap<>(old.disk);
-        long recordCount = old.recordCount;
-        old.kill();
-        old.start();
-        simulation.run(3);
-        restoreCopy(old, copy, recordCount);
+        DiskCopy copy = DiskCopy.takeBeforeRestart(simulation, old);
+        copy.restore(old);
         simulation.run(3);
         assertEquals("OLD", old.lastAcceptorState());
     }
@@ -195,14 +204,10 @@
     void aDispatcherWithoutADirectoryIsNoWitnessOfAnOldCopy() {
         LeaseSimulation simulation = five();
         Dispatcher old = simulation.dispatcher(1);
-        TreeMap<String, byte[]> copy = new TreeMap<>(old.disk);
-        long recordCount = old.recordCount;
-        old.kill();
-        old.start();
-        simulation.run(3);
+        DiskCopy copy = DiskCopy.takeBeforeRestart(simulation, old);
         simulation.dispatcher(3).kill();
         simulation.dispatcher(2).manager.stopAcceptor(simulation.dispatcher(2).clock());
-        restoreCopy(old, copy, recordCount);
+        copy.restore(old);
         simulation.run(5);
         assertEquals("ASKING", old.lastAcceptorState());
     }
--- a/src/test/java/rampshift/testbed/clients/ArrivalsTest.java
+++ b/src/test/java/rampshift/testbed/clients/ArrivalsTest.java
@@ -3,6 +3,10 @@
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertNotEquals;
 import static org.junit.jupiter.api.Assertions.assertNull;
+import static rampshift.testbed.clients.TwoSitePlan.SITE_A;
+import static rampshift.testbed.clients.TwoSitePlan.SITE_B;
+import static rampshift.testbed.clients.TwoSitePlan.TYPE_X;
+import static rampshift.testbed.clients.TwoSitePlan.TYPE_Y;
 
 import java.util.ArrayList;
 import java.util.List;
@@ -10,38 +14,9 @@
 import java.util.function.ToLongFunction;
 import org.junit.jupiter.api.Test;
 import rampshift.testbed.plan.FleetPlan;
-import rampshift.testbed.plan.FleetPlanReader;
 import rampshift.time.Span;
 
 class ArrivalsTest {
-    private static final int SITE_A = 0;
-    private static final int SITE_B = 1;
-    private static final int TYPE_X = 0;
-    private static final int TYPE_Y = 1;
-
-    private static FleetPlan plan(String more) {
-        return FleetPlanReader.read("f.toml", """
-                length = "100s"
-                [[machine]]
-                name = "m"
-                [[site]]
-                name = "a"
-                share = 3
-                dispatchers = 2
-                [[site]]
-                name = "b"
-                share = 1
-                [[type]]
-                name = "x"
-                share = 1
-                work = "100ms"
-                spread = "exponential"
-                [[type]]
-                name = "y"
-                share = 1
-                """ + more, null);
-    }
-
     private static List<Arrival> allArrivals(FleetPlan plan, long seed, int process) {
         List<Arrival> all = new ArrayList<>();
         Arrivals arrivals = new Arrivals(plan, seed, process);
@@ -61,7 +36,7 @@
 
     @Test
     void arrivalsHaveTheRateSharesAndWorkOfThePlan() {
-        List<Arrival> all = allArrivals(plan("[arrivals]\nrate = 100\n"), 5, 0);
+        List<Arrival> all = allArrivals(TwoSitePlan.read("[arrivals]\nrate = 100\n"), 5, 0);
         double total = all.size();
         assertEquals(10_000, all.size(), 300);
         assertEquals(0.75, count(all, arrival -> arrival.site() == SITE_A) / total, 0.02);
@@ -74,7 +49,7 @@
 
     @Test
     void aBurstOfOneSiteLeavesTheOtherUnchanged() {
-        List<Arrival> all = allArrivals(plan("""
+        List<Arrival> all = allArrivals(TwoSitePlan.read("""
                 [arrivals]
                 rate = 100
                 [[arrivals.burst]]
@@ -92,7 +67,7 @@
 
     @Test
     void aSeedGivesTheSameArrivalsAgainAndEachProcessItsOwn() {
-        FleetPlan plan = plan("[arrivals]\nrate = 100\n[clients]\nprocesses = 2\n");
+        FleetPlan plan = TwoSitePlan.read("[arrivals]\nrate = 100\n[clients]\nprocesses = 2\n");
         assertEquals(allArrivals(plan, 7, 0), allArrivals(plan, 7, 0));
         assertNotEquals(allArrivals(plan, 7, 0), allArrivals(plan, 8, 0));
         assertEquals(5000, allArrivals(plan, 7, 1).size(), 220);
@@ -101,31 +76,13 @@
 
     @Test
     void nothingArrivesAtRateZero() {
-        assertNull(new Arrivals(plan("[arrivals]\nrate = 0\n"), 1, 0).next());
+        assertNull(new Arrivals(TwoSitePlan.read("[arrivals]\nrate = 0\n"), 1, 0).next());
     }
 
     /** So that a run can be repeated with a later version: the values are those of earlier versions. */
     @Test
     void aSeedGivesTheSameArrivalsAsInEarlierVersions() {
-        FleetPlan plan = FleetPlanReader.read("f.toml", """
-                length = "100s"
-                [[machine]]
-                name = "m"
-                [[site]]
-                name = "a"
-                share = 3
-                [[site]]
-                name = "b"
-                share = 1
-                [[type]]
-                name = "x"
-                share = 1
-                work = "100ms"
-                spread = "exponential"
-                [[type]]
-                name = "y"
-                share = 2
-                spread = "narrow"
+        FleetPlan plan = TwoSitePlan.read("share = 2\nspread = \"narrow\"\n", """
                 [arrivals]
                 rate = 100
                 objects = 50
@@ -134,7 +91,7 @@
                 length = "50s"
                 times = 3
                 site = "b"
-                """, null);
+                """);
         List<Arrival> all = allArrivals(plan, 7, 0);
         assertEquals(new Arrival(new Span(18_656), SITE_A, TYPE_X, new Span(112_169), 18), all.get(0));
         assertEquals(new Arrival(new Span(51_487), SITE_B, TYPE_Y, new Span(67_437), 10), all.get(2));
