--- a/src/main/java/rampshift/testbed/clients/Attempt.java
+++ b/src/main/java/rampshift/testbed/clients/Attempt.java
@@ -152,12 +152,19 @@
         end(AttemptResult.withoutResponse(AttemptOutcome.CONNECTION_LOST, task.isRepeatable()));
     }
 
+    /** A timer that was removed may still run, if it was due by then. */
     private void onTimeout() {
+        if (ended) {
+            return;
+        }
         timedOut = true;
         timer = IoTimers.runAfter(context.thread(), LATE_RESPONSE_WAIT, this::onLateResponseTimeout);
     }
 
     private void onLateResponseTimeout() {
+        if (ended) {
+            return;
+        }
         context.eventLog().onTimeout(id);
         end(AttemptResult.withoutResponse(AttemptOutcome.TIMED_OUT, task.isRepeatable()));
         connection.close();
--- a/src/main/java/rampshift/testbed/clients/DispatcherConnection.java
+++ b/src/main/java/rampshift/testbed/clients/DispatcherConnection.java
@@ -35,6 +35,7 @@
     /** Who awaits a response; null between exchanges. */
     private ExchangeListener listener;
     private boolean reused;
+    private int messagesInRead;
 
     /** Takes an open connection over and starts to read from it. */
     DispatcherConnection(Dispatcher dispatcher, ConnectionOwner owner, ClientEventLog eventLog,
@@ -71,16 +72,40 @@
             close();
             return;
         }
+        messagesInRead = 0;
+        boolean valid = read(bytes, count);
+        if (messagesInRead > 1 || (messagesInRead == 1 && (!valid || reader.isInMessage()))) {
+            eventLog.onUnexpectedBytes(dispatcher, count);
+            closeAsInvalid();
+        } else if (!valid) {
+            closeAsInvalid();
+        }
+    }
+
+    /** Returns whether the bytes are a part of well-formed responses. */
+    private boolean read(byte[] bytes, int count) {
         try {
             reader.read(bytes, 0, count, EventClock.now());
+            return true;
         } catch (IOException e) {
-            ExchangeListener waiting = listener;
-            close();
+            return false;
+        }
+    }
+
+    /** Closes the connection; whoever awaits a response gets none. */
+    private void closeAsInvalid() {
+        ExchangeListener waiting = listener;
+        close();
+        if (waiting != null) {
             waiting.onFailure(ConnectionFailure.INVALID_RESPONSE, false);
         }
     }
 
     private void onMessage(Message response) {
+        messagesInRead++;
+        if (messagesInRead > 1) {
+            return;
+        }
         ExchangeListener waiting = listener;
         listener = null;
         reused = true;
--- a/src/test/java/rampshift/testbed/clients/LoadGeneratorTest.java
+++ b/src/test/java/rampshift/testbed/clients/LoadGeneratorTest.java
@@ -19,6 +19,8 @@
 import org.junit.jupiter.api.AfterEach;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.io.TempDir;
+import org.junit.jupiter.params.ParameterizedTest;
+import org.junit.jupiter.params.provider.ValueSource;
 import rampshift.HttpMessage;
 import rampshift.ServerScript;
 import rampshift.TestConnection;
@@ -32,6 +34,7 @@
 
 /** Clients of one emulated dispatcher, which answers as each test has it. */
 class LoadGeneratorTest {
+    private static final String OK = "HTTP/1.1 200 OK\r\nContent-Length: 5\r\n\r\nw/t/0";
     private static final Span IDLE_TIMEOUT = Span.ofMillis(5000);
     private static final ServerScript FINISH = (request, connection) -> respondOk(connection, "w/t/0");
 
@@ -240,6 +243,16 @@
         assertEquals(4, eventCount("none"));
     }
 
+    /** The client took no notice of them, since it awaited nothing any more. */
+    @ParameterizedTest
+    @ValueSource(strings = {OK + OK, OK + "HTTP/1.1 2", OK + "no response\n\n"})
+    void bytesThatComeAtOnceWithAResponseAreLogged(String bytes) throws Exception {
+        JsonNode statistics = run("side-effecting", "", (request, connection) -> connection.write(bytes));
+        assertEquals(4, statistics.at("/types/x/finished").asInt());
+        assertEquals(4, eventCount("unasked"));
+        assertEquals(0, eventCount("none"));
+    }
+
     @Test
     void idleConnectionsSendOneTaskEachAndAreCountedWhenLost() throws Exception {
         AtomicInteger requests = new AtomicInteger();
