--- a/src/main/java/rampshift/testbed/experiment/CapacitySearch.java
+++ b/src/main/java/rampshift/testbed/experiment/CapacitySearch.java
@@ -10,88 +10,124 @@
 import java.util.ArrayList;
 import java.util.List;
 import java.util.Locale;
+import java.util.Optional;
 import rampshift.testbed.plan.FleetPlan;
 import rampshift.testbed.plan.FleetPlanReader;
 
 /**
- * What the dispatchers of a plan carry: the rate at which added time passes its bound, and what comes beyond
- * it.
+ * Searches for the capacity of a plan's dispatchers: the highest rate at which the 99th percentile of added
+ * latency stays within the plan's bound. Then runs them at that rate and at multiples of it.
  */
 final class CapacitySearch {
-    private static final double FINISHED = 0.99;        // of the tasks: less is not carried, however quick
-    private static final int[] TIMES = {1, 2, 4};
+    /** A rate at which a smaller share of the tasks finishes is not carried. */
+    private static final double MIN_FINISHED_SHARE = 0.99;
+    private static final int[] OVERLOAD_FACTORS = {1, 2, 4};
+    /** The name of the arm that sets the rate of a run. */
+    private static final String RUN_ARM = "rung";
 
-    private final Path file;
+    private final Path planFile;
     private final String arm;
     private final FleetPlan plan;
     private final Path folder;
     private final PrintStream out;
     private final ChildProcesses children = new ChildProcesses();
-    private final ArrayNode rows;
-    private final ObjectNode root = new ObjectMapper().createObjectNode();
+    private final ObjectNode results = new ObjectMapper().createObjectNode();
+    private final ArrayNode runResults = results.putArray("runs");
 
-    /** Arm: of the file, or null. */
-    CapacitySearch(Path file, String arm, FleetPlan plan, Path folder, PrintStream out) {
-        this.file = file;
+    /**
+     * Prepares a search.
+     *
+     * @param planFile the fleet file that the plan was read from
+     * @param arm the arm of the file whose capacity is wanted; null for the file as it stands
+     * @param plan the plan as the arm has it
+     * @param folder where each run gets a folder of its own, and the results are written
+     */
+    CapacitySearch(Path planFile, String arm, FleetPlan plan, Path folder, PrintStream out) {
+        this.planFile = planFile;
         this.arm = arm;
         this.plan = plan;
         this.folder = folder;
         this.out = out;
-        rows = root.putArray("runs");
     }
 
-    /** Status 0; 1 where a rule was broken. */
+    /**
+     * Carries out all runs, and writes and prints the results.
+     *
+     * @return an {@link ExitCode}: failure if a rule was broken
+     */
     int run() throws IOException, InterruptedException {
         out.printf("%10s %12s %10s %10s %10s %10s %9s%n", "tasks/s", "finished/s", "added p50", "added p99",
                 "latency p99", "CPU a try", "bounced");
-        RateSearch climb =
+        RateSearch search =
                 new RateSearch(plan.arrivals().rate(), plan.ladder().most(), plan.ladder().narrow());
-        boolean kept = true;
-        while (climb.next() > 0) {
-            RunOutcome o = play(climb.next());
-            kept &= o.verdict.kept();
-            // A late tool can only have made it look worse: a good run counts though it is void, a bad one is
-            // played twice.
-            climb.told(o.all("added").getValueAtPercentile(99) <= plan.ladder().bound().micros()
-                    && o.sum("finished") >= FINISHED * o.sum("tasks"));
+        boolean keptRules = true;
+        while (search.nextRate() > 0) {
+            RunOutcome outcome = runAt(search.nextRate());
+            keptRules &= outcome.keptRules();
+            // A late load generator can only make the result worse: a good run counts even if it is void,
+            // and a bad one is repeated by the search.
+            search.addResult(isCarried(outcome));
         }
-        root.put("carried", climb.carried());
+        double capacity = search.highestCarried();
+        results.put("carried", capacity);
         out.printf(Locale.ROOT, "carried: %.0f tasks/s with a 99th percentile of added time up to %.1f ms%n",
-                climb.carried(), plan.ladder().bound().millis());
-        for (int times : climb.carried() > 0 ? TIMES : new int[0]) {
-            kept &= play(climb.carried() * times).verdict.kept();
+                capacity, plan.ladder().bound().millis());
+        if (capacity > 0) {
+            for (int factor : OVERLOAD_FACTORS) {
+                keptRules &= runAt(capacity * factor).keptRules();
+            }
         }
         new ObjectMapper().writerWithDefaultPrettyPrinter().writeValue(folder.resolve("ladder.json").toFile(),
-                root);
-        return kept ? 0 : 1;
+                results);
+        return keptRules ? ExitCode.SUCCESS : ExitCode.FAILURE;
     }
 
-    private RunOutcome play(double rate) throws IOException, InterruptedException {
-        String whole = String.format(Locale.ROOT, "%.0f", rate);
-        Path place = Files.createDirectories(folder.resolve(whole + "-" + rows.size()));
-        // The same file with another rate, so that whoever finds it in the folder can play it again.
-        List<String> lines = new ArrayList<>(Files.readAllLines(file));
-        StringBuilder set = new StringBuilder("set = { ");
-        plan.arms().stream().filter(a -> a.name().equals(arm) && a.set() != null).findFirst().ifPresent(
-                a -> a.set().fields().forEachRemaining(f -> set.append('"').append(f.getKey()).append("\" = ")
-                        .append(f.getValue()).append(", ")));
-        lines.addAll(
-                List.of("", "[[arm]]", "name = \"rung\"", set + "\"arrivals.rate\" = " + whole + ".0 }"));
-        Path rung = Files.write(place.resolve("rung.toml"), lines);
-        FleetPlan one = FleetPlanReader.read(rung, "rung");
-        RunOutcome o = new FleetRun(children, one, rung, "rung", plan.seed(), place, l -> {}).play();
-        out.printf(Locale.ROOT, "%10s %12.0f %10.2f %10.2f %10.2f %10.0f %8.1f%%%s%s%n", whole,
-                o.sum("finished") / o.seconds, o.all("added").getValueAtPercentile(50) / 1000.0,
-                o.all("added").getValueAtPercentile(99) / 1000.0,
-                o.all("latency").getValueAtPercentile(99) / 1000.0,
-                o.figures().get("CPU a try, us"), o.figures().get("bounced, %"),
-                o.verdict.kept() ? "" : "  A RULE BROKE",
-                o.isVoid() ? String.format(Locale.ROOT, "  %.1f%% sent late, the host took %.0f%%",
-                        100 * o.lateShare, 100 * o.costs.stolen()) : "");
-        rows.add(o.json().put("rate", rate));
-        if (o.verdict.kept()) {
-            Experiment.dropLedgers(place);
+    private boolean isCarried(RunOutcome outcome) {
+        long addedMicros = outcome.load().totalHistogram(LatencyKind.ADDED).getValueAtPercentile(99);
+        TrafficCounts counts = outcome.load().totalCounts();
+        return addedMicros <= plan.ladder().bound().micros()
+                && counts.ended(TaskEnd.FINISHED) >= MIN_FINISHED_SHARE * counts.tasks();
+    }
+
+    /** A run at a rate, in tasks a second. */
+    private RunOutcome runAt(double rate) throws IOException, InterruptedException {
+        String rateText = String.format(Locale.ROOT, "%.0f", rate);
+        Path runPath = Files.createDirectories(folder.resolve(rateText + "-" + runResults.size()));
+        Path runPlanFile = writePlan(runPath, rateText);
+        FleetPlan runPlan = FleetPlanReader.read(runPlanFile, RUN_ARM);
+        RunFolder runFolder = new RunFolder(runPath);
+        RunSpec spec = new RunSpec(runPlan, runPlanFile, RUN_ARM, plan.seed(), runFolder);
+        RunOutcome outcome = new FleetRun(children, spec).execute();
+        printRow(rateText, outcome);
+        runResults.add(OutcomeJson.of(outcome).put("rate", rate));
+        if (outcome.keptRules()) {
+            runFolder.deleteEventLogs();
         }
-        return o;
+        return outcome;
+    }
+
+    /** Writes the fleet file with one more arm, which sets the rate, so that the run can be repeated. */
+    private Path writePlan(Path runPath, String rateText) throws IOException {
+        StringBuilder settings = new StringBuilder();
+        findArm().ifPresent(base -> base.set().fields().forEachRemaining(field -> settings.append('"')
+                .append(field.getKey()).append("\" = ").append(field.getValue()).append(", ")));
+        List<String> lines = new ArrayList<>(Files.readAllLines(planFile));
+        lines.addAll(List.of("", "[[arm]]", "name = \"" + RUN_ARM + "\"",
+                "set = { " + settings + "\"arrivals.rate\" = " + rateText + ".0 }"));
+        return Files.write(runPath.resolve(RUN_ARM + ".toml"), lines);
+    }
+
+    private Optional<FleetPlan.Arm> findArm() {
+        return plan.arms().stream().filter(each -> each.name().equals(arm) && each.set() != null)
+                .findFirst();
+    }
+
+    private void printRow(String rateText, RunOutcome outcome) {
+        out.printf(Locale.ROOT, "%10s %12.0f %10.2f %10.2f %10.2f %10.0f %8.1f%%%s%s%n", rateText,
+                outcome.finishedPerSecond(), outcome.percentileMs(LatencyKind.ADDED, 50),
+                outcome.percentileMs(LatencyKind.ADDED, 99), outcome.percentileMs(LatencyKind.LATENCY, 99),
+                Figure.CPU_PER_REQUEST.of(outcome), Figure.BOUNCED.of(outcome),
+                outcome.keptRules() ? "" : "  A RULE BROKE",
+                outcome.isVoid() ? "  " + outcome.voidCause() : "");
     }
 }
--- a/src/main/java/rampshift/testbed/experiment/Comparison.java
+++ b/src/main/java/rampshift/testbed/experiment/Comparison.java
@@ -4,58 +4,65 @@
 import org.apache.commons.statistics.distribution.BinomialDistribution;
 
 /**
- * What pairs of runs say about two arms: medians, with intervals by order statistics, which ask nothing of
- * how the
- * figures are spread. No I/O.
+ * Compares the paired runs of two arms by medians and their confidence intervals. The intervals are bounded
+ * by order statistics, which assume nothing about the distribution of the values. No I/O.
  */
 final class Comparison {
-    /** Low and high: not a number where there are too few runs for the confidence that is wanted. */
-    record Interval(double median, double low, double high, double confidence) {
-        /** It leaves 0 out. Bounds of the same sign are not enough: a run of equal zeros is no difference. */
-        boolean withoutZero() {
-            return low > 0 || high < 0;
-        }
-    }
-
     private Comparison() {}
 
-    /** The median of some figures, and an interval that holds the true one at least that surely. */
-    static Interval of(double[] figures, double confidence) {
-        double[] sorted = figures.clone();
-        Arrays.sort(sorted);
-        int n = sorted.length;
-        if (n == 0) {
-            return new Interval(Double.NaN, Double.NaN, Double.NaN, 0);
+    /**
+     * The median of a sample with its confidence interval.
+     *
+     * @param values the sample, in any order
+     * @param confidence the least probability with which the interval is to hold the true median, 0 to 1
+     */
+    static ConfidenceInterval median(double[] values, double confidence) {
+        int count = values.length;
+        if (count == 0) {
+            return ConfidenceInterval.unbounded(Double.NaN);
         }
-        double median = (sorted[(n - 1) / 2] + sorted[n / 2]) / 2;
-        // How many of n figures lie below the true median is binomial with one half.
-        BinomialDistribution below = BinomialDistribution.of(n, 0.5);
-        int outside = -1;
-        while (outside + 1 < n / 2 && 1 - 2 * below.cumulativeProbability(outside + 1) >= confidence) {
-            outside++;
+        double[] sorted = values.clone();
+        Arrays.sort(sorted);
+        double median = (sorted[(count - 1) / 2] + sorted[count / 2]) / 2;
+        // How many values lie below the true median has a binomial distribution with probability 1/2.
+        BinomialDistribution valuesBelow = BinomialDistribution.of(count, 0.5);
+        int excluded = -1;
+        while (excluded + 1 < count / 2 && confidenceOf(valuesBelow, excluded + 1) >= confidence) {
+            excluded++;
         }
-        if (outside < 0) {
-            return new Interval(median, Double.NaN, Double.NaN, 0);
+        if (excluded < 0) {
+            return ConfidenceInterval.unbounded(median);
         }
-        return new Interval(median, sorted[outside], sorted[n - 1 - outside],
-                1 - 2 * below.cumulativeProbability(outside));
+        return new ConfidenceInterval(median, sorted[excluded], sorted[count - 1 - excluded],
+                confidenceOf(valuesBelow, excluded));
+    }
+
+    /** The confidence of the interval that leaves out so many values on each side. */
+    private static double confidenceOf(BinomialDistribution valuesBelow, int excluded) {
+        return 1 - 2 * valuesBelow.cumulativeProbability(excluded);
     }
 
-    /** The differences pair by pair, b less a. */
-    static Interval differences(double[] a, double[] b, double confidence) {
-        double[] d = new double[a.length];
-        for (int i = 0; i < d.length; i++) {
-            d[i] = b[i] - a[i];
+    /**
+     * The median of the differences within pairs, with its confidence interval.
+     *
+     * @param baseline one value of each pair
+     * @param values the other value of each pair, from which the first one is subtracted
+     * @param confidence as for {@link #median}
+     */
+    static ConfidenceInterval medianDifference(double[] baseline, double[] values, double confidence) {
+        double[] differences = new double[baseline.length];
+        for (int i = 0; i < differences.length; i++) {
+            differences[i] = values[i] - baseline[i];
         }
-        return of(d, confidence);
+        return median(differences, confidence);
     }
 
-    /** The fewest pairs with which an interval of that confidence exists. */
-    static int fewest(double confidence) {
-        int n = 1;
-        while (1 - 2 * Math.pow(0.5, n) < confidence) {
-            n++;
+    /** The smallest sample for which an interval of that confidence exists. */
+    static int minimumPairs(double confidence) {
+        int pairs = 1;
+        while (1 - 2 * Math.pow(0.5, pairs) < confidence) {
+            pairs++;
         }
-        return n;
+        return pairs;
     }
 }
--- a/src/main/java/rampshift/testbed/experiment/CpuProfile.java
+++ b/src/main/java/rampshift/testbed/experiment/CpuProfile.java
@@ -4,85 +4,112 @@
 import java.io.PrintStream;
 import java.nio.file.Path;
 import java.util.Comparator;
+import java.util.List;
 import java.util.Locale;
 import java.util.Map;
+import java.util.Set;
 import java.util.TreeMap;
 import jdk.jfr.consumer.RecordedEvent;
 import jdk.jfr.consumer.RecordedFrame;
 import jdk.jfr.consumer.RecordingFile;
 
 /**
- * Where a dispatcher's CPU time goes, out of a recording that the JVM made itself: samples of the I/O thread
- * by the
- * part of this program that was at work, and by method.
+ * Where the CPU time of a dispatcher's I/O thread goes, out of a recording of Java Flight Recorder: shares of
+ * the samples by the part of this program that was running, and by method.
  */
 final class CpuProfile {
-    private static final int MOST_METHODS = 15;
-    private static final String OWN = "rampshift.";
+    private static final Set<String> SAMPLE_EVENTS = Set.of("jdk.ExecutionSample", "jdk.NativeMethodSample");
+    private static final int MAX_METHODS = 15;
+    private static final String IO_THREAD_PREFIX = "io I/O";
+    private static final String IDLE_METHOD = "EPoll.wait";
+    private static final String OWN_PACKAGE = "rampshift.";
+    private static final String STAGES_PACKAGE = "pipeline";
+    private static final String UNDERTOW_PACKAGE = "io.undertow.";
+    private static final String UNDERTOW = "undertow";
+    private static final String OTHER_PARTS = "xnio and the JDK";
 
-    private final Map<String, Integer> parts = new TreeMap<>();
-    private final Map<String, Integer> methods = new TreeMap<>();
-    private int all;
+    private final Map<String, Integer> samplesByPart = new TreeMap<>();
+    private final Map<String, Integer> samplesByMethod = new TreeMap<>();
+    private int samples;
 
+    private CpuProfile() {}
+
+    /**
+     * Reads a recording.
+     *
+     * @throws IOException if the file cannot be read, or is no recording
+     */
     static CpuProfile read(Path recording) throws IOException {
-        CpuProfile p = new CpuProfile();
-        try (RecordingFile in = new RecordingFile(recording)) {
-            while (in.hasMoreEvents()) {
-                RecordedEvent event = in.readEvent();
-                String type = event.getEventType().getName();
-                if (type.equals("jdk.ExecutionSample") || type.equals("jdk.NativeMethodSample")) {
-                    p.add(event);
+        CpuProfile profile = new CpuProfile();
+        try (RecordingFile events = new RecordingFile(recording)) {
+            while (events.hasMoreEvents()) {
+                RecordedEvent event = events.readEvent();
+                if (SAMPLE_EVENTS.contains(event.getEventType().getName()) && isOnIoThread(event)) {
+                    profile.add(event.getStackTrace().getFrames());
                 }
             }
         }
-        return p;
+        return profile;
+    }
+
+    private static boolean isOnIoThread(RecordedEvent event) {
+        return event.getStackTrace() != null && !event.getStackTrace().getFrames().isEmpty()
+                && event.getThread("sampledThread").getJavaName().startsWith(IO_THREAD_PREFIX);
     }
 
-    private void add(RecordedEvent event) {
-        if (event.getStackTrace() == null || event.getStackTrace().getFrames().isEmpty()
-                || !event.getThread("sampledThread").getJavaName().startsWith("io I/O")) {
+    private void add(List<RecordedFrame> stack) {
+        String runningMethod = methodName(stack.get(0));
+        if (runningMethod.contains(IDLE_METHOD)) {
             return;
         }
-        RecordedFrame top = event.getStackTrace().getFrames().get(0);
-        String first = top.getMethod().getType().getName() + "." + top.getMethod().getName();
-        if (first.contains("EPoll.wait")) {
-            return;         // it sleeps
-        }
-        all++;
-        String part = null;
-        String method = null;
-        for (RecordedFrame frame : event.getStackTrace().getFrames()) {
-            String type = frame.getMethod().getType().getName();
-            if (type.startsWith(OWN)) {
-                part = part == null ? part(type) : part;
-                method = type.substring(OWN.length()) + "." + frame.getMethod().getName();
-                break;
+        samples++;
+        samplesByPart.merge(part(stack), 1, Integer::sum);
+        String method = stack.stream().map(CpuProfile::methodName)
+                .filter(name -> name.startsWith(OWN_PACKAGE)).findFirst()
+                .map(name -> name.substring(OWN_PACKAGE.length())).orElse(runningMethod);
+        samplesByMethod.merge(method, 1, Integer::sum);
+    }
+
+    /** The innermost part that is either Undertow or of this program. */
+    private static String part(List<RecordedFrame> stack) {
+        for (RecordedFrame frame : stack) {
+            String type = typeName(frame);
+            if (type.startsWith(OWN_PACKAGE)) {
+                return ownPart(type);
             }
-            if (part == null && type.startsWith("io.undertow.")) {
-                part = "undertow";
+            if (type.startsWith(UNDERTOW_PACKAGE)) {
+                return UNDERTOW;
             }
         }
-        parts.merge(part == null ? "xnio and the JDK" : part, 1, Integer::sum);
-        methods.merge(method == null ? first : method, 1, Integer::sum);
+        return OTHER_PARTS;
+    }
+
+    /** The package, and within the pipeline the class of the stage. */
+    private static String ownPart(String type) {
+        String[] names = type.substring(OWN_PACKAGE.length()).split("[.$]");
+        boolean isStage = names[0].equals(STAGES_PACKAGE) && names.length > 1;
+        return isStage ? names[0] + "." + names[1] : names[0];
+    }
+
+    private static String typeName(RecordedFrame frame) {
+        return frame.getMethod().getType().getName();
     }
 
-    /** The package; of the pipeline the stage. */
-    private static String part(String type) {
-        String[] names = type.substring(OWN.length()).split("[.$]");
-        return names[0].equals("pipeline") && names.length > 1 ? "pipeline." + names[1] : names[0];
+    private static String methodName(RecordedFrame frame) {
+        return typeName(frame) + "." + frame.getMethod().getName();
     }
 
+    /** Prints the shares, the largest first. */
     void print(PrintStream out) {
-        out.println(all + " samples of the I/O thread at work");
-        print(parts, Integer.MAX_VALUE, out);
+        out.println(samples + " samples of the I/O thread at work");
+        print(samplesByPart, Integer.MAX_VALUE, out);
         out.println("by method:");
-        print(methods, MOST_METHODS, out);
+        print(samplesByMethod, MAX_METHODS, out);
     }
 
-    private void print(Map<String, Integer> counts, int most, PrintStream out) {
-        counts.entrySet().stream().sorted(Map.Entry.comparingByValue(Comparator.reverseOrder())).limit(most)
-                .forEach(e -> out.printf(Locale.ROOT, "  %5.1f%%  %s%n",
-                        100.0 * e.getValue() / Math.max(1, all),
-                        e.getKey()));
+    private void print(Map<String, Integer> counts, int maxRows, PrintStream out) {
+        counts.entrySet().stream().sorted(Map.Entry.comparingByValue(Comparator.reverseOrder()))
+                .limit(maxRows).forEach(row -> out.printf(Locale.ROOT, "  %5.1f%%  %s%n",
+                        100.0 * row.getValue() / Math.max(1, samples), row.getKey()));
     }
 }
--- /dev/null
+++ b/src/main/java/rampshift/testbed/experiment/Figure.java
@@ -0,0 +1,70 @@
+package rampshift.testbed.experiment;
+
+/** A figure of a run by which arms are compared. */
+enum Figure {
+    /** The share of the possible earnings that were earned. */
+    SERVED_EARNINGS("earnings served, %"),
+    /** How many tasks finished in a second. */
+    FINISHED_RATE("finished a second"),
+    /** The share of the tasks that were rejected. */
+    BOUNCED("bounced, %"),
+    /** The median latency. */
+    LATENCY_MEDIAN("latency p50, ms"),
+    /** The 99th percentile of latency. */
+    LATENCY_P99("latency p99, ms"),
+    /** The median of what was added to the run time at the worker. */
+    ADDED_MEDIAN("added p50, ms"),
+    /** The 99th percentile of what was added to the run time at the worker. */
+    ADDED_P99("added p99, ms"),
+    /** The CPU time of all dispatchers, divided by the requests. */
+    CPU_PER_REQUEST("CPU a try, us"),
+    /** The assignments beyond the first one of each task. */
+    COPIES("copies, % of tries"),
+    /** The latest new assignment to a worker after it drained. */
+    LAST_SEND_AFTER_DRAIN("last send after a drain, ms"),
+    /** The resident memory of the largest dispatcher. */
+    RESIDENT_MEMORY("resident MB");
+
+    private static final double MICROS_PER_SECOND = 1e6;
+
+    private final String label;
+
+    Figure(String label) {
+        this.label = label;
+    }
+
+    /** Its name, with the unit, in tables, reports and result files. */
+    String label() {
+        return label;
+    }
+
+    /** Its value for a run, in the unit that the label names. */
+    double of(RunOutcome run) {
+        return switch (this) {
+            case SERVED_EARNINGS -> 100 * run.servedEarningsShare();
+            case FINISHED_RATE -> run.finishedPerSecond();
+            case BOUNCED -> bouncedPercent(run);
+            case LATENCY_MEDIAN -> run.percentileMs(LatencyKind.LATENCY, 50);
+            case LATENCY_P99 -> run.percentileMs(LatencyKind.LATENCY, 99);
+            case ADDED_MEDIAN -> run.percentileMs(LatencyKind.ADDED, 50);
+            case ADDED_P99 -> run.percentileMs(LatencyKind.ADDED, 99);
+            case CPU_PER_REQUEST -> cpuMicrosPerRequest(run);
+            case COPIES -> copiesPercent(run);
+            case LAST_SEND_AFTER_DRAIN -> run.verdict().lastSendMs();
+            case RESIDENT_MEMORY -> run.costs().maxResidentMb();
+        };
+    }
+
+    private static double bouncedPercent(RunOutcome run) {
+        TrafficCounts counts = run.load().totalCounts();
+        return 100 * counts.ended(TaskEnd.BOUNCED) / Math.max(1, counts.endedInAnyWay());
+    }
+
+    private static double cpuMicrosPerRequest(RunOutcome run) {
+        return MICROS_PER_SECOND * run.costs().totalCpuSeconds() / Math.max(1, run.load().sentRequests());
+    }
+
+    private static double copiesPercent(RunOutcome run) {
+        return 100.0 * run.verdict().copies() / Math.max(1, run.verdict().tasks());
+    }
+}
--- a/src/main/java/rampshift/testbed/experiment/HostMetrics.java
+++ b/src/main/java/rampshift/testbed/experiment/HostMetrics.java
@@ -5,29 +5,41 @@
 import java.nio.file.Path;
 
 /**
- * What this machine says of itself, where it does. Under a host that gives cores to others, latencies are its
- * too.
+ * The CPU time of all cores of this machine since it started, in clock ticks. Where a hypervisor gives cores
+ * to other machines, latencies that are measured here are partly its doing.
+ *
+ * @param usedTicks the time in which cores worked
+ * @param stolenTicks the time in which cores would have worked, but were given to other machines
  */
-record HostMetrics(long worked, long stolen) {
-    private static final Path STAT = Path.of("/proc/stat");
+record HostMetrics(long usedTicks, long stolenTicks) {
+    private static final Path CPU_STATISTICS = Path.of("/proc/stat");
+    // The first line: cpu user nice system idle iowait irq softirq steal ...
+    private static final int USER = 1;
+    private static final int SYSTEM = 3;
+    private static final int IRQ = 6;
+    private static final int SOFTIRQ = 7;
+    private static final int STEAL = 8;
 
-    static HostMetrics now() {
+    /** Reads the present values; both are 0 on a system that does not tell them. */
+    static HostMetrics read() {
         try {
-            // cpu user nice system idle iowait irq softirq steal ...
-            String[] fields = Files.readAllLines(STAT).get(0).trim().split(" +");
-            return new HostMetrics(
-                    Long.parseLong(fields[1]) + Long.parseLong(fields[3]) + Long.parseLong(fields[6])
-                            + Long.parseLong(fields[7]),
-                    Long.parseLong(fields[8]));
+            String[] fields = Files.readAllLines(CPU_STATISTICS).get(0).trim().split(" +");
+            long used = Long.parseLong(fields[USER]) + Long.parseLong(fields[SYSTEM])
+                    + Long.parseLong(fields[IRQ]) + Long.parseLong(fields[SOFTIRQ]);
+            return new HostMetrics(used, Long.parseLong(fields[STEAL]));
         } catch (IOException | RuntimeException e) {
-            return new HostMetrics(0, 0);      // another system: nothing is known
+            return new HostMetrics(0, 0);
         }
     }
 
-    /** The share of the wanted time that was stolen since; 0 where nothing is known. */
-    double stolenSince(HostMetrics before) {
-        long mine = worked - before.worked;
-        long lost = stolen - before.stolen;
-        return mine + lost <= 0 ? 0 : lost / (double) (mine + lost);
+    /**
+     * The share of the CPU time wanted since an earlier reading that was stolen, 0 to 1; 0 where it is not
+     * known.
+     */
+    double stolenShareSince(HostMetrics earlier) {
+        long used = usedTicks - earlier.usedTicks;
+        long stolen = stolenTicks - earlier.stolenTicks;
+        long wanted = used + stolen;
+        return wanted <= 0 ? 0 : stolen / (double) wanted;
     }
 }
--- /dev/null
+++ b/src/main/java/rampshift/testbed/experiment/LoadProgress.java
@@ -0,0 +1,48 @@
+package rampshift.testbed.experiment;
+
+import java.util.Collection;
+import java.util.Locale;
+import java.util.function.ToDoubleFunction;
+import rampshift.time.Span;
+
+/**
+ * How far a load process is, out of a line that it prints while it runs.
+ *
+ * @param sent requests sent so far
+ * @param finished tasks that finished
+ * @param bounced tasks that were rejected
+ * @param others tasks that ended otherwise
+ * @param servedEarningsShare the share of the possible earnings that were earned, 0 to 1
+ */
+record LoadProgress(double sent, double finished, double bounced, double others, double servedEarningsShare) {
+
+    private static final String PREFIX = "progress ";
+    private static final double MS_PER_SECOND = 1000;
+
+    /** Whether a line of output is one about progress. */
+    static boolean isProgress(String line) {
+        return line.startsWith(PREFIX);
+    }
+
+    /** Parses a line for which {@link #isProgress} is true. */
+    static LoadProgress parse(String line) {
+        String[] fields = line.substring(PREFIX.length()).split(" ");
+        return new LoadProgress(Double.parseDouble(fields[0]), Double.parseDouble(fields[1]),
+                Double.parseDouble(fields[2]), Double.parseDouble(fields[3]), Double.parseDouble(fields[4]));
+    }
+
+    /** One line for a person about all processes together. */
+    static String describe(Span sinceStart, Collection<LoadProgress> processes) {
+        double earningsShare =
+                sum(processes, LoadProgress::servedEarningsShare) / Math.max(1, processes.size());
+        return String.format(Locale.ROOT,
+                "%5.1f s  sent %6.0f  finished %6.0f  bounced %5.0f  others %4.0f  earnings served %5.1f%%",
+                sinceStart.millis() / MS_PER_SECOND, sum(processes, LoadProgress::sent),
+                sum(processes, LoadProgress::finished), sum(processes, LoadProgress::bounced),
+                sum(processes, LoadProgress::others), 100 * earningsShare);
+    }
+
+    private static double sum(Collection<LoadProgress> processes, ToDoubleFunction<LoadProgress> field) {
+        return processes.stream().mapToDouble(field).sum();
+    }
+}
--- /dev/null
+++ b/src/main/java/rampshift/testbed/experiment/OperatorFileWriter.java
@@ -0,0 +1,135 @@
+package rampshift.testbed.experiment;
+
+import java.io.IOException;
+import java.net.InetSocketAddress;
+import java.nio.file.Files;
+import java.util.ArrayList;
+import java.util.List;
+import rampshift.testbed.links.LinkProxy;
+import rampshift.testbed.plan.FleetPlan;
+
+/**
+ * Writes the operator files of a plan's dispatchers: membership, and leases with periodic jobs if the plan
+ * has any.
+ */
+final class OperatorFileWriter {
+    private static final int MAX_SEEDS = 2;
+
+    private final FleetPlan plan;
+    private final RunFolder folder;
+    private final List<InetSocketAddress> members;
+    private final LinkProxy links;
+
+    /**
+     * Creates a writer.
+     *
+     * @param folder where the files are written
+     * @param members where each dispatcher listens for the others
+     * @param links through which they reach one another
+     */
+    OperatorFileWriter(FleetPlan plan, RunFolder folder, List<InetSocketAddress> members, LinkProxy links) {
+        this.plan = plan;
+        this.folder = folder;
+        this.members = members;
+        this.links = links;
+    }
+
+    /**
+     * Writes the file of one dispatcher. Its seeds are the first two other dispatchers.
+     *
+     * @param dispatcher its number, from 0
+     * @param site the number of its site, from 0
+     */
+    void write(int dispatcher, int site) throws IOException {
+        StringBuilder text = new StringBuilder(members(dispatcher, site));
+        for (int other : othersThan(dispatcher)) {
+            text.append(reach(dispatcher, other));
+        }
+        if (!plan.leases().duties().isEmpty()) {
+            text.append(leases(dispatcher));
+            plan.leases().duties().forEach(duty -> text.append(periodicJob(duty)));
+        }
+        Files.writeString(folder.operatorFile(dispatcher), text.toString());
+    }
+
+    private List<Integer> othersThan(int dispatcher) {
+        List<Integer> others = new ArrayList<>();
+        for (int other = 0; other < members.size(); other++) {
+            if (other != dispatcher) {
+                others.add(other);
+            }
+        }
+        return others;
+    }
+
+    private String members(int dispatcher, int site) {
+        InetSocketAddress listen = members.get(dispatcher);
+        List<String> seeds = othersThan(dispatcher).stream().limit(MAX_SEEDS)
+                .map(other -> quoted(address(dispatcher, other))).toList();
+        return """
+                [members]
+                fleet = "trial"
+                site = "%s"
+                listen = "%s:%d"
+                period = "%dus"
+                forget = "%dms"
+                news = %s
+                ledger = '%s'
+                seeds = [%s]
+                """.formatted(plan.sites().get(site).name(), listen.getHostString(), listen.getPort(),
+                plan.members().period().micros(), Math.round(plan.members().forget().millis()),
+                plan.members().news(), folder.membershipEventLog(dispatcher), String.join(", ", seeds));
+    }
+
+    private String reach(int dispatcher, int other) {
+        return """
+                [[members.reach]]
+                name = "%s"
+                address = "%s"
+                """.formatted(RunFolder.dispatcherName(other), address(dispatcher, other));
+    }
+
+    /** The address at which a dispatcher reaches another one. */
+    private String address(int dispatcher, int other) {
+        return "127.0.0.1:" + links.address(dispatcher, other).getPort();
+    }
+
+    private String leases(int dispatcher) {
+        FleetPlan.Leases leases = plan.leases();
+        List<String> acceptors = new ArrayList<>();
+        for (int acceptor = 0; acceptor < Math.min(leases.keepers(), plan.dispatcherCount()); acceptor++) {
+            acceptors.add(quoted(RunFolder.dispatcherName(acceptor)));
+        }
+        String section = """
+                [leases]
+                keepers = [%s]
+                term = "%dms"
+                drift = %s
+                ledger = '%s'
+                """.formatted(String.join(", ", acceptors), Math.round(leases.term().millis()),
+                leases.drift(), folder.leaseEventLog(dispatcher));
+        boolean isAcceptor = dispatcher < leases.keepers();
+        return isAcceptor ? section + "directory = '" + folder.acceptorDirectory(dispatcher) + "'\n"
+                : section;
+    }
+
+    private String periodicJob(FleetPlan.Duty job) {
+        FleetPlan.Type type = plan.types().stream().filter(each -> each.name().equals(job.type()))
+                .findFirst().orElseThrow();
+        return """
+                [[duty]]
+                name = "%s"
+                type = "%s"
+                every = "%dms"
+                objects = %d
+                rate = %s
+                target = "/api/{object}"
+                body = "work=%d,%s,%s;"
+                """.formatted(job.name(), job.type(), Math.round(job.every().millis()), job.objects(),
+                job.rate(), type.work().micros(), type.slots(), type.memory());
+    }
+
+    private static String quoted(String text) {
+        return '"' + text + '"';
+    }
+}
--- /dev/null
+++ b/src/main/java/rampshift/testbed/experiment/ReadinessProbe.java
@@ -0,0 +1,28 @@
+package rampshift.testbed.experiment;
+
+import java.io.IOException;
+import java.net.HttpURLConnection;
+import java.net.InetSocketAddress;
+import java.net.Proxy;
+import java.net.URL;
+
+/** Asks a dispatcher whether it is ready for tasks. */
+final class ReadinessProbe {
+    private static final int TIMEOUT_MS = 1000;
+
+    private ReadinessProbe() {}
+
+    /** Whether it answers that it is ready; waits for the answer, for two seconds at most. */
+    static boolean isReady(InetSocketAddress address) {
+        try {
+            URL url = new URL("http", address.getHostString(), address.getPort(), "/ready");
+            HttpURLConnection connection = (HttpURLConnection) url.openConnection(Proxy.NO_PROXY);
+            connection.setConnectTimeout(TIMEOUT_MS);
+            connection.setReadTimeout(TIMEOUT_MS);
+            connection.setRequestProperty("Connection", "close");
+            return connection.getResponseCode() == HttpURLConnection.HTTP_OK;
+        } catch (IOException e) {
+            return false;
+        }
+    }
+}
--- /dev/null
+++ b/src/main/java/rampshift/testbed/experiment/RunSpec.java
@@ -0,0 +1,15 @@
+package rampshift.testbed.experiment;
+
+import java.nio.file.Path;
+import rampshift.testbed.plan.FleetPlan;
+
+/**
+ * What a run consists of.
+ *
+ * @param plan the plan as the arm has it
+ * @param planFile the fleet file, which the processes of the run read again
+ * @param arm the name of the arm; null for the file as it stands
+ * @param seed the seed of all random streams of the run
+ * @param folder where the run's files are written
+ */
+record RunSpec(FleetPlan plan, Path planFile, String arm, long seed, RunFolder folder) {}
--- /dev/null
+++ b/src/main/java/rampshift/testbed/experiment/TrafficCounts.java
@@ -0,0 +1,84 @@
+package rampshift.testbed.experiment;
+
+import com.fasterxml.jackson.databind.JsonNode;
+import com.fasterxml.jackson.databind.node.ObjectNode;
+import java.util.Collection;
+import java.util.EnumMap;
+import java.util.Map;
+import java.util.function.ToDoubleFunction;
+
+/**
+ * What clients counted of the tasks of one traffic type, or of several.
+ *
+ * @param tasks how many tasks there were
+ * @param inTime how many of them finished before they were due
+ * @param possibleEarnings what all tasks would have earned if they had finished in time
+ * @param earnings what they have earned
+ * @param ends how many tasks ended in which way; it has all keys
+ */
+record TrafficCounts(double tasks, double inTime, double possibleEarnings, double earnings,
+        Map<TaskEnd, Double> ends) {
+
+    private static final String TASKS = "tasks";
+    private static final String IN_TIME = "in_time";
+    private static final String POSSIBLE_EARNINGS = "asked";
+    private static final String EARNINGS = "earned";
+
+    /** Reads the counts of one traffic type from the file of a load process. */
+    static TrafficCounts read(JsonNode fields) {
+        return new TrafficCounts(fields.path(TASKS).doubleValue(), fields.path(IN_TIME).doubleValue(),
+                fields.path(POSSIBLE_EARNINGS).doubleValue(), fields.path(EARNINGS).doubleValue(),
+                countEnds(end -> fields.path(end.field()).doubleValue()));
+    }
+
+    /** The sum of several counts. */
+    static TrafficCounts sum(Collection<TrafficCounts> counts) {
+        return new TrafficCounts(sum(counts, TrafficCounts::tasks), sum(counts, TrafficCounts::inTime),
+                sum(counts, TrafficCounts::possibleEarnings), sum(counts, TrafficCounts::earnings),
+                countEnds(end -> sum(counts, one -> one.ended(end))));
+    }
+
+    private static double sum(Collection<TrafficCounts> counts, ToDoubleFunction<TrafficCounts> field) {
+        return counts.stream().mapToDouble(field).sum();
+    }
+
+    private static Map<TaskEnd, Double> countEnds(ToDoubleFunction<TaskEnd> count) {
+        Map<TaskEnd, Double> ends = new EnumMap<>(TaskEnd.class);
+        for (TaskEnd end : TaskEnd.values()) {
+            ends.put(end, count.applyAsDouble(end));
+        }
+        return ends;
+    }
+
+    /** These counts and those of another process. */
+    TrafficCounts plus(TrafficCounts other) {
+        return new TrafficCounts(tasks + other.tasks, inTime + other.inTime,
+                possibleEarnings + other.possibleEarnings, earnings + other.earnings,
+                countEnds(end -> ended(end) + other.ended(end)));
+    }
+
+    /** How many tasks ended in that way. */
+    double ended(TaskEnd end) {
+        return ends.get(end);
+    }
+
+    /** How many tasks ended in any way. */
+    double endedInAnyWay() {
+        return ends.values().stream().mapToDouble(Double::doubleValue).sum();
+    }
+
+    /** How many tasks failed otherwise than by a rejection or because their clients gave up. */
+    double failedOtherwise() {
+        return ended(TaskEnd.TURNED_DOWN) + ended(TaskEnd.BROKEN) + ended(TaskEnd.UNREACHABLE)
+                + ended(TaskEnd.NO_ANSWER);
+    }
+
+    /** Writes the counts with the names that {@link #read} knows. */
+    void write(ObjectNode fields) {
+        fields.put(TASKS, tasks).put(IN_TIME, inTime).put(POSSIBLE_EARNINGS, possibleEarnings).put(EARNINGS,
+                earnings);
+        for (TaskEnd end : TaskEnd.values()) {
+            fields.put(end.field(), ended(end));
+        }
+    }
+}
--- a/src/test/java/rampshift/testbed/experiment/CpuProfileTest.java
+++ b/src/test/java/rampshift/testbed/experiment/CpuProfileTest.java
@@ -16,46 +16,57 @@
 import org.junit.jupiter.api.io.TempDir;
 
 class CpuProfileTest {
-    @TempDir
-    Path folder;
-
     private static final AtomicLong SUM = new AtomicLong();
+    private static final long BUSY_NANOS = 700_000_000L;
+
+    @TempDir
+    private Path folder;
 
-    private static void works(long untilNanos) {
+    private static void keepBusy(long untilNanos) {
         while (System.nanoTime() < untilNanos) {
             SUM.addAndGet(Long.numberOfTrailingZeros(SUM.get() + 7));
         }
     }
 
     @Test
-    void samplesOfTheThreadThatServesAreToldByPartAndThoseOfOthersLeftOut() throws Exception {
-        Path file = folder.resolve("r.jfr");
+    void countsSamplesOfTheIoThreadByPartAndLeavesOutThoseOfOthers() throws Exception {
+        String text = print(CpuProfile.read(recordTwoBusyThreads()));
+        // A dispatcher of an earlier test may still be stopping, on an I/O thread of its own.
+        Matcher testbed = Pattern.compile("([0-9.]+)%  testbed\n").matcher(text);
+        assertTrue(testbed.find() && Double.parseDouble(testbed.group(1)) > 85, text);
+        assertTrue(text.contains("testbed.experiment.CpuProfileTest.keepBusy"), text);
+        int samples = Integer.parseInt(text.split(" ")[0]);
+        assertTrue(samples > 5 && samples < 90, "one thread's, not both: " + samples);
+    }
+
+    /** A recording of an I/O thread and of another one, both busy for the same time. */
+    private Path recordTwoBusyThreads() throws Exception {
+        Path file = folder.resolve("recording.jfr");
         try (Recording recording = new Recording()) {
             recording.enable("jdk.ExecutionSample").withPeriod(Duration.ofMillis(10));
             recording.start();
-            long end = System.nanoTime() + 700_000_000L;
-            Thread serves = new Thread(() -> works(end), "io I/O-1");
-            Thread other = new Thread(() -> works(end), "log");
-            serves.start();
-            other.start();
-            serves.join();
-            other.join();
+            long end = System.nanoTime() + BUSY_NANOS;
+            Thread ioThread = new Thread(() -> keepBusy(end), "io I/O-1");
+            Thread otherThread = new Thread(() -> keepBusy(end), "log");
+            ioThread.start();
+            otherThread.start();
+            ioThread.join();
+            otherThread.join();
             recording.dump(file);
         }
+        return file;
+    }
+
+    private static String print(CpuProfile profile) {
         ByteArrayOutputStream out = new ByteArrayOutputStream();
-        CpuProfile.read(file).print(new PrintStream(out, true, StandardCharsets.UTF_8));
-        String text = out.toString(StandardCharsets.UTF_8);
-        // A dispatcher of an earlier story may still be stopping, on an I/O thread of its own.
-        Matcher fleet = Pattern.compile("([0-9.]+)%  testbed\n").matcher(text);
-        assertTrue(fleet.find() && Double.parseDouble(fleet.group(1)) > 85, text);
-        assertTrue(text.contains("testbed.experiment.CpuProfileTest.works"), text);
-        int samples = Integer.parseInt(text.split(" ")[0]);
-        assertTrue(samples > 5 && samples < 90, "one thread's, not both: " + samples);
+        profile.print(new PrintStream(out, true, StandardCharsets.UTF_8));
+        return out.toString(StandardCharsets.UTF_8);
     }
 
     @Test
-    void whatTheHostTookIsAShareOfWhatWasWanted() {
-        assertEquals(0.4, new HostMetrics(160, 40).stolenSince(new HostMetrics(100, 0)), 1e-9);
-        assertEquals(0, new HostMetrics(0, 0).stolenSince(new HostMetrics(0, 0)));
+    void stolenTimeIsAShareOfTheTimeWanted() {
+        HostMetrics earlier = new HostMetrics(100, 0);
+        assertEquals(0.4, new HostMetrics(160, 40).stolenShareSince(earlier), 1e-9);
+        assertEquals(0, new HostMetrics(0, 0).stolenShareSince(new HostMetrics(0, 0)));
     }
 }
--- a/src/test/java/rampshift/testbed/experiment/FaultCampaignTest.java
+++ b/src/test/java/rampshift/testbed/experiment/FaultCampaignTest.java
@@ -2,126 +2,150 @@
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
+import static rampshift.testbed.experiment.FiveDispatcherFleet.fault;
 import static rampshift.testbed.experiment.FiveDispatcherFleet.names;
-import static rampshift.testbed.experiment.FiveDispatcherFleet.trouble;
 
 import java.io.IOException;
 import java.nio.file.Files;
 import java.nio.file.Path;
 import java.util.List;
+import java.util.function.Predicate;
+import org.junit.jupiter.api.BeforeEach;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.io.TempDir;
 import rampshift.testbed.verification.Verdict;
 
-/** Five real dispatchers that know each other, faults between them, and the judge. */
+/** Verified runs of five real dispatchers that know one another, with faults of them and their links. */
 class FaultCampaignTest {
+    private static final String AGREEMENT_RULE = "all agree after the last fault";
+    /** Each of five dispatchers about each of the four others. */
+    private static final long ORDERED_PAIRS = 20;
+    private static final long MAX_DRAIN_NOTICE_MICROS = 250_000;
+
     @TempDir
     private Path folder;
+    private FiveDispatcherFleet fleet;
+
+    @BeforeEach
+    void createFleet() {
+        fleet = new FiveDispatcherFleet(folder);
+    }
 
-    private RunOutcome play(int seconds, String troubles) throws Exception {
-        return new FiveDispatcherFleet(folder).play(seconds, 3, 40, "20ms", troubles);
+    private RunOutcome run(int seconds, String faults) throws Exception {
+        return fleet.run(seconds, 3, 40, "20ms", faults);
     }
 
-    private static void kept(RunOutcome o) {
-        for (Verdict.Rule rule : o.verdict.rules()) {
+    private static void assertRulesKept(RunOutcome outcome) {
+        for (Verdict.Rule rule : outcome.verdict().rules()) {
             assertEquals(0, rule.broken(), rule.name() + ": " + rule.examples());
         }
     }
 
-    private static long stake(RunOutcome o, String rule) {
-        return o.verdict.rules().stream().filter(r -> r.name().equals(rule)).findFirst().orElseThrow()
-                .atStake();
+    /** How often a rule applied. */
+    private static long applied(RunOutcome outcome, String rule) {
+        return outcome.verdict().rules().stream().filter(each -> each.name().equals(rule)).findFirst()
+                .orElseThrow().atStake();
     }
 
-    /** Up to the end of the load, after which all end in order. */
-    private List<String> told(String by, String what) throws IOException {
-        long finish = Files.readAllLines(folder.resolve("run/trial.ledger")).stream()
-                .filter(l -> l.endsWith(" finish"))
-                .mapToLong(l -> Long.parseLong(l.split(" ")[0])).findFirst().orElseThrow();
-        return new FiveDispatcherFleet(folder).told("members", what).stream()
-                .filter(line -> Long.parseLong(line.split(" ")[0]) < finish
-                        && (by.isEmpty() || line.split(" ")[2].equals(by)))
-                .toList();
+    /** The events of that kind in all logs, up to the end of the load, after which all dispatchers stop. */
+    private List<EventLine> events(String event) throws IOException {
+        long loadEnd = Files.readAllLines(fleet.runFolder().runEventLog()).stream()
+                .filter(line -> line.endsWith(" finish")).mapToLong(FaultCampaignTest::micros).findFirst()
+                .orElseThrow();
+        return fleet.membershipEvents(event).stream().filter(line -> line.micros() < loadEnd).toList();
     }
 
-    /**
-     * d1 does not reach d2 at all; d5 hears nothing from its list service, d4 only old news: both from the
-     * others.
-     */
+    /** The events of that kind in one dispatcher's log. */
+    private List<EventLine> events(String dispatcher, String event) throws IOException {
+        return events(event).stream().filter(line -> line.dispatcher().equals(dispatcher)).toList();
+    }
+
+    private static long micros(String line) {
+        return Long.parseLong(line.split(" ")[0]);
+    }
+
+    private static List<EventLine> without(List<EventLine> events, Predicate<EventLine> excluded) {
+        return events.stream().filter(excluded.negate()).toList();
+    }
+
+    /** d1 never reaches d2. d5 gets no endpoint lists and d4 only old ones, so both need the others. */
     @Test
-    void oneWayLostMakesNobodyFailAndADrainIsHeardOfFromTheOthers() throws Exception {
-        RunOutcome o = play(8, trouble("way-cut", names("d1>d2"), 0.1, 7.8)
-                + trouble("roster-silent", names("d5"), 1, 6.9)
-                + trouble("roster-old", names("d4") + "\ndelay = \"4s\"", 1, 6.9)
-                + trouble("drain", names("one-m-1"), 2, 10));
-        kept(o);
-        assertEquals(List.of(), told("", "failed"));
-        List<String> bound = told("", "bound");
-        assertEquals(List.of("d4", "d5"), bound.stream().map(l -> l.split(" ")[2])
-                .filter(d -> d.compareTo("d3") > 0).sorted().toList());
-        assertEquals(List.of(), bound.stream().filter(l -> !l.contains(" one-m-1 ")).toList(),
-                "no other worker");
-        long after = told("d5", "bound").stream().mapToLong(l -> Long.parseLong(l.split(" ")[0])).max()
-                .orElseThrow()
-                - Files.readAllLines(folder.resolve("run/fleet.ledger")).stream()
-                        .filter(l -> l.contains(" told ") && l.endsWith("draining"))
-                        .mapToLong(l -> Long.parseLong(l.split(" ")[0])).min().orElseThrow();
-        assertTrue(after < 250_000, "after the first was told: " + after / 1000 + " ms");
-        assertTrue(stake(o, "drains kept") >= 5, "told to each, to two by their fellows");
+    void oneWayLinkLossFailsNobodyAndDrainIsLearntFromOthers() throws Exception {
+        RunOutcome outcome = run(8, fault("way-cut", names("d1>d2"), 0.1, 7.8)
+                + fault("roster-silent", names("d5"), 1, 6.9)
+                + fault("roster-old", names("d4") + "\ndelay = \"4s\"", 1, 6.9)
+                + fault("drain", names("one-m-1"), 2, 10));
+        assertRulesKept(outcome);
+        assertEquals(List.of(), events("failed"));
+        List<EventLine> bound = events("bound");
+        assertEquals(List.of("d4", "d5"), bound.stream().map(EventLine::dispatcher)
+                .filter(dispatcher -> dispatcher.compareTo("d3") > 0).sorted().toList());
+        assertEquals(List.of(), without(bound, line -> line.contains(" one-m-1 ")), "no other worker");
+        long lastBound = events("d5", "bound").stream().mapToLong(EventLine::micros).max().orElseThrow();
+        long firstTold = Files.readAllLines(fleet.runFolder().fleetEventLog()).stream()
+                .filter(line -> line.contains(" told ") && line.endsWith("draining"))
+                .mapToLong(FaultCampaignTest::micros).min().orElseThrow();
+        long delay = lastBound - firstTold;
+        assertTrue(delay < MAX_DRAIN_NOTICE_MICROS, "after the first was told: " + delay / 1000 + " ms");
+        assertTrue(applied(outcome, "drains kept") >= 5, "told to each, to two by other dispatchers");
     }
 
-    /** It stands still for longer than it takes to be taken for failed. */
+    /** d4 is suspended for longer than the others take to declare it failed. */
     @Test
-    void oneThatIsStoppedRefutesAndSendsNothingLate() throws Exception {
-        RunOutcome o = play(12, trouble("dispatcher-stopped", names("d4"), 1, 6));
-        kept(o);
-        assertTrue(told("", "failed").stream().filter(l -> l.contains(" failed d4 ")).count() >= 4);
-        assertTrue(told("d4", "refuted").size() >= 1);
-        assertEquals(1, told("d4", "stalled").stream()
-                .filter(l -> Integer.parseInt(l.replaceAll(".* (\\d+)-ms$", "$1")) > 5000).count());
-        assertTrue(stake(o, "all agree after the last fault") == 20);
+    void suspendedDispatcherRefutesItsFailureAndSendsNothingLate() throws Exception {
+        RunOutcome outcome = run(12, fault("dispatcher-stopped", names("d4"), 1, 6));
+        assertRulesKept(outcome);
+        assertTrue(events("failed").stream().filter(line -> line.contains(" failed d4 ")).count() >= 4);
+        assertTrue(events("d4", "refuted").size() >= 1);
+        assertEquals(1, events("d4", "stalled").stream().filter(line -> stallMs(line) > 5000).count());
+        assertTrue(applied(outcome, AGREEMENT_RULE) == ORDERED_PAIRS);
+    }
+
+    private static int stallMs(EventLine line) {
+        return Integer.parseInt(line.text().replaceAll(".* (\\d+)-ms$", "$1"));
     }
 
-    /** A tenth of a core for 5 s: it may be late itself, and talks nobody out of those who are well. */
+    /** d4 has a tenth of a core for 5 s. It may be late itself, but must not have others declared failed. */
     @Test
     void oneThatIsStarvedAccusesNobody() throws Exception {
-        RunOutcome o = play(11, trouble("dispatcher-starved", names("d4") + "\nrate = 0.1", 1, 5));
-        kept(o);
-        assertEquals(List.of(), told("", "failed").stream().filter(l -> !l.contains(" failed d4 ")).toList());
-        assertEquals(20, stake(o, "all agree after the last fault"));
+        RunOutcome outcome = run(11, fault("dispatcher-starved", names("d4") + "\nrate = 0.1", 1, 5));
+        assertRulesKept(outcome);
+        assertEquals(List.of(), without(events("failed"), line -> line.contains(" failed d4 ")));
+        assertEquals(ORDERED_PAIRS, applied(outcome, AGREEMENT_RULE));
     }
 
     @Test
-    void threeOfFiveAreKilledAtOnceWhileALinkFlapsAndOneForGood() throws Exception {
-        RunOutcome o = play(14, trouble("dispatcher-killed", names("d1", "d2", "d3"), 1, 0.8)
-                + trouble("way-flapping", names("d4=d5") + "\ndelay = \"500ms\"", 0.5, 3)
-                + trouble("dispatcher-killed", names("d2"), 8.5, 30));
-        kept(o);
-        assertEquals(4, stake(o, "failures known in time"));
-        assertEquals(4, o.verdict.knownMs().size());
+    void threeOfFiveKilledAtOnceWhileLinkFlapsAndOneKilledForGood() throws Exception {
+        RunOutcome outcome = run(14, fault("dispatcher-killed", names("d1", "d2", "d3"), 1, 0.8)
+                + fault("way-flapping", names("d4=d5") + "\ndelay = \"500ms\"", 0.5, 3)
+                + fault("dispatcher-killed", names("d2"), 8.5, 30));
+        assertRulesKept(outcome);
+        assertEquals(4, applied(outcome, "failures known in time"));
+        assertEquals(4, outcome.verdict().knownMs().size());
     }
 
     @Test
-    void cutInTwoThenIntoSingleOnesThenAllRestartedOverLossyWaysAndOneAgainAfterwards() throws Exception {
-        String rolling = "";
+    void partitionsThenRollingRestartOverLossyLinks() throws Exception {
+        StringBuilder rollingRestart = new StringBuilder();
         for (int d = 1; d <= 5; d++) {
-            rolling += trouble("dispatcher-ended", names("d" + d), 9.5 + 0.5 * d, 2.5);
+            rollingRestart.append(fault("dispatcher-ended", names("d" + d), 9.5 + 0.5 * d, 2.5));
         }
-        RunOutcome o = play(20,
-                trouble("way-cut", "site = \"two\"", 0.5, 5) + trouble("way-cut", names("*=*"), 5.6, 3.8)
-                        + trouble("way-lossy", names("*=*") + "\nrate = 0.3", 9.5, 4) + rolling);
-        kept(o);
-        assertTrue(told("d5", "standing").stream().anyMatch(l -> l.contains("MINOR")),
+        RunOutcome outcome = run(20,
+                fault("way-cut", "site = \"two\"", 0.5, 5) + fault("way-cut", names("*=*"), 5.6, 3.8)
+                        + fault("way-lossy", names("*=*") + "\nrate = 0.3", 9.5, 4) + rollingRestart);
+        assertRulesKept(outcome);
+        assertTrue(events("d5", "standing").stream().anyMatch(line -> line.contains("MINOR")),
                 "the smaller part knows that it is");
-        assertTrue(told("d1", "standing").stream().anyMatch(l -> l.contains("MISSING")));
+        assertTrue(events("d1", "standing").stream().anyMatch(line -> line.contains("MISSING")));
         for (String pair : List.of("d1 d4", "d1 d5", "d5 d1", "d5 d2", "d5 d3")) {
-            assertTrue(
-                    told(pair.substring(0, 2), "failed").stream()
-                            .anyMatch(l -> l.contains(" failed " + pair.substring(3) + " ")),
+            String dispatcher = pair.substring(0, 2);
+            String other = pair.substring(3);
+            assertTrue(events(dispatcher, "failed").stream()
+                    .anyMatch(line -> line.contains(" failed " + other + " ")),
                     pair + ": whom it was cut off from");
         }
-        assertTrue(told("d3", "standing").stream().anyMatch(l -> l.contains("ALONE-1/5")),
+        assertTrue(events("d3", "standing").stream().anyMatch(line -> line.contains("ALONE-1/5")),
                 "cut off from all");
-        assertEquals(20, stake(o, "all agree after the last fault"));
+        assertEquals(ORDERED_PAIRS, applied(outcome, AGREEMENT_RULE));
     }
 }
--- a/src/test/java/rampshift/testbed/experiment/FiveDispatcherFleet.java
+++ b/src/test/java/rampshift/testbed/experiment/FiveDispatcherFleet.java
@@ -5,87 +5,125 @@
 import java.nio.file.Path;
 import java.util.ArrayList;
 import java.util.List;
+import rampshift.testbed.plan.FleetPlan;
 import rampshift.testbed.plan.FleetPlanReader;
 
-/** Five real dispatchers that know each other, on two sites of three workers, for stories of their faults. */
+/** Five real dispatchers that know one another, on two sites with three workers each, for tests of faults. */
 final class FiveDispatcherFleet {
-    private static final String LOOK = """
+    private static final int DISPATCHERS = 5;
+    private static final String TASK_LIMITS = """
             work = "%s"
             due = "500ms"
             expiry = "1500ms"
             """;
+    private static final String FLEET = """
+            length = "%ds"
+            [[machine]]
+            name = "m"
+            [[site]]
+            name = "one"
+            dispatchers = %d
+            share = %d
+            [[site.workers]]
+            machine = "m"
+            count = 3
+            [[site]]
+            name = "two"
+            dispatchers = %d
+            share = %d
+            [[site.workers]]
+            machine = "m"
+            count = 3
+            [arrivals]
+            rate = %d
+            [experiment]
+            settle = "500ms"
+            [roster]
+            delay = "50ms"
+            [members]
+            period = "100ms"
+            known_by = "4s"
+            agree_by = "3s"
+            [[type]]
+            name = "look"
+            """;
 
     private final Path folder;
+    private final RunFolder runFolder;
 
+    /** A fleet whose files are written to a folder. */
     FiveDispatcherFleet(Path folder) {
         this.folder = folder;
+        runFolder = new RunFolder(folder.resolve("run"));
+    }
+
+    /** The folder of the run. */
+    RunFolder runFolder() {
+        return runFolder;
     }
 
     /**
-     * First: of the dispatchers, those on site one. More: sections of the fleet file, troubles among them.
+     * Carries out a run.
+     *
+     * @param seconds the length of the load
+     * @param siteOne how many of the five dispatchers are on the first site
+     * @param rate tasks a second
+     * @param work the mean run time of a task, as fleet files have it
+     * @param sections further sections of the fleet file, faults among them
      */
-    RunOutcome play(int seconds, int first, int rate, String work, String more) throws Exception {
-        String text = """
-                length = "%ds"
-                [[machine]]
-                name = "m"
-                [[site]]
-                name = "one"
-                dispatchers = %d
-                share = %d
-                [[site.workers]]
-                machine = "m"
-                count = 3
-                [[site]]
-                name = "two"
-                dispatchers = %d
-                share = %d
-                [[site.workers]]
-                machine = "m"
-                count = 3
-                [arrivals]
-                rate = %d
-                [experiment]
-                settle = "500ms"
-                [roster]
-                delay = "50ms"
-                [members]
-                period = "100ms"
-                known_by = "4s"
-                agree_by = "3s"
-                [[type]]
-                name = "look"
-                """.formatted(seconds, first, first, 5 - first, 5 - first, rate) + LOOK.formatted(work)
-                + more;
-        Path file = Files.writeString(folder.resolve("plan.toml"), text);
-        return new FleetRun(new ChildProcesses(), FleetPlanReader.read(file), file, null, 1,
-                folder.resolve("run"), l -> {})
-                .play();
+    RunOutcome run(int seconds, int siteOne, int rate, String work, String sections) throws Exception {
+        int siteTwo = DISPATCHERS - siteOne;
+        String text = FLEET.formatted(seconds, siteOne, siteOne, siteTwo, siteTwo, rate)
+                + TASK_LIMITS.formatted(work) + sections;
+        Path planFile = Files.writeString(folder.resolve("plan.toml"), text);
+        FleetPlan plan = FleetPlanReader.read(planFile);
+        RunSpec spec = new RunSpec(plan, planFile, null, 1, runFolder);
+        return new FleetRun(new ChildProcesses(), spec).execute();
     }
 
+    /** The section of a traffic type whose tasks must not run twice. */
     static String sale(String work) {
-        return "[[type]]\nname = \"sale\"\neffect = \"side-effecting\"\n" + LOOK.formatted(work);
+        return "[[type]]\nname = \"sale\"\neffect = \"side-effecting\"\n" + TASK_LIMITS.formatted(work);
     }
 
-    static String trouble(String what, String more, double at, double length) {
-        return "[[trouble]]\nwhat = \"%s\"\n%s\nat = \"%.0fms\"\nlength = \"%.0fms\"\n".formatted(what, more,
-                at * 1000, length * 1000);
+    /**
+     * The section of a fault.
+     *
+     * @param kind the kind of fault, by its name in fleet files
+     * @param parameters further lines of the section, without the last line end
+     * @param startSeconds when it begins, since the start of the load
+     * @param lengthSeconds how long it lasts
+     */
+    static String fault(String kind, String parameters, double startSeconds, double lengthSeconds) {
+        return "[[trouble]]\nwhat = \"%s\"\n%s\nat = \"%.0fms\"\nlength = \"%.0fms\"\n".formatted(kind,
+                parameters, startSeconds * 1000, lengthSeconds * 1000);
     }
 
+    /** The line of a fault's section that names what it befalls. */
     static String names(String... names) {
         return "names = [\"" + String.join("\", \"", names) + "\"]";
     }
 
-    /** Lines of all dispatchers' ledgers of that kind that say so. */
-    List<String> told(String kind, String what) throws IOException {
-        List<String> lines = new ArrayList<>();
-        for (int d = 1; d <= 5; d++) {
-            for (String line : Files.readAllLines(folder.resolve("run/" + kind + "-d" + d + ".ledger"))) {
-                if (line.split(" ")[3].equals(what)) {
-                    lines.add(line);
-                }
-            }
+    /** The events of that kind in all dispatchers' logs of membership. */
+    List<EventLine> membershipEvents(String event) throws IOException {
+        List<EventLine> events = new ArrayList<>();
+        for (int dispatcher = 0; dispatcher < DISPATCHERS; dispatcher++) {
+            events.addAll(events(runFolder.membershipEventLog(dispatcher), event));
         }
-        return lines;
+        return events;
+    }
+
+    /** The events of that kind in all dispatchers' logs of leases. */
+    List<EventLine> leaseEvents(String event) throws IOException {
+        List<EventLine> events = new ArrayList<>();
+        for (int dispatcher = 0; dispatcher < DISPATCHERS; dispatcher++) {
+            events.addAll(events(runFolder.leaseEventLog(dispatcher), event));
+        }
+        return events;
+    }
+
+    private static List<EventLine> events(Path eventLog, String event) throws IOException {
+        return Files.readAllLines(eventLog).stream().map(EventLine::new)
+                .filter(line -> line.event().equals(event)).toList();
     }
 }
--- a/src/test/java/rampshift/testbed/experiment/FleetRunTest.java
+++ b/src/test/java/rampshift/testbed/experiment/FleetRunTest.java
@@ -24,7 +24,7 @@
 import rampshift.TestServer;
 import rampshift.testbed.Commands;
 
-/** Whole runs with real processes, small ones. */
+/** Small runs with real processes, by the commands that operators use. */
 class FleetRunTest {
     private static final String PLAN = """
             length = "2s"
@@ -49,8 +49,17 @@
             [clients]
             most_late = "2s"
             """;
+    private static final String ARMS = """
+            [[arm]]
+            name = "one"
+            set = { "arrivals.rate" = 60 }
+            [[arm]]
+            name = "two"
+            set = { "arrivals.rate" = 30 }
+            """;
+
     @TempDir
-    Path folder;
+    private Path folder;
     private final ByteArrayOutputStream out = new ByteArrayOutputStream();
     private final ByteArrayOutputStream err = new ByteArrayOutputStream();
 
@@ -59,48 +68,61 @@
                 new PrintStream(err, true, StandardCharsets.UTF_8));
     }
 
-    private Path file(String text) throws IOException {
+    private int runExperiment(Path planFile) {
+        return run("experiment", planFile.toString(), "--folder", resultFolder().toString());
+    }
+
+    private Path resultFolder() {
+        return folder.resolve("out");
+    }
+
+    private JsonNode readResult() throws IOException {
+        return new ObjectMapper().readTree(resultFolder().resolve("result.json").toFile());
+    }
+
+    private String output() {
+        return out.toString(StandardCharsets.UTF_8);
+    }
+
+    private String errors() {
+        return err.toString(StandardCharsets.UTF_8);
+    }
+
+    private Path writePlan(String text) throws IOException {
         return Files.writeString(folder.resolve("plan.toml"), text);
     }
 
-    private boolean anyoneLeft() {
-        return ProcessHandle.allProcesses()
-                .anyMatch(p -> p.info().commandLine().orElse("").contains(folder.toString()));
+    private boolean isAnyProcessLeft() {
+        return ProcessHandle.allProcesses().anyMatch(
+                process -> process.info().commandLine().orElse("").contains(folder.toString()));
     }
 
     @Test
-    void anExperimentPlaysItsArmsAndReportsWithADispatcherKilledUnderWay() throws Exception {
-        Path file = file(PLAN + """
+    void anExperimentRunsItsArmsAndReportsWhileADispatcherIsKilled() throws Exception {
+        Path planFile = writePlan(PLAN + """
                 [[trouble]]
                 what = "dispatcher-killed"
                 names = ["d1"]
                 at = "500ms"
                 length = "100ms"
-                [[arm]]
-                name = "one"
-                set = { "arrivals.rate" = 60 }
-                [[arm]]
-                name = "two"
-                set = { "arrivals.rate" = 30 }
-                """);
-        assertEquals(0, run("experiment", file.toString(), "--folder", folder.resolve("out").toString()),
-                out.toString(StandardCharsets.UTF_8) + err);
-        JsonNode result = new ObjectMapper().readTree(folder.resolve("out/result.json").toFile());
-        JsonNode one = result.at("/runs/one/1");
-        assertEquals(120, one.path("sent").asInt(), 45);
-        assertTrue(one.at("/types/sale/finished").asInt() > 20, one.toString());
-        assertEquals(0, one.at("/rules/0/broken").asInt());
-        assertTrue(one.at("/rules/0/at_stake").asInt() > 50);
+                """ + ARMS);
+        assertEquals(0, runExperiment(planFile), output() + err);
+        JsonNode result = readResult();
+        JsonNode firstRun = result.at("/runs/one/1");
+        assertEquals(120, firstRun.path("sent").asInt(), 45);
+        assertTrue(firstRun.at("/types/sale/finished").asInt() > 20, firstRun.toString());
+        assertEquals(0, firstRun.at("/rules/0/broken").asInt());
+        assertTrue(firstRun.at("/rules/0/at_stake").asInt() > 50);
         assertEquals("too few pairs", result.at("/differences/two/earnings served, %/verdict").asText());
-        String report = Files.readString(folder.resolve("out/report.html"));
+        String report = Files.readString(resultFolder().resolve("report.html"));
         assertEquals(4, report.split("data:image/svg").length - 1, "earnings, latency, and load twice");
         assertFalse(report.contains("http://") || report.contains("src=\"http"), "nothing from elsewhere");
-        assertFalse(anyoneLeft());
+        assertFalse(isAnyProcessLeft());
     }
 
     @Test
-    void aDispatcherThatStoodStillAnswersWhoeverHasSentItsTaskMeanwhile() throws Exception {
-        Path file = file(PLAN.replace("dispatchers = 2", "dispatchers = 1").replace("[clients]",
+    void aResumedDispatcherAnswersTasksThatWereSentWhileItWasSuspended() throws Exception {
+        Path planFile = writePlan(PLAN.replace("dispatchers = 2", "dispatchers = 1").replace("[clients]",
                 "[clients]\nkeep = false\nretries = 0") + """
                         [[trouble]]
                         what = "dispatcher-stopped"
@@ -108,84 +130,74 @@
                         at = "400ms"
                         length = "2600ms"
                         """);
-        run("experiment", file.toString(), "--folder", folder.resolve("out").toString());
-        JsonNode one = new ObjectMapper().readTree(folder.resolve("out/result.json").toFile())
-                .at("/runs/as it is/1");
-        assertEquals("[]", one.at("/rules/0/examples").toString());
-        assertTrue(one.at("/rules/0/at_stake").asInt() > 50);
-        assertFalse(anyoneLeft());
+        runExperiment(planFile);
+        JsonNode run = readResult().at("/runs/as it is/1");
+        assertEquals("[]", run.at("/rules/0/examples").toString());
+        assertTrue(run.at("/rules/0/at_stake").asInt() > 50);
+        assertFalse(isAnyProcessLeft());
     }
 
     @Test
-    void aDispatcherThatDiesAtOnceIsShownWithItsLastLines() throws Exception {
-        Path file = file(PLAN + "[dispatchers]\nsettings = { TrafficTypes = [] }\n");
-        assertEquals(1, run("experiment", file.toString(), "--folder", folder.resolve("out").toString()));
-        assertTrue(
-                err.toString(StandardCharsets.UTF_8)
-                        .contains("d1 ended before it was ready, status 2; its last lines:"),
-                err.toString(StandardCharsets.UTF_8));
-        assertTrue(err.toString(StandardCharsets.UTF_8).contains("the settings lack TrafficTypes"),
-                err.toString(StandardCharsets.UTF_8));
-        assertFalse(anyoneLeft());
+    void aDispatcherThatEndsAtOnceIsReportedWithItsLastLines() throws Exception {
+        Path planFile = writePlan(PLAN + "[dispatchers]\nsettings = { TrafficTypes = [] }\n");
+        assertEquals(1, runExperiment(planFile));
+        assertTrue(errors().contains("d1 ended before it was ready, status 2; its last lines:"), errors());
+        assertTrue(errors().contains("the settings lack TrafficTypes"), errors());
+        assertFalse(isAnyProcessLeft());
     }
 
     @Test
-    void aPortAlreadyTakenIsSaidInOneLine() throws Exception {
+    void aPortInUseIsReportedInOneLine() throws Exception {
         try (ServerSocket taken = new ServerSocket(0, 1, InetAddress.getByName("127.0.0.1"))) {
-            Path file = file(PLAN + "[dispatchers]\nport = " + taken.getLocalPort() + "\n");
-            assertEquals(1, run("experiment", file.toString(), "--folder", folder.resolve("out").toString()));
-            assertTrue(
-                    err.toString(StandardCharsets.UTF_8)
-                            .contains("127.0.0.1:" + taken.getLocalPort() + " is taken"),
-                    err.toString(StandardCharsets.UTF_8));
+            int port = taken.getLocalPort();
+            Path planFile = writePlan(PLAN + "[dispatchers]\nport = " + port + "\n");
+            assertEquals(1, runExperiment(planFile));
+            assertTrue(errors().contains("127.0.0.1:" + port + " is taken"), errors());
         }
-        assertFalse(anyoneLeft());
+        assertFalse(isAnyProcessLeft());
     }
 
     @Test
-    void wrongInputEndsWithStatusTwoAndALine() throws Exception {
-        assertEquals(2, run("experiment", file(PLAN.replace("rate", "raet")).toString()));
-        assertTrue(
-                err.toString(StandardCharsets.UTF_8)
-                        .matches("(?s)rampshift experiment: .*plan.toml:16: arrivals.raet is not known.*"),
-                err.toString(StandardCharsets.UTF_8));
+    void invalidInputEndsWithStatusTwoAndALine() throws Exception {
+        assertEquals(2, run("experiment", writePlan(PLAN.replace("rate", "raet")).toString()));
+        assertTrue(errors().matches(
+                "(?s)rampshift experiment: .*plan.toml:16: arrivals.raet is not known.*"), errors());
         err.reset();
         assertEquals(2, run("experiment", folder.resolve("none.toml").toString()));
         assertEquals(2, run("try", "x"));
-        assertEquals(2, run("load", file(PLAN).toString(), "--folder", folder.toString()));
-        assertEquals(2, run("load", file(PLAN).toString(), "--to", "localhost:1"));
-        assertEquals(2, run("fleet", file(PLAN).toString(), "--seed", "x"));
-        assertEquals(5, err.toString(StandardCharsets.UTF_8).lines().count(),
-                err.toString(StandardCharsets.UTF_8));
+        assertEquals(2, run("load", writePlan(PLAN).toString(), "--folder", folder.toString()));
+        assertEquals(2, run("load", writePlan(PLAN).toString(), "--to", "localhost:1"));
+        assertEquals(2, run("fleet", writePlan(PLAN).toString(), "--seed", "x"));
+        assertEquals(5, errors().lines().count(), errors());
     }
 
     @Test
-    void aLoadThatFellBehindItsPlanReportsNoFiguresAsGood() throws Exception {
-        try (TestServer dispatcher = new TestServer((m, line) -> line.respondStatus(504, ""))) {
-            Path file = file(
-                    PLAN.replace("\"2s\"\n[[machine", "\"300ms\"\n[[machine").replace("most_late = \"2s\"",
-                            "most_late = \"1us\""));
-            assertEquals(3, run("load", file.toString(), "--folder", folder.toString(), "--to",
+    void aLoadThatIsTooLateIsReportedAsVoid() throws Exception {
+        try (TestServer dispatcher = new TestServer((message, line) -> line.respondStatus(504, ""))) {
+            Path planFile = writePlan(PLAN.replace("\"2s\"\n[[machine", "\"300ms\"\n[[machine")
+                    .replace("most_late = \"2s\"", "most_late = \"1us\""));
+            assertEquals(3, run("load", planFile.toString(), "--folder", folder.toString(), "--to",
                     "127.0.0.1:" + dispatcher.port()));
-            assertTrue(out.toString(StandardCharsets.UTF_8).contains("VOID"),
-                    out.toString(StandardCharsets.UTF_8));
+            assertTrue(output().contains("VOID"), output());
         }
     }
 
-    /** In the first second, while dispatchers start, and under load. */
+    /** Interrupted in the first second, while dispatchers start, and under load. */
     @ParameterizedTest
     @ValueSource(ints = {300, 1200, 5000})
-    void aKeyPressThatEndsItLeavesNoProcessBehind(int afterMs) throws Exception {
-        Process tried = new ProcessBuilder(Path.of(System.getProperty("java.home"), "bin", "java").toString(),
-                "-cp",
-                System.getProperty("java.class.path"), "rampshift.Main", "try", "--keep", folder.toString())
-                .redirectErrorStream(true).redirectOutput(folder.resolve("out.txt").toFile()).start();
+    void anInterruptedTrialLeavesNoProcessBehind(int afterMs) throws Exception {
+        Path outputFile = folder.resolve("out.txt");
+        String java = Path.of(System.getProperty("java.home"), "bin", "java").toString();
+        Process trial = new ProcessBuilder(java, "-cp", System.getProperty("java.class.path"),
+                "rampshift.Main", "try", "--keep", folder.toString()).redirectErrorStream(true)
+                .redirectOutput(outputFile.toFile()).start();
         Thread.sleep(afterMs);
-        new ProcessBuilder("kill", "-INT", String.valueOf(tried.pid())).start().waitFor();
-        assertTrue(tried.waitFor(10, TimeUnit.SECONDS));
-        assertFalse(tried.exitValue() == 0);
-        TestPeers.until("all are gone", () -> !anyoneLeft());
-        assertEquals(List.of(), Files.readAllLines(folder.resolve("out.txt"), StandardCharsets.UTF_8).stream()
-                .filter(l -> l.contains("Exception") || l.startsWith("\tat ")).toList(), "nor a stack trace");
+        new ProcessBuilder("kill", "-INT", String.valueOf(trial.pid())).start().waitFor();
+        assertTrue(trial.waitFor(10, TimeUnit.SECONDS));
+        assertFalse(trial.exitValue() == 0);
+        TestPeers.until("all are gone", () -> !isAnyProcessLeft());
+        assertEquals(List.of(), Files.readAllLines(outputFile, StandardCharsets.UTF_8).stream()
+                .filter(line -> line.contains("Exception") || line.startsWith("\tat ")).toList(),
+                "nor a stack trace");
     }
 }
--- a/src/test/java/rampshift/testbed/experiment/PeriodicJobCampaignTest.java
+++ b/src/test/java/rampshift/testbed/experiment/PeriodicJobCampaignTest.java
@@ -2,47 +2,68 @@
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
+import static rampshift.testbed.experiment.FiveDispatcherFleet.fault;
 import static rampshift.testbed.experiment.FiveDispatcherFleet.names;
-import static rampshift.testbed.experiment.FiveDispatcherFleet.trouble;
 
 import java.io.IOException;
 import java.nio.file.Path;
-import java.util.List;
 import java.util.concurrent.CompletableFuture;
+import org.junit.jupiter.api.BeforeEach;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.io.TempDir;
 import rampshift.extensions.OperatorCommands;
 import rampshift.testbed.verification.Verdict;
 
 /**
- * Five real dispatchers, three or five of which keep leases; a duty each of two kinds; faults; and the judge.
+ * Verified runs of five real dispatchers, three of which are acceptors of leases, with two periodic jobs and
+ * with faults.
  */
 class PeriodicJobCampaignTest {
+    private static final int STATUS_ATTEMPTS = 300;
+    private static final long STATUS_INTERVAL_MS = 100;
+    private static final String STATUS_PAGE =
+            "(?s)keepers 1 d1:\\S+,d2:\\S+,d3:\\S+.*"
+                    + "  stock +d\\d +token \\d+, version \\d+, stands here for .*"
+                    + "  stock +run \\d+ .* of 60 settled.*";
+
     @TempDir
     private Path folder;
+    private FiveDispatcherFleet fleet;
+
+    @BeforeEach
+    void createFleet() {
+        fleet = new FiveDispatcherFleet(folder);
+    }
 
-    /** First: of the five dispatchers, those on site one. */
-    private RunOutcome play(int seconds, int first, int objects, String leases, String troubles)
-            throws Exception {
-        String duty = "[[duty]]\nname = \"%s\"\ntype = \"%s\"\nevery = \"2s\"\nobjects = " + objects
-                + "\nrate = 50\n";
-        return new FiveDispatcherFleet(folder).play(seconds, first, 20, "10ms",
-                FiveDispatcherFleet.sale("10ms") + duty.formatted("stock", "look")
-                        + duty.formatted("cash", "sale") + "[leases]\nterm = \"1s\"\n" + leases + "\n"
-                        + troubles);
+    private RunOutcome run(int seconds, int objects, String faults) throws Exception {
+        return fleet.run(seconds, 3, 20, "10ms",
+                FiveDispatcherFleet.sale("10ms") + periodicJob("stock", "look", objects)
+                        + periodicJob("cash", "sale", objects) + "[leases]\nterm = \"1s\"\n\n" + faults);
     }
 
-    private static String inTurn(String what, double every, double length) {
-        StringBuilder all = new StringBuilder();
+    private static String periodicJob(String name, String type, int objects) {
+        return """
+                [[duty]]
+                name = "%s"
+                type = "%s"
+                every = "2s"
+                objects = %d
+                rate = 50
+                """.formatted(name, type, objects);
+    }
+
+    /** The fault for each dispatcher in turn. */
+    private static String faultOfEach(String kind, double intervalSeconds, double lengthSeconds) {
+        StringBuilder faults = new StringBuilder();
         for (int d = 1; d <= 5; d++) {
-            all.append(trouble(what, names("d" + d), every * d, length));
+            faults.append(fault(kind, names("d" + d), intervalSeconds * d, lengthSeconds));
         }
-        return all.toString();
+        return faults.toString();
     }
 
-    /** What is done under leases; the other rules are asked for in TogetherTest. */
-    private static void kept(RunOutcome o) {
-        for (Verdict.Rule rule : o.verdict.rules()) {
+    /** Checks the rules of leases and periodic jobs; the others are checked in FaultCampaignTest. */
+    private static void assertLeaseRulesKept(RunOutcome outcome) {
+        for (Verdict.Rule rule : outcome.verdict().rules()) {
             if (rule.name().contains("token") || rule.name().startsWith("a duty")) {
                 assertEquals(0, rule.broken(), rule.name() + ": " + rule.examples());
                 assertTrue(rule.atStake() > 0, rule.name());
@@ -50,44 +71,38 @@
         }
     }
 
-    private List<String> told(String what) throws IOException {
-        return new FiveDispatcherFleet(folder).told("leases", what);
-    }
-
     /**
-     * Each in turn for longer than the term, then all keepers at once over lossy ways, with what their disks
-     * have.
+     * Each dispatcher in turn is suspended for longer than the lease term. Then all acceptors are killed at
+     * once, over lossy links, and start again with what is on their disks.
      */
     @Test
-    void whoeverHoldsItStandsStillAndAllKeepersAreKilled() throws Exception {
-        CompletableFuture<String> page = CompletableFuture.supplyAsync(this::asked);
-        RunOutcome o = play(18, 3, 60, "",
-                inTurn("dispatcher-stopped", 2, 1.8)
-                        + trouble("way-lossy", names("*=*") + "\nrate = 0.2", 1, 15)
-                        + trouble("dispatcher-killed", names("d1", "d2", "d3"), 13, 1));
-        kept(o);
-        assertTrue(o.verdict.acts().takeovers() >= 2, o.verdict.acts().toString());
-        assertTrue(o.verdict.acts().once() > 200, o.verdict.acts().toString());
-        assertTrue(told("lapsed").size() >= 1, "and it says so when it goes on");
-        assertTrue(told("duty-over").size() >= 4, "runs come to their end");
-        assertTrue(page.get().matches(
-                "(?s)keepers 1 d1:\\S+,d2:\\S+,d3:\\S+.*  stock +d\\d +token \\d+, version \\d+, stands here for .*"
-                        + "  stock +run \\d+ .* of 60 settled.*"),
-                page.get());
+    void leaseHoldersAreSuspendedAndAllAcceptorsKilled() throws Exception {
+        CompletableFuture<String> page = CompletableFuture.supplyAsync(this::awaitStatusPage);
+        RunOutcome outcome = run(18, 60,
+                faultOfEach("dispatcher-stopped", 2, 1.8)
+                        + fault("way-lossy", names("*=*") + "\nrate = 0.2", 1, 15)
+                        + fault("dispatcher-killed", names("d1", "d2", "d3"), 13, 1));
+        assertLeaseRulesKept(outcome);
+        Verdict.Acts effects = outcome.verdict().acts();
+        assertTrue(effects.takeovers() >= 2, effects.toString());
+        assertTrue(effects.once() > 200, effects.toString());
+        assertTrue(fleet.leaseEvents("lapsed").size() >= 1, "and it says so when it goes on");
+        assertTrue(fleet.leaseEvents("duty-over").size() >= 4, "runs come to their end");
+        assertTrue(page.get().matches(STATUS_PAGE), page.get());
     }
 
-    /** The page of leases and duties as d5's operator sees it, once somebody holds what there is. */
-    private String asked() {
-        String file = folder.resolve("run/d5.toml").toString();
-        for (int i = 0; i < 300; i++) {
+    /** The status of leases and jobs as d5's operator sees it, as soon as a lease is held. */
+    private String awaitStatusPage() {
+        String file = fleet.runFolder().operatorFile(4).toString();
+        for (int attempt = 0; attempt < STATUS_ATTEMPTS; attempt++) {
             try {
-                Thread.sleep(100);
+                Thread.sleep(STATUS_INTERVAL_MS);
                 String leases = OperatorCommands.leases(file, new String[0]);
                 if (leases.matches("(?s).*  stock +d\\d .*")) {
                     return leases + OperatorCommands.duties(file);
                 }
-            } catch (java.io.IOException | RuntimeException e) {
-                // Not up yet, or stopped.
+            } catch (IOException | RuntimeException e) {
+                // The dispatcher does not run yet, or is suspended.
             } catch (InterruptedException e) {
                 Thread.currentThread().interrupt();
             }
--- a/src/test/java/rampshift/testbed/experiment/RateSearchTest.java
+++ b/src/test/java/rampshift/testbed/experiment/RateSearchTest.java
@@ -10,38 +10,38 @@
 class RateSearchTest {
     @ParameterizedTest
     @ValueSource(doubles = {30, 99, 250, 700, 1999, 7999})
-    void itFindsWhatIsCarriedToATenth(double limit) {
-        RateSearch climb = new RateSearch(250, 8000, 0.1);
-        int tries = 0;
-        while (climb.next() > 0) {
-            assertTrue(++tries < 40);
-            climb.told(climb.next() <= limit);
+    void findsTheCapacityToATenth(double capacity) {
+        RateSearch search = new RateSearch(250, 8000, 0.1);
+        int trials = 0;
+        while (search.nextRate() > 0) {
+            assertTrue(++trials < 40);
+            search.addResult(search.nextRate() <= capacity);
         }
-        assertTrue(climb.carried() <= limit && climb.carried() * 1.1 >= limit * 0.999,
-                climb.carried() + " of " + limit);
+        double found = search.highestCarried();
+        assertTrue(found <= capacity && found * 1.1 >= capacity * 0.999, found + " of " + capacity);
     }
 
     @Test
-    void oneHiccupIsNoLimitAndTheMostIsNotPassed() {
-        RateSearch climb = new RateSearch(100, 400, 0.1);
-        climb.told(false);
-        assertEquals(100, climb.next(), "once more");
-        climb.told(true);
-        climb.told(true);
-        assertEquals(400, climb.next());
-        climb.told(true);
-        assertEquals(0, climb.next());
-        assertEquals(400, climb.carried());
+    void oneFailureIsRepeatedAndTheMaximumIsNotExceeded() {
+        RateSearch search = new RateSearch(100, 400, 0.1);
+        search.addResult(false);
+        assertEquals(100, search.nextRate(), "once more");
+        search.addResult(true);
+        search.addResult(true);
+        assertEquals(400, search.nextRate());
+        search.addResult(true);
+        assertEquals(0, search.nextRate());
+        assertEquals(400, search.highestCarried());
     }
 
     @Test
-    void whereNothingIsCarriedItEnds() {
-        RateSearch climb = new RateSearch(100, 400, 0.1);
-        int tries = 0;
-        while (climb.next() > 0) {
-            assertTrue(++tries < 20);
-            climb.told(false);
+    void endsIfNoRateIsCarried() {
+        RateSearch search = new RateSearch(100, 400, 0.1);
+        int trials = 0;
+        while (search.nextRate() > 0) {
+            assertTrue(++trials < 20);
+            search.addResult(false);
         }
-        assertEquals(0, climb.carried());
+        assertEquals(0, search.highestCarried());
     }
 }
