--- a/src/main/java/rampshift/testbed/clients/Arrivals.java
+++ b/src/main/java/rampshift/testbed/clients/Arrivals.java
@@ -41,7 +41,7 @@
         workSampler = ZigguratSampler.Exponential.of(taskRandom);
         maxRatePerSecond = baseRatePerSecond() * maxBurstFactor();
         siteChoice = new WeightedChoice(plan.sites().stream().mapToDouble(FleetPlan.Site::share));
-        typeChoice = new WeightedChoice(plan.types().stream().mapToDouble(FleetPlan.Type::share));
+        typeChoice = new WeightedChoice(plan.types().stream().mapToDouble(FleetPlan.TrafficType::share));
     }
 
     private double baseRatePerSecond() {
@@ -113,12 +113,12 @@
 
     private Arrival drawTask(Span at, int site) {
         int typeIndex = typeChoice.draw(taskRandom);
-        FleetPlan.Type type = plan.types().get(typeIndex);
+        FleetPlan.TrafficType type = plan.types().get(typeIndex);
         Span work = type.work().times(drawWorkFactor(type.spread()));
         return new Arrival(at, site, typeIndex, work, drawObject());
     }
 
-    private double drawWorkFactor(FleetPlan.Type.Spread spread) {
+    private double drawWorkFactor(FleetPlan.TrafficType.Spread spread) {
         return switch (spread) {
             case FIXED -> 1;
             case EXPONENTIAL -> workSampler.sample();
--- a/src/main/java/rampshift/testbed/clients/ClientTask.java
+++ b/src/main/java/rampshift/testbed/clients/ClientTask.java
@@ -12,10 +12,11 @@
  * @param idempotencyKey 32 hexadecimal digits
  * @param dueAt when the client first wanted to send it
  */
-record ClientTask(long number, Arrival arrival, FleetPlan.Type type, String idempotencyKey, Moment dueAt) {
+record ClientTask(long number, Arrival arrival, FleetPlan.TrafficType type, String idempotencyKey,
+        Moment dueAt) {
 
     /** Whether a client may send a task again that may have run. */
     boolean isRepeatable() {
-        return type.effect() != FleetPlan.Type.Effect.SIDE_EFFECTING;
+        return type.effect() != FleetPlan.TrafficType.Effect.SIDE_EFFECTING;
     }
 }
--- a/src/main/java/rampshift/testbed/clients/TaskRequest.java
+++ b/src/main/java/rampshift/testbed/clients/TaskRequest.java
@@ -27,7 +27,7 @@
         appendField(request, "X-Txn", attemptId);
         appendField(request, "X-Lane", task.type().name());
         appendField(request, "X-Remaining", timeout.seconds());
-        if (task.type().effect() == FleetPlan.Type.Effect.FINGERPRINTED) {
+        if (task.type().effect() == FleetPlan.TrafficType.Effect.FINGERPRINTED) {
             appendField(request, "Idempotency-Key", task.idempotencyKey());
         }
         if (attemptNumber > 0) {
@@ -46,7 +46,7 @@
 
     /** What the emulated worker has to do, padded to the body size of the type. */
     private String body() {
-        FleetPlan.Type type = task.type();
+        FleetPlan.TrafficType type = task.type();
         StringBuilder body = new StringBuilder(type.body() + WORK_CAPACITY);
         body.append("work=").append(task.arrival().work().micros());
         body.append(',').append(type.slots());
--- a/src/main/java/rampshift/testbed/clients/TypeStatistics.java
+++ b/src/main/java/rampshift/testbed/clients/TypeStatistics.java
@@ -6,7 +6,7 @@
 
 /** What one load process has measured of one traffic type. */
 final class TypeStatistics {
-    private final FleetPlan.Type type;
+    private final FleetPlan.TrafficType type;
     private final long[] outcomeCounts = new long[AttemptOutcome.values().length];
     private final Histogram latency = MicrosHistogram.create();
     private final Histogram addedLatency = MicrosHistogram.create();
@@ -15,7 +15,7 @@
     private double offeredEarnings;
     private double earnings;
 
-    TypeStatistics(FleetPlan.Type type) {
+    TypeStatistics(FleetPlan.TrafficType type) {
         this.type = type;
     }
 
--- a/src/main/java/rampshift/testbed/discovery/EndpointRegistry.java
+++ b/src/main/java/rampshift/testbed/discovery/EndpointRegistry.java
@@ -20,7 +20,7 @@
     private static final double MIN_WEIGHT_CHANGE = 0.01;
     private static final long MIN_REFRESH_MS = 10;
 
-    private final FleetPlan.Roster settings;
+    private final FleetPlan.Discovery settings;
     private final XnioIoThread thread;
     private final List<WorkerEntry> entries;
     private final List<DiscoveryAgent> agents = new ArrayList<>();
@@ -36,7 +36,7 @@
      * @param initial the workers at the start
      * @throws IOException if a port cannot be opened
      */
-    public EndpointRegistry(FleetPlan.Roster settings, XnioWorker worker, EventLog eventLog, long seed,
+    public EndpointRegistry(FleetPlan.Discovery settings, XnioWorker worker, EventLog eventLog, long seed,
             int dispatcherCount, List<WorkerEntry> initial) throws IOException {
         this.settings = settings;
         thread = worker.getIoThread(0);
--- a/src/main/java/rampshift/testbed/experiment/DispatcherFaults.java
+++ b/src/main/java/rampshift/testbed/experiment/DispatcherFaults.java
@@ -19,7 +19,7 @@
     private final DispatcherProcesses dispatchers;
     private final EventLog eventLog;
     private final Moment start;
-    private final List<FleetPlan.Trouble> pendingFaults;
+    private final List<FleetPlan.Fault> pendingFaults;
     private final Map<Integer, Moment> restartTimes = new HashMap<>();
     private final Map<Integer, Moment> resumeTimes = new HashMap<>();
 
@@ -34,7 +34,7 @@
         this.eventLog = eventLog;
         this.start = start;
         pendingFaults = new ArrayList<>(
-                spec.plan().troubles().stream().filter(FleetPlan.Trouble::ofDispatchers).toList());
+                spec.plan().faults().stream().filter(FleetPlan.Fault::affectsDispatchers).toList());
     }
 
     /** Whether a dispatcher was killed or asked to end, and is not started again yet. */
@@ -50,7 +50,7 @@
     }
 
     private void beginFaults(Moment now) throws IOException, InterruptedException {
-        for (FleetPlan.Trouble fault : List.copyOf(pendingFaults)) {
+        for (FleetPlan.Fault fault : List.copyOf(pendingFaults)) {
             if (now.before(start.plus(fault.at()))) {
                 continue;
             }
@@ -63,14 +63,14 @@
         }
     }
 
-    private List<Integer> targets(FleetPlan.Trouble fault) {
+    private List<Integer> targets(FleetPlan.Fault fault) {
         List<String> names =
                 IntStream.range(0, dispatchers.count()).mapToObj(RunFolder::dispatcherName).toList();
         return FaultTargets.of(fault, names, RandomStreams.of(seed, "kill " + fault.at())).stream()
                 .map(RunFolder::dispatcherNumber).toList();
     }
 
-    private void begin(FleetPlan.Trouble fault, int dispatcher, Moment now)
+    private void begin(FleetPlan.Fault fault, int dispatcher, Moment now)
             throws IOException, InterruptedException {
         Moment end = now.plus(fault.length());
         switch (fault.what()) {
--- a/src/main/java/rampshift/testbed/experiment/OperatorFileWriter.java
+++ b/src/main/java/rampshift/testbed/experiment/OperatorFileWriter.java
@@ -45,9 +45,9 @@
         for (int other : othersThan(dispatcher)) {
             text.append(reach(dispatcher, other));
         }
-        if (!plan.leases().duties().isEmpty()) {
+        if (!plan.leases().periodicJobs().isEmpty()) {
             text.append(leases(dispatcher));
-            plan.leases().duties().forEach(duty -> text.append(periodicJob(duty)));
+            plan.leases().periodicJobs().forEach(duty -> text.append(periodicJob(duty)));
         }
         Files.writeString(folder.operatorFile(dispatcher), text.toString());
     }
@@ -113,8 +113,8 @@
                 : section;
     }
 
-    private String periodicJob(FleetPlan.Duty job) {
-        FleetPlan.Type type = plan.types().stream().filter(each -> each.name().equals(job.type()))
+    private String periodicJob(FleetPlan.PeriodicJob job) {
+        FleetPlan.TrafficType type = plan.types().stream().filter(each -> each.name().equals(job.type()))
                 .findFirst().orElseThrow();
         return """
                 [[duty]]
--- a/src/main/java/rampshift/testbed/experiment/PolicySettings.java
+++ b/src/main/java/rampshift/testbed/experiment/PolicySettings.java
@@ -33,7 +33,7 @@
         plan.machines().forEach(machine -> kinds.add(machine.name()));
         settings.put("Zone", site).put("Me", dispatcher).put("PeersTotal", plan.dispatcherCount())
                 .put("GranularityMs", TIMER_GRANULARITY_MS)
-                .put("WeightSource", plan.roster().liveWeights() ? "live" : "nominal");
+                .put("WeightSource", plan.discovery().liveWeights() ? "live" : "nominal");
         settings.putObject("Costs").put("CrossZone", CROSS_ZONE_COST).put("Waste", WASTE_COST).put("Probe",
                 PROBE_COST);
         addReports(settings.putObject("FamilyInfo"), settings.putObject("LoadInfo"));
@@ -82,13 +82,13 @@
     }
 
     private void addRules(ObjectNode rules) {
-        FleetPlan.Cold cold = plan.cold();
+        FleetPlan.SlowStart cold = plan.slowStart();
         rules.put("ColdFrom", cold.from()).put("ColdMs", cold.warm().millis()).put("TipMultiple", cold.tip())
                 .put("FallMs", cold.fall().millis())
-                .put("StopSendingWithinMs", plan.roster().grace().millis());
+                .put("StopSendingWithinMs", plan.discovery().grace().millis());
     }
 
-    private static void addTrafficType(ObjectNode fields, FleetPlan.Type type) {
+    private static void addTrafficType(ObjectNode fields, FleetPlan.TrafficType type) {
         fields.put("Name", type.name()).put("DueTimeMs", type.due().millis())
                 .put("AimStretch", type.stretch()).put("ExpiryMs", type.expiry().millis())
                 .put("Earnings", type.earnings()).put("TardyEarnings", type.lateEarnings())
@@ -96,7 +96,7 @@
                 .put("DedupScope", deduplicationScope(type.group()));
     }
 
-    private static String effect(FleetPlan.Type.Effect effect) {
+    private static String effect(FleetPlan.TrafficType.Effect effect) {
         return switch (effect) {
             case IDEMPOTENT -> "safe";
             case FINGERPRINTED -> "keyed";
@@ -104,7 +104,7 @@
         };
     }
 
-    private static String deduplicationScope(FleetPlan.Type.Group group) {
+    private static String deduplicationScope(FleetPlan.TrafficType.Group group) {
         return switch (group) {
             case ALL -> "all";
             case SITE -> "zone";
--- a/src/main/java/rampshift/testbed/experiment/Report.java
+++ b/src/main/java/rampshift/testbed/experiment/Report.java
@@ -137,14 +137,14 @@
     }
 
     private String faultList() {
-        if (plan.troubles().isEmpty()) {
+        if (plan.faults().isEmpty()) {
             return "";
         }
-        List<String> faults = plan.troubles().stream().map(Report::describe).toList();
+        List<String> faults = plan.faults().stream().map(Report::describe).toList();
         return "<p>Troubles, begin red and end green: " + String.join("; ", faults) + ".</p>";
     }
 
-    private static String describe(FleetPlan.Trouble fault) {
+    private static String describe(FleetPlan.Fault fault) {
         return fault.what().name().toLowerCase(Locale.ROOT).replace('_', ' ') + ' '
                 + escape(String.join(" ", fault.names())) + escape(fault.site()) + " at "
                 + format(fault.at().millis() / MS_PER_SECOND) + " s for "
--- a/src/main/java/rampshift/testbed/experiment/ReportCharts.java
+++ b/src/main/java/rampshift/testbed/experiment/ReportCharts.java
@@ -55,7 +55,7 @@
         if (seconds > 0) {
             results.arms().forEach(arm -> addEarnings(chart, arm, seconds));
         }
-        for (FleetPlan.Trouble fault : plan.troubles()) {
+        for (FleetPlan.Fault fault : plan.faults()) {
             double endMs = Math.min(plan.length().millis(), fault.at().plus(fault.length()).millis());
             addFaultMark(chart, fault.at().millis() / MS_PER_SECOND, MAX_PERCENT, FAULT_BEGIN_COLOR);
             addFaultMark(chart, endMs / MS_PER_SECOND, MAX_PERCENT, FAULT_END_COLOR);
--- a/src/main/java/rampshift/testbed/experiment/RunVerification.java
+++ b/src/main/java/rampshift/testbed/experiment/RunVerification.java
@@ -18,7 +18,8 @@
     /** Verifies all event logs of a folder. */
     static Verdict verify(FleetPlan plan, RunFolder folder) throws IOException {
         RuleChecker checker =
-                new RuleChecker(plan.roster().grace().micros(), SLACK_US, plan.members().knownBy().micros(),
+                new RuleChecker(plan.discovery().grace().micros(), SLACK_US,
+                        plan.members().knownBy().micros(),
                         plan.members().agreeBy().micros());
         for (Path eventLog : folder.eventLogs()) {
             readLines(eventLog, checker);
--- a/src/main/java/rampshift/testbed/experiment/TryCommand.java
+++ b/src/main/java/rampshift/testbed/experiment/TryCommand.java
@@ -59,7 +59,7 @@
         out.println("two sites, " + plan.workerCount() + " workers, " + plan.dispatcherCount()
                 + " dispatchers, " + Math.round(plan.length().millis() / MS_PER_SECOND)
                 + " s of mixed traffic:");
-        for (FleetPlan.Trouble fault : plan.troubles()) {
+        for (FleetPlan.Fault fault : plan.faults()) {
             out.printf("  at %2.0f s  %s, %s, for %.0f s%n", fault.at().millis() / MS_PER_SECOND,
                     fault.what().name().toLowerCase(Locale.ROOT), String.join(" ", fault.names()),
                     fault.length().millis() / MS_PER_SECOND);
--- a/src/main/java/rampshift/testbed/faults/DispatcherLinks.java
+++ b/src/main/java/rampshift/testbed/faults/DispatcherLinks.java
@@ -23,7 +23,7 @@
     }
 
     /** Changes the faults of all links that a fault of the plan affects. */
-    void changeFaults(FleetPlan.Trouble fault, Consumer<LinkFaults> change) {
+    void changeFaults(FleetPlan.Fault fault, Consumer<LinkFaults> change) {
         if (proxy == null) {
             return;
         }
--- a/src/main/java/rampshift/testbed/faults/FaultInjector.java
+++ b/src/main/java/rampshift/testbed/faults/FaultInjector.java
@@ -53,9 +53,9 @@
      */
     public void start(long seed, Moment startTime) {
         int number = 0;
-        for (FleetPlan.Trouble fault : plan.troubles()) {
+        for (FleetPlan.Fault fault : plan.faults()) {
             number++;
-            if (fault.ofDispatchers()) {
+            if (fault.affectsDispatchers()) {
                 continue;
             }
             List<String> targets = namesDispatchers(fault) ? fault.names()
@@ -68,9 +68,9 @@
     }
 
     /** Whether the names of a fault are not those of workers. */
-    private static boolean namesDispatchers(FleetPlan.Trouble fault) {
-        return fault.ofWays() || fault.what() == FleetPlan.Trouble.Kind.ROSTER_SILENT
-                || fault.what() == FleetPlan.Trouble.Kind.ROSTER_OLD;
+    private static boolean namesDispatchers(FleetPlan.Fault fault) {
+        return fault.affectsLinks() || fault.what() == FleetPlan.Fault.Kind.ROSTER_SILENT
+                || fault.what() == FleetPlan.Fault.Kind.ROSTER_OLD;
     }
 
     private void runAt(Moment when, Runnable action) {
@@ -78,7 +78,7 @@
         fleet.thread().executeAfter(action, delayMs, TimeUnit.MILLISECONDS);
     }
 
-    private void begin(FleetPlan.Trouble fault, List<String> targets) {
+    private void begin(FleetPlan.Fault fault, List<String> targets) {
         logTransition(fault, "begins", targets);
         switch (fault.what()) {
             case DRAIN -> targets.forEach(fleet::drain);
@@ -101,7 +101,7 @@
         }
     }
 
-    private void end(FleetPlan.Trouble fault, List<String> targets) {
+    private void end(FleetPlan.Fault fault, List<String> targets) {
         logTransition(fault, "ends", targets);
         switch (fault.what()) {
             case DRAIN -> targets.stream().filter(uid -> !fleet.isDown(uid)).forEach(fleet::terminate);
@@ -122,21 +122,21 @@
         }
     }
 
-    private void setSiteCut(FleetPlan.Trouble fault, boolean cut) {
+    private void setSiteCut(FleetPlan.Fault fault, boolean cut) {
         fleet.setCut(fault.site(), cut);
         setLinksCut(fault, cut);
     }
 
-    private void setLinksCut(FleetPlan.Trouble fault, boolean cut) {
+    private void setLinksCut(FleetPlan.Fault fault, boolean cut) {
         links.changeFaults(fault, link -> link.setCut(cut));
     }
 
-    private void setWorkerFault(FleetPlan.Trouble fault, List<String> targets, boolean active) {
+    private void setWorkerFault(FleetPlan.Fault fault, List<String> targets, boolean active) {
         targets.forEach(uid -> fleet.setFault(uid, fault, active));
     }
 
     /** Cuts links and restores them in turn, until the fault ends. */
-    private void flap(FleetPlan.Trouble fault, boolean cut, Moment end) {
+    private void flap(FleetPlan.Fault fault, boolean cut, Moment end) {
         Moment now = EventClock.now();
         if (now.before(end)) {
             setLinksCut(fault, cut);
@@ -145,7 +145,7 @@
     }
 
     /** Pauses workers for a short time, and again until the fault ends. */
-    private void pause(FleetPlan.Trouble fault, List<String> targets, Moment end) {
+    private void pause(FleetPlan.Fault fault, List<String> targets, Moment end) {
         Moment now = EventClock.now();
         if (!now.before(end)) {
             return;
@@ -155,12 +155,12 @@
         runAt(now.plus(fault.delay().times(PAUSE_INTERVAL_FACTOR)), () -> pause(fault, targets, end));
     }
 
-    private void logTransition(FleetPlan.Trouble fault, String transition, List<String> targets) {
+    private void logTransition(FleetPlan.Fault fault, String transition, List<String> targets) {
         String kind = fault.what().name().toLowerCase(Locale.ROOT);
         eventLog.append(EventClock.now(), "trouble", kind, transition, describe(fault, targets));
     }
 
-    private static String describe(FleetPlan.Trouble fault, List<String> targets) {
+    private static String describe(FleetPlan.Fault fault, List<String> targets) {
         if (targets.isEmpty()) {
             return fault.site();
         }
--- a/src/main/java/rampshift/testbed/faults/FaultTargets.java
+++ b/src/main/java/rampshift/testbed/faults/FaultTargets.java
@@ -19,7 +19,7 @@
      * @param random draws the targets that are not named
      * @return the named ones in the order of the candidates, then the drawn ones
      */
-    public static List<String> of(FleetPlan.Trouble fault, List<String> candidates,
+    public static List<String> of(FleetPlan.Fault fault, List<String> candidates,
             UniformRandomProvider random) {
         List<String> targets = new ArrayList<>();
         for (String candidate : candidates) {
--- a/src/main/java/rampshift/testbed/plan/DispatcherSections.java
+++ b/src/main/java/rampshift/testbed/plan/DispatcherSections.java
@@ -18,15 +18,15 @@
 
     private DispatcherSections() {}
 
-    static FleetPlan.Roster roster(TomlTable table) {
-        FleetPlan.Roster roster = new FleetPlan.Roster(
+    static FleetPlan.Discovery discovery(TomlTable table) {
+        FleetPlan.Discovery discovery = new FleetPlan.Discovery(
                 table.integer("port", 0, MAX_FIRST_PORT, 0),
                 table.range("delay", Range.of(200, 1000)),
                 table.flag("live_weights", false),
                 table.span("refresh", Span.ofMillis(1000)),
                 table.span("grace", Span.ofMillis(250)));
         table.rejectUnknownKeys();
-        return roster;
+        return discovery;
     }
 
     static FleetPlan.Network network(TomlTable table) {
@@ -66,34 +66,35 @@
         return members;
     }
 
-    static FleetPlan.Leases leases(TomlTable top, List<FleetPlan.Type> types) {
+    static FleetPlan.Leases leases(TomlTable top, List<FleetPlan.TrafficType> types) {
         TomlTable table = top.table("leases");
-        List<FleetPlan.Duty> duties = duties(top, types);
+        List<FleetPlan.PeriodicJob> periodicJobs = periodicJobs(top, types);
         FleetPlan.Leases leases = new FleetPlan.Leases(
                 table.integer("keepers", 1, 7, 3),
                 table.span("term", Span.ofMillis(2000)),
                 table.number("drift", 0, 0.3, 0.01),
                 table.flag("checked", true),
-                duties);
+                periodicJobs);
         table.rejectUnknownKeys();
         return leases;
     }
 
-    private static List<FleetPlan.Duty> duties(TomlTable top, List<FleetPlan.Type> types) {
-        List<FleetPlan.Duty> duties = new ArrayList<>();
+    private static List<FleetPlan.PeriodicJob> periodicJobs(TomlTable top,
+            List<FleetPlan.TrafficType> types) {
+        List<FleetPlan.PeriodicJob> periodicJobs = new ArrayList<>();
         for (TomlTable table : top.tables("duty")) {
-            FleetPlan.Duty duty = new FleetPlan.Duty(
+            FleetPlan.PeriodicJob job = new FleetPlan.PeriodicJob(
                     table.name("name"),
                     table.name("type"),
                     table.span("every", Span.ofMillis(5000)),
                     table.integer("objects", 1, MAX_OBJECTS, 10),
                     table.number("rate", 0.1, 10_000, 10));
-            if (types.stream().noneMatch(type -> type.name().equals(duty.type()))) {
-                table.fault("type", "is \"" + duty.type() + "\", which no [[type]] is named");
+            if (types.stream().noneMatch(type -> type.name().equals(job.type()))) {
+                table.fault("type", "is \"" + job.type() + "\", which no [[type]] is named");
             }
             table.rejectUnknownKeys();
-            duties.add(duty);
+            periodicJobs.add(job);
         }
-        return duties;
+        return periodicJobs;
     }
 }
--- a/src/main/java/rampshift/testbed/plan/TroubleSection.java
+++ b/src/main/java/rampshift/testbed/plan/FaultSections.java
@@ -7,20 +7,20 @@
 import rampshift.toml.TomlTable;
 
 /** Reads the tables of a fleet file that say which faults are injected. */
-final class TroubleSection {
+final class FaultSections {
     /** Two dispatchers, or any ({@code *}), and whether one direction ({@code >}) or both ({@code =}). */
     private static final Pattern LINK = Pattern.compile("(d\\d+|\\*)[>=](d\\d+|\\*)");
 
-    private TroubleSection() {}
+    private FaultSections() {}
 
-    static List<FleetPlan.Trouble> troubles(TomlTable top, List<FleetPlan.Site> sites) {
-        List<FleetPlan.Trouble> troubles = new ArrayList<>();
+    static List<FleetPlan.Fault> faults(TomlTable top, List<FleetPlan.Site> sites) {
+        List<FleetPlan.Fault> faults = new ArrayList<>();
         for (TomlTable table : top.tables("trouble")) {
             if (!table.has("what")) {
                 table.fault("what", "is missing, expected a kind of trouble");
             }
-            FleetPlan.Trouble trouble = new FleetPlan.Trouble(
-                    table.oneOf("what", FleetPlan.Trouble.Kind.class, FleetPlan.Trouble.Kind.SLOW),
+            FleetPlan.Fault fault = new FleetPlan.Fault(
+                    table.oneOf("what", FleetPlan.Fault.Kind.class, FleetPlan.Fault.Kind.SLOW),
                     table.span("at", Span.ZERO),
                     table.span("length", Span.ofMillis(5000)),
                     table.number("share", 0, 1, 0),
@@ -29,27 +29,27 @@
                     table.number("factor", 1, 1000, 4),
                     table.number("rate", 0, 1, 0.5),
                     table.span("delay", Span.ofMillis(1000)));
-            checkTargets(table, trouble);
+            checkTargets(table, fault);
             table.rejectUnknownKeys();
-            troubles.add(trouble);
+            faults.add(fault);
         }
-        return troubles;
+        return faults;
     }
 
-    private static void checkTargets(TomlTable table, FleetPlan.Trouble trouble) {
-        if (trouble.what() == FleetPlan.Trouble.Kind.CUT && trouble.site().isEmpty()) {
+    private static void checkTargets(TomlTable table, FleetPlan.Fault fault) {
+        if (fault.what() == FleetPlan.Fault.Kind.CUT && fault.site().isEmpty()) {
             table.fault("site", "is missing: a cut is of one site");
         }
-        if (!trouble.ofWays()) {
+        if (!fault.affectsLinks()) {
             return;
         }
-        for (String link : trouble.names()) {
+        for (String link : fault.names()) {
             if (!LINK.matcher(link).matches()) {
                 table.fault("names", "holds \"" + link
                         + "\", expected a pair such as \"d1>d2\", \"d1=d2\" or \"d1=*\"");
             }
         }
-        if (trouble.names().isEmpty() && trouble.site().isEmpty()) {
+        if (fault.names().isEmpty() && fault.site().isEmpty()) {
             table.fault("names", "is missing: pairs such as \"d1>d2\", or a site");
         }
     }
--- a/src/main/java/rampshift/testbed/plan/FleetPlan.java
+++ b/src/main/java/rampshift/testbed/plan/FleetPlan.java
@@ -17,21 +17,23 @@
  * @param arrivals how often tasks come
  * @param clients how clients send tasks
  * @param workers how workers behave
- * @param cold how workers behave after their start
+ * @param slowStart how workers behave after their start
  * @param reports which load reports workers send
- * @param roster how discovery agents tell the endpoint list
+ * @param discovery how discovery agents tell the endpoint list
  * @param network the delay between sites
  * @param dispatchers how dispatchers are started and configured
  * @param members whether dispatchers know one another
  * @param leases the leases and periodic jobs of dispatchers that know one another
- * @param troubles the faults to inject
+ * @param faults the faults to inject
  * @param trials how often an experiment runs each arm
  * @param ladder what the search for the highest rate is held to
  * @param arms the variants of this file that an experiment compares
  */
-public record FleetPlan(Span length, long seed, List<Site> sites, List<Machine> machines, List<Type> types,
-        Arrivals arrivals, Clients clients, Workers workers, Cold cold, Reports reports, Roster roster,
-        Network network, Dispatchers dispatchers, Members members, Leases leases, List<Trouble> troubles,
+public record FleetPlan(Span length, long seed, List<Site> sites, List<Machine> machines,
+        List<TrafficType> types,
+        Arrivals arrivals, Clients clients, Workers workers, SlowStart slowStart, Reports reports,
+        Discovery discovery,
+        Network network, Dispatchers dispatchers, Members members, Leases leases, List<Fault> faults,
         Trials trials, Ladder ladder, List<Arm> arms) {
 
     /**
@@ -59,7 +61,7 @@
      * @param slots how many slots its tasks may use together
      * @param speed the work that a slot does in a second, in seconds on a machine of speed 1
      * @param waiting how many tasks may wait; further ones are turned away
-     * @param memory how much memory its tasks may use together, in the unit of {@link Type#memory()}
+     * @param memory how much memory its tasks may use together, in the unit of {@link TrafficType#memory()}
      */
     public record Machine(String name, int slots, double speed, int waiting, double memory) {}
 
@@ -82,7 +84,7 @@
      * @param memory how much memory a task uses
      * @param body the size of a task's body, in bytes
      */
-    public record Type(String name, double share, Effect effect, Group group, Span window, Span work,
+    public record TrafficType(String name, double share, Effect effect, Group group, Span window, Span work,
             Spread spread, Span due, double stretch, Span expiry, double earnings, double lateEarnings,
             double slots, double memory, int body) {
         /**
@@ -164,7 +166,7 @@
      * @param tip how many times the work it can do a cold worker is to be sent to fail
      * @param fall the time over which that is measured
      */
-    public record Cold(double from, Span warm, double tip, Span fall) {}
+    public record SlowStart(double from, Span warm, double tip, Span fall) {}
 
     /**
      * Load reports of workers.
@@ -194,7 +196,7 @@
      * @param refresh how often live weights are told
      * @param grace how long after a drain was told attempts may still begin
      */
-    public record Roster(int port, Range delay, boolean liveWeights, Span refresh, Span grace) {}
+    public record Discovery(int port, Range delay, boolean liveWeights, Span refresh, Span grace) {}
 
     /**
      * The network.
@@ -235,7 +237,7 @@
      *        or of the processor time that is left
      * @param delay a time that depends on the kind, such as the age of reports
      */
-    public record Trouble(Kind what, Span at, Span length, double share, String site, List<String> names,
+    public record Fault(Kind what, Span at, Span length, double share, String site, List<String> names,
             double factor, double rate, Span delay) {
         /** The kinds of faults: of workers, discovery agents, dispatchers, and links between dispatchers. */
         public enum Kind {
@@ -300,7 +302,7 @@
         }
 
         /** Whether it befalls processes of dispatchers, so that whoever started them has to carry it out. */
-        public boolean ofDispatchers() {
+        public boolean affectsDispatchers() {
             return what.name().startsWith("DISPATCHER_");
         }
 
@@ -308,7 +310,7 @@
          * Whether it befalls links between dispatchers. Its names are pairs then: {@code d1>d2} for one
          * direction, {@code d1=d2} for both, {@code *} for any dispatcher.
          */
-        public boolean ofWays() {
+        public boolean affectsLinks() {
             return what.name().startsWith("WAY_");
         }
     }
@@ -333,9 +335,10 @@
      * @param term how long a lease is held without a renewal
      * @param drift the bound on the drift of clocks, as a share
      * @param checked whether workers refuse an effect under a lower fencing token than they have seen
-     * @param duties the periodic jobs
+     * @param periodicJobs the periodic jobs
      */
-    public record Leases(int keepers, Span term, double drift, boolean checked, List<Duty> duties) {}
+    public record Leases(int keepers, Span term, double drift, boolean checked,
+            List<PeriodicJob> periodicJobs) {}
 
     /**
      * A periodic job: its tasks are submitted by the holder of the lease of that name.
@@ -346,7 +349,7 @@
      * @param objects how many tasks a run has
      * @param rate how many tasks are submitted per second
      */
-    public record Duty(String name, String type, Span every, int objects, double rate) {}
+    public record PeriodicJob(String name, String type, Span every, int objects, double rate) {}
 
     /**
      * How often an experiment runs each arm.
--- a/src/main/java/rampshift/testbed/plan/FleetPlanReader.java
+++ b/src/main/java/rampshift/testbed/plan/FleetPlanReader.java
@@ -52,7 +52,7 @@
     private static FleetPlan plan(TomlTable.Source source, TomlTable top) {
         List<FleetPlan.Machine> machines = WorkerSections.machines(top);
         List<FleetPlan.Site> sites = WorkerSections.sites(top, machines);
-        List<FleetPlan.Type> types = LoadSections.types(top);
+        List<FleetPlan.TrafficType> types = LoadSections.types(top);
         require(source, sites, "site", "at least one site, as [[site]]");
         require(source, machines, "machine", "at least one machine, as [[machine]]");
         require(source, types, "type", "at least one traffic type, as [[type]]");
@@ -64,14 +64,14 @@
                 LoadSections.arrivals(top.table("arrivals"), sites),
                 LoadSections.clients(top.table("clients")),
                 WorkerSections.workers(top.table("workers")),
-                WorkerSections.cold(top.table("cold")),
+                WorkerSections.slowStart(top.table("cold")),
                 WorkerSections.reports(top.table("reports")),
-                DispatcherSections.roster(top.table("roster")),
+                DispatcherSections.discovery(top.table("roster")),
                 DispatcherSections.network(top.table("network")),
                 DispatcherSections.dispatchers(top.table("dispatchers")),
                 DispatcherSections.members(top.table("members"), top.has("members")),
                 DispatcherSections.leases(top, types),
-                TroubleSection.troubles(top, sites),
+                FaultSections.faults(top, sites),
                 ExperimentSections.trials(top.table("experiment")),
                 ExperimentSections.ladder(top.table("ladder")),
                 ExperimentSections.arms(top));
--- a/src/main/java/rampshift/testbed/plan/LoadSections.java
+++ b/src/main/java/rampshift/testbed/plan/LoadSections.java
@@ -14,23 +14,24 @@
 
     private LoadSections() {}
 
-    static List<FleetPlan.Type> types(TomlTable top) {
-        List<FleetPlan.Type> types = new ArrayList<>();
+    static List<FleetPlan.TrafficType> types(TomlTable top) {
+        List<FleetPlan.TrafficType> types = new ArrayList<>();
         for (TomlTable table : top.tables("type")) {
             types.add(type(table));
         }
         return types;
     }
 
-    private static FleetPlan.Type type(TomlTable table) {
-        FleetPlan.Type type = new FleetPlan.Type(
+    private static FleetPlan.TrafficType type(TomlTable table) {
+        FleetPlan.TrafficType type = new FleetPlan.TrafficType(
                 table.name("name"),
                 table.number("share", 0, 1e6, 1),
-                table.oneOf("effect", FleetPlan.Type.Effect.class, FleetPlan.Type.Effect.IDEMPOTENT),
-                table.oneOf("group", FleetPlan.Type.Group.class, FleetPlan.Type.Group.CELL),
+                table.oneOf("effect", FleetPlan.TrafficType.Effect.class,
+                        FleetPlan.TrafficType.Effect.IDEMPOTENT),
+                table.oneOf("group", FleetPlan.TrafficType.Group.class, FleetPlan.TrafficType.Group.CELL),
                 table.span("window", Span.ofMillis(5000)),
                 table.span("work", Span.ofMillis(50)),
-                table.oneOf("spread", FleetPlan.Type.Spread.class, FleetPlan.Type.Spread.FIXED),
+                table.oneOf("spread", FleetPlan.TrafficType.Spread.class, FleetPlan.TrafficType.Spread.FIXED),
                 table.span("due", Span.ofMillis(200)),
                 table.number("stretch", 0, 100, 2),
                 table.span("expiry", Span.ofMillis(5000)),
--- a/src/main/java/rampshift/testbed/plan/WorkerSections.java
+++ b/src/main/java/rampshift/testbed/plan/WorkerSections.java
@@ -70,14 +70,14 @@
         return workers;
     }
 
-    static FleetPlan.Cold cold(TomlTable table) {
-        FleetPlan.Cold cold = new FleetPlan.Cold(
+    static FleetPlan.SlowStart slowStart(TomlTable table) {
+        FleetPlan.SlowStart slowStart = new FleetPlan.SlowStart(
                 table.number("from", 0.01, 1, 0.12),
                 table.span("warm", Span.ofMillis(8000)),
                 table.number("tip", 1, 1000, 4),
                 table.span("fall", Span.ofMillis(1500)));
         table.rejectUnknownKeys();
-        return cold;
+        return slowStart;
     }
 
     static FleetPlan.Reports reports(TomlTable table) {
--- a/src/main/java/rampshift/testbed/workers/EffectGuard.java
+++ b/src/main/java/rampshift/testbed/workers/EffectGuard.java
@@ -6,7 +6,7 @@
 
 /** Decides for one worker whether a task that starts may have its effect, and records the decision. */
 final class EffectGuard {
-    private final List<FleetPlan.Type> types;
+    private final List<FleetPlan.TrafficType> types;
     private final List<IdempotencyKeys> keys;
     private final FencingTokens fencingTokens;
     private final WorkerEventLog events;
@@ -19,7 +19,7 @@
      * @param fencingTokens the tokens that all workers have received
      * @param events receives the decisions
      */
-    EffectGuard(List<FleetPlan.Type> types, List<IdempotencyKeys> keys, FencingTokens fencingTokens,
+    EffectGuard(List<FleetPlan.TrafficType> types, List<IdempotencyKeys> keys, FencingTokens fencingTokens,
             WorkerEventLog events) {
         this.types = types;
         this.keys = keys;
@@ -29,8 +29,8 @@
 
     /** Whether a task that starts now has its effect: it is no repetition, and its token is not refused. */
     boolean permits(Task task, Moment now) {
-        FleetPlan.Type type = types.get(task.type());
-        boolean repeated = type.effect() == FleetPlan.Type.Effect.FINGERPRINTED
+        FleetPlan.TrafficType type = types.get(task.type());
+        boolean repeated = type.effect() == FleetPlan.TrafficType.Effect.FINGERPRINTED
                 && keys.get(task.type()).isRepeated(task.idempotencyKey(), type.window(), now);
         if (repeated || task.leaseToken() == null) {
             events.taskStarted(now, task, type, repeated);
--- a/src/main/java/rampshift/testbed/workers/EmulatedWorker.java
+++ b/src/main/java/rampshift/testbed/workers/EmulatedWorker.java
@@ -76,7 +76,7 @@
     double weight() {
         double capacity = context.model().nominalCapacity();
         int slots = identity().machine().slots();
-        return context.fleet().plan().roster().liveWeights()
+        return context.fleet().plan().discovery().liveWeights()
                 ? capacity * slots / (slots + context.model().heldJobs())
                 : capacity;
     }
@@ -93,7 +93,7 @@
     }
 
     /** Starts or ends a fault of this worker. */
-    void setFault(FleetPlan.Trouble fault, boolean active) {
+    void setFault(FleetPlan.Fault fault, boolean active) {
         WorkerFaults faults = context.faults();
         faults.set(fault, active);
         context.reports().setDelay(faults.reportDelay());
--- a/src/main/java/rampshift/testbed/workers/Fleet.java
+++ b/src/main/java/rampshift/testbed/workers/Fleet.java
@@ -82,9 +82,9 @@
             workers.put(worker.identity().uid(), worker);
             entries.add(createEntry(worker));
         }
-        registry = new EndpointRegistry(plan.roster(), ioWorker, eventLog, seed, plan.dispatcherCount(),
+        registry = new EndpointRegistry(plan.discovery(), ioWorker, eventLog, seed, plan.dispatcherCount(),
                 entries);
-        if (plan.roster().liveWeights()) {
+        if (plan.discovery().liveWeights()) {
             registry.refreshWeights(uid -> find(uid).weight());
         }
     }
@@ -159,7 +159,7 @@
      * @param active whether it starts
      * @throws IllegalArgumentException if the fault is none of a worker
      */
-    public void setFault(String uid, FleetPlan.Trouble fault, boolean active) {
+    public void setFault(String uid, FleetPlan.Fault fault, boolean active) {
         find(uid).setFault(fault, active);
     }
 
--- a/src/main/java/rampshift/testbed/workers/OverloadDetector.java
+++ b/src/main/java/rampshift/testbed/workers/OverloadDetector.java
@@ -15,7 +15,7 @@
     private final ArrayDeque<ReceivedWork> received = new ArrayDeque<>();
     private double receivedInWindow;
 
-    OverloadDetector(FleetPlan.Cold settings) {
+    OverloadDetector(FleetPlan.SlowStart settings) {
         window = settings.fall();
         maxLoad = settings.tip();
     }
--- a/src/main/java/rampshift/testbed/workers/TaskReader.java
+++ b/src/main/java/rampshift/testbed/workers/TaskReader.java
@@ -19,7 +19,7 @@
 
     private final Map<String, Integer> typeIndexes = new HashMap<>();
 
-    TaskReader(List<FleetPlan.Type> types) {
+    TaskReader(List<FleetPlan.TrafficType> types) {
         for (int i = 0; i < types.size(); i++) {
             typeIndexes.put(types.get(i).name(), i);
         }
--- a/src/main/java/rampshift/testbed/workers/WorkerContext.java
+++ b/src/main/java/rampshift/testbed/workers/WorkerContext.java
@@ -23,7 +23,7 @@
     /** The context of a worker that is warm and has no jobs and no faults. */
     static WorkerContext create(FleetContext fleet, WorkerIdentity identity, UniformRandomProvider random) {
         FleetPlan plan = fleet.plan();
-        WorkerModel model = new WorkerModel(identity.machine(), plan.workers().inOrder(), plan.cold(),
+        WorkerModel model = new WorkerModel(identity.machine(), plan.workers().inOrder(), plan.slowStart(),
                 EventClock.now());
         return new WorkerContext(fleet, identity, model, new WorkerFaults(), new LoadReports(plan.reports()),
                 new WorkerEventLog(fleet.eventLog(), identity.uid()), random);
--- a/src/main/java/rampshift/testbed/workers/WorkerEventLog.java
+++ b/src/main/java/rampshift/testbed/workers/WorkerEventLog.java
@@ -62,13 +62,13 @@
     }
 
     /** A task has started; without effect if it repeats another one. */
-    void taskStarted(Moment now, Task task, FleetPlan.Type type, boolean repeated) {
+    void taskStarted(Moment now, Task task, FleetPlan.TrafficType type, boolean repeated) {
         eventLog.append(now, repeated ? "dropped" : "began", uid, task.transactionId(),
                 task.idempotencyKey(), type.name());
     }
 
     /** A task under a lease has started; without effect if its fencing token is refused. */
-    void leasedTaskStarted(Moment now, Task task, FleetPlan.Type type, boolean refused) {
+    void leasedTaskStarted(Moment now, Task task, FleetPlan.TrafficType type, boolean refused) {
         LeaseToken token = task.leaseToken();
         eventLog.append(now, refused ? "refused" : "effect", token.lease(), token.number(), uid,
                 task.transactionId(), task.idempotencyKey(), type.effect().name().toLowerCase(Locale.ROOT));
--- a/src/main/java/rampshift/testbed/workers/WorkerFaults.java
+++ b/src/main/java/rampshift/testbed/workers/WorkerFaults.java
@@ -26,7 +26,7 @@
      * @param active whether it starts
      * @throws IllegalArgumentException if the fault is of another kind
      */
-    void set(FleetPlan.Trouble fault, boolean active) {
+    void set(FleetPlan.Fault fault, boolean active) {
         double rate = active ? fault.rate() : 0;
         Span delay = active ? fault.delay() : Span.ZERO;
         switch (fault.what()) {
--- a/src/main/java/rampshift/testbed/workers/WorkerModel.java
+++ b/src/main/java/rampshift/testbed/workers/WorkerModel.java
@@ -19,7 +19,7 @@
 
     private final FleetPlan.Machine machine;
     private final boolean inOrder;
-    private final FleetPlan.Cold coldStart;
+    private final FleetPlan.SlowStart coldStart;
     private final OverloadDetector overloadDetector;
     private final List<Job> running = new ArrayList<>();
     private final ArrayDeque<Job> waiting = new ArrayDeque<>();
@@ -42,7 +42,7 @@
      * @param coldStart how it behaves after a restart
      * @param now the present time
      */
-    WorkerModel(FleetPlan.Machine machine, boolean inOrder, FleetPlan.Cold coldStart, Moment now) {
+    WorkerModel(FleetPlan.Machine machine, boolean inOrder, FleetPlan.SlowStart coldStart, Moment now) {
         this.machine = machine;
         this.inOrder = inOrder;
         this.coldStart = coldStart;
--- a/src/test/java/rampshift/testbed/plan/FleetPlanReaderTest.java
+++ b/src/test/java/rampshift/testbed/plan/FleetPlanReaderTest.java
@@ -111,7 +111,7 @@
                             null);
             assertEquals(2, plan.dispatcherCount());
             assertEquals(3, plan.machines().size());
-            assertEquals(3, plan.troubles().size());
+            assertEquals(3, plan.faults().size());
         }
     }
 }
--- a/src/test/java/rampshift/testbed/workers/WorkerModelTest.java
+++ b/src/test/java/rampshift/testbed/workers/WorkerModelTest.java
@@ -17,8 +17,8 @@
 
 class WorkerModelTest {
     private static final FleetPlan.Machine MACHINE = new FleetPlan.Machine("m", 2, 1, 2, 10);
-    private static final FleetPlan.Cold COLD_START =
-            new FleetPlan.Cold(0.25, Span.ofMillis(1000), 4, Span.ofMillis(100));
+    private static final FleetPlan.SlowStart COLD_START =
+            new FleetPlan.SlowStart(0.25, Span.ofMillis(1000), 4, Span.ofMillis(100));
     private final List<String> started = new ArrayList<>();
     private final List<String> completed = new ArrayList<>();
 
