--- a/src/main/java/rampshift/testbed/clients/AttemptResult.java
+++ b/src/main/java/rampshift/testbed/clients/AttemptResult.java
@@ -13,7 +13,7 @@
  * @param retryAfter for how long the dispatcher asked the client to wait; zero if it did not
  * @param workerTime how long the worker says that it took; empty if that is not known
  */
-record AttemptResult(AttemptOutcome outcome, boolean retryable, Span retryAfter, Optional<Span> workerTime) {
+record AttemptResult(ClientOutcome outcome, boolean retryable, Span retryAfter, Optional<Span> workerTime) {
 
     private static final int OK = 200;
     private static final int TOO_MANY_REQUESTS = 429;
@@ -24,7 +24,7 @@
     private static final Pattern RETRY_AFTER_SECONDS = Pattern.compile("\\d{1,6}(\\.\\d{1,6})?");
 
     /** The result of an attempt without a response that counts. */
-    static AttemptResult withoutResponse(AttemptOutcome outcome, boolean retryable) {
+    static AttemptResult withoutResponse(ClientOutcome outcome, boolean retryable) {
         return new AttemptResult(outcome, retryable, Span.ZERO, Optional.empty());
     }
 
@@ -37,15 +37,15 @@
     static AttemptResult ofResponse(Message response, boolean repeatable) {
         int status = response.status();
         if (status == OK) {
-            return new AttemptResult(AttemptOutcome.FINISHED, false, Span.ZERO, workerTime(response.text()));
+            return new AttemptResult(ClientOutcome.FINISHED, false, Span.ZERO, workerTime(response.text()));
         }
         if (status == TOO_MANY_REQUESTS || status == SERVICE_UNAVAILABLE) {
             Span retryAfter = retryAfter(response.field("Retry-After"));
-            return new AttemptResult(AttemptOutcome.REJECTED, true, retryAfter, Optional.empty());
+            return new AttemptResult(ClientOutcome.REJECTED, true, retryAfter, Optional.empty());
         }
-        AttemptOutcome outcome = status >= FIRST_SERVER_ERROR
-                ? AttemptOutcome.SERVER_ERROR
-                : AttemptOutcome.OTHER_RESPONSE;
+        ClientOutcome outcome = status >= FIRST_SERVER_ERROR
+                ? ClientOutcome.SERVER_ERROR
+                : ClientOutcome.OTHER_RESPONSE;
         return withoutResponse(outcome, repeatable);
     }
 
--- a/src/main/java/rampshift/testbed/clients/Attempt.java
+++ b/src/main/java/rampshift/testbed/clients/ClientAttempt.java
@@ -10,17 +10,17 @@
  * One attempt of a client to have a task run: from the choice of a dispatcher until there is a response or
  * none is awaited any longer. It is used on the I/O thread alone.
  */
-final class Attempt implements DispatcherConnection.ExchangeListener {
+final class ClientAttempt implements DispatcherConnection.ExchangeListener {
     /** For how long after the client's timeout a response is still awaited, to tell a late one from none. */
     private static final Span LATE_RESPONSE_WAIT = Span.ofMillis(400);
 
     /** Receives what becomes of an attempt. */
     interface Listener {
         /** The request is about to be sent for the first time; not called if nobody could be reached. */
-        void onSent(Attempt attempt, Moment now);
+        void onSent(ClientAttempt attempt, Moment now);
 
         /** The attempt has ended. Called once. */
-        void onEnded(Attempt attempt, AttemptResult result);
+        void onEnded(ClientAttempt attempt, AttemptResult result);
     }
 
     private final ClientTask task;
@@ -30,7 +30,7 @@
     private final AttemptContext context;
     private final Listener listener;
     private final Moment dueAt;
-    private final TaskRequest request;
+    private final ClientTaskRequest request;
     private final String id;
     private DispatcherConnection connection;
     private XnioExecutor.Key timer;
@@ -49,7 +49,7 @@
      * @param context what all attempts use
      * @param listener receives the end
      */
-    Attempt(ClientTask task, int number, Dispatcher dispatcher, ConnectionOwner connections,
+    ClientAttempt(ClientTask task, int number, Dispatcher dispatcher, ConnectionOwner connections,
             AttemptContext context, Listener listener) {
         this.task = task;
         this.number = number;
@@ -60,7 +60,7 @@
         dueAt = number == 0 ? task.dueAt() : EventClock.now();
         id = context.tasks().newAttemptId();
         Span timeout = task.type().expiry().times(context.plan().clients().patience());
-        request = new TaskRequest(task, id, number, timeout);
+        request = new ClientTaskRequest(task, id, number, timeout);
     }
 
     /** The task. */
@@ -103,7 +103,7 @@
     private void onUnreachable() {
         context.frontProxy().onFailure(dispatcher, EventClock.now());
         context.eventLog().onUnreachable(id, dispatcher);
-        end(AttemptResult.withoutResponse(AttemptOutcome.UNREACHABLE, true));
+        end(AttemptResult.withoutResponse(ClientOutcome.UNREACHABLE, true));
     }
 
     private void send(DispatcherConnection open) {
@@ -125,7 +125,7 @@
         }
         context.eventLog().onResponse(EventClock.now(), id, response);
         if (timedOut) {
-            end(AttemptResult.withoutResponse(AttemptOutcome.TIMED_OUT, false));
+            end(AttemptResult.withoutResponse(ClientOutcome.TIMED_OUT, false));
         } else {
             end(AttemptResult.ofResponse(response, task.isRepeatable()));
         }
@@ -149,7 +149,7 @@
         Moment now = EventClock.now();
         context.frontProxy().onFailure(dispatcher, now);
         context.eventLog().onConnectionLost(now, id, failure);
-        end(AttemptResult.withoutResponse(AttemptOutcome.CONNECTION_LOST, task.isRepeatable()));
+        end(AttemptResult.withoutResponse(ClientOutcome.CONNECTION_LOST, task.isRepeatable()));
     }
 
     /** A timer that was removed may still run, if it was due by then. */
@@ -166,7 +166,7 @@
             return;
         }
         context.eventLog().onTimeout(id);
-        end(AttemptResult.withoutResponse(AttemptOutcome.TIMED_OUT, task.isRepeatable()));
+        end(AttemptResult.withoutResponse(ClientOutcome.TIMED_OUT, task.isRepeatable()));
         connection.close();
     }
 
--- a/src/main/java/rampshift/testbed/clients/ConnectionPool.java
+++ b/src/main/java/rampshift/testbed/clients/ClientConnectionPool.java
@@ -5,7 +5,7 @@
 import java.util.Map;
 
 /** The persistent connections that await no response; the one that was used last is taken first. */
-final class ConnectionPool implements ConnectionOwner {
+final class ClientConnectionPool implements ConnectionOwner {
     private final boolean keepAlive;
     private final Map<Dispatcher, ArrayDeque<DispatcherConnection>> idle = new HashMap<>();
 
@@ -14,7 +14,7 @@
      *
      * @param keepAlive whether connections are used for more than one exchange
      */
-    ConnectionPool(boolean keepAlive) {
+    ClientConnectionPool(boolean keepAlive) {
         this.keepAlive = keepAlive;
     }
 
--- a/src/main/java/rampshift/testbed/clients/Dialer.java
+++ b/src/main/java/rampshift/testbed/clients/ClientDialer.java
@@ -12,13 +12,13 @@
 import rampshift.time.Span;
 
 /** Opens connections to dispatchers on the I/O thread. */
-final class Dialer {
+final class ClientDialer {
     private static final Span CONNECT_TIMEOUT = Span.ofMillis(3000);
     private static final OptionMap OPTIONS = OptionMap.create(Options.TCP_NODELAY, true);
 
     private final XnioIoThread thread;
 
-    Dialer(XnioIoThread thread) {
+    ClientDialer(XnioIoThread thread) {
         this.thread = thread;
     }
 
--- a/src/main/java/rampshift/testbed/clients/ClientEventLog.java
+++ b/src/main/java/rampshift/testbed/clients/ClientEventLog.java
@@ -29,7 +29,7 @@
     }
 
     /** A request is about to be sent for the first time. */
-    void onSent(Moment now, TaskRequest request, Dispatcher dispatcher) {
+    void onSent(Moment now, ClientTaskRequest request, Dispatcher dispatcher) {
         ClientTask task = request.task();
         String taskId = process + "." + task.number();
         String effect = task.type().effect().name().toLowerCase(Locale.ROOT);
--- a/src/main/java/rampshift/testbed/clients/AttemptOutcome.java
+++ b/src/main/java/rampshift/testbed/clients/ClientOutcome.java
@@ -1,7 +1,7 @@
 package rampshift.testbed.clients;
 
 /** How an attempt ended, as its client saw it. The order is that of the statistics file. */
-enum AttemptOutcome {
+enum ClientOutcome {
     /** Response 200. */
     FINISHED("finished"),
     /** Response 429 or 503: the task has not run. */
@@ -19,7 +19,7 @@
 
     private final String fieldName;
 
-    AttemptOutcome(String fieldName) {
+    ClientOutcome(String fieldName) {
         this.fieldName = fieldName;
     }
 
--- a/src/main/java/rampshift/testbed/clients/TaskRequest.java
+++ b/src/main/java/rampshift/testbed/clients/ClientTaskRequest.java
@@ -12,7 +12,7 @@
  * @param attemptNumber 0 for the first attempt, above 0 for retries
  * @param timeout how long the client waits for the response
  */
-record TaskRequest(ClientTask task, String attemptId, int attemptNumber, Span timeout) {
+record ClientTaskRequest(ClientTask task, String attemptId, int attemptNumber, Span timeout) {
 
     private static final int HEAD_CAPACITY = 320;
     private static final int WORK_CAPACITY = 40;
--- a/src/main/java/rampshift/testbed/clients/ClientTasks.java
+++ b/src/main/java/rampshift/testbed/clients/ClientTasks.java
@@ -11,13 +11,13 @@
  * The tasks of a run from their arrival to their last attempt: sends them, retries them, and passes what is
  * measured to the statistics. It is used on the I/O thread alone, but for {@link #await}.
  */
-final class ClientTasks implements Attempt.Listener {
+final class ClientTasks implements ClientAttempt.Listener {
     private final FleetPlan.Clients settings;
     private final AttemptContext context;
     private final LoadStatistics statistics;
     private final UniformRandomProvider random;
     private final Runnable onTaskEnded;
-    private final ConnectionPool connections;
+    private final ClientConnectionPool connections;
     private final CountDownLatch unfinished = new CountDownLatch(1);
     private Moment startedAt;
     private int inFlight;
@@ -38,7 +38,7 @@
         this.statistics = statistics;
         this.random = random;
         this.onTaskEnded = onTaskEnded;
-        connections = new ConnectionPool(settings.keep());
+        connections = new ClientConnectionPool(settings.keep());
     }
 
     /** Sets the start of the run, before the first arrival. */
@@ -89,18 +89,18 @@
 
     private void startAttempt(ClientTask task, int number, Moment now) {
         Dispatcher dispatcher = context.frontProxy().pick(task.arrival().site(), now);
-        new Attempt(task, number, dispatcher, connections, context, this).start();
+        new ClientAttempt(task, number, dispatcher, connections, context, this).start();
     }
 
     @Override
-    public void onSent(Attempt attempt, Moment now) {
+    public void onSent(ClientAttempt attempt, Moment now) {
         if (isMeasured(attempt.task())) {
             statistics.onSent(now.since(startedAt), now.since(attempt.dueAt()));
         }
     }
 
     @Override
-    public void onEnded(Attempt attempt, AttemptResult result) {
+    public void onEnded(ClientAttempt attempt, AttemptResult result) {
         if (isMeasured(attempt.task())) {
             recordEnd(attempt, result);
         }
@@ -113,22 +113,22 @@
         checkFinished();
     }
 
-    private void recordEnd(Attempt attempt, AttemptResult result) {
+    private void recordEnd(ClientAttempt attempt, AttemptResult result) {
         ClientTask task = attempt.task();
         Moment now = EventClock.now();
         Span at = now.since(startedAt);
         statistics.onAttemptEnded(task.arrival().type(), result, at, now.since(attempt.dueAt()));
-        if (result.outcome() == AttemptOutcome.FINISHED) {
+        if (result.outcome() == ClientOutcome.FINISHED) {
             statistics.onTaskFinished(task.arrival(), at, now.since(task.dueAt()));
         }
     }
 
-    private boolean mayRetry(Attempt attempt, AttemptResult result) {
+    private boolean mayRetry(ClientAttempt attempt, AttemptResult result) {
         boolean attemptsLeft = attempt.number() < settings.retries();
         return result.retryable() && attemptsLeft && !arrivalsEnded;
     }
 
-    private void scheduleRetry(Attempt attempt, AttemptResult result) {
+    private void scheduleRetry(ClientAttempt attempt, AttemptResult result) {
         Span delay = settings.pause().at(random.nextDouble());
         if (settings.honourReturn()) {
             delay = delay.orLonger(result.retryAfter());
--- a/src/main/java/rampshift/testbed/clients/DispatcherConnection.java
+++ b/src/main/java/rampshift/testbed/clients/DispatcherConnection.java
@@ -53,7 +53,7 @@
     }
 
     /** Sends a request and awaits its response. */
-    void exchange(TaskRequest request, ExchangeListener exchangeListener) {
+    void exchange(ClientTaskRequest request, ExchangeListener exchangeListener) {
         listener = exchangeListener;
         connection.write(request.encode());
     }
--- a/src/main/java/rampshift/testbed/clients/DispatcherConnector.java
+++ b/src/main/java/rampshift/testbed/clients/DispatcherConnector.java
@@ -6,7 +6,7 @@
 /** Opens connections on which tasks are sent, and counts them. */
 final class DispatcherConnector {
     private final XnioIoThread thread;
-    private final Dialer dialer;
+    private final ClientDialer dialer;
     private final ClientEventLog eventLog;
     private final LoadStatistics statistics;
 
@@ -18,7 +18,7 @@
      * @param eventLog receives what arrives unexpectedly
      * @param statistics counts the connections
      */
-    DispatcherConnector(XnioIoThread thread, Dialer dialer, ClientEventLog eventLog,
+    DispatcherConnector(XnioIoThread thread, ClientDialer dialer, ClientEventLog eventLog,
             LoadStatistics statistics) {
         this.thread = thread;
         this.dialer = dialer;
--- a/src/main/java/rampshift/testbed/clients/IdleConnections.java
+++ b/src/main/java/rampshift/testbed/clients/IdleClientConnections.java
@@ -12,7 +12,7 @@
  * Connections that each send one task and then stay open and idle. Their tasks are in no statistics; how many
  * connections the dispatchers close is.
  */
-final class IdleConnections implements ConnectionOwner, Attempt.Listener {
+final class IdleClientConnections implements ConnectionOwner, ClientAttempt.Listener {
     /** Between the first tasks of two connections, so that opening them does not disturb the run. */
     private static final Span OPEN_INTERVAL = Span.ofMillis(10);
     private static final Span TASK_WORK = Span.ofMillis(1);
@@ -31,7 +31,7 @@
      * @param context what all attempts use
      * @param statistics counts the connections that are lost
      */
-    IdleConnections(int count, AttemptContext context, LoadStatistics statistics) {
+    IdleClientConnections(int count, AttemptContext context, LoadStatistics statistics) {
         this.count = count;
         this.context = context;
         this.statistics = statistics;
@@ -62,7 +62,7 @@
         Arrival arrival =
                 new Arrival(Span.ZERO, dispatcher.site(), TASK_TYPE, TASK_WORK, Arrival.NO_OBJECT);
         ClientTask task = context.tasks().create(arrival, EventClock.now());
-        new Attempt(task, 0, dispatcher, this, context, this).start();
+        new ClientAttempt(task, 0, dispatcher, this, context, this).start();
     }
 
     /** Each task gets a connection of its own. */
@@ -89,12 +89,12 @@
     }
 
     @Override
-    public void onSent(Attempt attempt, Moment now) {
+    public void onSent(ClientAttempt attempt, Moment now) {
         // These tasks are in no statistics.
     }
 
     @Override
-    public void onEnded(Attempt attempt, AttemptResult result) {
+    public void onEnded(ClientAttempt attempt, AttemptResult result) {
         unfinished.countDown();
     }
 }
--- a/src/main/java/rampshift/testbed/clients/LoadGenerator.java
+++ b/src/main/java/rampshift/testbed/clients/LoadGenerator.java
@@ -25,7 +25,7 @@
     private final XnioWorker worker;
     private final XnioIoThread thread;
     private final LoadStatistics statistics;
-    private final IdleConnections idleConnections;
+    private final IdleClientConnections idleConnections;
     private final ClientTasks tasks;
     private final ReadinessProber prober;
     private final ArrivalPacer pacer;
@@ -51,12 +51,12 @@
         UniformRandomProvider frontRandom = RandomStreams.of(seed, "front " + process);
         FrontProxy frontProxy = new FrontProxy(plan, dispatchers, frontRandom);
         ClientEventLog clientEventLog = new ClientEventLog(eventLog, process);
-        Dialer dialer = new Dialer(thread);
+        ClientDialer dialer = new ClientDialer(thread);
         DispatcherConnector connector = new DispatcherConnector(thread, dialer, clientEventLog, statistics);
         AttemptContext context = new AttemptContext(plan, thread, frontProxy, connector, clientEventLog,
                 new TaskFactory(plan, random));
 
-        idleConnections = new IdleConnections(idleCount(plan, process), context, statistics);
+        idleConnections = new IdleClientConnections(idleCount(plan, process), context, statistics);
         tasks = new ClientTasks(context, statistics, random, this::onTaskEnded);
         prober = new ReadinessProber(thread, dialer, frontProxy, () -> !tasks.isFinished());
         pacer = new ArrivalPacer(plan, new Arrivals(plan, seed, process), thread, tasks);
--- a/src/main/java/rampshift/testbed/clients/LoadStatistics.java
+++ b/src/main/java/rampshift/testbed/clients/LoadStatistics.java
@@ -67,7 +67,7 @@
     void onAttemptEnded(int type, AttemptResult result, Span at, Span latency) {
         types.get(type).onAttemptEnded(result, latency);
         second(at).onAttemptEnded(result.outcome());
-        if (result.outcome() == AttemptOutcome.REJECTED) {
+        if (result.outcome() == ClientOutcome.REJECTED) {
             MicrosHistogram.record(rejectionLatency, latency);
         }
     }
@@ -96,13 +96,13 @@
 
     /** The counts so far. */
     LoadProgress progress() {
-        long failed = count(AttemptOutcome.SERVER_ERROR) + count(AttemptOutcome.CONNECTION_LOST)
-                + count(AttemptOutcome.UNREACHABLE) + count(AttemptOutcome.TIMED_OUT);
-        return new LoadProgress(sentCount(), count(AttemptOutcome.FINISHED), count(AttemptOutcome.REJECTED),
+        long failed = count(ClientOutcome.SERVER_ERROR) + count(ClientOutcome.CONNECTION_LOST)
+                + count(ClientOutcome.UNREACHABLE) + count(ClientOutcome.TIMED_OUT);
+        return new LoadProgress(sentCount(), count(ClientOutcome.FINISHED), count(ClientOutcome.REJECTED),
                 failed, earnedShare(), lateShare());
     }
 
-    private long count(AttemptOutcome outcome) {
+    private long count(ClientOutcome outcome) {
         return types.stream().mapToLong(type -> type.count(outcome)).sum();
     }
 
--- a/src/main/java/rampshift/testbed/clients/LoadStatisticsWriter.java
+++ b/src/main/java/rampshift/testbed/clients/LoadStatisticsWriter.java
@@ -48,7 +48,7 @@
         node.put("in_time", type.inTimeCount());
         node.put("asked", type.offeredEarnings());
         node.put("earned", type.earnings());
-        for (AttemptOutcome outcome : AttemptOutcome.values()) {
+        for (ClientOutcome outcome : ClientOutcome.values()) {
             node.put(outcome.fieldName(), type.count(outcome));
         }
     }
--- a/src/main/java/rampshift/testbed/clients/ReadinessProber.java
+++ b/src/main/java/rampshift/testbed/clients/ReadinessProber.java
@@ -17,7 +17,7 @@
     private static final int OK = 200;
 
     private final XnioIoThread thread;
-    private final Dialer dialer;
+    private final ClientDialer dialer;
     private final FrontProxy frontProxy;
     private final BooleanSupplier active;
 
@@ -29,7 +29,7 @@
      * @param frontProxy tells whom to ask, and hears who is ready
      * @param active whether to go on, asked after each round
      */
-    ReadinessProber(XnioIoThread thread, Dialer dialer, FrontProxy frontProxy, BooleanSupplier active) {
+    ReadinessProber(XnioIoThread thread, ClientDialer dialer, FrontProxy frontProxy, BooleanSupplier active) {
         this.thread = thread;
         this.dialer = dialer;
         this.frontProxy = frontProxy;
--- a/src/main/java/rampshift/testbed/clients/SecondStatistics.java
+++ b/src/main/java/rampshift/testbed/clients/SecondStatistics.java
@@ -20,7 +20,7 @@
     }
 
     /** An attempt has ended. */
-    void onAttemptEnded(AttemptOutcome outcome) {
+    void onAttemptEnded(ClientOutcome outcome) {
         switch (outcome) {
             case FINISHED -> finishedCount++;
             case REJECTED -> rejectedCount++;
--- a/src/main/java/rampshift/testbed/clients/TypeStatistics.java
+++ b/src/main/java/rampshift/testbed/clients/TypeStatistics.java
@@ -7,7 +7,7 @@
 /** What one load process has measured of one traffic type. */
 final class TypeStatistics {
     private final FleetPlan.TrafficType type;
-    private final long[] outcomeCounts = new long[AttemptOutcome.values().length];
+    private final long[] outcomeCounts = new long[ClientOutcome.values().length];
     private final Histogram latency = MicrosHistogram.create();
     private final Histogram addedLatency = MicrosHistogram.create();
     private long taskCount;
@@ -34,7 +34,7 @@
      */
     void onAttemptEnded(AttemptResult result, Span attemptLatency) {
         outcomeCounts[result.outcome().ordinal()]++;
-        if (result.outcome() == AttemptOutcome.FINISHED) {
+        if (result.outcome() == ClientOutcome.FINISHED) {
             MicrosHistogram.record(latency, attemptLatency);
             result.workerTime().ifPresent(
                     workerTime -> MicrosHistogram.record(addedLatency, attemptLatency.minus(workerTime)));
@@ -82,7 +82,7 @@
     }
 
     /** How many attempts have ended so. */
-    long count(AttemptOutcome outcome) {
+    long count(ClientOutcome outcome) {
         return outcomeCounts[outcome.ordinal()];
     }
 
--- a/src/main/java/rampshift/testbed/experiment/DispatcherFaults.java
+++ b/src/main/java/rampshift/testbed/experiment/DispatcherFaultRunner.java
@@ -14,7 +14,7 @@
 import rampshift.time.Moment;
 
 /** Carries out the plan's faults of dispatchers' processes, and writes them to the run's event log. */
-final class DispatcherFaults {
+final class DispatcherFaultRunner {
     private final long seed;
     private final DispatcherProcesses dispatchers;
     private final EventLog eventLog;
@@ -28,7 +28,7 @@
      *
      * @param start from which the faults' times count
      */
-    DispatcherFaults(RunSpec spec, DispatcherProcesses dispatchers, EventLog eventLog, Moment start) {
+    DispatcherFaultRunner(RunSpec spec, DispatcherProcesses dispatchers, EventLog eventLog, Moment start) {
         seed = spec.seed();
         this.dispatchers = dispatchers;
         this.eventLog = eventLog;
--- a/src/main/java/rampshift/testbed/experiment/FleetRun.java
+++ b/src/main/java/rampshift/testbed/experiment/FleetRun.java
@@ -108,7 +108,7 @@
 
     /** Carries out faults and tells the progress until the load has ended. */
     private void superviseLoad(Moment start, EventLog eventLog) throws IOException, InterruptedException {
-        DispatcherFaults faults = new DispatcherFaults(spec, dispatchers, eventLog, start);
+        DispatcherFaultRunner faults = new DispatcherFaultRunner(spec, dispatchers, eventLog, start);
         Moment warm = start.plus(plan.clients().warmUp());
         Moment nextProgress = start.plus(PROGRESS_INTERVAL);
         while (load.isAnyAlive()) {
--- a/src/main/java/rampshift/testbed/verification/DispatcherFaults.java
+++ b/src/main/java/rampshift/testbed/verification/DispatcherFaultHistory.java
@@ -14,7 +14,7 @@
  * The faults that keep dispatchers from hearing one another: processes that were killed, shut down, suspended
  * or starved, and faulty links. Times are in microseconds of Unix time, dispatchers go by their names.
  */
-final class DispatcherFaults implements LogEventListener {
+final class DispatcherFaultHistory implements LogEventListener {
     private final IntervalTable<String> absences = new IntervalTable<>();
     /** Those of the absences in which the process was killed. */
     private final IntervalTable<String> kills = new IntervalTable<>();
--- a/src/main/java/rampshift/testbed/verification/MembershipChecker.java
+++ b/src/main/java/rampshift/testbed/verification/MembershipChecker.java
@@ -27,7 +27,7 @@
     private final RuleTally detection = new RuleTally("failures known in time");
     private final RuleTally accuracy = new RuleTally("nobody sound taken for failed");
     private final RuleTally agreement = new RuleTally("all agree after the last fault");
-    private final DispatcherFaults faults;
+    private final DispatcherFaultHistory faults;
     private final long detectionLimitMicros;
     private final long agreementLimitMicros;
     private final List<MembershipChanged> changes = new ArrayList<>();
@@ -42,7 +42,7 @@
      * @param detectionLimitMicros how long after a failure all others are to know of it, in microseconds
      * @param agreementLimitMicros how long after the last fault all are to agree, in microseconds
      */
-    MembershipChecker(DispatcherFaults faults, long detectionLimitMicros, long agreementLimitMicros) {
+    MembershipChecker(DispatcherFaultHistory faults, long detectionLimitMicros, long agreementLimitMicros) {
         this.faults = faults;
         this.detectionLimitMicros = detectionLimitMicros;
         this.agreementLimitMicros = agreementLimitMicros;
--- a/src/main/java/rampshift/testbed/verification/RuleChecker.java
+++ b/src/main/java/rampshift/testbed/verification/RuleChecker.java
@@ -61,7 +61,7 @@
 
         RequestTable requests = new RequestTable();
         LeaseEffectChecker leaseEffects = new LeaseEffectChecker();
-        DispatcherFaults faults = new DispatcherFaults();
+        DispatcherFaultHistory faults = new DispatcherFaultHistory();
         MembershipChecker membership =
                 new MembershipChecker(faults, detectionLimitMicros, agreementLimitMicros);
         notify(byTime, requests, leaseEffects, faults, membership);
--- a/src/test/java/rampshift/testbed/clients/AttemptResultTest.java
+++ b/src/test/java/rampshift/testbed/clients/AttemptResultTest.java
@@ -26,7 +26,7 @@
     @Test
     void aFinishedAttemptHasTheWorkerTimeAfterTheLastSlash() {
         AttemptResult result = resultOf(200, "A: b", "w/t/1500", true);
-        assertEquals(AttemptOutcome.FINISHED, result.outcome());
+        assertEquals(ClientOutcome.FINISHED, result.outcome());
         assertEquals(Optional.of(new Span(1500)), result.workerTime());
         assertFalse(result.retryable());
         assertEquals(Optional.empty(), resultOf(200, "A: b", "w/t/-1", true).workerTime());
@@ -35,8 +35,8 @@
 
     @Test
     void aRejectedAttemptIsRetryableWhateverTheTaskIs() {
-        assertEquals(AttemptOutcome.REJECTED, resultOf(429, "A: b", "", false).outcome());
-        assertEquals(AttemptOutcome.REJECTED, resultOf(503, "A: b", "", false).outcome());
+        assertEquals(ClientOutcome.REJECTED, resultOf(429, "A: b", "", false).outcome());
+        assertEquals(ClientOutcome.REJECTED, resultOf(503, "A: b", "", false).outcome());
         assertTrue(resultOf(429, "A: b", "", false).retryable());
         assertTrue(resultOf(503, "A: b", "", false).retryable());
     }
@@ -51,8 +51,8 @@
 
     @Test
     void anyOtherResponseIsRetryableOnlyIfTheTaskIsRepeatable() {
-        assertEquals(AttemptOutcome.SERVER_ERROR, resultOf(504, "A: b", "", true).outcome());
-        assertEquals(AttemptOutcome.OTHER_RESPONSE, resultOf(400, "A: b", "", true).outcome());
+        assertEquals(ClientOutcome.SERVER_ERROR, resultOf(504, "A: b", "", true).outcome());
+        assertEquals(ClientOutcome.OTHER_RESPONSE, resultOf(400, "A: b", "", true).outcome());
         assertTrue(resultOf(504, "A: b", "", true).retryable());
         assertFalse(resultOf(504, "A: b", "", false).retryable());
         assertTrue(resultOf(400, "A: b", "", true).retryable());
