--- a/src/main/java/rampshift/testbed/experiment/Figure.java
+++ b/src/main/java/rampshift/testbed/experiment/Figure.java
@@ -6,7 +6,7 @@
     SERVED_EARNINGS("earnings served, %"),
     /** How many tasks finished in a second. */
     FINISHED_RATE("finished a second"),
-    /** The share of the tasks that were rejected. */
+    /** The share of the clients' attempts that were rejected. */
     BOUNCED("bounced, %"),
     /** The median latency. */
     LATENCY_MEDIAN("latency p50, ms"),
--- a/src/main/java/rampshift/testbed/experiment/LoadProcesses.java
+++ b/src/main/java/rampshift/testbed/experiment/LoadProcesses.java
@@ -35,9 +35,7 @@
     }
 
     private synchronized void handleOutput(int process, String line) {
-        if (LoadProgress.isProgress(line)) {
-            progress.put(process, LoadProgress.parse(line));
-        }
+        LoadProgress.parse(line).ifPresent(parsed -> progress.put(process, parsed));
     }
 
     /**
--- a/src/main/java/rampshift/testbed/experiment/LoadProgress.java
+++ b/src/main/java/rampshift/testbed/experiment/LoadProgress.java
@@ -2,6 +2,7 @@
 
 import java.util.Collection;
 import java.util.Locale;
+import java.util.Optional;
 import java.util.function.ToDoubleFunction;
 import rampshift.time.Span;
 
@@ -17,18 +18,25 @@
 record LoadProgress(double sent, double finished, double bounced, double others, double servedEarningsShare) {
 
     private static final String PREFIX = "progress ";
+    private static final int FIELDS = 5;
     private static final double MS_PER_SECOND = 1000;
 
-    /** Whether a line of output is one about progress. */
-    static boolean isProgress(String line) {
-        return line.startsWith(PREFIX);
-    }
-
-    /** Parses a line for which {@link #isProgress} is true. */
-    static LoadProgress parse(String line) {
+    /** Parses a line of output; empty unless it is a complete line about progress. */
+    static Optional<LoadProgress> parse(String line) {
+        if (!line.startsWith(PREFIX)) {
+            return Optional.empty();
+        }
         String[] fields = line.substring(PREFIX.length()).split(" ");
-        return new LoadProgress(Double.parseDouble(fields[0]), Double.parseDouble(fields[1]),
-                Double.parseDouble(fields[2]), Double.parseDouble(fields[3]), Double.parseDouble(fields[4]));
+        if (fields.length < FIELDS) {
+            return Optional.empty();
+        }
+        try {
+            return Optional.of(new LoadProgress(Double.parseDouble(fields[0]), Double.parseDouble(fields[1]),
+                    Double.parseDouble(fields[2]), Double.parseDouble(fields[3]),
+                    Double.parseDouble(fields[4])));
+        } catch (NumberFormatException e) {
+            return Optional.empty(); // The process was killed within the line.
+        }
     }
 
     /** One line for a person about all processes together. */
--- a/src/main/java/rampshift/testbed/experiment/OperatorFileWriter.java
+++ b/src/main/java/rampshift/testbed/experiment/OperatorFileWriter.java
@@ -5,6 +5,7 @@
 import java.nio.file.Files;
 import java.util.ArrayList;
 import java.util.List;
+import java.util.Locale;
 import rampshift.testbed.links.LinkProxy;
 import rampshift.testbed.plan.FleetPlan;
 
@@ -66,7 +67,7 @@
         InetSocketAddress listen = members.get(dispatcher);
         List<String> seeds = othersThan(dispatcher).stream().limit(MAX_SEEDS)
                 .map(other -> quoted(address(dispatcher, other))).toList();
-        return """
+        return String.format(Locale.ROOT, """
                 [members]
                 fleet = "trial"
                 site = "%s"
@@ -76,7 +77,7 @@
                 news = %s
                 ledger = '%s'
                 seeds = [%s]
-                """.formatted(plan.sites().get(site).name(), listen.getHostString(), listen.getPort(),
+                """, plan.sites().get(site).name(), listen.getHostString(), listen.getPort(),
                 plan.members().period().micros(), Math.round(plan.members().forget().millis()),
                 plan.members().news(), folder.membershipEventLog(dispatcher), String.join(", ", seeds));
     }
@@ -100,13 +101,13 @@
         for (int acceptor = 0; acceptor < Math.min(leases.keepers(), plan.dispatcherCount()); acceptor++) {
             acceptors.add(quoted(RunFolder.dispatcherName(acceptor)));
         }
-        String section = """
+        String section = String.format(Locale.ROOT, """
                 [leases]
                 keepers = [%s]
                 term = "%dms"
                 drift = %s
                 ledger = '%s'
-                """.formatted(String.join(", ", acceptors), Math.round(leases.term().millis()),
+                """, String.join(", ", acceptors), Math.round(leases.term().millis()),
                 leases.drift(), folder.leaseEventLog(dispatcher));
         boolean isAcceptor = dispatcher < leases.keepers();
         return isAcceptor ? section + "directory = '" + folder.acceptorDirectory(dispatcher) + "'\n"
@@ -116,7 +117,7 @@
     private String periodicJob(FleetPlan.PeriodicJob job) {
         FleetPlan.TrafficType type = plan.types().stream().filter(each -> each.name().equals(job.type()))
                 .findFirst().orElseThrow();
-        return """
+        return String.format(Locale.ROOT, """
                 [[duty]]
                 name = "%s"
                 type = "%s"
@@ -125,7 +126,7 @@
                 rate = %s
                 target = "/api/{object}"
                 body = "work=%d,%s,%s;"
-                """.formatted(job.name(), job.type(), Math.round(job.every().millis()), job.objects(),
+                """, job.name(), job.type(), Math.round(job.every().millis()), job.objects(),
                 job.rate(), type.work().micros(), type.slots(), type.memory());
     }
 
--- a/src/main/java/rampshift/testbed/experiment/TaskEnd.java
+++ b/src/main/java/rampshift/testbed/experiment/TaskEnd.java
@@ -2,13 +2,13 @@
 
 import java.util.Locale;
 
-/** How a task ended, as its client saw it. */
+/** How an attempt of a client ended, as the client saw it. */
 enum TaskEnd {
     /** With a good response. */
     FINISHED,
     /** With a rejection. */
     BOUNCED,
-    /** The client gave up. */
+    /** With a 5xx response other than a rejection. */
     ABANDONED,
     /** With a response that forbids retries. */
     TURNED_DOWN,
@@ -16,7 +16,7 @@
     BROKEN,
     /** No connection came about. */
     UNREACHABLE,
-    /** With no response. */
+    /** With no response before the client gave up. */
     NO_ANSWER;
 
     /** Its field in the files of counts. */
--- a/src/main/java/rampshift/testbed/experiment/TrafficCounts.java
+++ b/src/main/java/rampshift/testbed/experiment/TrafficCounts.java
@@ -62,12 +62,12 @@
         return ends.get(end);
     }
 
-    /** How many tasks ended in any way. */
+    /** How many attempts of clients ended in any way. */
     double endedInAnyWay() {
         return ends.values().stream().mapToDouble(Double::doubleValue).sum();
     }
 
-    /** How many tasks failed otherwise than by a rejection or because their clients gave up. */
+    /** How many attempts of clients ended neither finished nor rejected, nor with a 5xx response. */
     double failedOtherwise() {
         return ended(TaskEnd.TURNED_DOWN) + ended(TaskEnd.BROKEN) + ended(TaskEnd.UNREACHABLE)
                 + ended(TaskEnd.NO_ANSWER);
