--- a/src/main/java/rampshift/connections/HttpConnection.java
+++ b/src/main/java/rampshift/connections/HttpConnection.java
@@ -18,7 +18,7 @@
 public final class HttpConnection {
     /** What is read at one readiness event, so that a peer that never stops leaves time for the others. */
     static final int MAX_BYTES_PER_READ_EVENT = 128 * 1024;
-    /** What is read at one {@link #poll()}: a whole endpoint list of the greatest size that is accepted. */
+    /** What is read at one {@link #poll()}: about as much as the longest endpoint list that is accepted. */
     static final int MAX_BYTES_PER_POLL = 2 * 1024 * 1024;
     private static final int NANOS_PER_MICRO = 1000;
 
--- a/src/main/java/rampshift/counters/Counters.java
+++ b/src/main/java/rampshift/counters/Counters.java
@@ -29,7 +29,7 @@
         CLIENTS_LEFT("client_gone"),
         /** Attempts that were started. */
         ATTEMPTS("assigned"),
-        /** Attempts whose first byte was withheld since the worker had begun to drain. */
+        /** Attempts withheld before the first byte: worker draining, moved, restarted; late; client gone. */
         ATTEMPTS_WITHHELD("first_byte_held_back"),
         /** Attempts that were canceled. */
         ATTEMPTS_CANCELED("called_off"),
--- a/src/main/java/rampshift/pipeline/AdmissionControl.java
+++ b/src/main/java/rampshift/pipeline/AdmissionControl.java
@@ -7,8 +7,8 @@
 import rampshift.time.Span;
 
 /**
- * Bounds the tasks in flight. Beyond the bounds tasks are rejected, which is harmless: nothing was forwarded
- * yet.
+ * Admits a task, or rejects it: beyond the bounds on tasks in flight, past its time, or during a stop. That
+ * is harmless, since nothing was forwarded yet. The policy rejects by what it expects of workers.
  */
 public final class AdmissionControl {
     private final int maxTasks;
--- a/src/main/java/rampshift/pipeline/Responder.java
+++ b/src/main/java/rampshift/pipeline/Responder.java
@@ -22,7 +22,7 @@
         respond(task, Counters.Name.TASKS_FINISHED, OK, null, result);
     }
 
-    /** Rejects a task of which nothing has run, with an advice after what time to retry; zero for none. */
+    /** Rejects a task that never ran or may run again, with a span to retry after; zero to tell none. */
     void rejected(InFlightTask task, Span retryAfter) {
         String seconds = MIN_RETRY_AFTER.longerThan(retryAfter) ? null : retryAfter.seconds();
         respond(task, Counters.Name.TASKS_REJECTED, SERVICE_UNAVAILABLE, seconds, EMPTY);
--- a/src/main/java/rampshift/policy/DispatchPolicy.java
+++ b/src/main/java/rampshift/policy/DispatchPolicy.java
@@ -8,8 +8,8 @@
  *
  * <p>A host sets the time and reports what it observed through the {@code on...} methods, which only update
  * what is known. Then it calls {@link #decideNext} until that is false; each call that is true made one call
- * on the {@link Decisions}. This class hands inputs to the parts and carries out what they decide; it decides
- * nothing itself. The mechanism is {@link RedundantToIdleQueue}; docs/design.md tells what was kept and why.
+ * on the {@link Decisions}. This class hands inputs to the parts and carries out what they decide. The
+ * mechanism is {@link RedundantToIdleQueue}; docs/design.md tells what was kept and why.
  */
 public final class DispatchPolicy {
     private final PolicyContext context;
--- a/src/main/java/rampshift/policy/TaskAction.java
+++ b/src/main/java/rampshift/policy/TaskAction.java
@@ -4,7 +4,7 @@
 sealed interface TaskAction {
     /** Nothing: its attempts go on, or something is awaited. */
     TaskAction WAIT = new Wait();
-    /** It gets its final answer: rejected where that is lawful, else failed. */
+    /** It gets its final answer: rejected where that is lawful, else failed. All rejections come by this. */
     TaskAction GIVE_UP = new GiveUp(false);
     /** The same, where none of the workers drawn may be sent to. */
     TaskAction NOBODY_PERMITTED = new GiveUp(true);
--- a/src/main/java/rampshift/serve/GracefulShutdown.java
+++ b/src/main/java/rampshift/serve/GracefulShutdown.java
@@ -38,7 +38,7 @@
 
     /** What is done at a time; each phase includes what the one before does. */
     private enum Phase {
-        /** Requests are admitted as before. */
+        /** Requests are admitted as before; from {@link #shortTasksFrom} on only those that end in time. */
         DRAINING,
         /** Requests are rejected, and connections closed between requests. */
         CLOSING,
