--- a/src/test/java/rampshift/policy/WorkerEstimatesTest.java
+++ b/src/test/java/rampshift/policy/WorkerEstimatesTest.java
@@ -8,6 +8,7 @@
 
 import java.util.HashSet;
 import java.util.Set;
+import org.junit.jupiter.api.Tag;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.ValueSource;
@@ -21,6 +22,19 @@
         assertNotEquals(host.worker(host.task(NON_IDEMPOTENT), 0), host.worker(host.task(NON_IDEMPOTENT), 0));
     }
 
+    /**
+     * Its running time is not known, so its latency objective stands for it, and that is divided by the
+     * speed of workers. One slow run among short ones makes them look so slow that the type is rejected.
+     */
+    @Test
+    @Tag("known-red")
+    void aTypeThatNeverRanIsNotRejectedWhereWorkersLookSlow() {
+        FakeHost host = new FakeHost().fleet(1).train(IDEMPOTENT, 10, 1).train(IDEMPOTENT, 1, 100);
+        long id = host.task(NON_IDEMPOTENT);
+        assertEquals(0, host.count("reject " + id + " "));
+        assertEquals(1, host.worker(id, 0));
+    }
+
     @Test
     void liveWeightsOfTheListTellWhichWorkerIsBusy() {
         FakeHost host = new FakeHost();
