--- a/src/main/java/rampshift/testbed/clients/ClientAttempt.java
+++ b/src/main/java/rampshift/testbed/clients/ClientAttempt.java
@@ -1,8 +1,8 @@
 package rampshift.testbed.clients;
 
-import org.xnio.XnioExecutor;
 import rampshift.eventlog.EventClock;
 import rampshift.testbed.wire.Message;
+import rampshift.time.IoTimer;
 import rampshift.time.Moment;
 import rampshift.time.Span;
 
@@ -33,7 +33,7 @@
     private final ClientTaskRequest request;
     private final String id;
     private DispatcherConnection connection;
-    private XnioExecutor.Key timer;
+    private IoTimer timer;
     private boolean sent;
     private boolean sentAgain;
     private boolean timedOut;
@@ -112,7 +112,7 @@
             sent = true;
             Moment now = EventClock.now();
             listener.onSent(this, now);
-            timer = IoTimers.runAfter(context.thread(), request.timeout(), this::onTimeout);
+            timer = IoTimer.notBefore(context.thread(), request.timeout(), this::onTimeout);
             context.eventLog().onSent(now, request, dispatcher);
         }
         connection.exchange(request, this);
@@ -152,19 +152,12 @@
         end(AttemptResult.withoutResponse(ClientOutcome.CONNECTION_LOST, task.isRepeatable()));
     }
 
-    /** A timer that was removed may still run, if it was due by then. */
     private void onTimeout() {
-        if (ended) {
-            return;
-        }
         timedOut = true;
-        timer = IoTimers.runAfter(context.thread(), LATE_RESPONSE_WAIT, this::onLateResponseTimeout);
+        timer = IoTimer.notBefore(context.thread(), LATE_RESPONSE_WAIT, this::onLateResponseTimeout);
     }
 
     private void onLateResponseTimeout() {
-        if (ended) {
-            return;
-        }
         context.eventLog().onTimeout(id);
         end(AttemptResult.withoutResponse(ClientOutcome.TIMED_OUT, task.isRepeatable()));
         connection.close();
@@ -176,7 +169,7 @@
         }
         ended = true;
         if (timer != null) {
-            timer.remove();
+            timer.cancel();
         }
         listener.onEnded(this, result);
     }
