--- a/src/main/java/rampshift/simulator/EndpointEntry.java
+++ b/src/main/java/rampshift/simulator/EndpointEntry.java
@@ -6,11 +6,11 @@
 import rampshift.settings.InvalidInputException;
 
 /**
- * One worker of an endpoint list. Lists are most of the input, so that each field is read into a Java field
- * and the object is used again for the next list.
+ * One worker of an endpoint list. Endpoint lists make up most of the input, so each JSON field is read
+ * directly into a Java field and the object is reused for the next list.
  */
 final class EndpointEntry {
-    private static final String DESCRIPTION = "Fleet: an entry";
+    private static final String DESCRIPTION = "Fleet: entry";
     private static final int MISSING = -1;
 
     long worker;
@@ -21,7 +21,7 @@
     double bornMs;
     double weight;
 
-    /** Reads the object at whose start the parser stands; fields that it lacks are 0. */
+    /** Reads the JSON object that starts at the parser's position; absent optional fields become 0. */
     void read(JsonParser in) throws IOException {
         MessageFields.open(in, DESCRIPTION);
         clear();
@@ -62,14 +62,14 @@
 
     private static String text(JsonParser in, String name, JsonToken value) throws IOException {
         if (value != JsonToken.VALUE_STRING) {
-            throw new InvalidInputException(DESCRIPTION + ": " + name + " is not text");
+            throw new InvalidInputException(DESCRIPTION + ": " + name + " is not a string");
         }
         return in.getText();
     }
 
     private static long whole(JsonParser in, String name, JsonToken value) throws IOException {
         if (value != JsonToken.VALUE_NUMBER_INT) {
-            throw new InvalidInputException(DESCRIPTION + ": " + name + " is not a whole number");
+            throw new InvalidInputException(DESCRIPTION + ": " + name + " is not an integer");
         }
         return in.getLongValue();
     }
--- a/src/main/java/rampshift/simulator/LineReader.java
+++ b/src/main/java/rampshift/simulator/LineReader.java
@@ -5,7 +5,7 @@
 import java.nio.ByteBuffer;
 import java.util.Arrays;
 
-/** Reads lines as bytes: decoding them to text first took a fifth of the time of a batch. */
+/** Reads lines as bytes; decoding them to text first took a fifth of the time to process a batch. */
 final class LineReader {
     private static final int INITIAL_BUFFER_BYTES = 1 << 16;
 
@@ -18,7 +18,10 @@
         this.input = input;
     }
 
-    /** The next line without its end, valid until the next call; null at the end of the input. It blocks. */
+    /**
+     * Waits for the next line and returns it without its terminator, or null at the end of the input. The
+     * result is valid until the next call.
+     */
     ByteBuffer next() throws IOException {
         int scanned = lineStart;
         while (true) {
@@ -43,7 +46,7 @@
         return ByteBuffer.wrap(buffer, lineStart, lineEnd - lineStart).slice();
     }
 
-    /** Moves the line begun to the start of the buffer and doubles a buffer that it fills. */
+    /** Moves the incomplete line to the start of the buffer, and doubles the buffer if it is full. */
     private void makeRoom() {
         if (lineStart > 0) {
             System.arraycopy(buffer, lineStart, buffer, 0, end - lineStart);
@@ -55,7 +58,7 @@
         }
     }
 
-    /** A line without an end after it; null where the input ended with the line before. */
+    /** Returns the last line if it has no terminator; null if the input ended with a terminator. */
     private ByteBuffer lastLine() {
         if (end == 0) {
             return null;
--- a/src/main/java/rampshift/simulator/MessageFields.java
+++ b/src/main/java/rampshift/simulator/MessageFields.java
@@ -8,31 +8,26 @@
 import rampshift.settings.InvalidInputException;
 import rampshift.settings.SettingsReader;
 
-/**
- * The fields of the message being read. One object is used for all messages in turn: a batch holds
- * thousands.
- */
+/** The fields of the current message. One object is reused for all messages: a batch holds thousands. */
 final class MessageFields {
-    private static final String MESSAGE = "a message";
+    private static final String MESSAGE = "message";
     /**
-     * In place of an object or an array that no message type uses: it is there, and of no type that is
-     * asked for.
+     * The value recorded for an object or array that no message type uses. The field counts as present, is
+     * neither a number nor a boolean, and {@link #text} returns this value.
      */
     private static final String UNREAD_STRUCTURE = "{}";
 
     private final List<String> names = new ArrayList<>();
     private final List<Object> values = new ArrayList<>();
-    /** The settings of an Attach; null in other messages. */
+    /** The settings in an Attach message; null in other messages. */
     SettingsReader settings;
-    /**
-     * The entries of an endpoint list: the first {@link #count} of these, in the order in which they came.
-     */
+    /** Reusable entries; the first {@link #count} are the endpoint list of the message, in its order. */
     final List<EndpointEntry> entries = new ArrayList<>();
     int count;
-    /** The load report of a worker; null where there is none. */
+    /** The load report of a worker; null if the message has none. */
     MessageFields load;
 
-    /** Reads the object at whose start the parser stands, in place of the message before. */
+    /** Replaces the fields by those of the JSON object that starts at the parser's position. */
     void read(JsonParser in) throws IOException {
         open(in, MESSAGE);
         names.clear();
@@ -111,23 +106,23 @@
         return new InvalidInputException(type() + ": " + name + " " + description);
     }
 
-    /** A text, which must be there. */
+    /** Returns the string in a required field. */
     String text(String name) {
         if (required(name) instanceof String text) {
             return text;
         }
-        throw fault(name, "is not text");
+        throw fault(name, "is not a string");
     }
 
-    /** A whole number, which must be there. */
+    /** Returns the integer in a required field. */
     long whole(String name) {
         if (required(name) instanceof Long number) {
             return number;
         }
-        throw fault(name, "is not a whole number");
+        throw fault(name, "is not an integer");
     }
 
-    /** A whole number; 0 where there is none. */
+    /** Returns the integer in a field, or 0 if the field is absent. */
     int index(String name) {
         return find(name) == null ? 0 : (int) whole(name);
     }
@@ -143,7 +138,7 @@
         throw fault(name, "is not a number");
     }
 
-    /** True or false; false where there is none. */
+    /** Returns the boolean in a field, or false if the field is absent. */
     boolean flag(String name) {
         Object value = find(name);
         if (value == null || value instanceof Boolean) {
@@ -152,7 +147,7 @@
         throw fault(name, "is neither true nor false");
     }
 
-    /** The parser has to stand at, or before, the start of an object. */
+    /** Checks that the parser is at, or directly before, the start of an object. */
     static void open(JsonParser in, String description) throws IOException {
         JsonToken token = in.currentToken() == null ? in.nextToken() : in.currentToken();
         if (token != JsonToken.START_OBJECT) {
@@ -160,14 +155,14 @@
         }
     }
 
-    /** The parser has to stand at the start of an array. */
+    /** Checks that the parser is at the start of an array. */
     static void array(JsonParser in, String description) {
         if (in.currentToken() != JsonToken.START_ARRAY) {
             throw new InvalidInputException(description + " is not an array");
         }
     }
 
-    /** The number at which the parser stands. */
+    /** Returns the number at the parser's position. */
     static double number(JsonParser in, String name) throws IOException {
         if (!in.currentToken().isNumeric()) {
             throw new InvalidInputException(name + " is not a number");
--- a/src/main/java/rampshift/simulator/PolicyInstance.java
+++ b/src/main/java/rampshift/simulator/PolicyInstance.java
@@ -12,11 +12,11 @@
 import rampshift.time.Moment;
 import rampshift.time.Span;
 
-/** One simulated dispatcher: hands the events of messages to a dispatch policy and writes its decisions. */
+/** One simulated dispatcher: passes the events of messages to a dispatch policy and writes its decisions. */
 final class PolicyInstance {
-    /** What a note tells: the attempt has started. */
+    /** The value of What in a Note that reports the start of an attempt. */
     private static final int NOTE_STARTED = 1;
-    /** The bit of StateBits that says that ExpectedMs is valid. */
+    /** The bit of StateBits that marks ExpectedMs as valid. */
     private static final int EXPECTED_TIME_VALID = 1;
 
     private final String name;
@@ -24,11 +24,11 @@
     private final int typeCount;
     private final String freeSlots;
     private final String freeMemory;
-    /** Whether the batch being read holds an event for it. */
+    /** Whether the current batch holds an event for this instance. */
     boolean addressed;
-    /** Whether the simulator has ended it, or started another of its name. */
+    /** Whether the simulator has retired this instance, or started another one with the same name. */
     boolean retired;
-    /** Why it decides nothing more; null while it does. */
+    /** The error after which this instance makes no more decisions; null while there is none. */
     private String failure;
 
     PolicyInstance(String name, SettingsReader settings, long seed, Moment now) {
@@ -48,10 +48,10 @@
         policy.setNow(now);
     }
 
-    /** Takes in one event; a failure of the policy is kept and reported in the reply. */
+    /** Handles one event. A failure of the policy is recorded and reported in the reply. */
     void event(String type, MessageFields fields) {
         if (!known(type)) {
-            throw new InvalidInputException("a message with the unknown t " + type);
+            throw new InvalidInputException("message with unknown t " + type);
         }
         if (failure != null) {
             return;
@@ -99,7 +99,7 @@
             }
             case "Wakeup" -> policy.onTimer();
             default -> {
-                // Attach is done; a stream's start and messages of other dispatchers are not used.
+                // Attach is already handled; the policy doesn't use UnderWay (a stream's start) and NoteFrom.
             }
         }
     }
@@ -132,7 +132,7 @@
     private void onArrival(MessageFields fields) {
         int trafficType = fields.index("Priority");
         if (trafficType < 0 || trafficType >= typeCount) {
-            throw new InvalidInputException("Arrival: no traffic type " + trafficType);
+            throw new InvalidInputException("Arrival: unknown traffic type " + trafficType);
         }
         policy.onTaskArrived(fields.whole("Ref"),
                 new TaskRequest(trafficType, fields.index("Owner"), expectedTime(fields),
@@ -169,7 +169,7 @@
         };
     }
 
-    /** Writes the decisions one by one; where the policy has failed, one message that says so. */
+    /** Writes all decisions of the policy, and a BailOut message if the policy has failed. */
     void answer(ReplyWriter out) {
         out.instance = name;
         if (failure == null) {
--- a/src/main/java/rampshift/simulator/ReplyWriter.java
+++ b/src/main/java/rampshift/simulator/ReplyWriter.java
@@ -9,20 +9,20 @@
 import rampshift.time.Moment;
 import rampshift.time.Span;
 
-/** Writes a reply directly from the policy's decisions. */
+/** Writes the decisions of the policy as the JSON commands of one reply. */
 final class ReplyWriter implements Decisions {
     private static final int INITIAL_BUFFER_BYTES = 1024;
 
     private final ByteArrayOutputStream bytes = new ByteArrayOutputStream(INITIAL_BUFFER_BYTES);
     final JsonGenerator out;
-    /** The instance whose decisions come next. */
+    /** The name of the instance whose decisions are being written. */
     String instance;
 
     ReplyWriter(JsonFactory json) throws IOException {
         out = json.createGenerator(bytes);
     }
 
-    /** The whole reply with its line end. */
+    /** Completes the reply and returns it with its line terminator. */
     byte[] finish() throws IOException {
         out.writeEndArray();
         out.writeEndObject();
@@ -96,7 +96,7 @@
         });
     }
 
-    /** Tells that the instance has failed and decides nothing more. */
+    /** Reports that the instance has failed and makes no more decisions. */
     void bailOut(String reason) {
         message("BailOut", () -> out.writeStringField("Words", reason));
     }
--- a/src/main/java/rampshift/simulator/SimulatorHost.java
+++ b/src/main/java/rampshift/simulator/SimulatorHost.java
@@ -18,15 +18,15 @@
 import rampshift.time.Moment;
 
 /**
- * Hosts instances of the dispatch policy for a simulator: reads batches of events, one JSON object a line,
- * and answers each with one line of commands. The instances share nothing.
+ * Hosts instances of the dispatch policy for a simulator. Reads batches of events, one JSON object per line,
+ * and answers each batch with one line of commands. The instances share no state.
  */
 public final class SimulatorHost {
     private static final int EXIT_DONE = 0;
     private static final int EXIT_INVALID_INPUT = 1;
     private static final String TIME_FIELD = "SimTimeMs";
     private static final String EVENTS_FIELD = "news";
-    private static final String INCOMPLETE_BATCH = "a batch needs SimTimeMs and news";
+    private static final String INCOMPLETE_BATCH = "batch without SimTimeMs or news";
 
     private final JsonFactory json =
             JsonFactory.builder().enable(StreamReadFeature.USE_FAST_DOUBLE_PARSER).build();
@@ -34,8 +34,8 @@
     private final MessageFields fields = new MessageFields();
 
     /**
-     * Answers the whole input; the result is the exit status. Input of a wrong form is named on one line
-     * and ends it.
+     * Answers the batches of the input until its end and returns the exit status. Stops at invalid input and
+     * reports it on one line.
      */
     public static int run(InputStream in, OutputStream out, PrintStream err) throws IOException {
         SimulatorWarmUp.run();
@@ -61,7 +61,7 @@
         return EXIT_INVALID_INPUT;
     }
 
-    /** Takes in one batch; the result is the whole reply with its line end. */
+    /** Handles one batch and returns the complete reply with its line terminator. */
     byte[] reply(ByteBuffer line) throws IOException {
         List<PolicyInstance> addressed = new ArrayList<>();
         readBatch(line, addressed);
@@ -78,10 +78,10 @@
         return reply.finish();
     }
 
-    /** Hands the batch's events to the instances; notes which they are, in the order of their first event. */
+    /** Passes the events of a batch to their instances and lists these in the order of their first events. */
     private void readBatch(ByteBuffer line, List<PolicyInstance> addressed) throws IOException {
         try (JsonParser in = parser(line)) {
-            MessageFields.open(in, "a batch");
+            MessageFields.open(in, "batch");
             Moment now = null;
             boolean hasEvents = false;
             while (in.nextToken() != null && in.currentName() != null && !in.currentToken().isStructEnd()) {
@@ -101,7 +101,7 @@
                 throw new InvalidInputException(INCOMPLETE_BATCH);
             }
             if (in.nextToken() != null) {
-                throw new InvalidInputException("more than one value on the line");
+                throw new InvalidInputException("more than one JSON value on the line");
             }
         }
     }
@@ -110,7 +110,7 @@
         return json.createParser(line.array(), line.arrayOffset(), line.remaining());
     }
 
-    /** The time, where it stands behind the events: the line is read a second time for it. */
+    /** Returns the time of a batch in which it follows the events, by parsing the line a second time. */
     private Moment timeAfterEvents(ByteBuffer line) throws IOException {
         try (JsonParser in = parser(line)) {
             in.nextToken();
@@ -137,7 +137,7 @@
             }
             PolicyInstance instance = instances.get(name);
             if (instance == null) {
-                throw new InvalidInputException(type + " for the unknown instance " + name);
+                throw new InvalidInputException(type + " for unknown instance " + name);
             }
             if (type.equals("Retire")) {
                 instance.retired = true;
@@ -153,7 +153,7 @@
         }
     }
 
-    /** Starts an instance; one of that name that is there already is retired. */
+    /** Starts an instance and retires an existing one with the same name. */
     private void attach(String name, Moment now) {
         PolicyInstance instance = new PolicyInstance(name, fields.settings, fields.whole("Seed"), now);
         PolicyInstance former = instances.put(name, instance);
--- a/src/main/java/rampshift/simulator/SimulatorWarmUp.java
+++ b/src/main/java/rampshift/simulator/SimulatorWarmUp.java
@@ -5,9 +5,9 @@
 import java.nio.charset.StandardCharsets;
 
 /**
- * Handles some tasks in a host of its own, which is thrown away, before the first batch is read: as {@code
- * serve} does before it is ready. Otherwise the first few thousand tasks pay for classes that are not
- * loaded and code that is not compiled yet: half of all that a short day with several processes took.
+ * Handles generated tasks in a separate host, which is discarded, before the first batch is read, as {@code
+ * serve} does before it reports ready. Without this, class loading and interpretation slow down the first
+ * few thousand tasks: that took half of the total time of a short simulation with several processes.
  */
 final class SimulatorWarmUp {
     private static final int ROUNDS = 120;
@@ -39,7 +39,7 @@
 
     private SimulatorWarmUp() {}
 
-    /** Runs it; returns once the code that a batch takes has been loaded and mostly compiled. */
+    /** Runs the warm-up; the code that handles a batch is then loaded and mostly compiled. */
     static void run() throws IOException {
         SimulatorHost host = new SimulatorHost();
         reply(host, 0, String.join(",", attach(INSTANCES[0], false, "inline", "live", 0.0, true),
@@ -58,14 +58,14 @@
         }
     }
 
-    /** An instance's start with its first endpoint list. */
+    /** Returns the events that start an instance and send its first endpoint list. */
     private static String attach(String instance, boolean tellsStart, String reports, String weights,
             double handshakeCost, boolean mayProbe) {
         return ATTACH.formatted(instance, tellsStart, reports, weights, handshakeCost, mayProbe) + ','
                 + endpointList(instance, "cached", WORKERS, 0);
     }
 
-    /** A new task, and what workers report of tasks of earlier rounds. */
+    /** Appends the arrival of a task, and the events of workers for tasks of earlier rounds. */
     private static void appendTaskEvents(StringBuilder events, String instance, int round, int index) {
         long task = round * 10L + index;
         events.append(",{\"t\":\"Arrival\",\"Who\":\"").append(instance).append("\",\"Ref\":").append(task)
@@ -82,7 +82,7 @@
                         + ",\"Load\":{\"x0\":1.5,\"concurrent\":3}");
     }
 
-    /** Mostly finished, now and then an error or a full worker. */
+    /** Returns the code for success mostly, and at times that for an error or a full worker. */
     private static String outcome(int round, int index) {
         if ((index + round) % 9 == 8) {
             return "E";
--- a/src/test/java/rampshift/simulator/DispatchPolicyReplayTest.java
+++ b/src/test/java/rampshift/simulator/DispatchPolicyReplayTest.java
@@ -21,9 +21,9 @@
 import org.junit.jupiter.params.provider.CsvSource;
 
 /**
- * The policy's replies to the same input are the same, byte for byte, as those of the version whose hashes
- * stand here (0f49a4a). A change of the policy's shape must leave them; a change of what it decides renews
- * them.
+ * Guards against unintended changes of the policy's decisions: the replies to a fixed input must equal, byte
+ * for byte, those of commit 0f49a4a, whose hashes are below. A refactoring must keep the hashes; an intended
+ * change of decisions updates them.
  */
 class DispatchPolicyReplayTest {
     private static final int DISPATCHERS = 3;
@@ -33,7 +33,7 @@
     private static final double DAY_MS = 12_000;
     private static final double PROGRESS_MS = 400;
 
-    /** What the deployments differ in. */
+    /** A deployment, with the settings in which it differs from the others. */
     private enum Deployment {
         REPORTS_WITH_ANSWERS("""
                 "LoadInfo":{"How":"inline"},"WeightSource":"nominal","EarningsBy":"work","ExcessEarnings":0.2,
@@ -105,7 +105,7 @@
         }
     }
 
-    /** One sending of a task, as the fleet sees it. */
+    /** One attempt of a task, as the simulated workers see it. */
     private static final class Sending {
         final String dispatcher;
         final long task;
@@ -121,7 +121,7 @@
         }
     }
 
-    /** Dispatchers under the policy, and a small fleet that meets all that the policy knows of. */
+    /** Dispatchers under the policy, and a small fleet with all the events that the policy handles. */
     private static final class Day {
         private final Deployment deployment;
         private final Random random;
@@ -179,7 +179,7 @@
             tellList(dispatcher, "cached", 0, WORKERS);
         }
 
-        /** Tasks come in a few floods, of clients of unlike patience; some of them leave. */
+        /** Adds a task and schedules the next. The load varies, as do timeouts; some clients disconnect. */
         private void arrive() {
             double wave = (now / 5000) % 2 < 1.4 ? 1 : 2.2;
             String dispatcher = "d/" + (random.nextInt(4) == 0 ? random.nextInt(DISPATCHERS) : 0);
@@ -197,7 +197,7 @@
             after(-Math.log(1 - random.nextDouble()) * 9 / wave, this::arrive);
         }
 
-        /** Lists change: workers drain, go, come back cold; or none comes, or a dispatcher restarts. */
+        /** Changes the state of a worker and sends lists; lists may fail and a dispatcher may restart. */
         private void change() {
             int worker = random.nextInt(WORKERS);
             states[worker] = switch (states[worker]) {
@@ -251,7 +251,7 @@
         }
 
         private String load(int worker) {
-            // Some workers report that they are idle whatever they do, in one part of the day.
+            // Some workers report that they are idle whatever their load, during a part of the simulation.
             boolean lies = worker % 7 == 3 && (now / 4000) % 3 < 1;
             int busy = lies ? 0 : busySlots(worker);
             return ",\"Load\":{\"x0\":" + (SLOTS - busy) + ".0,\"x1\":" + (4 - busy) + ".0,\"concurrent\":"
@@ -383,7 +383,7 @@
             throws IOException, NoSuchAlgorithmException {
         Day day = new Day(deployment, 48);
         String hash = day.play();
-        assertTrue(day.commands.getOrDefault("Place", 0) > 1000, "a day with work: " + day.commands);
+        assertTrue(day.commands.getOrDefault("Place", 0) > 1000, "too few tasks forwarded: " + day.commands);
         assertEquals(expected, hash, "commands: " + day.commands);
     }
 }
--- a/src/test/java/rampshift/simulator/SimulatorHostTest.java
+++ b/src/test/java/rampshift/simulator/SimulatorHostTest.java
@@ -16,7 +16,7 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.ValueSource;
 
-/** Batches in, replies out. */
+/** Tests the replies of the simulator host to batches of events. */
 class SimulatorHostTest {
     private static final String ATTACH =
             "{\"SimTimeMs\":1000,\"news\":[{\"t\":\"Attach\",\"Who\":\"dispatcher/0\","
@@ -71,11 +71,11 @@
         assertEquals(1, run(ATTACH + line + "\n"));
         String output = err.toString(StandardCharsets.UTF_8);
         assertTrue(output.startsWith("rampshift drill: line 2: "), output);
-        assertEquals(output.length() - 1, output.indexOf('\n'), "one plain line");
-        assertEquals(1, out.toString(StandardCharsets.UTF_8).split("\n").length, "no half reply");
+        assertEquals(output.length() - 1, output.indexOf('\n'), "one line");
+        assertEquals(1, out.toString(StandardCharsets.UTF_8).split("\n").length, "no partial reply");
     }
 
-    /** Both instances have the same endpoint list, and tasks that may run in the own zone only. */
+    /** Both instances have the same endpoint list and tasks that may run only in the instance's own zone. */
     @Test
     void instancesForwardToTheirOwnZonesOnly() throws IOException {
         StringBuilder lines = new StringBuilder();
@@ -98,7 +98,7 @@
                         .map(m -> m.group(1) + " " + m.group(2)).collect(Collectors.toSet()));
     }
 
-    /** A batch longer than any buffer and a last line without an end are batches like others. */
+    /** Includes a batch that exceeds every buffer and a last line without a terminator. */
     @Test
     void readsWholeLinesFromPartialReads() throws IOException {
         String batch = batch("{\"t\":\"Wakeup\",\"Who\":\"dispatcher/0\",\"Name\":0,\"Odd\":\""
