--- a/src/bench/java/rampshift/membership/HeartbeatBaseline.java
+++ b/src/bench/java/rampshift/membership/HeartbeatBaseline.java
@@ -4,21 +4,21 @@
 
 /**
  * The baseline of the measurement: every member sends a heartbeat to every other one in each period, and a
- * member that is not heard of for some periods is taken for failed.
+ * member whose heartbeats are missing for some periods counts as failed.
  */
 final class HeartbeatBaseline {
-    /** The bytes of a heartbeat: a frame, a name and an incarnation. */
+    /** The size of a heartbeat: a frame, a name and an incarnation. */
     private static final int HEARTBEAT_BYTES = 60;
 
     private HeartbeatBaseline() {}
 
-    /** The seconds until the last member detects a killed one, and the false detections, in one line. */
+    /** Returns one line with the seconds until all members detect a killed one and the false detections. */
     static String simulate(long seed, int members, int silentPeriods, double loss, int seconds) {
         SplittableRandom random = new SplittableRandom(seed);
         long falseDetections = 0;
         double detected = 0;
         for (int link = 0; link < members * (members - 1); link++) {
-            // The heartbeats of one direction between two members, one in a period, each lost at random.
+            // One direction between two members: one heartbeat per period, each lost at random.
             int silent = 0;
             double phase = random.nextDouble();
             for (int period = 0; period < seconds; period++) {
@@ -27,7 +27,7 @@
             }
             detected = link < members ? Math.max(detected, silentPeriods + phase) : detected;
         }
-        return String.format("%.1f s until all know, %d false in %d s, %d bytes a second and member",
+        return String.format("%.1f s until all know, %d false in %d s, %d bytes per second and member",
                 detected,
                 falseDetections, seconds, (members - 1) * HEARTBEAT_BYTES);
     }
--- a/src/bench/java/rampshift/membership/MembershipMeasurementTest.java
+++ b/src/bench/java/rampshift/membership/MembershipMeasurementTest.java
@@ -7,7 +7,7 @@
 import rampshift.membership.MembershipMetrics.Counter;
 
 /**
- * The table of docs/measurements.md:
+ * Measures the table of docs/measurements.md:
  * {@code mvn -q -Pbench test -Dtest=MembershipMeasurementTest -Dmembers.measure=5,20,100}.
  */
 @EnabledIfSystemProperty(named = "members.measure", matches = "[\\d,]+")
@@ -46,7 +46,7 @@
                 .allMatch(node -> !node.isRunning() || node.statusOf(killed) == MemberUpdate.Status.FAILED));
         System.out.printf(
                 "members %d, lost %.0f%%: %.1f s until all know, %d false in 60 s, %.0f bytes and %.2f "
-                        + "datagrams a second and member, %.0f us of CPU%n    heartbeats, 5 periods: %s%n"
+                        + "datagrams per second and member, %.0f us of CPU%n    heartbeats, 5 periods: %s%n"
                         + "    heartbeats, 12 periods: %s%n",
                 count, 100 * loss, detected, failed, bytes, datagrams, cpuMicros,
                 HeartbeatBaseline.simulate(SEED, count, 5, loss, MEASURED_SECONDS),
--- a/src/main/java/rampshift/membership/AntiEntropySync.java
+++ b/src/main/java/rampshift/membership/AntiEntropySync.java
@@ -9,8 +9,8 @@
 import rampshift.time.Moment;
 
 /**
- * Exchanges full views over streams: with the seeds until one answers, then with a random member now and
- * then, and with members that are missing, so that a fleet that was partitioned becomes one again.
+ * Exchanges full views over streams: with the seeds until one answers, then periodically with a random
+ * member, and with failed members and unknown seeds, so that the parts of a partitioned fleet merge again.
  */
 final class AntiEntropySync {
     private final MembershipContext context;
@@ -29,33 +29,33 @@
         this.seeds = seeds;
     }
 
-    /** Asks the seeds at the next wake. A member without seeds has joined at once. */
+    /** Schedules sync requests to the seeds for the next wake-up. A member without seeds has joined. */
     void start() {
         joined = seeds.isEmpty();
         syncAt = context.now();
         reconnectAt = context.now().plus(context.timings().reconnectInterval());
     }
 
-    /** Whether a sync of this process was answered, or it has no seeds to ask. */
+    /** Returns whether a sync request of this process was answered, or there are no seeds. */
     boolean hasJoined() {
         return joined;
     }
 
-    /** A sync of this process was answered. */
+    /** Records that a sync request of this process was answered. */
     void onResponse() {
         context.metrics().increment(Counter.SYNCS);
         joined = true;
     }
 
-    /** Answers a sync of another member with the view of this one. */
+    /** Returns the response to a sync request: the view of this member. */
     byte[] respond(String to) {
         context.metrics().increment(Counter.SYNCS);
         return encodeView(to, new MessageBody.SyncResponse());
     }
 
     /**
-     * A member that is not known here sent a probe, as after a restart of this process: it is asked for its
-     * view.
+     * Sends a sync request to a member that is unknown here and sent a probe, as happens after a restart of
+     * this process. Such requests are at least an ack timeout apart.
      */
     void onUnknownSender(String name, String address) {
         Moment now = context.now();
@@ -66,14 +66,14 @@
         }
     }
 
-    /** Syncs with the seeds or with a random member if it is time to. */
+    /** Syncs with the seeds or with a random member if a sync is due. */
     void onSyncDue() {
         Moment now = context.now();
         if (now.before(syncAt)) {
             return;
         }
         if (!joined) {
-            // Whichever seed answers first will do, so the members of a fleet may start in any order.
+            // One answer suffices, so the members of a fleet may start in any order.
             seeds.forEach(seed -> request(seed, ""));
             syncAt = now.plus(context.timings().period());
             return;
@@ -88,8 +88,8 @@
     }
 
     /**
-     * Syncs with a failed member, or with a seed that no reachable member has the address of: a partition may
-     * have healed, or two fleets may have to become one.
+     * Syncs with a random one of the failed members and of the seeds whose address no reachable member has: a
+     * partition may have healed, or two parts of a fleet that started separately may have to merge.
      */
     void reconnect() {
         double jitter = context.random().jitterFactor();
@@ -136,7 +136,7 @@
         return codec.encode(new Message(context.self().name(), to, body, bounded, drainNotices.all()));
     }
 
-    /** The time at which this part has to be woken next. */
+    /** Returns the time of the next wake-up that this part needs. */
     Moment nextWake() {
         return syncAt.orEarlier(reconnectAt);
     }
--- a/src/main/java/rampshift/membership/Codec.java
+++ b/src/main/java/rampshift/membership/Codec.java
@@ -11,19 +11,19 @@
 
 /**
  * Encodes and decodes messages. Each begins with a magic number, the version of the format, its kind and the
- * number of the fleet, and ends with a CRC32C over all before. Every length and count is checked before
- * anything is made of it; a message that can't be decoded is rejected as a whole.
+ * number of the fleet, and ends with a CRC32C over all preceding bytes. Every length and count is checked
+ * before it is used; a message that can't be decoded is rejected as a whole.
  */
 final class Codec {
-    /** The bytes of a datagram at most: fits an Ethernet frame with room for tunnels. */
+    /** The maximum size of a datagram; fits into an Ethernet frame and leaves room for tunnel headers. */
     static final int MAX_DATAGRAM_BYTES = 1400;
-    /** The bytes of one direction of a sync at most. */
+    /** The maximum size of a sync request or response. */
     static final int MAX_SYNC_BYTES = 1 << 20;
-    /** The members in one message, and in the view of a member, at most. */
+    /** The maximum number of members in one message, and of other members in the view of a member. */
     static final int MAX_MEMBERS = 2048;
-    /** The drain notices in one message, and those kept, at most. */
+    /** The maximum number of drain notices in one message, and of those that a member keeps. */
     static final int MAX_DRAIN_NOTICES = 4096;
-    /** The bytes of a name, address, site or build at most. */
+    /** The maximum size of a name, address, site or build. */
     static final int MAX_TEXT_BYTES = 64;
 
     private static final short MAGIC = 0x5253;
@@ -36,16 +36,14 @@
     /** Magic number, version and kind. */
     private static final int PREFIX_BYTES = Short.BYTES + Byte.BYTES + Byte.BYTES;
     private static final int CHECKSUM_BYTES = Integer.BYTES;
-    /**
-     * Magic number, version, kind, fleet, sequence number, three empty texts, two counts and the checksum.
-     */
+    /** The size of the header with three empty texts, of two counts of 0 and of the checksum. */
     private static final int EMPTY_MESSAGE_BYTES = PREFIX_BYTES + Integer.BYTES + Long.BYTES + 3 * Byte.BYTES
             + 2 * Short.BYTES + CHECKSUM_BYTES;
-    /** Shorter input is rejected before anything else is looked at. */
+    /** The size below which input is rejected before any field is read. */
     private static final int MIN_MESSAGE_BYTES = 12 + CHECKSUM_BYTES;
-    /** An empty worker name, start time, list version and kind. */
+    /** The size of a notice: an empty worker name, start time, list version and kind. */
     private static final int MIN_DRAIN_NOTICE_BYTES = Byte.BYTES + 2 * Long.BYTES + Byte.BYTES;
-    /** Four numbers, phase and status, and five empty texts. */
+    /** The size of an update: four numbers, phase and status, and five empty texts. */
     private static final int MIN_UPDATE_BYTES = 4 * Long.BYTES + 2 * Byte.BYTES + 5 * Byte.BYTES;
 
     private final int fleet;
@@ -54,14 +52,14 @@
         fleet = fleetNumber(fleetName);
     }
 
-    /** The number that stands for a fleet's name on the wire. */
+    /** Returns the number that represents a fleet's name on the wire. */
     static int fleetNumber(String fleetName) {
         CRC32 crc = new CRC32();
         crc.update(fleetName.getBytes(StandardCharsets.UTF_8));
         return (int) crc.getValue();
     }
 
-    /** The encoded size of an update in bytes. */
+    /** Returns the encoded size of an update in bytes. */
     static int sizeOf(MemberUpdate update) {
         MemberIdentity member = update.member();
         return MIN_UPDATE_BYTES + textBytes(member.name()) + textBytes(member.address())
@@ -69,12 +67,12 @@
                 + textBytes(member.build()) + textBytes(update.reportedBy());
     }
 
-    /** The encoded size of a drain notice in bytes. */
+    /** Returns the encoded size of a drain notice in bytes. */
     static int sizeOf(DrainNotice notice) {
         return MIN_DRAIN_NOTICE_BYTES + textBytes(notice.worker());
     }
 
-    /** The bytes that a datagram with this sender, receiver and body has left for updates and notices. */
+    /** Returns the bytes left for updates and notices in a datagram with this sender, receiver and body. */
     static int piggybackCapacity(String from, String to, MessageBody body) {
         return MAX_DATAGRAM_BYTES - headerBytes(from, to, body);
     }
@@ -87,7 +85,7 @@
         return text.getBytes(StandardCharsets.UTF_8).length;
     }
 
-    /** CRC32C over the first bytes of an array. */
+    /** Returns the CRC32C of the first bytes of an array. */
     static int checksum(byte[] bytes, int count) {
         CRC32C crc = new CRC32C();
         crc.update(bytes, 0, count);
@@ -152,7 +150,7 @@
         buffer.put(bytes);
     }
 
-    /** Decodes the first bytes of an array, or throws where they are not a message of this fleet. */
+    /** Decodes the first bytes of an array; throws if they are not a message of this fleet and version. */
     Message decode(byte[] bytes, int count) throws MalformedMessageException {
         if (count < MIN_MESSAGE_BYTES || count > MAX_SYNC_BYTES) {
             throw MalformedMessageException.malformed("too short or too long");
@@ -161,7 +159,7 @@
         WireReader reader = new WireReader(ByteBuffer.wrap(bytes, 0, contentBytes).slice());
         int expectedChecksum = ByteBuffer.wrap(bytes, contentBytes, CHECKSUM_BYTES).getInt();
         if (reader.readShort() != MAGIC || checksum(bytes, contentBytes) != expectedChecksum) {
-            throw MalformedMessageException.malformed("no message");
+            throw MalformedMessageException.malformed("wrong magic number or checksum");
         }
         if (reader.readByte() != VERSION) {
             throw MalformedMessageException.foreign("another version");
@@ -211,7 +209,7 @@
         String site = reader.readText();
         String build = reader.readText();
         if (name.isEmpty() || incarnation > MemberIdentity.MAX_INCARNATION || !isAddress(address)) {
-            throw MalformedMessageException.malformed("a member out of bounds");
+            throw MalformedMessageException.malformed("member with an invalid name, incarnation or address");
         }
         MemberIdentity member =
                 new MemberIdentity(name, incarnation, processId, address, site, build, startedAtMs,
@@ -232,9 +230,7 @@
         return notices;
     }
 
-    /**
-     * Whether the text is an IPv4 address or a bracketed IPv6 address with a port. Names are not looked up.
-     */
+    /** Returns whether the text is an IPv4 or bracketed IPv6 address with a port; host names are not. */
     private static boolean isAddress(String text) {
         int colon = text.lastIndexOf(':');
         if (colon < 1) {
--- a/src/main/java/rampshift/membership/DrainNotice.java
+++ b/src/main/java/rampshift/membership/DrainNotice.java
@@ -1,18 +1,18 @@
 package rampshift.membership;
 
 /**
- * A notice, passed between dispatchers, that a worker takes no new tasks.
+ * A notice between dispatchers that a worker accepts no new tasks.
  *
  * @param worker      the id of the worker
  * @param startedAtMs when the worker's process started, Unix time in milliseconds as in the endpoint list; 0
  *                    if unknown
  * @param listVersion the version of the endpoint list that the notice was taken from
- * @param kind        what the list said of the worker
+ * @param kind        the change of the worker in that list
  */
 public record DrainNotice(String worker, long startedAtMs, long listVersion, Kind kind) {
-    /** What has happened to the worker. At the same start time and list version the later constant wins. */
+    /** The change of a worker. At the same start time and list version, a later constant supersedes. */
     public enum Kind implements WireCoded {
-        /** The worker drains: it finishes what it has and takes nothing new. */
+        /** The worker drains: it finishes its tasks and accepts no new ones. */
         DRAINING(0, "DRAINS"),
         /** The worker was removed from the list. */
         REMOVED(1, "GONE");
@@ -30,13 +30,13 @@
             return wireCode;
         }
 
-        /** The word that stands for this kind in logs and event logs. */
+        /** Returns the word for this kind in logs and event logs. */
         public String label() {
             return label;
         }
     }
 
-    /** Whether this notice is newer: by a later start time, else by a later list, else by the graver kind. */
+    /** Returns whether this notice has a later start time, else list version, else kind constant. */
     boolean supersedes(DrainNotice other) {
         if (startedAtMs != other.startedAtMs) {
             return startedAtMs > other.startedAtMs;
@@ -48,8 +48,8 @@
     }
 
     /**
-     * Whether the notice overrides a list of version {@code ownVersion} that calls the worker ready since
-     * {@code ownStartedAtMs}.
+     * Returns whether the notice overrides a list of version {@code ownVersion} in which the worker is ready
+     * and has the start time {@code ownStartedAtMs}.
      */
     public boolean overrides(long ownStartedAtMs, long ownVersion) {
         return startedAtMs >= ownStartedAtMs && listVersion > ownVersion;
--- a/src/main/java/rampshift/membership/DrainNoticeGossip.java
+++ b/src/main/java/rampshift/membership/DrainNoticeGossip.java
@@ -4,10 +4,11 @@
 import rampshift.time.Span;
 
 /**
- * Spreads drain notices: a new one goes to a few members at once, since the grace period of a drain is short.
+ * Spreads drain notices. New ones are sent to a few members immediately, since the grace period of a drain is
+ * short.
  */
 final class DrainNoticeGossip {
-    /** The notices of one endpoint list go in one datagram. */
+    /** The delay before new notices are sent, so that those of one endpoint list share a datagram. */
     private static final Span SEND_DELAY = Span.ofMillis(2);
 
     private final MembershipContext context;
@@ -24,7 +25,7 @@
         return notices;
     }
 
-    /** Keeps and spreads a notice unless one as new is known; returns whether it was new. */
+    /** Stores and spreads a notice if it is newer than the known one; returns whether it is. */
     boolean add(DrainNotice notice) {
         if (!notices.add(notice)) {
             return false;
@@ -36,7 +37,7 @@
         return true;
     }
 
-    /** Sends the new notices if it is time to. */
+    /** Sends the new notices if their delay has passed. */
     void onWake() {
         if (sendAt == null || context.now().before(sendAt)) {
             return;
@@ -47,7 +48,7 @@
         }
     }
 
-    /** The given time, or the time of the next send if that is earlier. */
+    /** Returns the earlier of the given time and the time of the next send. */
     Moment earliestWake(Moment other) {
         return sendAt == null ? other : other.orEarlier(sendAt);
     }
--- a/src/main/java/rampshift/membership/DrainNotices.java
+++ b/src/main/java/rampshift/membership/DrainNotices.java
@@ -6,12 +6,12 @@
 import java.util.Map;
 
 /**
- * The newest drain notice of each worker. Where there is no room, the one that was added first is dropped.
+ * The newest drain notice of each worker. At the limit, the least recently added notice is dropped.
  */
 public final class DrainNotices {
     private final Map<String, DrainNotice> byWorker = new LinkedHashMap<>();
 
-    /** Adds a notice unless one as new is there already; returns whether it was added. */
+    /** Adds a notice if it is newer than the known one; returns whether it was added. */
     boolean add(DrainNotice notice) {
         DrainNotice known = byWorker.get(notice.worker());
         if (known != null && !notice.supersedes(known)) {
@@ -25,12 +25,12 @@
         return true;
     }
 
-    /** The newest notice of a worker, or null if there is none. */
+    /** Returns the newest notice of a worker, or null if there is none. */
     public DrainNotice get(String worker) {
         return byWorker.get(worker);
     }
 
-    /** All notices, in the order in which they were added. */
+    /** Returns all notices in the order in which they were added. */
     List<DrainNotice> all() {
         return new ArrayList<>(byWorker.values());
     }
--- a/src/main/java/rampshift/membership/Envelope.java
+++ b/src/main/java/rampshift/membership/Envelope.java
@@ -6,20 +6,20 @@
 import java.util.Optional;
 
 /**
- * A datagram that other modules send over the address of the members: a payload with its sender, the number
- * of the fleet and a CRC32C.
+ * A datagram that other modules send over the sockets of the membership: a payload with its sender, the
+ * number of the fleet and a CRC32C.
  *
  * @param from    the name of the sender
- * @param payload what is sent; its format is that of the module that sends it
+ * @param payload the content, in a format that the sending module defines
  */
 public record Envelope(String from, byte[] payload) {
     private static final short MAGIC = 0x5254;
     private static final int CHECKSUM_BYTES = Integer.BYTES;
     private static final int UNSIGNED_BYTE = 0xff;
-    /** Magic number, number of the fleet, length of the sender's name, and the checksum. */
+    /** The size of the magic number, fleet number, length of the sender's name, and checksum. */
     private static final int FRAME_BYTES = Short.BYTES + Integer.BYTES + Byte.BYTES + CHECKSUM_BYTES;
 
-    /** The datagram for a fleet. */
+    /** Encodes this envelope as a datagram of the given fleet. */
     public byte[] encode(String fleetName) {
         byte[] sender = from.getBytes(StandardCharsets.US_ASCII);
         ByteBuffer buffer = ByteBuffer.allocate(FRAME_BYTES + sender.length + payload.length);
@@ -32,7 +32,7 @@
         return buffer.array();
     }
 
-    /** Whether a datagram is an envelope: those of the membership protocol have another magic number. */
+    /** Returns whether a datagram is an envelope; the membership protocol has another magic number. */
     public static boolean isEnvelope(byte[] bytes, int count) {
         return count > Short.BYTES && ByteBuffer.wrap(bytes).getShort() == MAGIC;
     }
--- a/src/main/java/rampshift/membership/FailureDetector.java
+++ b/src/main/java/rampshift/membership/FailureDetector.java
@@ -5,7 +5,7 @@
 
 /**
  * Probes one member in each protocol period. If it does not answer in time, other members are asked to probe
- * it; if none of them gets an answer by the end of the period, it is suspected.
+ * it; if no answer arrives by the end of the period, the member is suspected.
  */
 final class FailureDetector {
     /** The probe of the current period. */
@@ -77,7 +77,7 @@
         return probe != null && probe.sequence == sequence;
     }
 
-    /** Ends relayed probes without an answer, and has others probe a member that did not answer in time. */
+    /** Ends unanswered relayed probes and starts indirect probes if the direct probe timed out. */
     void onWake() {
         relayedProbes.onWake();
         if (probe == null || !probe.awaitsDirectAck() || context.now().before(probe.indirectAt)) {
@@ -92,7 +92,7 @@
         }
     }
 
-    /** Ends the current period and starts the next one, if it is time to. */
+    /** Ends the current period and starts the next one if the current one has elapsed. */
     void onPeriodEnd() {
         if (context.now().before(periodEnd)) {
             return;
@@ -111,7 +111,7 @@
 
     private void endProbe() {
         if (probe != null && !probe.acknowledged) {
-            // Helpers that report that they got no answer either show that our own links are sound.
+            // A nack shows that the links of this process work; a missing nack suggests that they don't.
             if (probe.outstandingNacks > 0) {
                 localHealth.onMissingNacks();
             }
@@ -121,8 +121,9 @@
     }
 
     /**
-     * Gives suspected members another chance to refute. A refutation sent over lossy links may not reach all:
-     * without this, one of eight members failed another one 10 s after the other seven had cleared it.
+     * Probes some suspected members again, so that they can refute the suspicion. A refutation may not reach
+     * all members over lossy links: without these probes, one of eight members can declare another one failed
+     * 10 s after the other seven have cleared the suspicion.
      */
     private void pingSuspects(String alreadyProbed) {
         List<String> suspects = context.members().all().stream()
@@ -135,14 +136,14 @@
         gossip.send(target, new MessageBody.Ping(sequence), gossip.doubtsAbout(target));
     }
 
-    /** This process stood still: answers may lie unread, so the current probe is dropped. */
+    /** Drops all probes after a stall, since their answers may not have been read, and ends the period. */
     void onStall() {
         probe = null;
         relayedProbes.onStall();
         periodEnd = context.now();
     }
 
-    /** The time at which this part has to be woken next. */
+    /** Returns the time of the next wake-up that this part needs. */
     Moment nextWake() {
         Moment earliest = relayedProbes.earliestWake(periodEnd);
         return probe != null && probe.awaitsDirectAck() ? earliest.orEarlier(probe.indirectAt) : earliest;
--- a/src/main/java/rampshift/membership/Gossip.java
+++ b/src/main/java/rampshift/membership/Gossip.java
@@ -25,7 +25,7 @@
         drainNotices.put(notice.worker(), notice);
     }
 
-    /** The update that a member has to see to be able to refute it: its own status, unless that is alive. */
+    /** Returns the update that a member must receive to refute it: its status, unless it is alive. */
     List<MemberUpdate> doubtsAbout(String name) {
         Member member = context.members().get(name);
         if (member == null || member.status() == Status.ALIVE) {
@@ -34,12 +34,12 @@
         return List.of(member.updateAt(context.now()));
     }
 
-    /** Sends a message to a member, if it is known. */
+    /** Sends a message to a member if it is known. */
     void send(String to, MessageBody body) {
         send(to, body, List.of());
     }
 
-    /** Sends a message to a member, if it is known. The first updates go with it in any case. */
+    /** Sends a message to a member if it is known. The given updates are always included. */
     void send(String to, MessageBody body, List<MemberUpdate> first) {
         Member member = context.members().get(to);
         if (member == null) {
@@ -60,7 +60,7 @@
         sendTo(context.members().addressOf(member), new Message(self, to, body, sentUpdates, sentNotices));
     }
 
-    /** Sends a message to an address as it is. */
+    /** Sends a message to an address without piggybacking anything on it. */
     void sendTo(String address, Message message) {
         byte[] datagram = codec.encode(message);
         context.metrics().increment(Counter.SENT);
--- a/src/main/java/rampshift/membership/GossipQueue.java
+++ b/src/main/java/rampshift/membership/GossipQueue.java
@@ -8,8 +8,8 @@
 import java.util.function.ToIntFunction;
 
 /**
- * Items to be piggybacked on outgoing datagrams, each a limited number of times and the least transmitted
- * first. A new item replaces the one with the same key.
+ * Items to piggyback on outgoing datagrams, each a limited number of times and the least transmitted first. A
+ * new item replaces the one with the same key.
  */
 final class GossipQueue<T> {
     private static final class Entry<T> {
@@ -31,8 +31,8 @@
     /**
      * Takes the items for one datagram and counts a transmission of each.
      *
-     * @param capacityBytes    the room in the datagram
-     * @param maxTransmissions the transmissions after which an item is dropped
+     * @param capacityBytes    the bytes available in the datagram
+     * @param maxTransmissions the number of transmissions after which an item is dropped
      * @param sizeOf           the encoded size of an item in bytes
      */
     List<T> take(int capacityBytes, int maxTransmissions, ToIntFunction<T> sizeOf) {
--- a/src/main/java/rampshift/membership/HealthMonitor.java
+++ b/src/main/java/rampshift/membership/HealthMonitor.java
@@ -1,6 +1,6 @@
 package rampshift.membership;
 
-/** Judges after each input how this member stands in its fleet, and tells of changes. */
+/** Determines the membership health after each input and emits an event when it changes. */
 final class HealthMonitor {
     private final MembershipContext context;
     private final AntiEntropySync sync;
--- a/src/main/java/rampshift/membership/InputTime.java
+++ b/src/main/java/rampshift/membership/InputTime.java
@@ -3,8 +3,7 @@
 import rampshift.time.Moment;
 
 /**
- * The time of the input that is being handled. Only {@link SwimMembership} sets it; the package reads no
- * clock.
+ * The time of the current input. Only {@link SwimMembership} sets it; this package reads no clock.
  */
 final class InputTime {
     private Moment now;
--- a/src/main/java/rampshift/membership/LocalHealth.java
+++ b/src/main/java/rampshift/membership/LocalHealth.java
@@ -1,55 +1,55 @@
 package rampshift.membership;
 
 /**
- * Lifeguard's local health: a score that rises when this process seems to be late itself, and stretches its
- * own timeouts, so that it accuses others less.
+ * Lifeguard's local health: a score that increases when this process itself seems to be slow, and lengthens
+ * its probe intervals and timeouts, so that it suspects fewer members wrongly.
  */
 final class LocalHealth {
-    /** The highest score; timeouts are stretched by one more at most. */
+    /** The highest score. Intervals and timeouts are multiplied by the score plus 1. */
     static final int MAX_SCORE = 8;
 
     private int score;
     private boolean awaitingContact;
 
-    /** 0 if this process is in time. */
+    /** Returns the score; 0 if this process responds in time. */
     int score() {
         return score;
     }
 
-    /** By how much probe intervals and timeouts are stretched, from 1 on. */
+    /** Returns the factor, at least 1, by which probe intervals and timeouts are multiplied. */
     int multiplier() {
         return score + 1;
     }
 
-    /** Whether no other member has answered since this process last stood still. */
+    /** Returns whether this process has stalled and no other member has answered since. */
     boolean isAwaitingContact() {
         return awaitingContact;
     }
 
-    /** A probe of this process was answered in time. */
+    /** Records that a probe of this process was answered in time. */
     void onAck() {
         awaitingContact = false;
         score = Math.max(0, score - 1);
     }
 
-    /** A sync of this process was answered. */
+    /** Records that a sync request of this process was answered. */
     void onSyncResponse() {
         awaitingContact = false;
     }
 
     /**
-     * A probe failed and not all helpers sent their nack: their messages may not get through to this process.
+     * Records that a probe failed and not all helpers sent a nack: messages may not reach this process.
      */
     void onMissingNacks() {
         raise();
     }
 
-    /** Another member suspected this process. */
+    /** Records that this process had to refute a suspicion or failure. */
     void onRefutation() {
         raise();
     }
 
-    /** This process stood still. */
+    /** Records that this process stalled. */
     void onStall() {
         awaitingContact = true;
         raise();
--- a/src/main/java/rampshift/membership/LocalMember.java
+++ b/src/main/java/rampshift/membership/LocalMember.java
@@ -23,7 +23,7 @@
         return identity.incarnation();
     }
 
-    /** Whether this process has told the others that it leaves. */
+    /** Returns whether this process is leaving, or has left, the fleet. */
     boolean isLeaving() {
         return leaving;
     }
@@ -32,29 +32,29 @@
         return identity.name().equals(name);
     }
 
-    /** Enters another phase, under a higher incarnation. */
+    /** Enters another phase and takes a higher incarnation, unless it has the highest already. */
     void setPhase(MemberIdentity.Phase phase) {
         long higher = Math.min(MemberIdentity.MAX_INCARNATION, identity.incarnation() + 1);
         identity = identity.withPhase(phase, higher);
     }
 
-    /** Leaves the fleet for good. */
+    /** Marks this process as leaving; it doesn't join again. */
     void leave() {
         leaving = true;
         setPhase(MemberIdentity.Phase.STOPPING);
     }
 
-    /** Takes an incarnation above the given one, which must be below the highest. */
+    /** Takes the next incarnation after the given one, which must be below the maximum. */
     void overrule(long incarnation) {
         identity = identity.withIncarnation(incarnation + 1);
     }
 
-    /** The statement of this process that it is alive. */
+    /** Returns an update that states that this process is alive. */
     MemberUpdate aliveUpdate() {
         return MemberUpdate.of(identity, Status.ALIVE, name());
     }
 
-    /** The statement of this process about itself: alive, or ended where it is leaving. */
+    /** Returns an update with the status of this process: ended if it is leaving, else alive. */
     MemberUpdate currentUpdate() {
         return MemberUpdate.of(identity, leaving ? Status.ENDED : Status.ALIVE, name());
     }
--- a/src/main/java/rampshift/membership/MalformedMessageException.java
+++ b/src/main/java/rampshift/membership/MalformedMessageException.java
@@ -1,28 +1,28 @@
 package rampshift.membership;
 
-/** Thrown when received bytes are not a message of this fleet. */
+/** Thrown when received bytes are not a message of this fleet and format version. */
 final class MalformedMessageException extends Exception {
     private static final long serialVersionUID = 1L;
 
     private final boolean foreign;
 
     private MalformedMessageException(String message, boolean foreign) {
-        // Without a stack trace, which would cost more than reading a bad datagram.
+        // No stack trace: filling it in would cost more than reading a malformed datagram.
         super(message, null, false, false);
         this.foreign = foreign;
     }
 
-    /** The bytes are no sound message. */
+    /** Returns an exception for bytes that are not a valid message. */
     static MalformedMessageException malformed(String message) {
         return new MalformedMessageException(message, false);
     }
 
-    /** The message is sound, but of another fleet or another version of the format. */
+    /** Returns an exception for a valid message of another fleet or another version of the format. */
     static MalformedMessageException foreign(String message) {
         return new MalformedMessageException(message, true);
     }
 
-    /** Whether the message is sound, but of another fleet or another version of the format. */
+    /** Returns whether the message is valid, but of another fleet or another version of the format. */
     boolean isForeign() {
         return foreign;
     }
--- a/src/main/java/rampshift/membership/Member.java
+++ b/src/main/java/rampshift/membership/Member.java
@@ -4,7 +4,7 @@
 import rampshift.time.Moment;
 import rampshift.time.Span;
 
-/** What this process knows of one other member. */
+/** The state of one other member as this process knows it. */
 final class Member {
     private MemberUpdate update;
     private Moment since;
@@ -27,12 +27,12 @@
         return update.status();
     }
 
-    /** The newest statement about the member, with the age that it had when it was made or received. */
+    /** Returns the newest update about the member, with the age that it had when it was made or received. */
     MemberUpdate update() {
         return update;
     }
 
-    /** The newest statement about the member, with its age as of now if it has failed or ended. */
+    /** Returns the newest update about the member, with its current age if the member has failed or ended. */
     MemberUpdate updateAt(Moment now) {
         if (isReachable()) {
             return update;
@@ -41,23 +41,23 @@
         return new MemberUpdate(update.member(), update.status(), update.reportedBy(), ageMs);
     }
 
-    /** Replaces the statement about the member, which holds since the given time. */
+    /** Replaces the update about the member; the new one has been valid since the given time. */
     void setUpdate(MemberUpdate newUpdate, Moment newSince) {
         update = newUpdate;
         since = newSince;
     }
 
-    /** For how long the current statement has held. */
+    /** Returns how long the current update has been valid. */
     Span age(Moment now) {
         return now.since(since);
     }
 
-    /** Whether the member is alive or suspect. */
+    /** Returns whether the member is alive or suspect. */
     boolean isReachable() {
         return update.status().isReachable();
     }
 
-    /** The current suspicion, or null if there is none. */
+    /** Returns the current suspicion, or null if there is none. */
     Suspicion suspicion() {
         return suspicion;
     }
--- a/src/main/java/rampshift/membership/MemberRegistry.java
+++ b/src/main/java/rampshift/membership/MemberRegistry.java
@@ -6,7 +6,7 @@
 import rampshift.time.Moment;
 import rampshift.time.Span;
 
-/** Merges updates into the view of the other members, and forgets members that left long ago. */
+/** Merges updates into the view of the other members, and removes those that failed or ended long ago. */
 final class MemberRegistry {
     private final MembershipContext context;
     private final Gossip gossip;
@@ -23,7 +23,7 @@
         this.refutation = refutation;
     }
 
-    /** Merges an update, and passes it on if it is new. */
+    /** Merges an update and forwards it if it is new. */
     void apply(MemberUpdate update) {
         String name = update.member().name();
         if (context.self().isNamed(name)) {
@@ -52,7 +52,7 @@
         }
         boolean reachable = update.status().isReachable();
         if (!reachable && update.ageMs() >= context.timings().forgetAfter().millis()) {
-            return; // the others forget it soon, too
+            return; // the other members drop it soon, too
         }
         Member member = new Member(update, startOf(update));
         context.members().add(member);
@@ -99,7 +99,7 @@
         return context.now().minus(Span.ofMillis((double) update.ageMs()));
     }
 
-    /** Drops the members that have been failed or ended for longer than they are kept. */
+    /** Removes the members that failed or ended longer ago than the configured time. */
     void forgetExpired() {
         Span forgetAfter = context.timings().forgetAfter();
         for (Member member : List.copyOf(context.members().all())) {
--- a/src/main/java/rampshift/membership/MemberTable.java
+++ b/src/main/java/rampshift/membership/MemberTable.java
@@ -7,7 +7,7 @@
 import java.util.TreeMap;
 import rampshift.membership.MemberUpdate.Status;
 
-/** The other members that are known, by name. */
+/** The other known members, by name. */
 final class MemberTable {
     private final Map<String, Member> members = new TreeMap<>();
     private final Map<String, String> addressOverrides;
@@ -18,7 +18,7 @@
         this.random = random;
     }
 
-    /** The member of that name, or null. */
+    /** Returns the member with that name, or null. */
     Member get(String name) {
         return members.get(name);
     }
@@ -27,7 +27,7 @@
         return members.containsKey(name);
     }
 
-    /** All members in the order of their names. */
+    /** Returns all members, ordered by name. */
     Collection<Member> all() {
         return members.values();
     }
@@ -44,22 +44,22 @@
         members.remove(member.name());
     }
 
-    /** The number of members that are alive or suspect, this process among them. */
+    /** Returns the number of members that are alive or suspect, including this process. */
     int reachableCount() {
         return 1 + (int) members.values().stream().filter(Member::isReachable).count();
     }
 
-    /** The number of members that have not ended in order, this process among them. */
+    /** Returns the number of members that have not left gracefully, including this process. */
     int knownCount() {
         return 1 + (int) members.values().stream().filter(member -> member.status() != Status.ENDED).count();
     }
 
-    /** Up to so many reachable members, drawn at random. */
+    /** Returns up to the given number of reachable members, drawn at random. */
     List<Member> sample(int count) {
         return sampleExcept(count, null);
     }
 
-    /** Up to so many reachable members, drawn at random, without the one of that name. */
+    /** Returns up to the given number of reachable members, drawn at random, except the named one. */
     List<Member> sampleExcept(int count, String excluded) {
         List<Member> sample = new ArrayList<>();
         for (Member member : members.values()) {
@@ -73,7 +73,7 @@
         return sample;
     }
 
-    /** Where the member is reached from here. */
+    /** Returns the address where this process reaches the member. */
     String addressOf(Member member) {
         return addressOverrides.getOrDefault(member.name(), member.identity().address());
     }
--- a/src/main/java/rampshift/membership/MemberUpdate.java
+++ b/src/main/java/rampshift/membership/MemberUpdate.java
@@ -3,10 +3,10 @@
 /**
  * A statement about the status of one member, spread by gossip.
  *
- * @param member     the member that it is about
- * @param status     the status that is claimed
- * @param reportedBy the name of the member that claimed it first
- * @param ageMs      for how long a member has been failed or ended, in milliseconds; 0 for the other statuses
+ * @param member     the member that the statement is about
+ * @param status     the claimed status
+ * @param reportedBy the name of the member that claimed the status first
+ * @param ageMs      how long a member has been failed or ended, in milliseconds; 0 for the other statuses
  */
 public record MemberUpdate(MemberIdentity member, Status status, String reportedBy, long ageMs) {
     /** The status of a member. At the same incarnation a later constant overrules an earlier one. */
@@ -17,7 +17,7 @@
         SUSPECT(1),
         /** The suspicion was not refuted in time. */
         FAILED(2),
-        /** The member left the fleet in order. */
+        /** The member left the fleet gracefully. */
         ENDED(3);
 
         private final byte wireCode;
@@ -31,21 +31,21 @@
             return wireCode;
         }
 
-        /** Whether the member is taken to be reachable: alive or suspect. */
+        /** Returns whether the member counts as reachable: alive or suspect. */
         public boolean isReachable() {
             return this == ALIVE || this == SUSPECT;
         }
     }
 
-    /** A statement that has no age. */
+    /** Creates a statement with age 0. */
     static MemberUpdate of(MemberIdentity member, Status status, String reportedBy) {
         return new MemberUpdate(member, status, reportedBy, 0);
     }
 
     /**
-     * Whether this statement overrules the other one on the same name: by a higher incarnation, else by a
-     * higher process id, else by a graver status. The order is total, so merging is a maximum and updates may
-     * arrive late, repeated or in any order.
+     * Returns whether this statement overrules the other one about the same name: by a higher incarnation,
+     * else by a higher process id, else by a later status constant. The order is total, so merging computes a
+     * maximum, and updates may arrive late, repeatedly or in any order.
      */
     boolean supersedes(MemberUpdate other) {
         if (member.incarnation() != other.member.incarnation()) {
--- a/src/main/java/rampshift/membership/MembershipContext.java
+++ b/src/main/java/rampshift/membership/MembershipContext.java
@@ -3,15 +3,15 @@
 import rampshift.time.Moment;
 
 /**
- * What all parts of the protocol share.
+ * The state shared by all parts of the protocol.
  *
- * @param time    the time of the input that is being handled
- * @param timings the times of the protocol
+ * @param time    the time of the current input
+ * @param timings the intervals and timeouts of the protocol
  * @param self    this process
  * @param members the other members
  * @param random  the source of random draws
  * @param metrics the counters of this member
- * @param output  carries out what is decided
+ * @param output  carries out the decisions
  */
 record MembershipContext(InputTime time, MembershipTimings timings, LocalMember self, MemberTable members,
         RandomDraws random, MembershipMetrics metrics, MembershipOutput output) {
@@ -19,12 +19,12 @@
         return time.now();
     }
 
-    /** Tells of an event of another member. */
+    /** Emits an event about another member. */
     void emit(MembershipEvent.Kind kind, Member member, String detail) {
         output.onEvent(MembershipEvent.of(kind, member.identity(), detail));
     }
 
-    /** Tells of an event of this process. */
+    /** Emits an event about this process. */
     void emitOwn(MembershipEvent.Kind kind, String detail) {
         output.onEvent(MembershipEvent.of(kind, self.identity(), detail));
     }
--- a/src/main/java/rampshift/membership/MembershipEvent.java
+++ b/src/main/java/rampshift/membership/MembershipEvent.java
@@ -1,33 +1,33 @@
 package rampshift.membership;
 
 /**
- * Something that a member has learnt about the fleet.
+ * A change in the fleet that a member has observed.
  *
- * @param kind        what happened
- * @param member      the name of the member that it happened to
+ * @param kind        the kind of the event
+ * @param member      the name of the member that the event is about
  * @param incarnation the incarnation of that member
- * @param detail      a short text with more
+ * @param detail      a short text with details
  */
 public record MembershipEvent(Kind kind, String member, long incarnation, String detail) {
-    /** What happened. */
+    /** A kind of event. */
     public enum Kind {
-        /** A new member, or one that is back. */
+        /** A new member joined, or a failed or restarted one returned. */
         JOINED("JOINED"),
-        /** A member says something else of itself. */
+        /** A member announced another phase or incarnation. */
         CHANGED("CHANGED"),
-        /** A member did not answer. */
+        /** This member or another one suspects a member that did not answer. */
         SUSPECTED("SUSPECTED"),
         /** A suspicion was refuted. */
         CLEARED("CLEARED"),
         /** A suspicion was not refuted in time. */
         FAILED("FAILED"),
-        /** A member left in order. */
+        /** A member left gracefully. */
         ENDED("ENDED"),
-        /** A member that had failed or ended was dropped from the view. */
+        /** A member that failed or ended long ago was removed from the view. */
         FORGOTTEN("FORGOTTEN"),
-        /** This member refuted a suspicion of itself. */
+        /** This member refuted a suspicion or failure of itself. */
         REFUTED("REFUTED"),
-        /** This process stood still. */
+        /** This process stalled. */
         STALLED("STALLED"),
         /** Another process uses the name of this member. */
         NAME_CONFLICT("TWIN"),
@@ -40,13 +40,13 @@
             this.label = label;
         }
 
-        /** The word that stands for this kind in logs and, in lower case, in event logs. */
+        /** Returns the word for this kind in logs and, in lower case, in event logs. */
         public String label() {
             return label;
         }
     }
 
-    /** An event of the given member. */
+    /** Creates an event about the given member. */
     static MembershipEvent of(Kind kind, MemberIdentity member, String detail) {
         return new MembershipEvent(kind, member.name(), member.incarnation(), detail);
     }
--- a/src/main/java/rampshift/membership/MembershipHealth.java
+++ b/src/main/java/rampshift/membership/MembershipHealth.java
@@ -1,20 +1,20 @@
 package rampshift.membership;
 
-/** How a member stands in its fleet, judged by its own view alone. */
+/** The state of the membership of one dispatcher in its fleet, derived from its own view only. */
 public enum MembershipHealth {
-    /** No other member has answered yet. */
+    /** No sync has been answered yet, and no other member is reachable. */
     JOINING("JOINING"),
-    /** The process stood still or gets no processor time: its view may be out of date. */
+    /** This process stalled and no member has answered it since: its view may be out of date. */
     LATE("LATE"),
     /** Another process uses the same name. */
     NAME_CONFLICT("TWIN"),
-    /** All known members answer. */
+    /** All known members are reachable. */
     COMPLETE("WHOLE"),
-    /** Some members do not answer, more than half do. */
+    /** More than half of the known members are reachable, but not all. */
     MAJORITY("MISSING"),
-    /** Half of the members or fewer answer. */
+    /** Half of the known members or fewer are reachable. */
     MINORITY("MINOR"),
-    /** Other members are known and none of them answers. */
+    /** Other members are known and none of them is reachable. */
     ISOLATED("ALONE");
 
     private final String label;
@@ -23,14 +23,14 @@
         this.label = label;
     }
 
-    /** The word that stands for this health in logs, event logs and the output of the members command. */
+    /** Returns the word for this state in logs, event logs and the output of the members command. */
     public String label() {
         return label;
     }
 
     /**
-     * Whether the member may act on what needs the consent of the others. This is a hint: what needs proof
-     * must not rest on it.
+     * Returns whether this member reaches more than half of the known members, so that it may do what needs
+     * their agreement. This is a hint: operations that need a proof of agreement must not rely on it.
      */
     public boolean isInAgreement() {
         return this == COMPLETE || this == MAJORITY;
--- a/src/main/java/rampshift/membership/MembershipMetrics.java
+++ b/src/main/java/rampshift/membership/MembershipMetrics.java
@@ -3,9 +3,9 @@
 import java.util.EnumMap;
 import java.util.Map;
 
-/** Counters of one member since its start. */
+/** The counters of one member since its start. */
 public final class MembershipMetrics {
-    /** What is counted. */
+    /** A counter. */
     public enum Counter {
         /** Datagrams sent. */
         SENT,
@@ -17,9 +17,9 @@
         MALFORMED,
         /** Messages received of another fleet or another version of the format. */
         FOREIGN,
-        /** Messages received that were meant for another member. */
+        /** Messages received that were addressed to another member. */
         MISDIRECTED,
-        /** Members and relayed probes that were left out for lack of room. */
+        /** Members not added and ping requests not relayed because a limit was reached. */
         OVER_CAPACITY,
         /** Anti-entropy syncs, in either direction. */
         SYNCS,
@@ -27,13 +27,13 @@
         REFUTED,
         /** Members that this one suspected by its own probes. */
         SUSPECTED,
-        /** Times that this process stood still. */
+        /** Stalls of this process. */
         STALLS
     }
 
     private final Map<Counter, Long> counts = new EnumMap<>(Counter.class);
 
-    /** The value of a counter. */
+    /** Returns the value of a counter. */
     public long get(Counter counter) {
         return counts.getOrDefault(counter, 0L);
     }
--- a/src/main/java/rampshift/membership/MembershipOutput.java
+++ b/src/main/java/rampshift/membership/MembershipOutput.java
@@ -4,21 +4,21 @@
 
 /** Carries out what {@link SwimMembership} decides. */
 public interface MembershipOutput {
-    /** Sends a datagram; it may be lost. */
+    /** Sends a datagram, which may be lost. */
     void sendDatagram(String address, byte[] datagram);
 
     /**
-     * Sends a sync request over a stream. The response, if any, goes to {@link
+     * Sends a sync request over a stream and passes the response, if any, to {@link
      * SwimMembership#onSyncResponse}.
      */
     void requestSync(String address, byte[] request);
 
-    /** Calls {@link SwimMembership#onWake} at that time, in place of any earlier request. */
+    /** Schedules a call of {@link SwimMembership#onWake}, in place of any previously scheduled one. */
     void wakeAt(Moment when);
 
-    /** Tells of something that was learnt about the fleet. */
+    /** Reports a change in the fleet. */
     void onEvent(MembershipEvent event);
 
-    /** Tells of a drain notice from another member that was not known here. */
+    /** Reports a new drain notice from another member. */
     void onDrainNotice(DrainNotice notice);
 }
--- a/src/main/java/rampshift/membership/MessageBody.java
+++ b/src/main/java/rampshift/membership/MessageBody.java
@@ -1,16 +1,16 @@
 package rampshift.membership;
 
-/** What a message asks or answers. All kinds share one format on the wire, see {@link Codec}. */
+/** The request or answer in a message. All kinds share one format on the wire, see {@link Codec}. */
 sealed interface MessageBody {
-    /** The kind of the message. */
+    /** Returns the kind of the message. */
     MessageKind kind();
 
-    /** The number of the probe that the message belongs to; 0 if it belongs to none. */
+    /** Returns the sequence number of the probe that the message belongs to; 0 if it belongs to none. */
     default long sequence() {
         return 0;
     }
 
-    /** The name of the member that an indirect probe is about; empty if the message is about none. */
+    /** Returns the target of an indirect probe; empty if the message does not belong to one. */
     default String target() {
         return "";
     }
@@ -39,7 +39,7 @@
         }
     }
 
-    /** The target of a ping request did not answer in time. */
+    /** Reports that the target of a ping request did not answer in time. */
     record Nack(long sequence, String target) implements MessageBody {
         @Override
         public MessageKind kind() {
--- a/src/main/java/rampshift/membership/MessageHandler.java
+++ b/src/main/java/rampshift/membership/MessageHandler.java
@@ -6,7 +6,7 @@
 import rampshift.membership.MemberUpdate.Status;
 import rampshift.membership.MembershipMetrics.Counter;
 
-/** Decodes what other members send and hands it to the part of the protocol that it is for. */
+/** Decodes messages of other members and passes their contents to the parts of the protocol. */
 final class MessageHandler {
     private final MembershipContext context;
     private final Codec codec;
@@ -26,8 +26,8 @@
     }
 
     /**
-     * Decodes a message; empty, and counted, if it is malformed, foreign, meant for another or sent by this
-     * process.
+     * Decodes a message. Returns empty if it is malformed, foreign or addressed to another member, which is
+     * counted, or if this process sent it.
      */
     Optional<Message> decode(byte[] bytes, int count) {
         context.metrics().increment(Counter.RECEIVED);
@@ -45,8 +45,8 @@
     }
 
     /**
-     * Whether this process sent it, to a seed that is itself. Another process of the same name has another
-     * identity.
+     * Returns whether this process sent the message, to a seed that is this process itself. Another process
+     * with the same name has a different identity.
      */
     private boolean isOwn(Message message) {
         MemberIdentity self = context.self().identity();
@@ -54,7 +54,7 @@
                 && message.updates().stream().anyMatch(update -> update.member().equals(self));
     }
 
-    /** Merges what a message tells, and answers what it asks. */
+    /** Merges the contents of a message and, unless this process is leaving, answers it. */
     void handle(Message message) {
         message.updates().forEach(registry::apply);
         for (DrainNotice notice : message.drainNotices()) {
@@ -80,7 +80,7 @@
     private void answerPing(Message message, MessageBody.Ping ping) {
         List<MemberUpdate> first = new ArrayList<>(gossip.doubtsAbout(message.from()));
         if (message.updates().stream().anyMatch(this::doubtsSelf)) {
-            first.add(context.self().aliveUpdate()); // refuted, maybe long ago
+            first.add(context.self().aliveUpdate()); // the statement that refutes the doubt
         }
         gossip.send(message.from(), new MessageBody.Ack(ping.sequence(), ""), first);
     }
@@ -89,7 +89,7 @@
         return context.self().isNamed(update.member().name()) && update.status() != Status.ALIVE;
     }
 
-    /** Answers a probe of a member that is not known here, at the address that it came from. */
+    /** Answers the probe of an unknown member at the address that it was sent from. */
     void answerUnknownSender(Message message, String address) {
         MessageBody ack = new MessageBody.Ack(message.body().sequence(), "");
         gossip.sendTo(address, new Message(context.self().name(), message.from(), ack,
--- a/src/main/java/rampshift/membership/MessageKind.java
+++ b/src/main/java/rampshift/membership/MessageKind.java
@@ -8,13 +8,13 @@
     ACK(1),
     /** Asks the receiver to probe a third member. */
     PING_REQUEST(2),
-    /** Tells the sender of a ping request that the target did not answer in time. */
+    /** Reports to the sender of a ping request that the target did not answer in time. */
     NACK(3),
     /** Carries piggybacked updates and notices only. */
     GOSSIP(4),
-    /** The full view of the sender, over a stream; answered with {@link #SYNC_RESPONSE}. */
+    /** Carries the full view of the sender over a stream; answered with {@link #SYNC_RESPONSE}. */
     SYNC_REQUEST(5),
-    /** The full view of the receiver of a sync request. */
+    /** Carries the full view of the receiver of a sync request. */
     SYNC_RESPONSE(6);
 
     private final byte wireCode;
@@ -28,12 +28,12 @@
         return wireCode;
     }
 
-    /** Whether messages of this kind go over a stream; the others go in datagrams. */
+    /** Returns whether messages of this kind are sent over a stream; the others are sent as datagrams. */
     boolean isSync() {
         return this == SYNC_REQUEST || this == SYNC_RESPONSE;
     }
 
-    /** The body of a message of this kind; kinds that have no sequence number or target ignore them. */
+    /** Returns the body of a message of this kind; kinds without sequence number or target ignore them. */
     MessageBody body(long sequence, String target) {
         return switch (this) {
             case PING -> new MessageBody.Ping(sequence);
--- a/src/main/java/rampshift/membership/NameConflictDetector.java
+++ b/src/main/java/rampshift/membership/NameConflictDetector.java
@@ -6,14 +6,14 @@
 import rampshift.time.Span;
 
 /**
- * Finds out that another process uses the name of this one. Two such processes overrule each other's
- * incarnations; a process that is gone can't overrule what it never heard of, so one that does so several
- * times must be running.
+ * Detects another running process with the name of this one. Two such processes overrule each other's
+ * incarnations. A process that has stopped can't overrule an incarnation that it never received, so one that
+ * overrules this process several times must be running.
  */
 final class NameConflictDetector {
-    /** Times that another process must have overruled this one. */
+    /** The number of times that another process must overrule this one to count as running. */
     private static final int MIN_OVERRULINGS = 3;
-    /** Reconnect intervals without a sign of the other process after which the conflict is over. */
+    /** The conflict ends after this number of reconnect intervals without a message of the other process. */
     private static final double EXPIRY_INTERVALS = 10;
     private static final int MAX_TRACKED_PROCESSES = 8;
 
@@ -25,21 +25,22 @@
         this.context = context;
     }
 
-    /** Whether another process was seen under the name of this one lately. */
+    /** Returns whether another process was recently seen under the name of this one. */
     boolean isInConflict() {
         Span expiry = context.timings().reconnectInterval().times(EXPIRY_INTERVALS);
         return lastSeenAt != null && !context.now().since(lastSeenAt).longerThan(expiry);
     }
 
     /**
-     * Whether the other process was answered so lately that the two would fill the wire with their answers.
+     * Returns whether this process must not answer the other one yet, since the last answer is less than a
+     * reconnect interval old: the two processes would flood the network with their answers.
      */
     boolean isAnswerSuppressed() {
         return isInConflict()
                 && context.timings().reconnectInterval().longerThan(context.now().since(lastSeenAt));
     }
 
-    /** Another process of this name overruled the incarnation of this one. */
+    /** Records that another process with this name overruled the incarnation of this one. */
     void onOverruled(MemberIdentity other) {
         boolean known = isInConflict();
         if (overrulingsByProcess.merge(other.processId(), 1, Integer::sum) >= MIN_OVERRULINGS) {
--- a/src/main/java/rampshift/membership/ProbeOrder.java
+++ b/src/main/java/rampshift/membership/ProbeOrder.java
@@ -3,7 +3,7 @@
 import java.util.ArrayList;
 import java.util.List;
 
-/** The order of probes: all reachable members once, shuffled anew for every pass. */
+/** The order of probes: each pass covers all reachable members once, in a new random order. */
 final class ProbeOrder {
     private final MembershipContext context;
     /** The names of the members left to probe in this pass; the last one is next. */
@@ -13,14 +13,14 @@
         this.context = context;
     }
 
-    /** Adds a new member at a random place of the current pass. */
+    /** Inserts a new member at a random position of the current pass. */
     void add(Member member) {
         if (member.isReachable() && !remaining.isEmpty()) {
             insert(member);
         }
     }
 
-    /** The name of the next member to probe, or null if none is reachable. */
+    /** Returns the name of the next member to probe, or null if none is reachable. */
     String next() {
         while (true) {
             if (remaining.isEmpty()) {
--- a/src/main/java/rampshift/membership/RandomDraws.java
+++ b/src/main/java/rampshift/membership/RandomDraws.java
@@ -3,7 +3,8 @@
 import java.util.zip.CRC32;
 
 /**
- * Random numbers by a CRC32 over the seed, the process id and a counter: the same inputs give the same draws.
+ * A deterministic random number generator: each number is the CRC32 of the seed, the process id and a
+ * counter.
  */
 final class RandomDraws {
     private static final double VALUES = 1L << 32;
@@ -19,7 +20,7 @@
         this.processId = processId;
     }
 
-    /** A number from 0 to under 1. */
+    /** Returns a number from 0 (inclusive) to 1 (exclusive). */
     double next() {
         counter++;
         CRC32 crc = new CRC32();
@@ -29,12 +30,12 @@
         return crc.getValue() / VALUES;
     }
 
-    /** A whole number from 0 to under the bound. */
+    /** Returns an integer from 0 (inclusive) to the bound (exclusive). */
     int below(int bound) {
         return Math.min(bound - 1, (int) (next() * bound));
     }
 
-    /** A factor from 0.75 to under 1.25, to keep members from acting in step. */
+    /** Returns a factor from 0.75 to 1.25 that keeps the members from acting at the same times. */
     double jitterFactor() {
         return MIN_JITTER_FACTOR + next() * JITTER_RANGE;
     }
--- a/src/main/java/rampshift/membership/Refutation.java
+++ b/src/main/java/rampshift/membership/Refutation.java
@@ -3,7 +3,7 @@
 import rampshift.membership.MemberUpdate.Status;
 import rampshift.membership.MembershipMetrics.Counter;
 
-/** Overrules what others say of this process, by taking a higher incarnation. */
+/** Overrules the updates of others about this process by taking a higher incarnation. */
 final class Refutation {
     private final MembershipContext context;
     private final Gossip gossip;
@@ -18,7 +18,7 @@
         this.nameConflicts = nameConflicts;
     }
 
-    /** Handles a statement about the name of this process: its former process, another one, or itself. */
+    /** Handles an update with the name of this process; it may be about a former or another process. */
     void onUpdateAboutSelf(MemberUpdate update) {
         MemberIdentity claimed = update.member();
         if (isOutdated(update)) {
@@ -54,7 +54,7 @@
 
     private void overrule(long incarnation) {
         if (incarnation >= MemberIdentity.MAX_INCARNATION) {
-            return; // cannot be overruled; operators see it by the status that the others report
+            return; // cannot be overruled; operators see the status that the others report
         }
         context.self().overrule(incarnation);
         if (!context.self().isLeaving()) {
--- a/src/main/java/rampshift/membership/RelayedProbes.java
+++ b/src/main/java/rampshift/membership/RelayedProbes.java
@@ -6,7 +6,7 @@
 import rampshift.membership.MembershipMetrics.Counter;
 import rampshift.time.Moment;
 
-/** Probes that this process sends for other members, and relays the answers of. */
+/** The indirect probes that this process sends for other members, to which it relays the answers. */
 final class RelayedProbes {
     private record Relay(String requester, String target, long requesterSequence, Moment deadline) {
     }
@@ -22,7 +22,7 @@
         this.sequenceNumbers = sequenceNumbers;
     }
 
-    /** Probes the target of a request, or answers at once with a nack if the target is not known here. */
+    /** Probes the target of a request, or immediately answers with a nack if the target is unknown. */
     void onPingRequest(String requester, MessageBody.PingRequest request) {
         String target = request.target();
         if (!context.members().contains(target)) {
@@ -39,7 +39,7 @@
         gossip.send(target, new MessageBody.Ping(sequence), gossip.doubtsAbout(target));
     }
 
-    /** Relays an ack if it belongs to a relayed probe; returns whether it did. */
+    /** Relays an ack if it belongs to a relayed probe; returns whether it does. */
     boolean onAck(long sequence) {
         Relay relay = bySequence.remove(sequence);
         if (relay == null) {
@@ -66,7 +66,7 @@
         bySequence.clear();
     }
 
-    /** The given time, or the deadline of the next relayed probe if that is earlier. */
+    /** Returns the earliest of the given time and the deadlines of the relayed probes. */
     Moment earliestWake(Moment other) {
         Moment earliest = other;
         for (Relay relay : bySequence.values()) {
--- a/src/main/java/rampshift/membership/SequenceNumbers.java
+++ b/src/main/java/rampshift/membership/SequenceNumbers.java
@@ -1,6 +1,6 @@
 package rampshift.membership;
 
-/** The numbers of the probes of this process, by which answers are matched. */
+/** Generates the sequence numbers of probes, by which answers are matched to them. */
 final class SequenceNumbers {
     private long last;
 
--- a/src/main/java/rampshift/membership/Suspicion.java
+++ b/src/main/java/rampshift/membership/Suspicion.java
@@ -5,7 +5,7 @@
 import rampshift.time.Moment;
 import rampshift.time.Span;
 
-/** One suspicion of a member: since when it holds, when it ends, and who shares it. */
+/** A suspicion of one member: its start, its deadline and the members that share it. */
 final class Suspicion {
     private final Set<String> suspectedBy = new HashSet<>();
     private Moment startedAt;
@@ -16,17 +16,17 @@
         this.suspectedBy.add(suspectedBy);
     }
 
-    /** When the member is taken for failed, unless it refutes the suspicion before. */
+    /** Returns when the member is declared failed unless it refutes the suspicion first. */
     Moment deadline() {
         return deadline;
     }
 
-    /** The number of members that share the suspicion beside the one that raised it. */
+    /** Returns the number of members that share the suspicion, without the one that started it. */
     int confirmations() {
         return suspectedBy.size() - 1;
     }
 
-    /** Adds a member that suspects the same; returns whether that was new and counts. */
+    /** Adds a member that shares the suspicion; returns whether it is new and shortens the suspicion. */
     boolean confirm(String member) {
         return confirmations() < MembershipTimings.MAX_CONFIRMATIONS && suspectedBy.add(member);
     }
@@ -36,7 +36,7 @@
         deadline = startedAt.plus(length);
     }
 
-    /** Puts start and end off. */
+    /** Postpones the start and the deadline. */
     void postpone(Span delay) {
         startedAt = startedAt.plus(delay);
         deadline = deadline.plus(delay);
--- a/src/main/java/rampshift/membership/Suspicions.java
+++ b/src/main/java/rampshift/membership/Suspicions.java
@@ -6,7 +6,7 @@
 import rampshift.time.Moment;
 import rampshift.time.Span;
 
-/** Suspects members, and takes those for failed that do not refute the suspicion in time. */
+/** Suspects members, and declares those failed that do not refute the suspicion in time. */
 final class Suspicions {
     private final MembershipContext context;
     private final Gossip gossip;
@@ -16,7 +16,7 @@
         this.gossip = gossip;
     }
 
-    /** A probe of this process got no answer, neither directly nor by way of others. */
+    /** Suspects a member that answered neither the direct nor the indirect probes of this process. */
     void onProbeFailed(String name) {
         Member member = context.members().get(name);
         if (member == null || !member.isReachable()) {
@@ -42,7 +42,7 @@
         context.emit(MembershipEvent.Kind.SUSPECTED, member, "by " + suspectedBy);
     }
 
-    /** Another member suspects a suspected member, too: the suspicion gets shorter. */
+    /** Shortens a suspicion that another member shares. */
     void confirm(Member member, MemberUpdate update) {
         Suspicion suspicion = member.suspicion();
         if (suspicion.confirm(update.reportedBy())) {
@@ -53,11 +53,11 @@
 
     private void updateLength(Suspicion suspicion) {
         int reachable = context.members().reachableCount();
-        int couldConfirm = reachable - 2; // neither the suspected member nor the first that suspects it
+        int couldConfirm = reachable - 2; // excludes the suspected member and its first reporter
         suspicion.setLength(context.timings().suspicion(reachable, suspicion.confirmations(), couldConfirm));
     }
 
-    /** Takes those members for failed whose suspicion has ended. */
+    /** Declares the members failed whose suspicion has reached its deadline. */
     void onWake() {
         for (Member member : List.copyOf(context.members().all())) {
             Suspicion suspicion = member.suspicion();
@@ -72,7 +72,7 @@
         }
     }
 
-    /** This process stood still: refutations may lie unread, so all suspicions are put off. */
+    /** Postpones all suspicions after a stall, since refutations may not have been read yet. */
     void onStall(Span stall) {
         for (Member member : context.members().all()) {
             if (member.suspicion() != null) {
@@ -81,7 +81,7 @@
         }
     }
 
-    /** The given time, or the end of the next suspicion if that is earlier. */
+    /** Returns the earliest of the given time and the deadlines of the suspicions. */
     Moment earliestWake(Moment other) {
         Moment earliest = other;
         for (Member member : context.members().all()) {
--- a/src/main/java/rampshift/membership/SwimMembership.java
+++ b/src/main/java/rampshift/membership/SwimMembership.java
@@ -8,16 +8,16 @@
 
 /**
  * One dispatcher's view of the others: SWIM with suspicion, refutation by incarnation and indirect probes,
- * Lifeguard's local health, and drain notices of workers piggybacked on its messages.
+ * Lifeguard's local health, and drain notices of workers piggybacked on the messages.
  *
- * <p>It is given datagrams, syncs and the time, and decides what to send and when to be woken; it has no
- * clock, socket or thread. All methods must be called from one thread, with times that never go back. See
- * docs/design/members.md for the reasons, and for what holds where an assumption does not.
+ * <p>Callers pass in datagrams, syncs and the time; this class decides what to send and when to be called
+ * again. It has no clock, socket or thread. All methods must be called from one thread, with times that never
+ * decrease. See docs/design/members.md for the reasons, and for the behavior when an assumption fails.
  */
 public final class SwimMembership {
-    /** A wake that is late by more than this part of a period is a stall of this process. */
+    /** A wake-up that is late by more than this fraction of a period counts as a stall of this process. */
     private static final double STALL_PERIODS = 0.5;
-    /** Members that get the update at once that this one leaves. */
+    /** The number of members that are notified immediately when this one leaves. */
     private static final int LEAVE_FANOUT = 8;
 
     private final InputTime time = new InputTime();
@@ -33,7 +33,7 @@
     private final MessageHandler messages;
     private Moment wakeAt;
 
-    /** A member that is not started yet. */
+    /** Creates a member that is not started yet. */
     public SwimMembership(MembershipOptions options, MembershipOutput output) {
         LocalMember self = new LocalMember(options.self());
         RandomDraws random = new RandomDraws(options.seed(), options.self().processId());
@@ -65,7 +65,7 @@
         afterInput();
     }
 
-    /** Enters another phase of the life cycle and tells the others. */
+    /** Enters another phase of the life cycle and announces it to the others. */
     public void setPhase(Moment now, MemberIdentity.Phase phase) {
         time.set(now);
         context.self().setPhase(phase);
@@ -73,7 +73,7 @@
         afterInput();
     }
 
-    /** Leaves the fleet in order, so that nobody suspects this member. */
+    /** Leaves the fleet gracefully, so that no member suspects this one. */
     public void leave(Moment now) {
         time.set(now);
         context.self().leave();
@@ -86,9 +86,9 @@
     }
 
     /**
-     * Handles a datagram. One that is malformed or of another fleet moves a counter and nothing else.
+     * Handles a datagram. One that is malformed or of another fleet only increments a counter.
      *
-     * @param fromAddress where it came from
+     * @param fromAddress the address of the sender
      * @param bytes       holds the datagram at its start
      * @param count       the length of the datagram in bytes
      */
@@ -134,7 +134,7 @@
         afterInput();
     }
 
-    /** Spreads a notice that was taken from the own endpoint list. */
+    /** Spreads a notice that this member took from its own endpoint list. */
     public void announce(Moment now, DrainNotice notice) {
         time.set(now);
         if (drainNotices.add(notice)) {
@@ -142,7 +142,7 @@
         }
     }
 
-    /** Does what is due. To be called at the time that {@link MembershipOutput#wakeAt} asked for. */
+    /** Does the work that is due; must be called at the time passed to {@link MembershipOutput#wakeAt}. */
     public void onWake(Moment now) {
         time.set(now);
         if (wakeAt != null && now.since(wakeAt).longerThan(context.timings().period().times(STALL_PERIODS))) {
@@ -164,7 +164,7 @@
         afterInput();
     }
 
-    /** This process stood still: nobody is suspected or taken for failed by what happened before. */
+    /** Handles a stall of this process: no member is suspected or declared failed because of it. */
     private void onStall(Span stall) {
         context.metrics().increment(Counter.STALLS);
         localHealth.onStall();
@@ -187,43 +187,43 @@
         }
     }
 
-    /** What this member says of itself. */
+    /** Returns the identity that this member announces. */
     public MemberIdentity self() {
         return context.self().identity();
     }
 
-    /** How this member stands in its fleet. */
+    /** Returns the health of the membership as this member sees it. */
     public MembershipHealth health() {
         return healthMonitor.health();
     }
 
-    /** The counters of this member. */
+    /** Returns the counters of this member. */
     public MembershipMetrics metrics() {
         return context.metrics();
     }
 
-    /** The drain notices that are known here. */
+    /** Returns the drain notices that this member knows. */
     public DrainNotices drainNotices() {
         return drainNotices.notices();
     }
 
-    /** The newest updates about the other members, in the order of their names. */
+    /** Returns the newest updates about the other members, ordered by name. */
     public List<MemberUpdate> others() {
         return context.members().all().stream().map(Member::update).toList();
     }
 
-    /** The number of members that are alive or suspect, this one among them. */
+    /** Returns the number of members that are alive or suspect, including this one. */
     public int reachableCount() {
         return context.members().reachableCount();
     }
 
-    /** The address and port where a member is reached from here, or null for one that is not known. */
+    /** Returns the address and port where this member reaches another one, or null if it is unknown. */
     public String address(String name) {
         Member member = context.members().get(name);
         return member == null ? null : context.members().addressOf(member);
     }
 
-    /** Lifeguard's score of the own lateness: 0, in time, to 8. */
+    /** Returns Lifeguard's local health score: 0 if this process responds in time, up to 8. */
     public int localHealthScore() {
         return localHealth.score();
     }
--- a/src/main/java/rampshift/membership/WireCoded.java
+++ b/src/main/java/rampshift/membership/WireCoded.java
@@ -1,9 +1,9 @@
 package rampshift.membership;
 
 /**
- * An enum constant with a fixed code on the wire, which stays as it is when constants are added or reordered.
+ * An enum constant with a fixed code on the wire, which does not depend on the order of the constants.
  */
 interface WireCoded {
-    /** The code of this constant, from 0 to 127. */
+    /** Returns the code of this constant, from 0 to 127. */
     byte wireCode();
 }
--- a/src/main/java/rampshift/membership/WireReader.java
+++ b/src/main/java/rampshift/membership/WireReader.java
@@ -5,8 +5,8 @@
 import java.nio.charset.StandardCharsets;
 
 /**
- * Reads the fields of a message and checks the bounds of each before anything is made of it. All methods
- * throw {@link BufferUnderflowException} where the message is too short.
+ * Reads the fields of a message and checks the bounds of each before it is used. Reading past the end of the
+ * message throws {@link BufferUnderflowException}.
  */
 final class WireReader {
     private static final byte ASCII_DELETE = 127;
@@ -39,25 +39,25 @@
         return buffer.hasRemaining();
     }
 
-    /** A number that must not be below 0. */
+    /** Reads a number and rejects a negative one. */
     long readNonNegativeLong() throws MalformedMessageException {
         long value = buffer.getLong();
         if (value < 0) {
-            throw MalformedMessageException.malformed("a number below 0");
+            throw MalformedMessageException.malformed("negative number");
         }
         return value;
     }
 
-    /** A count of items, each of which takes {@code minItemBytes} at least. */
+    /** Reads the number of items that follow, each of which takes at least {@code minItemBytes}. */
     int readCount(int maxCount, int minItemBytes) throws MalformedMessageException {
         int count = buffer.getShort() & UNSIGNED_SHORT;
         if (count > maxCount || (long) count * minItemBytes > buffer.remaining()) {
-            throw MalformedMessageException.malformed("a count out of bounds");
+            throw MalformedMessageException.malformed("count out of bounds");
         }
         return count;
     }
 
-    /** The one of the constants whose code comes next. */
+    /** Reads a code and returns the constant that has it. */
     <E extends WireCoded> E readCoded(E[] constants) throws MalformedMessageException {
         byte code = buffer.get();
         for (E constant : constants) {
@@ -65,20 +65,20 @@
                 return constant;
             }
         }
-        throw MalformedMessageException.malformed("an unknown code");
+        throw MalformedMessageException.malformed("unknown code");
     }
 
-    /** Text of at most {@link Codec#MAX_TEXT_BYTES} bytes without blanks and control characters. */
+    /** Reads printable ASCII text without blanks, of at most {@link Codec#MAX_TEXT_BYTES} bytes. */
     String readText() throws MalformedMessageException {
         int length = buffer.get() & UNSIGNED_BYTE;
         if (length > Codec.MAX_TEXT_BYTES || length > buffer.remaining()) {
-            throw MalformedMessageException.malformed("text out of bounds");
+            throw MalformedMessageException.malformed("text length out of bounds");
         }
         byte[] bytes = new byte[length];
         buffer.get(bytes);
         for (byte character : bytes) {
             if (character <= ' ' || character == ASCII_DELETE) {
-                throw MalformedMessageException.malformed("text with blanks or control characters");
+                throw MalformedMessageException.malformed("text that is not printable ASCII");
             }
         }
         return new String(bytes, StandardCharsets.US_ASCII);
--- a/src/main/java/rampshift/membership/host/DatagramPort.java
+++ b/src/main/java/rampshift/membership/host/DatagramPort.java
@@ -10,20 +10,20 @@
 import org.xnio.channels.MulticastMessageChannel;
 import org.xnio.channels.SocketAddressBuffer;
 
-/** The UDP socket of a member. It is used on the I/O thread only. */
+/** The UDP socket of a member. Used on the I/O thread only. */
 final class DatagramPort implements Closeable {
-    /** More than a member sends; a longer datagram is cut off and fails its checksum. */
+    /** Exceeds every datagram that members send; a longer one is truncated and fails its checksum. */
     private static final int BUFFER_BYTES = 2048;
-    /** After so many datagrams in a row, tasks of the dispatcher have their turn. */
+    /** The number of datagrams handled in a row before other work of the I/O thread runs. */
     private static final int MAX_DATAGRAMS_PER_READ = 64;
 
-    /** Takes datagrams. */
+    /** Handles received datagrams. */
     interface Receiver {
         /**
-         * A datagram has arrived.
+         * Handles a datagram.
          *
          * @param fromAddress host and port of the sender
-         * @param bytes       holds the datagram at its start; reused for the next one
+         * @param bytes       holds the datagram at its start; reused for the next datagram
          * @param count       the length of the datagram in bytes
          */
         void onDatagram(String fromAddress, byte[] bytes, int count);
@@ -39,25 +39,25 @@
     /**
      * Binds the socket.
      *
-     * @throws IOException if the address can't be listened on
+     * @throws IOException if the socket can't be bound to the address
      */
     DatagramPort(XnioWorker worker, InetSocketAddress listen, Receiver receiver) throws IOException {
         this.receiver = receiver;
         channel = worker.createUdpServer(listen, ignored -> {}, OptionMap.EMPTY);
     }
 
-    /** Begins to receive. */
+    /** Starts receiving. */
     void resumeReceives() {
         channel.getReadSetter().set(ignored -> receive());
         channel.resumeReads();
     }
 
-    /** Sends a datagram to an address. One that can't be sent is as good as lost; the protocol asks again. */
+    /** Sends a datagram to an address. One that can't be sent counts as lost; the protocol retries. */
     void send(String address, byte[] datagram) {
         try {
             channel.sendTo(MemberAddresses.parse(address), ByteBuffer.wrap(datagram));
         } catch (IOException e) {
-            // Lost, see above.
+            // Counts as lost; the protocol retries.
         }
     }
 
@@ -74,7 +74,7 @@
                 receiver.onDatagram(MemberAddresses.format(sender.getSourceAddress()), bytes, count);
             }
         } catch (IOException e) {
-            // One that could not be read, as where an earlier one of ours was refused.
+            // Reading may fail, for example if the receiver of an earlier datagram refused it.
         }
     }
 
--- a/src/main/java/rampshift/membership/host/DrainOverrides.java
+++ b/src/main/java/rampshift/membership/host/DrainOverrides.java
@@ -16,9 +16,10 @@
 import rampshift.time.Span;
 
 /**
- * Overrides the own endpoint list with drain notices of other members. Notices can only take workers out of
- * service; what puts a worker back is the own list alone: a list as new as the notice, a later start of the
- * worker, or a list that is still updated a stated time after without the drain. No sockets, no clock.
+ * Overrides the endpoint list of this dispatcher with drain notices of other members. Notices only take
+ * workers out of service. Only the own list puts a worker back: by a list as new as the notice, by a later
+ * start of the worker, or by any update, after the lifetime of the override, that leaves the worker ready.
+ * Uses no sockets and no clock.
  */
 final class DrainOverrides {
     private record ActiveOverride(DrainNotice notice, Moment since) {
@@ -28,18 +29,18 @@
     private final Span lifetime;
     private final ServerExtension.EndpointListener changes;
     private final String dispatcher;
-    /** The endpoints of the own list, by their ids. */
+    /** The endpoints of the own list, by id. */
     private final Map<String, Endpoint> ownEndpoints = new HashMap<>();
     private final Map<String, ActiveOverride> overrides = new LinkedHashMap<>();
     private long ownVersion = -1;
     private boolean hasOwnList;
 
     /**
-     * No overrides yet.
+     * Creates an object without overrides.
      *
-     * @param enabled    whether notices of others are taken at all
-     * @param lifetime   for how long a notice overrides an own list that is updated but stays behind it
-     * @param changes    is told of workers that a notice takes out of service
+     * @param enabled    whether notices of others are applied at all
+     * @param lifetime   how long a notice overrides an own list that is updated but remains older than it
+     * @param changes    is notified of workers that a notice takes out of service
      * @param dispatcher the name of this dispatcher, for the log
      */
     DrainOverrides(boolean enabled, Span lifetime, ServerExtension.EndpointListener changes,
@@ -50,22 +51,20 @@
         this.dispatcher = dispatcher;
     }
 
-    /** The number of workers that are overridden. */
+    /** Returns the number of workers that are overridden. */
     int count() {
         return overrides.size();
     }
 
-    /**
-     * The endpoint list comes from another service from now on, whose versions say nothing of the former's.
-     */
+    /** Discards the list version: another service, whose versions are not comparable, sends the next list. */
     void onDiscoveryChanged() {
         hasOwnList = false;
         ownVersion = -1;
     }
 
     /**
-     * Takes a notice from another member; returns whether it overrides a worker that the own list calls
-     * ready.
+     * Handles a notice from another member; returns whether it overrides a worker that is ready in the own
+     * list.
      */
     boolean onNotice(Moment now, DrainNotice notice) {
         Endpoint endpoint = ownEndpoints.get(notice.worker());
@@ -81,10 +80,10 @@
     }
 
     /**
-     * Takes an update of the own endpoint list.
+     * Handles an update of the own endpoint list.
      *
-     * @param notices  the notices that are known
-     * @param announce takes the notices that the other members are to be told
+     * @param notices  the known notices
+     * @param announce receives the notices to send to the other members
      * @return the list with the overrides applied
      */
     EndpointList onOwnList(Moment now, EndpointList list, DrainNotices notices,
@@ -132,7 +131,7 @@
         return overridden(endpoint, notice);
     }
 
-    /** Ends the overrides that the own list has caught up with or outlived, and puts their workers back. */
+    /** Ends the overrides that are expired or outdated by the own list, and restores their workers. */
     private void endOverrides(Moment now, List<Endpoint> effective) {
         for (Map.Entry<String, ActiveOverride> entry : List.copyOf(overrides.entrySet())) {
             Endpoint endpoint = ownEndpoints.get(entry.getKey());
--- a/src/main/java/rampshift/membership/host/MemberAddresses.java
+++ b/src/main/java/rampshift/membership/host/MemberAddresses.java
@@ -4,16 +4,16 @@
 import java.net.SocketAddress;
 import rampshift.settings.Configuration;
 
-/** Converts addresses of members from and to text. Names are not looked up. */
+/** Converts addresses of members from and to text. Host names are not resolved. */
 final class MemberAddresses {
     private MemberAddresses() {}
 
-    /** The address of a text that was checked where it came in. */
+    /** Parses an address that was validated when it was received. */
     static InetSocketAddress parse(String text) {
         return Configuration.address("member", text);
     }
 
-    /** Host and port; an IPv6 host is in brackets. */
+    /** Returns host and port; an IPv6 host is in brackets. */
     static String format(SocketAddress address) {
         InetSocketAddress inetAddress = (InetSocketAddress) address;
         String host = inetAddress.getAddress().getHostAddress();
--- a/src/main/java/rampshift/membership/host/MembershipEventLog.java
+++ b/src/main/java/rampshift/membership/host/MembershipEventLog.java
@@ -6,15 +6,15 @@
 import rampshift.eventlog.EventClock;
 import rampshift.eventlog.EventLog;
 
-/** Writes what a member learns to the event log, if the operators' file names one. */
+/** Writes the events of a member to the event log, if the operator's file names one. */
 final class MembershipEventLog implements Closeable {
     private static final String RECORD_TYPE = "members";
 
-    private final EventLog log; // null where there is none
+    private final EventLog log; // null if there is none
     private final String dispatcher;
 
     /**
-     * Opens the file, or none if it is null.
+     * Opens the file unless it is null.
      *
      * @throws IOException if the file can't be opened
      */
@@ -23,7 +23,7 @@
         log = file == null ? null : new EventLog(file, true);
     }
 
-    /** Writes one event of the given subject, a member or a worker. */
+    /** Writes one event about the given subject, a member or a worker. */
     void write(String event, String subject, long number, String detail) {
         if (log != null) {
             log.append(EventClock.now(), RECORD_TYPE, dispatcher, event, subject, number,
--- a/src/main/java/rampshift/membership/host/MembershipQuery.java
+++ b/src/main/java/rampshift/membership/host/MembershipQuery.java
@@ -7,9 +7,9 @@
 import java.net.Socket;
 import java.nio.charset.StandardCharsets;
 
-/** Asks a running dispatcher a question, over the address where the other members reach it. Blocks. */
+/** Queries a running dispatcher at its member address. Blocks. */
 public final class MembershipQuery {
-    /** The question for the view of the members. */
+    /** The query for the view of the members. */
     static final String MEMBERS = "?members";
 
     private static final int TIMEOUT_MS = 3000;
@@ -17,7 +17,7 @@
     private MembershipQuery() {}
 
     /**
-     * The view that the dispatcher has of the members, as text for people.
+     * Returns the dispatcher's view of the members as human-readable text.
      *
      * @throws IOException if no dispatcher answers there in time
      */
@@ -26,7 +26,7 @@
     }
 
     /**
-     * The answer to a question, which must begin with a question mark.
+     * Returns the answer to a query, which must begin with a question mark.
      *
      * @throws IOException if no dispatcher answers there in time
      */
@@ -42,7 +42,7 @@
             DataInputStream in = new DataInputStream(socket.getInputStream());
             int length = in.readInt();
             if (length < 0 || length > StreamExchange.MAX_MESSAGE_BYTES) {
-                throw new IOException("an answer that is none");
+                throw new IOException("invalid length of the answer");
             }
             return new String(in.readNBytes(length), StandardCharsets.UTF_8);
         } catch (IOException e) {
--- a/src/main/java/rampshift/membership/host/MembershipReport.java
+++ b/src/main/java/rampshift/membership/host/MembershipReport.java
@@ -13,14 +13,14 @@
     private final SwimMembership membership;
     private final int drainOverrides;
 
-    /** A report on the membership as it is now, with the number of workers that drain notices override. */
+    /** Creates a report on the membership, with the number of workers that drain notices override. */
     MembershipReport(String fleet, SwimMembership membership, int drainOverrides) {
         this.fleet = fleet;
         this.membership = membership;
         this.drainOverrides = drainOverrides;
     }
 
-    /** The text of the report, which operators read and scripts may parse: its words stay as they are. */
+    /** Returns the text of the report. Its format is stable, since scripts may parse it. */
     String text() {
         MemberIdentity self = membership.self();
         StringBuilder text = new StringBuilder();
--- a/src/main/java/rampshift/membership/host/MembershipTransport.java
+++ b/src/main/java/rampshift/membership/host/MembershipTransport.java
@@ -29,14 +29,14 @@
 import rampshift.time.Moment;
 
 /**
- * Runs the membership of a dispatcher on its one I/O thread: the sockets for datagrams and streams on one
- * address, the timer and the event log, all of which it owns.
+ * Runs the membership of a dispatcher on its I/O thread. Owns the UDP and TCP sockets, which share one
+ * address, the timer and the event log.
  */
 public final class MembershipTransport implements ServerExtension, MembershipOutput, MessageChannel {
-    /** The share of the descriptors that accepted streams may take. */
+    /** The fraction of the dispatcher's sockets that accepted streams may use. */
     private static final double STREAM_SHARE = 1.0 / 16;
     private static final int MIN_STREAMS = 4;
-    /** The sockets that are listened on, UDP and TCP. */
+    /** The number of listening sockets: UDP and TCP. */
     private static final int LISTENING_SOCKETS = 2;
     private static final String NAME_PATTERN = "[!-~]{1,40}";
     private static final String NOT_PRINTABLE = "[^!-~]";
@@ -45,7 +45,7 @@
     private final MembershipSettings settings;
     private final String name;
     private final String build;
-    private final MessageChannel.Handler handler; // null for none
+    private final MessageChannel.Handler handler; // null if there is none
     private final MembershipEventLog eventLog;
     private XnioIoThread thread;
     private Clock clock;
@@ -58,11 +58,11 @@
     private boolean ended;
 
     /**
-     * A membership that is not started yet.
+     * Creates a membership that is not started yet.
      *
      * @param name    the name of this dispatcher
      * @param build   the version of its software
-     * @param handler the module that uses the address of the members for its own messages, or null for none
+     * @param handler the module that sends its own messages over the UDP socket, or null for none
      * @throws IOException if the event log can't be opened
      */
     public MembershipTransport(MembershipSettings settings, String name, String build,
@@ -93,7 +93,7 @@
         this.configuration = configuration;
         if (!name.matches(NAME_PATTERN)) {
             throw new InvalidInputException(
-                    "name \"" + name + "\" is no name that members can go by: 1 to 40 letters, no blanks");
+                    "name \"" + name + "\" is not 1 to 40 printable ASCII characters without blanks");
         }
         String address = MemberAddresses.format(settings.listen());
         openSockets(worker, address);
@@ -117,12 +117,13 @@
                     this::onRequest);
         } catch (IOException e) {
             close();
-            throw new IOException("members: " + address + " can't be listened on (" + e.getMessage() + ")");
+            throw new IOException("members: cannot listen on " + address + " (" + e.getMessage() + ")");
         }
     }
 
     /**
-     * The first incarnation is the clock's time, so that it is above those of earlier processes of this name.
+     * Returns the options. The first incarnation is the current time, so that it exceeds those of earlier
+     * processes with this name.
      */
     private MembershipOptions options(String address) {
         long processId = new SecureRandom().nextLong();
@@ -142,7 +143,7 @@
         handler.onReachableMembers(reachable);
     }
 
-    // ---- What the dispatcher tells
+    // ---- Calls from the dispatcher
 
     @Override
     public EndpointList adjust(EndpointList own) {
@@ -199,7 +200,7 @@
                 metrics.get(Counter.STALLS));
     }
 
-    // ---- What the membership decides
+    // ---- Decisions of the membership protocol
 
     @Override
     public void sendDatagram(String address, byte[] datagram) {
@@ -227,7 +228,7 @@
         writeEvent(event.kind().label().toLowerCase(Locale.ROOT), event.member(), event.incarnation(),
                 event.detail());
         if (handler != null && event.kind() != MembershipEvent.Kind.HEALTH_CHANGED) {
-            thread.execute(this::notifyHandler); // once all that goes with the event is known
+            thread.execute(this::notifyHandler); // deferred until the input that caused the event is handled
         }
         Log.info("membership", "event", event.kind().label(), "name", event.member(), "incarnation",
                 event.incarnation(), "detail", event.detail());
@@ -246,7 +247,7 @@
         }
     }
 
-    // ---- What other members and the command line send
+    // ---- Requests of other members and of the command line
 
     private void onDatagram(String fromAddress, byte[] bytes, int count) {
         if (handler != null && Envelope.isEnvelope(bytes, count)) {
--- a/src/main/java/rampshift/membership/host/MessageChannel.java
+++ b/src/main/java/rampshift/membership/host/MessageChannel.java
@@ -6,43 +6,43 @@
 import rampshift.time.Clock;
 
 /**
- * Sends messages of other modules to members by name, over the address and the datagrams of the membership.
- * All methods must be called on the I/O thread.
+ * Sends messages of other modules to members by name, over the UDP socket of the membership. All methods must
+ * be called on the I/O thread.
  */
 public interface MessageChannel {
     /**
-     * Sends a payload to the member of that name, which may be this one. It is lost where the name has no
-     * known address, or on the way.
+     * Sends a payload to the member with that name, which may be this one. The payload may be lost on the way
+     * and is dropped if the address of the member is unknown.
      */
     void send(String to, byte[] payload);
 
-    /** The I/O thread. */
+    /** Returns the I/O thread. */
     XnioIoThread thread();
 
-    /** The clock of the I/O thread. */
+    /** Returns the clock of the I/O thread. */
     Clock clock();
 
-    /** The configuration of the dispatcher. */
+    /** Returns the configuration of the dispatcher. */
     Configuration configuration();
 
-    /** A module that uses the channel. It is called on the I/O thread. */
+    /** A module that uses the channel. Its methods are called on the I/O thread. */
     interface Handler {
-        /** The channel is open. */
+        /** Called when the channel has been opened. */
         void begin(MessageChannel channel);
 
-        /** A payload came from the member of that name. */
+        /** Handles a payload from the member with that name. */
         void onMessage(String from, byte[] payload);
 
-        /** The names of the members that are alive or suspect, this one among them, after each event. */
+        /** Called after each event with the names of all alive or suspect members, including this one. */
         void onReachableMembers(Collection<String> names);
 
-        /** The answer to a question from the command line, or null if the question is not for this module. */
+        /** Returns the answer to a query from the command line, or null if this module doesn't know it. */
         String answer(String question);
 
-        /** The dispatcher begins to shut down: what is held for the fleet is given back. */
+        /** Called when the dispatcher starts to shut down; the module releases its leases. */
         void stopping();
 
-        /** The channel is about to be closed. */
+        /** Called before the channel is closed. */
         void end();
     }
 }
--- a/src/main/java/rampshift/membership/host/StreamExchange.java
+++ b/src/main/java/rampshift/membership/host/StreamExchange.java
@@ -11,11 +11,11 @@
 import org.xnio.XnioIoThread;
 
 /**
- * One stream between two members: one message in each direction, preceded by its length in four bytes. It is
- * bounded in bytes and in time and closes itself.
+ * One stream between two members, with one message in each direction, preceded by its length in four bytes.
+ * Closes itself when the exchange completes or fails, a message is too long or the timeout expires.
  */
 final class StreamExchange {
-    /** The bytes of a message at most. */
+    /** The maximum size of a message. */
     static final int MAX_MESSAGE_BYTES = 1 << 20;
 
     private static final long TIMEOUT_MS = 2000;
@@ -32,9 +32,9 @@
     private boolean closed;
 
     /**
-     * An exchange that is not started yet; its timeout runs already.
+     * Creates an exchange that is not started yet, and starts its timeout.
      *
-     * @param onMessage takes the message that is received and returns the answer, or null for none
+     * @param onMessage handles the received message and returns the answer, or null for none
      * @param onClose   called once, when the stream is closed
      */
     StreamExchange(StreamConnection connection, XnioIoThread thread, UnaryOperator<byte[]> onMessage,
@@ -45,7 +45,7 @@
         timeout = thread.executeAfter(this::close, TIMEOUT_MS, TimeUnit.MILLISECONDS);
     }
 
-    /** Sends a request, or none if it is null, and waits for a message. */
+    /** Sends a request unless it is null, and starts to receive a message. */
     void start(byte[] request) {
         connection.getSourceChannel().setReadListener(ignored -> onReadable());
         connection.getSinkChannel().setWriteListener(ignored -> onWritable());
@@ -101,7 +101,7 @@
         }
     }
 
-    /** Takes the message if all of it has come; returns whether the input is done with. */
+    /** Delivers the message if it is complete; returns whether no more input is expected. */
     private boolean takeMessage() {
         boolean lengthKnown = input.position() >= LENGTH_BYTES;
         int length = lengthKnown ? input.getInt(0) : 0;
@@ -114,7 +114,7 @@
             return true;
         }
         if (!input.hasRemaining()) {
-            // The buffer grows only with what has come: a length alone takes no memory.
+            // The buffer grows only with the received bytes: a large announced length reserves no memory.
             int capacity = Math.min(LENGTH_BYTES + length, input.capacity() * 2);
             input = ByteBuffer.allocate(capacity).put(input.flip());
         }
--- a/src/main/java/rampshift/membership/host/StreamPort.java
+++ b/src/main/java/rampshift/membership/host/StreamPort.java
@@ -18,7 +18,7 @@
 import org.xnio.channels.AcceptingChannel;
 
 /**
- * The TCP socket of a member, and all streams to and from other members. It is used on the I/O thread only.
+ * The TCP socket of a member, and all streams to and from other members. Used on the I/O thread only.
  */
 final class StreamPort implements Closeable {
     private static final int BACKLOG = 1024;
@@ -33,9 +33,9 @@
     /**
      * Binds the socket.
      *
-     * @param maxAccepted the accepted streams at once; more wait in the backlog
-     * @param responder   answers a request; null ends the stream without an answer
-     * @throws IOException if the address can't be listened on
+     * @param maxAccepted the maximum number of open accepted streams; further ones wait in the backlog
+     * @param responder   returns the answer to a request, or null to close the stream without an answer
+     * @throws IOException if the socket can't be bound to the address
      */
     StreamPort(XnioWorker worker, XnioIoThread thread, InetSocketAddress listen, int maxAccepted,
             UnaryOperator<byte[]> responder) throws IOException {
@@ -50,13 +50,13 @@
         server = worker.createStreamConnectionServer(listen, listener, options);
     }
 
-    /** Begins to accept streams. */
+    /** Starts accepting streams. */
     void resumeAccepts() {
         server.resumeAccepts();
     }
 
     /**
-     * Sends a request over a new stream. It is dropped if too many streams are open; the protocol asks again.
+     * Sends a request over a new stream. Drops it if too many streams are open; the protocol retries.
      */
     void request(String address, byte[] request, Consumer<byte[]> onResponse) {
         if (exchanges.size() >= 2 * maxAccepted) {
@@ -78,7 +78,7 @@
                 open(connection, null, responder);
             }
         } catch (IOException e) {
-            // Closed meanwhile, or no descriptors left: the streams wait in the backlog.
+            // The server is closed, or no file descriptors are left: the streams wait in the backlog.
         }
     }
 
--- a/src/test/java/rampshift/membership/CodecTest.java
+++ b/src/test/java/rampshift/membership/CodecTest.java
@@ -11,7 +11,7 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
 
-/** The formats on the wire, byte for byte: dispatchers of different builds have to understand one another. */
+/** Fixes the formats on the wire byte for byte: dispatchers of different builds must be compatible. */
 class CodecTest {
     private static final String FLEET = "valle";
     private static final long SEQUENCE = 42;
--- a/src/test/java/rampshift/membership/SimulatedNetwork.java
+++ b/src/test/java/rampshift/membership/SimulatedNetwork.java
@@ -11,13 +11,13 @@
 import rampshift.time.Moment;
 import rampshift.time.Span;
 
-/** A network in simulated time between as many members as a test wants; its faults are drawn by a seed. */
+/** A simulated network between members, in simulated time; its faults depend on a seed. */
 final class SimulatedNetwork extends EventSimulation {
     static final MembershipTimings TIMINGS =
             new MembershipTimings(Span.ofMillis(1000), Span.ofMillis(3_600_000));
     static final String FLEET = "fleet";
 
-    /** The delay of one direction of a stream, as a multiple of that of a datagram. */
+    /** The delay of a request over a stream, as a multiple of the delay of a datagram. */
     private static final double STREAM_DELAY_FACTOR = 2;
     private static final double CHECK_INTERVAL_SECONDS = 0.1;
     private static final int MICROS_PER_MILLI = 1000;
@@ -28,12 +28,12 @@
     final SplittableRandom random;
     double lossEverywhere;
     double duplicationRate;
-    private final Map<String, Double> lossByLink = new HashMap<>(); // keys as in "d1>d2"
+    private final Map<String, Double> lossByLink = new HashMap<>(); // the key of a link is "d1>d2"
     private final List<String> seeds = new ArrayList<>();
     private final int minDelayMs = 1;
     private final int maxDelayMs = 20;
 
-    /** One process after another under one name. */
+    /** A member with its current process, which may be killed and replaced by a new one of the same name. */
     final class Node implements MembershipOutput {
         final String name;
         final int index;
@@ -56,7 +56,7 @@
             return "10.0." + index / HOSTS_PER_SUBNET + "." + (index % HOSTS_PER_SUBNET + 1) + ":7";
         }
 
-        /** Starts a new process whose clock shows the given time. */
+        /** Starts a new process with the given clock time. */
         void start(long newClockMs) {
             clockMs = newClockMs;
             starts++;
@@ -68,7 +68,7 @@
                     new MembershipOptions(FLEET, self, seeds, Map.of(), TIMINGS, index), this);
             paused = false;
             waiting.clear();
-            incarnations.clear(); // a new process remembers nothing
+            incarnations.clear(); // a new process has no state
             wakes++;
             membership.start(moment());
         }
@@ -92,7 +92,7 @@
             paused = true;
         }
 
-        /** Handles all that has come while the process was paused. */
+        /** Resumes the process and handles the inputs received during the pause. */
         void resume() {
             paused = false;
             List<Runnable> inputs = List.copyOf(waiting);
@@ -115,7 +115,7 @@
                 MemberIdentity member = update.member();
                 long before = incarnations.getOrDefault(member.name(), 0L);
                 if (member.incarnation() < before) {
-                    throw new AssertionError(name + " took an older update: " + update);
+                    throw new AssertionError(name + " accepted an older update: " + update);
                 }
                 incarnations.put(member.name(), member.incarnation());
             }
@@ -176,7 +176,7 @@
             drainNotices.add(notice);
         }
 
-        /** The status of another member in the view of this one, or null if it is not known. */
+        /** Returns the status of another member in the view of this one, or null if it is unknown. */
         MemberUpdate.Status statusOf(String other) {
             return membership.others().stream().filter(update -> update.member().name().equals(other))
                     .map(MemberUpdate::status).findFirst().orElse(null);
@@ -221,12 +221,12 @@
         return lossByLink.getOrDefault(from.name + ">" + to.name, 0.0);
     }
 
-    /** Sets the share of datagrams that one direction between two members loses; 1 cuts it. */
+    /** Sets the fraction of datagrams lost in one direction between two members; 1 cuts the link. */
     void setLoss(String from, String to, double loss) {
         lossByLink.put(from + ">" + to, loss);
     }
 
-    /** Members of different groups don't reach one another. */
+    /** Cuts the links between members of different groups. */
     void partition(List<List<String>> groups) {
         groups.forEach(group -> groups.forEach(other -> {
             if (group != other) {
@@ -258,12 +258,12 @@
         return this;
     }
 
-    /** Runs until the condition holds; returns the seconds that took, or -1 if it did not hold in time. */
+    /** Runs until the condition holds; returns the elapsed seconds, or -1 if the time is exceeded. */
     double until(double maxSeconds, BooleanSupplier condition) {
         return advanceUntil(maxSeconds, CHECK_INTERVAL_SECONDS, condition);
     }
 
-    /** Whether all running members take those that run for alive, and the others not. */
+    /** Returns whether all running members consider exactly the running members to be alive. */
     boolean agree() {
         for (Node observer : nodes.values()) {
             for (Node other : nodes.values()) {
--- a/src/test/java/rampshift/membership/SwimMembershipTest.java
+++ b/src/test/java/rampshift/membership/SwimMembershipTest.java
@@ -18,7 +18,7 @@
 import rampshift.membership.MembershipMetrics.Counter;
 import rampshift.time.Span;
 
-/** Members in simulated time. */
+/** Tests members in a simulated network. */
 class SwimMembershipTest {
     private static final double PERIOD_SECONDS = SimulatedNetwork.TIMINGS.period().millis() / 1000;
 
@@ -28,7 +28,7 @@
 
     private static SimulatedNetwork startedFleet(long seed, int count) {
         SimulatedNetwork network = new SimulatedNetwork(seed, count).startAll();
-        assertTrue(network.until(30, network::agree) >= 0, "all find one another");
+        assertTrue(network.until(30, network::agree) >= 0, "all members discover one another");
         return network;
     }
 
@@ -53,7 +53,7 @@
             network.node(count).start();
             assertTrue(network.until(30, network::agree) >= 0);
             assertEquals(1, network.node(1).eventCount(MembershipEvent.Kind.JOINED),
-                    "a new process is a new incarnation at once");
+                    "a restart is reported as one join");
         }
     }
 
@@ -69,7 +69,7 @@
         assertEquals(MembershipHealth.COMPLETE, network.node(1).membership.health());
     }
 
-    /** d1 does not reach d2, but d2 reaches d1, and the others reach both. */
+    /** Guards against a suspicion if d1 cannot reach d2, but d2 reaches d1 and the others reach both. */
     @Test
     void aLinkThatIsCutInOneDirectionMakesNobodySuspected() {
         for (long seed = 1; seed <= 50; seed++) {
@@ -107,12 +107,12 @@
                     .allMatch(node -> node == paused || node.statusOf("d4") == Status.FAILED)) >= 0);
             long suspected = paused.membership.metrics().get(Counter.SUSPECTED);
             paused.resume();
-            assertFalse(paused.membership.health().isInAgreement(), "it acts on nothing that needs consent");
+            assertFalse(paused.membership.health().isInAgreement(), "no agreement after a stall");
             assertTrue(network.until(30, network::agree) >= 0, "seed " + seed);
             assertTrue(paused.eventCount(MembershipEvent.Kind.REFUTED) > 0);
             assertTrue(paused.eventCount(MembershipEvent.Kind.STALLED) > 0);
             assertEquals(suspected, paused.membership.metrics().get(Counter.SUSPECTED),
-                    "nor suspects those whose answers lay unread");
+                    "it must not suspect members whose answers were unread");
             assertTrue(paused.membership.health().isInAgreement());
         }
     }
@@ -183,7 +183,7 @@
         network.node(2).start(5);
         assertTrue(network.until(30, network::agree) >= 0);
         assertTrue(network.node(2).membership.self().incarnation() > 1_000_000,
-                "it learned the last incarnation of its name");
+                "it must learn the last incarnation of its name");
     }
 
     @Test
@@ -241,7 +241,7 @@
         }
     }
 
-    /** Random faults by seed: kills and restarts, pauses, cuts, loss and duplicates; then quiet. */
+    /** Injects random faults by seed: kills and restarts, pauses, cuts, loss and duplicates; then none. */
     @Test
     void allAgreeAfterRandomFaultsAndQuiet() {
         int seeds = Integer.getInteger("members.seeds", 300);
@@ -311,8 +311,8 @@
         network.heal();
         double healed = network.until(120, network::agree);
         System.out.printf(
-                "members %d: all found after %.1f s, %.0f bytes a second and member at rest, a fifth known "
-                        + "lost after %.1f s, back after %.1f s, healed after %.1f s%n",
+                "members %d: all found after %.1f s, %.0f bytes per second and member, loss of a fifth "
+                        + "detected after %.1f s, rejoined after %.1f s, healed after %.1f s%n",
                 count, found, bytes / 30.0 / count,
                 detected, rejoined, healed);
         assertTrue(found >= 0 && detected >= 0 && rejoined >= 0 && healed >= 0);
@@ -355,7 +355,7 @@
         assertEquals(1, receiver.metrics().get(Counter.FOREIGN));
         assertNull(receiver.drainNotices().get("s-1"));
         receiver.onDatagram(network.moment(), sender, good, good.length);
-        assertEquals(Status.FAILED, network.node(1).statusOf("d2"), "the complete one is accepted");
+        assertEquals(Status.FAILED, network.node(1).statusOf("d2"), "the unchanged datagram is accepted");
     }
 
     @Test
--- a/src/test/java/rampshift/membership/host/DrainOverridesTest.java
+++ b/src/test/java/rampshift/membership/host/DrainOverridesTest.java
@@ -16,7 +16,7 @@
 import rampshift.time.Moment;
 import rampshift.time.Span;
 
-/** Drain notices of other members beside the own endpoint list. */
+/** Tests drain notices of other members together with the own endpoint list. */
 class DrainOverridesTest {
     private final List<String> changes = new ArrayList<>();
     private final List<DrainNotice> announced = new ArrayList<>();
@@ -41,14 +41,14 @@
         return new Endpoint(uid, null, "a", "m", 1, Endpoint.State.valueOf(state), 1, startedAtMs);
     }
 
-    /** Applies an update of the own list and describes the list that goes on to the dispatcher. */
+    /** Applies an update of the own list and describes the resulting list for the dispatcher. */
     private String ownList(long version, boolean whole, Endpoint... endpoints) {
         EndpointList effective = overrides.onOwnList(now(),
                 new EndpointList(version, whole, Arrays.asList(endpoints)), notices, announced::add);
         return String.join(", ", effective.endpoints().stream().map(DrainOverridesTest::describe).toList());
     }
 
-    /** Takes a notice as the membership does: it passes on only those that are new. */
+    /** Handles a notice as the membership does, which passes on only new notices. */
     private boolean receive(DrainNotice notice) {
         return DrainNoticesAccess.add(notices, notice) && overrides.onNotice(now(), notice);
     }
@@ -64,8 +64,8 @@
     @Test
     void aNoticeOfALaterListOverridesAndAnOlderOneDoesNot() {
         ownList(5, true, endpoint("w", "READY", 10), endpoint("v", "READY", 10));
-        assertFalse(receive(draining("w", 10, 5)), "the own list is as new");
-        assertFalse(receive(draining("w", 9, 7)), "of an earlier start");
+        assertFalse(receive(draining("w", 10, 5)), "the own list has the same version");
+        assertFalse(receive(draining("w", 9, 7)), "the notice is about an earlier start");
         assertFalse(receive(draining("stranger", 10, 7)));
         assertTrue(receive(draining("w", 10, 8)));
         assertEquals(List.of("w DRAINING"), changes);
@@ -79,9 +79,9 @@
         ownList(5, true, endpoint("w", "READY", 10));
         receive(draining("w", 10, 8));
         assertEquals("", ownList(7, false), "the own list is still older");
-        assertEquals("w READY", ownList(8, false), "it is as new, and does not call the worker draining");
+        assertEquals("w READY", ownList(8, false), "it has the same version, and the worker is not draining");
         receive(draining("w", 10, 12));
-        assertEquals("w READY", ownList(9, false, endpoint("w", "READY", 20)), "a later start");
+        assertEquals("w READY", ownList(9, false, endpoint("w", "READY", 20)), "the worker started later");
         assertEquals(0, overrides.count());
     }
 
@@ -112,9 +112,9 @@
         assertFalse(receive(draining("w", 10, 8)));
         assertEquals("w DRAINING", ownList(5, true, endpoint("w", "READY", 10)));
         overrides.onDiscoveryChanged();
-        assertFalse(receive(draining("w", 10, 9)), "the versions of the new service are not known yet");
+        assertFalse(receive(draining("w", 10, 9)), "the versions of the new service are unknown");
         assertEquals("w READY", ownList(90, true, endpoint("w", "READY", 10)));
-        assertEquals(List.of(), announced, "what the new service does not list was not removed");
+        assertEquals(List.of(), announced, "a worker missing from the new service is not a removal");
     }
 
     @Test
--- a/src/test/java/rampshift/membership/host/MembershipReportTest.java
+++ b/src/test/java/rampshift/membership/host/MembershipReportTest.java
@@ -17,9 +17,9 @@
 import rampshift.time.Moment;
 import rampshift.time.Span;
 
-/** The words that operators, scripts and the verification of event logs read: they stay as they are. */
+/** Fixes the words that operators, scripts and the verification of event logs read. */
 class MembershipReportTest {
-    /** Drops all that is decided. */
+    /** Ignores all decisions. */
     private static final class NoOutput implements MembershipOutput {
         @Override
         public void sendDatagram(String address, byte[] datagram) {
