--- a/src/main/java/rampshift/extensions/LeaseExtension.java
+++ b/src/main/java/rampshift/extensions/LeaseExtension.java
@@ -12,7 +12,7 @@
 import rampshift.settings.Configuration;
 import rampshift.settings.InvalidInputException;
 
-/** The leases of a dispatcher, and the periodic jobs that run under them. */
+/** Runs the leases of a dispatcher and the periodic jobs that depend on them. */
 final class LeaseExtension implements MessageChannel.Handler {
     private static final String JOBS_QUESTION = "?duties";
     private static final String LOOPBACK = "127.0.0.1";
@@ -37,7 +37,7 @@
         }
     }
 
-    /** Adds what the dispatcher's configuration says of the jobs' traffic types. */
+    /** Adds to each job the properties of its traffic type from the dispatcher's configuration. */
     private List<PeriodicJobSettings> resolve(Configuration configuration) {
         List<String> typeNames = configuration.settings().hostSettings().types();
         List<TrafficType> types = configuration.settings().read(configuration.seed()).types;
@@ -46,7 +46,7 @@
             int index = typeNames.indexOf(job.trafficType());
             if (index < 0) {
                 throw new InvalidInputException(
-                        "duty " + job.name() + ": the configuration knows no traffic type \""
+                        "duty " + job.name() + ": the configuration has no traffic type \""
                                 + job.trafficType() + "\", only " + String.join(", ", typeNames));
             }
             TrafficType type = types.get(index);
--- a/src/main/java/rampshift/extensions/LeaseSection.java
+++ b/src/main/java/rampshift/extensions/LeaseSection.java
@@ -21,12 +21,12 @@
 
     private LeaseSection() {}
 
-    /** Each periodic job has a lease of its name, beside those that the section names. */
+    /** Reads the section. Each periodic job adds a lease with its name to those that the section lists. */
     static LeaseSettings read(TomlTable section, List<PeriodicJobSettings> jobs) {
         List<String> acceptors = names(section, "keepers");
         if (acceptors.size() % 2 == 0 || acceptors.size() > MAX_ACCEPTORS) {
             section.fault("keepers", "names " + acceptors.size()
-                    + ", expected 1, 3, 5 or 7: a majority of them has to be there");
+                    + ", expected 1, 3, 5 or 7, of which a majority must be reachable");
         }
         boolean isNaming = section.has("names") || jobs.isEmpty();
         Set<String> leases = new LinkedHashSet<>(isNaming ? names(section, "names") : List.of());
@@ -54,13 +54,13 @@
         for (String name : names) {
             if (!name.matches("[!-~&&[^,:|#]]{1,40}")) {
                 section.fault(key, "holds \"" + name
-                        + "\", expected names of 1 to 40 letters without blanks, commas, colons, bars");
+                        + "\", expected names of 1 to 40 printable ASCII characters, no blanks or ,:|#");
             }
         }
         if (names.isEmpty()) {
             section.fault(key, "is missing or empty");
         } else if (names.stream().distinct().count() < names.size()) {
-            section.fault(key, "names one twice");
+            section.fault(key, "contains a duplicate name");
         }
         return names;
     }
--- a/src/main/java/rampshift/extensions/MembershipSection.java
+++ b/src/main/java/rampshift/extensions/MembershipSection.java
@@ -26,7 +26,7 @@
         InetSocketAddress listen = address(section, "listen", section.text("listen", null));
         if (listen != null && (listen.getAddress().isAnyLocalAddress() || listen.getPort() == 0)) {
             section.fault("listen",
-                    "is a wildcard, expected the address where the others reach this dispatcher");
+                    "is a wildcard, expected the address used by other members");
         }
         String fleet = section.name("fleet");
         String site = section.has("site") ? section.name("site") : "-";
--- a/src/main/java/rampshift/extensions/OperatorCommands.java
+++ b/src/main/java/rampshift/extensions/OperatorCommands.java
@@ -12,8 +12,8 @@
 import rampshift.settings.InvalidInputException;
 
 /**
- * What the command line asks of an operator's file. It is loaded by name, from a jar that a plain start never
- * opens; the names of its methods are those of the commands.
+ * The commands that need an operator's file. This class is loaded by name from a jar that is not opened
+ * otherwise; its methods have the names of the commands.
  */
 public final class OperatorCommands {
     private static final Pattern HAND_OVER_OR_ACCEPTORS =
@@ -23,13 +23,13 @@
     private OperatorCommands() {}
 
     /**
-     * What the file asks to run beside a dispatcher.
+     * Creates the extension that runs beside a dispatcher as the file configures it.
      *
      * @param file the operator's file
      * @param name the dispatcher's name
-     * @param build the version that it tells the other dispatchers
-     * @return the extension; null where the file asks for nothing
-     * @throws IOException if a directory or file that it names can't be used
+     * @param build the version that it announces to the other dispatchers
+     * @return the extension, or null if the file has no section {@code [members]}
+     * @throws IOException if a directory or file named in the operator's file can't be used
      */
     public static ServerExtension beside(String file, String name, String build) throws IOException {
         OperatorFile settings = read(file);
@@ -42,9 +42,9 @@
     }
 
     /**
-     * What the dispatcher of that file tells of its leases, or answers to an operator's request.
+     * Returns the lease status page of the dispatcher with that file, or its answer to an operator's request.
      *
-     * @param words the words after the command
+     * @param words the arguments of the command
      * @throws IOException if the dispatcher does not answer
      */
     public static String leases(String file, String[] words) throws IOException {
@@ -56,7 +56,7 @@
     }
 
     /**
-     * How far the periodic jobs have come, as the dispatcher of that file tells it.
+     * Returns the status page of the periodic jobs from the dispatcher with that file.
      *
      * @throws IOException if the dispatcher does not answer
      */
@@ -69,7 +69,7 @@
     }
 
     /**
-     * The members that the dispatcher of that file knows.
+     * Returns the members that the dispatcher with that file knows.
      *
      * @throws IOException if the dispatcher does not answer
      */
@@ -95,7 +95,7 @@
                     + Long.parseLong(block.group(2)) * microsPer(block.group(3));
         }
         throw new InvalidInputException(
-                "\"" + request + "\": expected nothing, give NAME [TO], hold NAME TIME (as 10min),"
+                "\"" + request + "\": expected no arguments, give NAME [TO], hold NAME TIME (such as 10min),"
                         + " or keepers NAME,NAME,...");
     }
 
--- a/src/main/java/rampshift/extensions/OperatorFile.java
+++ b/src/main/java/rampshift/extensions/OperatorFile.java
@@ -11,10 +11,10 @@
 import rampshift.toml.TomlTable;
 
 /**
- * The operator's file. A section that is not there is off.
+ * The operator's file. The feature of a missing section is disabled.
  *
- * @param membership the section {@code [members]}; null where it is off
- * @param leases the section {@code [leases]}; null where it is off
+ * @param membership the section {@code [members]}, or null if it is missing
+ * @param leases the section {@code [leases]}, or null if it is missing
  * @param periodicJobs the sections {@code [[duty]]}
  */
 public record OperatorFile(MembershipSettings membership, LeaseSettings leases,
@@ -27,16 +27,16 @@
     /**
      * Reads a file.
      *
-     * @throws rampshift.settings.ConfigurationException with all that is wrong with it
+     * @throws rampshift.settings.ConfigurationException with all faults of the file
      */
     public static OperatorFile read(Path file) {
         return read(file.toString(), TomlFile.text(file));
     }
 
     /**
-     * Reads the text of a file of that name.
+     * Reads the text of a file; the name appears in error messages.
      *
-     * @throws rampshift.settings.ConfigurationException with all that is wrong with it
+     * @throws rampshift.settings.ConfigurationException with all faults of the text
      */
     public static OperatorFile read(String name, String text) {
         TomlFile file = TomlFile.read(name, text);
@@ -50,10 +50,10 @@
         checkPredecessors(top, jobs);
         LeaseSettings leases = top.has(LEASES) ? LeaseSection.read(top.table(LEASES), jobs) : null;
         if (leases == null && !jobs.isEmpty()) {
-            top.fault(DUTY, "needs [leases]: a duty is done by whoever holds the lease of its name");
+            top.fault(DUTY, "needs [leases]: a duty runs on the holder of the lease with its name");
         }
         if (leases != null && membership == null) {
-            top.fault(LEASES, "needs [members], over whose address its messages go");
+            top.fault(LEASES, "needs [members]: its messages are sent over the member address");
         }
         top.rejectUnknownKeys();
         file.throwIfFaulty();
@@ -64,7 +64,7 @@
         for (int i = 0; i < jobs.size(); i++) {
             String predecessor = jobs.get(i).predecessor();
             if (!predecessor.isEmpty() && !isAnotherJob(jobs, i, predecessor)) {
-                top.fault(DUTY, "after = \"" + predecessor + "\" names no other duty");
+                top.fault(DUTY, "after = \"" + predecessor + "\" is not the name of another duty");
             }
         }
     }
--- a/src/main/java/rampshift/extensions/PeriodicJobSection.java
+++ b/src/main/java/rampshift/extensions/PeriodicJobSection.java
@@ -26,7 +26,7 @@
 
     private PeriodicJobSection() {}
 
-    /** What the dispatcher's configuration says of the traffic type is still to be added. */
+    /** Reads the section; {@link LeaseExtension} adds the properties of the traffic type later. */
     static PeriodicJobSettings read(TomlTable section) {
         String name = section.name("name");
         String trafficType = section.name("type");
@@ -61,7 +61,7 @@
         return minutes * MICROS_PER_MINUTE;
     }
 
-    /** A range of numbers, or the lines of a file, which has to be the same on all machines. */
+    /** Returns a range of numbers, or the lines of a file, which must be identical on all dispatchers. */
     private static List<String> objects(TomlTable section) {
         String file = section.text("objects_from", "");
         if (file.isEmpty()) {
@@ -69,12 +69,12 @@
             return IntStream.range(0, count).mapToObj(String::valueOf).toList();
         }
         if (section.has("objects")) {
-            section.fault("objects", "stands beside objects_from: one of the two");
+            section.fault("objects", "and objects_from exclude each other");
         }
         try {
             return objects(section, file);
         } catch (IOException e) {
-            section.fault("objects_from", "names " + file + ", which can't be read");
+            section.fault("objects_from", "names " + file + ", which cannot be read");
             return List.of();
         }
     }
--- a/src/main/java/rampshift/toml/KeyPositions.java
+++ b/src/main/java/rampshift/toml/KeyPositions.java
@@ -6,9 +6,8 @@
 import java.util.regex.Pattern;
 
 /**
- * The line of each key in a TOML text. The parser checks the grammar but keeps no lines, and a fault is of
- * little use without them. Inline tables and arrays over several lines count as the key that they belong
- * to.
+ * The line of each key in a TOML text, for error messages: the parser checks the grammar but keeps no lines.
+ * Positions inside an inline table or a multi-line array have the line of the enclosing key.
  */
 final class KeyPositions {
     private static final Pattern HEADER = Pattern.compile("\\s*(\\[\\[?)\\s*([^\\]]+?)\\s*\\]\\]?\\s*(#.*)?");
@@ -32,7 +31,7 @@
         }
     }
 
-    /** Notes what begins in the line; the result is the table in which the next line stands. */
+    /** Records the header or key in the line; returns the path of the table that the next line belongs to. */
     private String readLine(String line, int number, String table) {
         Matcher header = HEADER.matcher(line);
         if (header.matches()) {
@@ -57,7 +56,7 @@
         return table;
     }
 
-    /** Arrays opened less arrays closed in a line, outside of strings and comments. */
+    /** Returns the opening minus the closing brackets in a line, outside of strings and comments. */
     private static int arraysOpened(String line) {
         int opened = 0;
         char quote = 0;
@@ -83,8 +82,8 @@
     }
 
     /**
-     * The line of a path such as {@code type[1].due}, or of the nearest table around it; 1 where there is
-     * none.
+     * Returns the line of a path such as {@code type[1].due}, or else that of its nearest enclosing table, or
+     * else 1.
      */
     int line(String path) {
         String enclosing = path;
--- a/src/main/java/rampshift/toml/Range.java
+++ b/src/main/java/rampshift/toml/Range.java
@@ -2,14 +2,14 @@
 
 import rampshift.time.Span;
 
-/** From one span to another that is no shorter, both included. */
+/** A range of spans with inclusive bounds; {@code to} is not shorter than {@code from}. */
 public record Range(Span from, Span to) {
-    /** Of two lengths in milliseconds. */
+    /** Creates a range from bounds in milliseconds. */
     public static Range of(double fromMs, double toMs) {
         return new Range(Span.ofMillis(fromMs), Span.ofMillis(toMs));
     }
 
-    /** The span at a share, 0 to 1, of the distance between the two. */
+    /** Returns the span at a fraction, from 0 to 1, of the distance between the bounds. */
     public Span at(double share) {
         return from.plus(to.minus(from).times(share));
     }
--- a/src/main/java/rampshift/toml/TomlFile.java
+++ b/src/main/java/rampshift/toml/TomlFile.java
@@ -12,15 +12,15 @@
 import rampshift.settings.SourcePosition;
 
 /**
- * A TOML file, read strictly: all faults are reported at once, each with its line.
+ * A TOML file. Reading is strict and reports all faults together, each with its line.
  *
- * @param source what its tables share: name, positions and the faults found so far
- * @param root the file as parsed
+ * @param source the name of the file, the positions of its keys and the faults found so far
+ * @param root the parsed file
  */
 public record TomlFile(TomlTable.Source source, JsonNode root) {
     private static final long MAX_FILE_BYTES = 1 << 20;
 
-    /** The text of a file; a {@link ConfigurationException} says why it can't be read. */
+    /** Returns the text of a file; throws {@link ConfigurationException} if it can't be read. */
     public static String text(Path file) {
         try {
             if (Files.size(file) > MAX_FILE_BYTES) {
@@ -34,8 +34,8 @@
     }
 
     /**
-     * Parses a text; the name stands in messages. Throws a {@link ConfigurationException} for what is no
-     * TOML.
+     * Parses a text; the name appears in error messages. Throws {@link ConfigurationException} if the text is
+     * not valid TOML.
      */
     public static TomlFile read(String name, String text) {
         try {
@@ -54,12 +54,12 @@
         return end < 0 ? text : text.substring(0, end);
     }
 
-    /** The table that all others are in. */
+    /** Returns the root table. */
     public TomlTable top() {
         return new TomlTable(source, root, "");
     }
 
-    /** To be called once all has been read: throws a {@link ConfigurationException} with all faults found. */
+    /** Throws {@link ConfigurationException} with all faults, if any; call this after reading everything. */
     public void throwIfFaulty() {
         if (!source.faults().isEmpty()) {
             throw new ConfigurationException(source.faults());
--- a/src/main/java/rampshift/toml/TomlTable.java
+++ b/src/main/java/rampshift/toml/TomlTable.java
@@ -17,8 +17,8 @@
 import rampshift.time.Span;
 
 /**
- * One table of a file, read strictly: each key that is asked for counts as known, all others are faults.
- * Reading never throws: a value that can't be used is noted as a fault and counts as absent.
+ * One table of a file. Reading is strict: a key that has been requested is known, and all others are faults.
+ * Reading never throws: an invalid value is recorded as a fault and treated as absent.
  */
 public final class TomlTable {
     private static final Pattern SPAN = Pattern.compile("(\\d{1,9}(?:\\.\\d{1,6})?)\\s*(us|ms|s|min)");
@@ -27,7 +27,7 @@
     private static final double MICROS_PER_MILLI = 1_000;
     private static final double MICROS_PER_SECOND = 1_000_000;
     private static final double MICROS_PER_MINUTE = 60_000_000;
-    /** Up to here whole numbers are written without a fraction or an exponent. */
+    /** Integers below this value are printed without a fraction or an exponent. */
     private static final double MAX_PLAIN_INTEGER = 1e15;
     private static final LevenshteinDistance DISTANCE = LevenshteinDistance.getDefaultInstance();
 
@@ -37,36 +37,36 @@
     private final Set<String> known = new LinkedHashSet<>();
 
     /**
-     * What all tables of a file share.
+     * The state shared by all tables of a file.
      *
-     * @param file its name in messages
+     * @param file the name of the file in error messages
      * @param positions the lines of its keys
-     * @param faults what was found wrong so far
+     * @param faults the faults found so far
      */
     public record Source(String file, KeyPositions positions, List<ConfigurationFault> faults) {
-        /** Notes a fault of the key with that path; the description names the key. */
+        /** Records a fault of the key with that path; the description includes the path. */
         public void fault(String path, String description) {
             SourcePosition position = SourcePosition.ofLine(file, positions.line(path));
             faults.add(new ConfigurationFault(position, path, description));
         }
     }
 
-    /** The table at that path, empty for the file itself; an absent node counts as an empty table. */
+    /** Creates the table at a path, which is empty for the root; a null node stands for an empty table. */
     public TomlTable(Source source, JsonNode node, String path) {
         this.source = source;
         this.path = path;
         if (node != null && !node.isObject()) {
-            source.fault(path, path + " is to be a table");
+            source.fault(path, path + " must be a table");
         }
         this.node = node != null && node.isObject() ? node : JsonNodeFactory.instance.objectNode();
     }
 
-    /** The path of a key of this table, such as {@code type[1].due}. */
+    /** Returns the path of a key of this table, such as {@code type[1].due}. */
     public String path(String key) {
         return path.isEmpty() ? key : path + "." + key;
     }
 
-    /** Notes a fault of a key; the description follows its path. */
+    /** Records a fault of a key; the message is its path followed by the description. */
     public void fault(String key, String description) {
         source.fault(path(key), path(key) + " " + description);
     }
@@ -76,12 +76,12 @@
         return node.get(key);
     }
 
-    /** Whether the key is there, with whatever value. */
+    /** Returns whether the key is present, with any value. */
     public boolean has(String key) {
         return get(key) != null;
     }
 
-    /** A number between the two bounds, both included. */
+    /** Returns a number between two inclusive bounds. */
     public double number(String key, double minimum, double maximum, double ifAbsent) {
         JsonNode value = get(key);
         if (value == null) {
@@ -95,7 +95,7 @@
         return value.doubleValue();
     }
 
-    /** A whole number between the two bounds, both included. */
+    /** Returns an integer between two inclusive bounds. */
     public int integer(String key, int minimum, int maximum, int ifAbsent) {
         JsonNode value = get(key);
         if (value == null) {
@@ -108,7 +108,7 @@
         return value.intValue();
     }
 
-    /** True or false. */
+    /** Returns a boolean. */
     public boolean flag(String key, boolean ifAbsent) {
         JsonNode value = get(key);
         if (value != null && !value.isBoolean()) {
@@ -118,7 +118,7 @@
         return value == null ? ifAbsent : value.booleanValue();
     }
 
-    /** Any text. */
+    /** Returns a string. */
     public String text(String key, String ifAbsent) {
         JsonNode value = get(key);
         if (value != null && !value.isTextual()) {
@@ -128,7 +128,7 @@
         return value == null ? ifAbsent : value.textValue();
     }
 
-    /** A text that names things on the wire: required, no blanks, nothing that needs escaping. */
+    /** Returns a required name for use on the wire: 1 to 40 letters, digits, '-', '_' and '.'. */
     public String name(String key) {
         String text = text(key, null);
         if (text == null || !text.matches(NAME)) {
@@ -139,7 +139,7 @@
         return text;
     }
 
-    /** A span such as "250ms"; units are us, ms, s and min. */
+    /** Returns a span such as "250ms"; units are us, ms, s and min. */
     public Span span(String key, Span ifAbsent) {
         JsonNode value = get(key);
         if (value == null) {
@@ -170,7 +170,7 @@
         return new Span(Math.round(Double.parseDouble(matcher.group(1)) * unitMicros));
     }
 
-    /** One span, or an array with the two ends of a range. */
+    /** Returns a range, given as one span or as an array with its two bounds. */
     public Range range(String key, Range ifAbsent) {
         JsonNode value = get(key);
         if (value == null) {
@@ -186,7 +186,7 @@
         return new Range(from, to);
     }
 
-    /** One of an enum's constants, written in lower case with hyphens. */
+    /** Returns an enum constant, which the file spells in lower case with hyphens. */
     public <E extends Enum<E>> E oneOf(String key, Class<E> type, E ifAbsent) {
         String text = text(key, null);
         if (text == null) {
@@ -204,7 +204,7 @@
         return ifAbsent;
     }
 
-    /** An array of texts. */
+    /** Returns an array of strings. */
     public List<String> strings(String key, List<String> ifAbsent) {
         JsonNode value = get(key);
         if (value == null) {
@@ -220,17 +220,17 @@
         return texts;
     }
 
-    /** A table within this one; an empty one where there is none. */
+    /** Returns a table within this one, or an empty table if the key is absent. */
     public TomlTable table(String key) {
         return new TomlTable(source, get(key), path(key));
     }
 
-    /** An array of tables; empty where there is none. */
+    /** Returns an array of tables, or an empty list if the key is absent. */
     public List<TomlTable> tables(String key) {
         JsonNode value = get(key);
         List<TomlTable> tables = new ArrayList<>();
         if (value != null && !value.isArray()) {
-            fault(key, "is to be an array of tables, [[" + path(key) + "]]");
+            fault(key, "must be an array of tables, [[" + path(key) + "]]");
         } else if (value != null) {
             for (int i = 0; i < value.size(); i++) {
                 tables.add(new TomlTable(source, value.get(i), path(key) + "[" + i + "]"));
@@ -239,12 +239,12 @@
         return tables;
     }
 
-    /** The value as parsed, for what is passed on unread; null where there is none. */
+    /** Returns the parsed value for use by another reader, or null if the key is absent. */
     public JsonNode node(String key) {
         return get(key);
     }
 
-    /** To be called once all has been read: each key that was not asked for is a fault. */
+    /** Records a fault for each key that has not been requested; call this after reading all keys. */
     public void rejectUnknownKeys() {
         for (Iterator<String> names = node.fieldNames(); names.hasNext();) {
             String name = names.next();
--- a/src/test/java/rampshift/extensions/OperatorFileTest.java
+++ b/src/test/java/rampshift/extensions/OperatorFileTest.java
@@ -28,7 +28,7 @@
         assertEquals(bare.timings(), sample.timings());
         assertEquals(bare.drainNoticeLifetime(), sample.drainNoticeLifetime());
         assertTrue(sample.acceptDrainNotices() && bare.acceptDrainNotices());
-        assertNull(OperatorFile.read("f", "").membership(), "what is not named is off");
+        assertNull(OperatorFile.read("f", "").membership(), "a missing section is disabled");
     }
 
     @Test
@@ -54,10 +54,10 @@
                         drift = 0.5
                         """));
         assertErrors(error,
-                "op.toml:5: leases.keepers names 2, expected 1, 3, 5 or 7:"
-                        + " a majority of them has to be there",
-                "op.toml:6: leases.names holds \"a,b\", expected names of 1 to 40 letters"
-                        + " without blanks, commas, colons, bars",
+                "op.toml:5: leases.keepers names 2, expected 1, 3, 5 or 7,"
+                        + " of which a majority must be reachable",
+                "op.toml:6: leases.names holds \"a,b\", expected names of 1 to 40 printable"
+                        + " ASCII characters, no blanks or ,:|#",
                 "op.toml:7: leases.drift is 0.5, expected a number from 0 to 0.3");
     }
 
@@ -78,7 +78,7 @@
                         """));
         assertErrors(error,
                 "op.toml:3: members.listen is a wildcard,"
-                        + " expected the address where the others reach this dispatcher",
+                        + " expected the address used by other members",
                 "op.toml:2: members.fleet is \"two words\","
                         + " expected a name of letters, digits, '-', '_' and '.'",
                 "op.toml:5: members.period is under 20 ms",
@@ -89,7 +89,7 @@
                 "op.toml:10: durable is not known; the nearest key here is duty");
         assertEquals(7, error.faults().size());
         assertEquals(new ConfigurationFault(SourcePosition.ofLine("op.toml", 3), "members.listen",
-                "members.listen is a wildcard, expected the address where the others reach this dispatcher"),
+                "members.listen is a wildcard, expected the address used by other members"),
                 error.faults().get(0));
     }
 
