--- a/src/main/java/rampshift/migrate/JsonObject.java
+++ b/src/main/java/rampshift/migrate/JsonObject.java
@@ -10,7 +10,7 @@
 
 /**
  * One object of a configuration as {@link rampshift.settings.JsonTree} reads it, with typed access to its
- * entries. Those that nobody asks for stay as they were written, in their order.
+ * entries. Entries that are not changed keep their text and their order.
  */
 final class JsonObject {
     private final String path;
@@ -21,12 +21,12 @@
         this.entries = entries;
     }
 
-    /** The outermost object of a configuration; changes of it change the tree. */
+    /** Returns the root object of a configuration; changing it changes the tree. */
     static JsonObject of(Map<String, Object> tree) {
         return new JsonObject("", tree);
     }
 
-    /** A copy of a whole configuration, which may be changed without changing the tree. */
+    /** Returns a deep copy of a configuration, which can be changed without changing the tree. */
     static JsonObject copyOf(Map<String, Object> tree) {
         return of(copyOfEntries(tree));
     }
@@ -52,12 +52,12 @@
         return (Map<String, Object>) object;
     }
 
-    /** The entries as {@link rampshift.settings.JsonTree} writes them. */
+    /** Returns the entries as {@link rampshift.settings.JsonTree} writes them. */
     Map<String, Object> tree() {
         return entries;
     }
 
-    /** The keys of the outermost object and of each one within it down to this key, joined by dots. */
+    /** Returns the path of a key: the keys from the root object down to it, joined by dots. */
     String path(String key) {
         return path.isEmpty() ? key : path + "." + key;
     }
@@ -66,33 +66,33 @@
         return entries.keySet();
     }
 
-    /** A text; null for anything else. */
+    /** Returns a string, or null if the value is anything else. */
     String text(String key) {
         return entries.get(key) instanceof String text ? text : null;
     }
 
-    /** A number; null for anything else. */
+    /** Returns a number, or null if the value is anything else. */
     BigDecimal number(String key) {
         return entries.get(key) instanceof BigDecimal number ? number : null;
     }
 
-    /** Whether the value is true; anything else counts as false. */
+    /** Returns whether the value is true; anything else counts as false. */
     boolean flag(String key) {
         return Boolean.TRUE.equals(entries.get(key));
     }
 
-    /** Any value as a report shows it; null where there is none. */
+    /** Returns any value as text for the report, or null if it is absent. */
     String printed(String key) {
         Object value = entries.get(key);
         return value == null ? null : String.valueOf(value);
     }
 
-    /** The elements of an array; none for anything else. */
+    /** Returns the elements of an array; none if the value is anything else. */
     List<?> elements(String key) {
         return entries.get(key) instanceof List<?> list ? list : List.of();
     }
 
-    /** The objects of an array; its other elements are left out. */
+    /** Returns the objects in an array, without its other elements. */
     List<JsonObject> objects(String key) {
         return elements(key).stream().filter(Map.class::isInstance)
                 .map(element -> new JsonObject(path(key), entriesOf(element))).toList();
@@ -102,7 +102,7 @@
         return entries.get(key) instanceof Map<?, ?>;
     }
 
-    /** An object within this one; an empty one where there is none. */
+    /** Returns an object within this one, or an empty object if it is absent. */
     JsonObject object(String key) {
         Object value = entries.get(key);
         if (value != null && !(value instanceof Map<?, ?>)) {
@@ -111,13 +111,13 @@
         return new JsonObject(path(key), value == null ? Map.of() : entriesOf(value));
     }
 
-    /** An object within this one, added where there is none. */
+    /** Returns an object within this one and adds it if it is absent. */
     JsonObject objectOrAdded(String key) {
         entries.putIfAbsent(key, new LinkedHashMap<String, Object>());
         return object(key);
     }
 
-    /** Sets a value and returns the one before, or null where there was none. */
+    /** Sets a value and returns the previous one, or null if there was none. */
     Object set(String key, Object value) {
         return entries.put(key, value);
     }
--- a/src/main/java/rampshift/migrate/MigrateCommand.java
+++ b/src/main/java/rampshift/migrate/MigrateCommand.java
@@ -22,8 +22,8 @@
 import rampshift.settings.SourcePosition;
 
 /**
- * {@code rampshift migrate}: reads a configuration and writes its counterpart for another deployment beside
- * it.
+ * The command {@code rampshift migrate}: reads a configuration and writes its counterpart for another
+ * deployment to a new file.
  */
 public final class MigrateCommand {
     private static final String HELP_RESOURCE = "help.txt";
@@ -34,7 +34,8 @@
     private MigrateCommand() {}
 
     /**
-     * The exit status: 0 done, 2 a wrong command line or file, named in one line; then nothing was written.
+     * Runs the command and returns the exit status: 0 if done; 2 if the command line or a file is invalid, in
+     * which case the error is reported on one line and nothing is written.
      */
     public static int run(List<String> args, PrintStream out, PrintStream err) {
         try {
@@ -71,7 +72,7 @@
         String file = line.getArgList().get(0);
         TargetDeployment deployment = parse(line.getOptionValue("shape"), TargetDeployment::read);
         Migration migration = parse(file, bytes -> {
-            Configuration.read(bytes);      // what serve would reject is not migrated
+            Configuration.read(bytes);      // rejects a configuration that serve would reject
             return new Migration(JsonTree.read(bytes), deployment);
         });
         if (migration.report().isEmpty()) {
@@ -87,18 +88,18 @@
         out.println(target == null ? "nothing was written" : "written: " + target);
     }
 
-    /** The file to write, which must not exist; null for a dry run. */
+    /** Returns the file to write, which must not exist, or null for a dry run. */
     private static Path checkedTarget(CommandLine line) throws ParseException {
         if (line.getArgList().size() != 1 || !line.hasOption("shape")) {
             throw new ParseException(
-                    "one OLD and its --shape SHAPE are wanted; rampshift migrate --help tells more");
+                    "expected one OLD and --shape SHAPE; see rampshift migrate --help");
         }
         if (line.hasOption("out") == line.hasOption("dry-run")) {
-            throw new ParseException("either --out NEW or --dry-run is wanted");
+            throw new ParseException("expected either --out NEW or --dry-run");
         }
         Path target = line.hasOption("out") ? Path.of(line.getOptionValue("out")) : null;
         if (target != null && Files.exists(target)) {
-            throw new ConfigurationException(target + " exists and is left as it is");
+            throw new ConfigurationException(target + " already exists and is not overwritten");
         }
         return target;
     }
@@ -107,7 +108,7 @@
         T parse(byte[] bytes) throws IOException;
     }
 
-    /** What a file holds; a fault is named with the file and, where it is no JSON, with line and column. */
+    /** Parses a file. Errors include the name of the file and, for invalid JSON, the line and column. */
     private static <T> T parse(String file, Parser<T> parser) throws IOException {
         try {
             return parser.parse(read(file));
@@ -135,17 +136,17 @@
         return Files.readAllBytes(path);
     }
 
-    /** Writes the whole file or none: a file cut short must never be taken for a configuration. */
+    /** Writes the complete file or none, so that no truncated file can be read as a configuration. */
     private static void write(Path target, byte[] bytes, Path permissionsFrom) throws IOException {
         Path folder = target.toAbsolutePath().getParent();
         if (!Files.isDirectory(folder)) {
-            throw new ConfigurationException("--out " + target + ": there is no folder " + folder);
+            throw new ConfigurationException("--out " + target + ": no such directory: " + folder);
         }
         Path temporary = Files.createTempFile(folder, ".migrate", ".half");
         try {
             Files.write(temporary, bytes);
             Files.setPosixFilePermissions(temporary, Files.getPosixFilePermissions(permissionsFrom));
-            // A link fails where the name has been taken meanwhile; a move would replace that file.
+            // Unlike a move, linking fails if the target has been created meanwhile.
             Files.createLink(target, temporary);
         } finally {
             Files.deleteIfExists(temporary);
--- a/src/main/java/rampshift/migrate/Migration.java
+++ b/src/main/java/rampshift/migrate/Migration.java
@@ -9,9 +9,9 @@
 import rampshift.settings.ConfigurationException;
 
 /**
- * Makes the counterpart of a configuration for the new deployment: each client process with a dispatcher of
- * its own, workers that report no load, lists that must be polled, other zones. Does no I/O; that is {@link
- * MigrateCommand}'s.
+ * Derives the configuration for a new deployment from that of an old one. In the new deployment, each client
+ * process has its own dispatcher, workers may report no load, endpoint lists may have to be polled, and the
+ * zones differ. Does no I/O.
  */
 final class Migration {
     private static final Set<String> KNOWN_KEYS =
@@ -25,8 +25,8 @@
     private final JsonObject result;
 
     /**
-     * Migrates a configuration that has been read without a fault. Throws a {@link ConfigurationException}
-     * where neither it nor the target tells what the new one must hold.
+     * Migrates a valid configuration. Throws {@link ConfigurationException} if neither it nor the target
+     * states a required value.
      */
     Migration(Map<String, Object> old, TargetDeployment target) {
         source = SourceDeployment.of(JsonObject.of(old));
@@ -47,12 +47,12 @@
         reviewTenants();
     }
 
-    /** The new configuration, as {@link rampshift.settings.JsonTree} writes it. */
+    /** Returns the new configuration, as {@link rampshift.settings.JsonTree} writes it. */
     Map<String, Object> result() {
         return result.tree();
     }
 
-    /** What was changed, what was left out, and what is to be reviewed. */
+    /** Returns the changes, the omissions and the parts to review. */
     MigrationReport report() {
         return report;
     }
@@ -66,12 +66,12 @@
         }
     }
 
-    /** Its workers are numbered by the old deployment's zones. */
+    /** Drops the known endpoints, whose zones belong to the old deployment. */
     private void dropKnownEndpoints() {
         result.remove("known");
         if (source.knownWorkers() != null) {
             report.notCarriedOver("known, " + source.knownWorkers() + " workers",
-                    "they are of the old house");
+                    "they belong to the old deployment");
         }
     }
 
@@ -88,12 +88,12 @@
         load.set("Names", new ArrayList<>());
         if (LIVE_WEIGHTS.equals(source.weightSource())) {
             report.notCarriedOver(settings.path("WeightSource") + " " + LIVE_WEIGHTS,
-                    "weights that tell load are not listed there");
+                    "endpoint lists there contain no live weights");
             set(settings, "WeightSource", NOMINAL_WEIGHTS);
         }
         if (!source.tellsStart()) {
             report.toReview("settings.FamilyInfo.TellsStart is not true",
-                    "with neither reports nor start notes a dispatcher knows nothing of a worker but its own"
+                    "without load reports and start notes, a dispatcher knows of each worker only its own"
                             + " tasks");
         }
     }
@@ -109,8 +109,8 @@
         if (target.list() == TargetDeployment.ListDelivery.ON_REQUEST && !isStated) {
             String path = rules.path("AskWithinMs");
             throw ConfigurationException.ofKey(path,
-                    path + " is missing, and the list must be asked for there:"
-                            + " the shape's ask_within_ms has to tell");
+                    path + " is missing, and the list is polled there:"
+                            + " set ask_within_ms in the shape file");
         }
     }
 
@@ -121,11 +121,11 @@
         BigDecimal cost = source.crossZoneCost();
         if (cost != null && cost.signum() > 0) {
             report.toReview("settings.Costs.CrossZone " + cost,
-                    "one price between any two of " + zones.size() + " zones");
+                    "the same cost applies between any two of " + zones.size() + " zones");
         }
     }
 
-    /** The number in a pool of dispatchers means nothing to one that serves a single client process. */
+    /** Adapts the pool settings. A dispatcher that serves one client process has no number in a pool. */
     private void migrateDispatcherPool(JsonObject settings) {
         settings.remove("Me");
         if (source.dispatcherNumber() != null) {
@@ -135,8 +135,8 @@
         set(settings, "PeersTotal", target.dispatchers());
         if (source.retryFloor() != null) {
             report.toReview("settings.Rules.ExtraFloor " + source.retryFloor(),
-                    "each dispatcher has so many further assignments in a span,"
-                            + " and their number is another");
+                    "each dispatcher is allowed this many further assignments per span,"
+                            + " and the number of dispatchers differs");
         }
     }
 
@@ -145,7 +145,7 @@
             if (type.isRepeatDroppedInPart()) {
                 report.toReview("settings.TrafficTypes " + type.name(),
                         "its repeats are dropped within one " + type.dedupScope()
-                                + "; make sure that workers do so there before it is served");
+                                + "; check that workers there do so before serving this type");
             }
         }
     }
@@ -153,11 +153,11 @@
     private void reviewTenants() {
         if (source.hasTenants()) {
             report.toReview("settings.Tenants",
-                    "QuotaPerS counts all dispatchers together, and the fleet is another");
+                    "QuotaPerS applies to all dispatchers together, and their number differs");
         }
     }
 
-    /** Sets a value unless it is null; reports it where the old one was another. */
+    /** Sets a value unless it is null, and reports it if it differs from the old value. */
     private void set(JsonObject object, String key, Object value) {
         if (value == null) {
             return;
@@ -168,7 +168,7 @@
         }
     }
 
-    /** Numbers are the same where they differ in trailing zeros alone. */
+    /** Returns whether two values are equal; numbers may differ in trailing zeros. */
     private static boolean isSameValue(Object one, Object other) {
         if (one instanceof BigDecimal number && other instanceof BigDecimal otherNumber) {
             return number.compareTo(otherNumber) == 0;
--- a/src/main/java/rampshift/migrate/MigrationReport.java
+++ b/src/main/java/rampshift/migrate/MigrationReport.java
@@ -4,9 +4,9 @@
 import java.util.ArrayList;
 import java.util.List;
 
-/** What a migration did, one line each, as the command prints it. */
+/** The report of a migration, which the command prints with one line per item. */
 final class MigrationReport {
-    /** A value that is another in the new configuration. */
+    /** A value that differs in the new configuration. */
     private record Change(String path, String from, String to) {
         @Override
         public String toString() {
@@ -14,7 +14,7 @@
         }
     }
 
-    /** A part of the old configuration, and what there is to say of it. */
+    /** A remark on a part of the old configuration. */
     private record Remark(String part, String text) {
         @Override
         public String toString() {
@@ -26,22 +26,22 @@
     private final List<Remark> omissions = new ArrayList<>();
     private final List<Remark> reviews = new ArrayList<>();
 
-    /** A value that is another in the new configuration; null values are absent ones. */
+    /** Records a value that differs in the new configuration; null stands for an absent value. */
     void changed(String path, Object from, Object to) {
         changes.add(new Change(path, text(from), text(to)));
     }
 
-    /** A part that the new configuration does not hold, and why. */
+    /** Records a part that the new configuration does not contain, and the reason. */
     void notCarriedOver(String part, String reason) {
         omissions.add(new Remark(part, reason));
     }
 
-    /** A part that was carried over as it was and may mean something else in the new deployment. */
+    /** Records a part that was copied unchanged and may have another meaning in the new deployment. */
     void toReview(String part, String note) {
         reviews.add(new Remark(part, note));
     }
 
-    /** Whether the old configuration fits the new deployment as it is. */
+    /** Returns whether the old configuration is valid for the new deployment without a change. */
     boolean isEmpty() {
         return changes.isEmpty() && omissions.isEmpty();
     }
--- a/src/main/java/rampshift/migrate/SourceDeployment.java
+++ b/src/main/java/rampshift/migrate/SourceDeployment.java
@@ -4,18 +4,18 @@
 import java.util.List;
 
 /**
- * What an old configuration tells of its deployment, as far as its counterpart depends on it.
+ * The properties of the old deployment that a migration depends on, read from its configuration.
  *
- * @param knownWorkers how many workers its endpoint list holds, or null where it has no list
- * @param loadNames the names under which workers report their load; none where they have no names
- * @param weightSource what the weights of listed workers tell, or null
+ * @param knownWorkers the number of workers in its endpoint list, or null if it has no list
+ * @param loadNames the field names in load reports; empty if the configuration has none
+ * @param weightSource the kind of weights in endpoint lists, or null
  * @param tellsStart whether workers report the start of an attempt
- * @param askWithinMs how long a dispatcher may go without polling the list, in milliseconds, or null
+ * @param askWithinMs the maximum time between two polls of the list in milliseconds, or null
  * @param crossZoneCost the cost of sending a task to another zone, or null
  * @param dispatcherNumber the dispatcher's number in its pool, or null
- * @param retryFloor how many further attempts each dispatcher has in a span, or null
+ * @param retryFloor the minimum number of further attempts per dispatcher and span, or null
  * @param trafficTypes the traffic types, in their order
- * @param hasTenants whether tasks are counted for tenants
+ * @param hasTenants whether the configuration has tenants
  */
 record SourceDeployment(
         Integer knownWorkers,
@@ -33,7 +33,7 @@
      * One traffic type.
      *
      * @param isKeyed whether its tasks have an idempotency key
-     * @param dedupScope the workers that drop a repeat together: all, zone or cell
+     * @param dedupScope the group of workers that deduplicate tasks together: all, zone or cell
      */
     record TrafficTypeRow(String name, boolean isKeyed, String dedupScope) {
 
@@ -47,13 +47,13 @@
                     scope == null ? SCOPE_IF_ABSENT : scope);
         }
 
-        /** A repeat of its tasks is harmless at some workers, and would run again at others. */
+        /** Returns whether only some workers drop a repeated task, and the others would run it again. */
         boolean isRepeatDroppedInPart() {
             return isKeyed && !dedupScope.equals(ALL_WORKERS);
         }
     }
 
-    /** Reads it from a configuration that the dispatcher accepts. */
+    /** Reads the properties from a valid configuration. */
     static SourceDeployment of(JsonObject configuration) {
         JsonObject settings = configuration.object("settings");
         JsonObject rules = settings.object("Rules");
--- a/src/main/java/rampshift/migrate/TargetDeployment.java
+++ b/src/main/java/rampshift/migrate/TargetDeployment.java
@@ -14,19 +14,19 @@
 import rampshift.settings.JsonTree;
 
 /**
- * What the new deployment has that no old configuration can tell.
+ * The properties of the new deployment, which an old configuration does not contain.
  *
- * @param zones all zones, in the order in which lists and settings number them; at least one, none twice
- * @param zone the dispatcher's own, one of them
- * @param name the dispatcher's, or null for the old one
- * @param listen its address with a port, or null for the old one
- * @param discovery the endpoint list's address with a port, or null for the old one
- * @param dispatchers how many there are, or null where that is left out
+ * @param zones all distinct zones, in the order in which lists and settings number them; at least one
+ * @param zone the dispatcher's own zone, one of {@code zones}
+ * @param name the dispatcher's name, or null to keep the old one
+ * @param listen the dispatcher's address with a port, or null to keep the old one
+ * @param discovery the address of the discovery agent with a port, or null to keep the old one
+ * @param dispatchers the number of dispatchers, or null if unstated
  * @param reports how workers report their load
- * @param list how the endpoint list comes
- * @param askWithinMs how long a dispatcher may go without polling the list, 1 or more, or null for the old
- * figure
- * @param probes whether workers may be probed, or null for what the old configuration says
+ * @param list how the endpoint list is delivered
+ * @param askWithinMs the maximum time between two polls of the list in milliseconds, at least 1, or null to
+ *     keep the old value
+ * @param probes whether workers may be probed, or null to keep the old value
  */
 record TargetDeployment(
         List<String> zones,
@@ -40,17 +40,17 @@
         BigDecimal askWithinMs,
         Boolean probes) {
 
-    /** A value that files spell as a word in lower case. */
+    /** A value that is spelled as a word in lower case in files. */
     private interface Word {
         String name();
 
-        /** The value as files spell it. */
+        /** Returns the spelling of the value in files. */
         default String word() {
             return name().toLowerCase(Locale.ROOT);
         }
     }
 
-    /** How workers report their load: not at all, with answers, or when probed. */
+    /** How workers report their load: not at all, with responses, or when probed. */
     enum LoadReports implements Word {
         OFF, INLINE, ON_PROBE
     }
@@ -65,8 +65,8 @@
     private static final BigDecimal MAX_NUMBER = new BigDecimal(1_000_000_000);
 
     /**
-     * Reads the file that {@code --shape} names. Throws a {@link ConfigurationException} that names the
-     * key, or an {@link IOException} with line and column for what is no JSON.
+     * Reads the file named by {@code --shape}. Throws {@link ConfigurationException} with the key of an
+     * invalid value, or {@link IOException} with line and column for invalid JSON.
      */
     static TargetDeployment read(byte[] bytes) throws IOException {
         Map<String, Object> tree = JsonTree.read(bytes);
@@ -78,7 +78,7 @@
         List<String> zones = zones(tree.get("zones"));
         String zone = text(tree, "zone", null);
         if (!zones.contains(zone)) {
-            throw ConfigurationException.ofKey("zone", "zone is " + zone + ", none of zones");
+            throw ConfigurationException.ofKey("zone", "zone is " + zone + ", expected one of zones");
         }
         checkAddress(tree, "listen");
         checkAddress(tree, "discovery");
@@ -92,7 +92,7 @@
         if (!(value instanceof List<?> list) || list.isEmpty()
                 || !list.stream().allMatch(zone -> zone instanceof String text && !text.isEmpty())
                 || new HashSet<>(list).size() < list.size()) {
-            throw ConfigurationException.ofKey("zones", "zones is not a list of names, none of them twice");
+            throw ConfigurationException.ofKey("zones", "zones is not a list of distinct names");
         }
         return list.stream().map(String.class::cast).toList();
     }
@@ -106,12 +106,12 @@
     private static String text(Map<String, Object> tree, String key, String ifAbsent) {
         Object value = tree.get(key);
         if (value != null && !(value instanceof String)) {
-            throw ConfigurationException.ofKey(key, key + " is not text");
+            throw ConfigurationException.ofKey(key, key + " is not a string");
         }
         return value == null ? ifAbsent : (String) value;
     }
 
-    /** The value of that word, the first one where the key is absent. */
+    /** Returns the value with the given spelling, or the first value if the key is absent. */
     private static <W extends Word> W oneOf(Map<String, Object> tree, String key, W[] values) {
         String word = text(tree, key, values[0].word());
         for (W value : values) {
@@ -120,7 +120,7 @@
             }
         }
         String words = Arrays.stream(values).map(Word::word).collect(Collectors.joining(", "));
-        throw ConfigurationException.ofKey(key, key + " is " + word + ", none of " + words);
+        throw ConfigurationException.ofKey(key, key + " is " + word + ", expected one of " + words);
     }
 
     private static BigDecimal number(Map<String, Object> tree, String key) {
@@ -132,7 +132,7 @@
                 && number.compareTo(MAX_NUMBER) <= 0) {
             return number;
         }
-        throw ConfigurationException.ofKey(key, key + " is not a number of 1 to " + MAX_NUMBER);
+        throw ConfigurationException.ofKey(key, key + " is not a number from 1 to " + MAX_NUMBER);
     }
 
     private static Boolean flag(Map<String, Object> tree, String key) {
