--- a/src/main/java/rampshift/simulator/EndpointEntry.java
+++ b/src/main/java/rampshift/simulator/EndpointEntry.java
@@ -14,17 +14,17 @@
     private static final int MISSING = -1;
 
     long worker;
-    int site;
-    int pod;
-    int machine;
+    int zone;
+    int cell;
+    int kind;
     String state;
-    double bornMs;
+    double startedAtMs;
     double weight;
 
     /** Reads the JSON object that starts at the parser's position; absent optional fields become 0. */
     void read(JsonParser in) throws IOException {
-        MessageFields.open(in, DESCRIPTION);
-        clear();
+        MessageFields.requireObject(in, DESCRIPTION);
+        reset();
         for (String name = in.nextFieldName(); name != null; name = in.nextFieldName()) {
             JsonToken value = in.nextToken();
             if (value != JsonToken.VALUE_NULL) {
@@ -37,23 +37,23 @@
         }
     }
 
-    private void clear() {
+    private void reset() {
         worker = MISSING;
-        site = 0;
-        pod = 0;
-        machine = 0;
+        zone = 0;
+        cell = 0;
+        kind = 0;
         state = null;
-        bornMs = 0;
+        startedAtMs = 0;
         weight = 0;
     }
 
     private void readField(JsonParser in, String name, JsonToken value) throws IOException {
         switch (name) {
-            case "Worker" -> worker = whole(in, name, value);
-            case "Site" -> site = (int) whole(in, name, value);
-            case "Pod" -> pod = (int) whole(in, name, value);
-            case "Machine" -> machine = (int) whole(in, name, value);
-            case "BornMs" -> bornMs = MessageFields.number(in, name);
+            case "Worker" -> worker = integer(in, name, value);
+            case "Site" -> zone = (int) integer(in, name, value);
+            case "Pod" -> cell = (int) integer(in, name, value);
+            case "Machine" -> kind = (int) integer(in, name, value);
+            case "BornMs" -> startedAtMs = MessageFields.number(in, name);
             case "Nominal" -> weight = MessageFields.number(in, name);
             case "Availability" -> state = text(in, name, value);
             default -> in.skipChildren();
@@ -67,7 +67,7 @@
         return in.getText();
     }
 
-    private static long whole(JsonParser in, String name, JsonToken value) throws IOException {
+    private static long integer(JsonParser in, String name, JsonToken value) throws IOException {
         if (value != JsonToken.VALUE_NUMBER_INT) {
             throw new InvalidInputException(DESCRIPTION + ": " + name + " is not an integer");
         }
--- a/src/main/java/rampshift/simulator/LineReader.java
+++ b/src/main/java/rampshift/simulator/LineReader.java
@@ -33,7 +33,7 @@
                 }
             }
             scanned -= lineStart;
-            makeRoom();
+            compactOrGrow();
             int count = input.read(buffer, end, buffer.length - end);
             if (count < 0) {
                 return lastLine();
@@ -47,7 +47,7 @@
     }
 
     /** Moves the incomplete line to the start of the buffer, and doubles the buffer if it is full. */
-    private void makeRoom() {
+    private void compactOrGrow() {
         if (lineStart > 0) {
             System.arraycopy(buffer, lineStart, buffer, 0, end - lineStart);
             end -= lineStart;
--- a/src/main/java/rampshift/simulator/MessageFields.java
+++ b/src/main/java/rampshift/simulator/MessageFields.java
@@ -15,26 +15,26 @@
      * The value recorded for an object or array that no message type uses. The field counts as present, is
      * neither a number nor a boolean, and {@link #text} returns this value.
      */
-    private static final String UNREAD_STRUCTURE = "{}";
+    private static final String UNUSED_STRUCTURE = "{}";
 
     private final List<String> names = new ArrayList<>();
     private final List<Object> values = new ArrayList<>();
     /** The settings in an Attach message; null in other messages. */
     SettingsReader settings;
-    /** Reusable entries; the first {@link #count} are the endpoint list of the message, in its order. */
+    /** Reusable entries; the first {@link #entryCount} are the endpoint list of the message, in its order. */
     final List<EndpointEntry> entries = new ArrayList<>();
-    int count;
+    int entryCount;
     /** The load report of a worker; null if the message has none. */
-    MessageFields load;
+    MessageFields loadReport;
 
     /** Replaces the fields by those of the JSON object that starts at the parser's position. */
     void read(JsonParser in) throws IOException {
-        open(in, MESSAGE);
+        requireObject(in, MESSAGE);
         names.clear();
         values.clear();
-        count = 0;
+        entryCount = 0;
         settings = null;
-        load = null;
+        loadReport = null;
         while (!in.nextToken().isStructEnd()) {
             String name = in.currentName();
             readField(in, name, in.nextToken());
@@ -47,33 +47,33 @@
         } else if (name.equals("Entries") && token == JsonToken.START_ARRAY) {
             readEntries(in);
         } else if (name.equals("Load") && token == JsonToken.START_OBJECT) {
-            load = new MessageFields();
-            load.read(in);
+            loadReport = new MessageFields();
+            loadReport.read(in);
         } else if (token.isNumeric()) {
-            put(name, token == JsonToken.VALUE_NUMBER_INT ? whole(in) : (Object) in.getDoubleValue());
+            put(name, token == JsonToken.VALUE_NUMBER_INT ? integer(in) : (Object) in.getDoubleValue());
         } else if (token == JsonToken.VALUE_STRING) {
             put(name, in.getText());
         } else if (token.isBoolean()) {
             put(name, in.getBooleanValue());
         } else if (token.isStructStart()) {
-            put(name, UNREAD_STRUCTURE);
+            put(name, UNUSED_STRUCTURE);
             in.skipChildren();
         }
     }
 
     private void readEntries(JsonParser in) throws IOException {
         while (!in.nextToken().isStructEnd()) {
-            if (count == entries.size()) {
+            if (entryCount == entries.size()) {
                 entries.add(new EndpointEntry());
             }
-            entries.get(count).read(in);
-            count++;
+            entries.get(entryCount).read(in);
+            entryCount++;
         }
     }
 
-    private static Object whole(JsonParser in) throws IOException {
-        boolean overLong = in.getNumberType() == JsonParser.NumberType.BIG_INTEGER;
-        return overLong ? (Object) in.getDoubleValue() : (Object) in.getLongValue();
+    private static Object integer(JsonParser in) throws IOException {
+        boolean exceedsLong = in.getNumberType() == JsonParser.NumberType.BIG_INTEGER;
+        return exceedsLong ? (Object) in.getDoubleValue() : (Object) in.getLongValue();
     }
 
     private void put(String name, Object value) {
@@ -102,7 +102,7 @@
         return find("t") instanceof String text ? text : MESSAGE;
     }
 
-    private InvalidInputException fault(String name, String description) {
+    private InvalidInputException invalidField(String name, String description) {
         return new InvalidInputException(type() + ": " + name + " " + description);
     }
 
@@ -111,31 +111,31 @@
         if (required(name) instanceof String text) {
             return text;
         }
-        throw fault(name, "is not a string");
+        throw invalidField(name, "is not a string");
     }
 
     /** Returns the integer in a required field. */
-    long whole(String name) {
+    long integer(String name) {
         if (required(name) instanceof Long number) {
             return number;
         }
-        throw fault(name, "is not an integer");
+        throw invalidField(name, "is not an integer");
     }
 
     /** Returns the integer in a field, or 0 if the field is absent. */
-    int index(String name) {
-        return find(name) == null ? 0 : (int) whole(name);
+    int integerOrZero(String name) {
+        return find(name) == null ? 0 : (int) integer(name);
     }
 
-    double number(String name, double ifAbsent) {
+    double number(String name, double defaultValue) {
         Object value = find(name);
         if (value == null) {
-            return ifAbsent;
+            return defaultValue;
         }
         if (value instanceof Number number) {
             return number.doubleValue();
         }
-        throw fault(name, "is not a number");
+        throw invalidField(name, "is not a number");
     }
 
     /** Returns the boolean in a field, or false if the field is absent. */
@@ -144,11 +144,11 @@
         if (value == null || value instanceof Boolean) {
             return Boolean.TRUE.equals(value);
         }
-        throw fault(name, "is neither true nor false");
+        throw invalidField(name, "is neither true nor false");
     }
 
     /** Checks that the parser is at, or directly before, the start of an object. */
-    static void open(JsonParser in, String description) throws IOException {
+    static void requireObject(JsonParser in, String description) throws IOException {
         JsonToken token = in.currentToken() == null ? in.nextToken() : in.currentToken();
         if (token != JsonToken.START_OBJECT) {
             throw new InvalidInputException(description + " is not an object");
@@ -156,7 +156,7 @@
     }
 
     /** Checks that the parser is at the start of an array. */
-    static void array(JsonParser in, String description) {
+    static void requireArray(JsonParser in, String description) {
         if (in.currentToken() != JsonToken.START_ARRAY) {
             throw new InvalidInputException(description + " is not an array");
         }
--- a/src/main/java/rampshift/simulator/PolicyInstance.java
+++ b/src/main/java/rampshift/simulator/PolicyInstance.java
@@ -44,13 +44,13 @@
     }
 
     /** Sets the time of the events that follow. */
-    void clock(Moment now) {
+    void setTime(Moment now) {
         policy.setNow(now);
     }
 
     /** Handles one event. A failure of the policy is recorded and reported in the reply. */
-    void event(String type, MessageFields fields) {
-        if (!known(type)) {
+    void handleEvent(String type, MessageFields fields) {
+        if (!isKnownType(type)) {
             throw new InvalidInputException("message with unknown t " + type);
         }
         if (failure != null) {
@@ -65,7 +65,7 @@
         }
     }
 
-    private static boolean known(String type) {
+    private static boolean isKnownType(String type) {
         return switch (type) {
             case "Attach", "Fleet", "Arrival", "UnderWay", "Note", "Ended", "Hangup", "Wakeup", "Echo",
                     "NoteFrom" ->
@@ -79,23 +79,23 @@
             case "Fleet" -> onEndpointList(fields);
             case "Arrival" -> onArrival(fields);
             case "Note" -> {
-                int number = (int) fields.whole("Try");
-                if (fields.whole("What") == NOTE_STARTED) {
-                    policy.onAttemptStarted(fields.whole("Ref"), number);
+                int number = (int) fields.integer("Try");
+                if (fields.integer("What") == NOTE_STARTED) {
+                    policy.onAttemptStarted(fields.integer("Ref"), number);
                 } else {
-                    policy.onAttemptProgress(fields.whole("Ref"), number, fields.number("Value", 0));
+                    policy.onAttemptProgress(fields.integer("Ref"), number, fields.number("Value", 0));
                 }
             }
             case "Ended" -> {
                 reportLoad(fields);
-                policy.onAttemptFinished(fields.whole("Ref"), (int) fields.whole("Try"),
+                policy.onAttemptFinished(fields.integer("Ref"), (int) fields.integer("Try"),
                         outcome(fields.text("Disposition")),
                         fields.flag("Terminal"));
             }
-            case "Hangup" -> policy.onClientGone(fields.whole("Ref"));
+            case "Hangup" -> policy.onClientGone(fields.integer("Ref"));
             case "Echo" -> {
                 reportLoad(fields);
-                policy.onProbeResult(fields.whole("Worker"), fields.text("Disposition").equals("S"));
+                policy.onProbeResult(fields.integer("Worker"), fields.text("Disposition").equals("S"));
             }
             case "Wakeup" -> policy.onTimer();
             default -> {
@@ -113,10 +113,10 @@
             case "cached" -> EndpointListKind.CACHED;
             default -> throw new InvalidInputException("Fleet: unknown How " + how);
         });
-        for (int i = 0; i < fields.count; i++) {
+        for (int i = 0; i < fields.entryCount; i++) {
             EndpointEntry entry = fields.entries.get(i);
-            policy.onEndpoint(new ListedWorker(entry.worker, entry.site, entry.pod, entry.machine,
-                    state(entry.state), Moment.ofMillis(entry.bornMs), entry.weight));
+            policy.onEndpoint(new ListedWorker(entry.worker, entry.zone, entry.cell, entry.kind,
+                    state(entry.state), Moment.ofMillis(entry.startedAtMs), entry.weight));
         }
         policy.onEndpointListEnd();
     }
@@ -130,28 +130,29 @@
     }
 
     private void onArrival(MessageFields fields) {
-        int trafficType = fields.index("Priority");
+        int trafficType = fields.integerOrZero("Priority");
         if (trafficType < 0 || trafficType >= typeCount) {
             throw new InvalidInputException("Arrival: unknown traffic type " + trafficType);
         }
-        policy.onTaskArrived(fields.whole("Ref"),
-                new TaskRequest(trafficType, fields.index("Owner"), expectedTime(fields),
+        policy.onTaskArrived(fields.integer("Ref"),
+                new TaskRequest(trafficType, fields.integerOrZero("Owner"), expectedTime(fields),
                         fields.number("Width", 1),
                         fields.number("RamUnits", 0),
                         Span.ofMillis(fields.number("PatienceLeftMs", 0))));
     }
 
     private static Span expectedTime(MessageFields fields) {
-        boolean valid = (fields.index("StateBits") & EXPECTED_TIME_VALID) != 0;
+        boolean valid = (fields.integerOrZero("StateBits") & EXPECTED_TIME_VALID) != 0;
         return valid ? Span.ofMillis(Math.max(0, fields.number("ExpectedMs", 0))) : Span.ZERO;
     }
 
     private void reportLoad(MessageFields fields) {
-        if (fields.load != null) {
-            policy.onLoadReport(fields.whole("Worker"),
-                    freeSlots == null ? Double.NaN : fields.load.number(freeSlots, Double.NaN),
-                    fields.load.number("depth", Double.NaN), fields.load.number("concurrent", Double.NaN),
-                    freeMemory == null ? Double.NaN : fields.load.number(freeMemory, Double.NaN));
+        if (fields.loadReport != null) {
+            policy.onLoadReport(fields.integer("Worker"),
+                    freeSlots == null ? Double.NaN : fields.loadReport.number(freeSlots, Double.NaN),
+                    fields.loadReport.number("depth", Double.NaN),
+                    fields.loadReport.number("concurrent", Double.NaN),
+                    freeMemory == null ? Double.NaN : fields.loadReport.number(freeMemory, Double.NaN));
         }
     }
 
@@ -170,8 +171,8 @@
     }
 
     /** Writes all decisions of the policy, and a BailOut message if the policy has failed. */
-    void answer(ReplyWriter out) {
-        out.instance = name;
+    void writeDecisions(ReplyWriter out) {
+        out.instanceName = name;
         if (failure == null) {
             try {
                 boolean more = true;
@@ -185,7 +186,7 @@
             }
         }
         if (failure != null) {
-            out.bailOut(failure);
+            out.writeFailure(failure);
         }
     }
 }
--- a/src/main/java/rampshift/simulator/ReplyWriter.java
+++ b/src/main/java/rampshift/simulator/ReplyWriter.java
@@ -16,7 +16,7 @@
     private final ByteArrayOutputStream bytes = new ByteArrayOutputStream(INITIAL_BUFFER_BYTES);
     final JsonGenerator out;
     /** The name of the instance whose decisions are being written. */
-    String instance;
+    String instanceName;
 
     ReplyWriter(JsonFactory json) throws IOException {
         out = json.createGenerator(bytes);
@@ -36,11 +36,11 @@
         void write() throws IOException;
     }
 
-    private void message(String type, Body body) {
+    private void writeMessage(String type, Body body) {
         try {
             out.writeStartObject();
             out.writeStringField("t", type);
-            out.writeStringField("Who", instance);
+            out.writeStringField("Who", instanceName);
             body.write();
             out.writeEndObject();
         } catch (IOException e) {
@@ -50,7 +50,7 @@
 
     @Override
     public void forward(long task, long worker, Span timeout) {
-        message("Place", () -> {
+        writeMessage("Place", () -> {
             out.writeNumberField("Ref", task);
             out.writeNumberField("Worker", worker);
             out.writeNumberField("TimeoutMs", timeout.millis());
@@ -59,7 +59,7 @@
 
     @Override
     public void cancel(long task, int attempt) {
-        message("StopAttempt", () -> {
+        writeMessage("StopAttempt", () -> {
             out.writeNumberField("Ref", task);
             out.writeNumberField("Try", attempt);
         });
@@ -67,7 +67,7 @@
 
     @Override
     public void reject(long task, Span retryAfter) {
-        message("OverloadReply", () -> {
+        writeMessage("OverloadReply", () -> {
             out.writeNumberField("Ref", task);
             out.writeNumberField("RetryAfterMs", retryAfter.millis());
         });
@@ -75,29 +75,29 @@
 
     @Override
     public void fail(long task) {
-        message("Error", () -> out.writeNumberField("Ref", task));
+        writeMessage("Error", () -> out.writeNumberField("Ref", task));
     }
 
     @Override
     public void probe(long worker) {
-        message("HealthCheck", () -> out.writeNumberField("Worker", worker));
+        writeMessage("HealthCheck", () -> out.writeNumberField("Worker", worker));
     }
 
     @Override
     public void subscribe() {
-        message("Observe", () -> out.writeBooleanField("Enable", true));
+        writeMessage("Observe", () -> out.writeBooleanField("Enable", true));
     }
 
     @Override
     public void wakeAt(Moment when) {
-        message("NotifyMe", () -> {
+        writeMessage("NotifyMe", () -> {
             out.writeNumberField("TimeMs", when.millis());
             out.writeNumberField("Name", 0);
         });
     }
 
     /** Reports that the instance has failed and makes no more decisions. */
-    void bailOut(String reason) {
-        message("BailOut", () -> out.writeStringField("Words", reason));
+    void writeFailure(String reason) {
+        writeMessage("BailOut", () -> out.writeStringField("Words", reason));
     }
 }
--- a/src/main/java/rampshift/simulator/SimulatorHost.java
+++ b/src/main/java/rampshift/simulator/SimulatorHost.java
@@ -48,15 +48,15 @@
                 out.write(host.reply(line));
                 out.flush();
             } catch (JsonProcessingException e) {
-                return invalid(number, e.getOriginalMessage(), err);
+                return reportInvalidInput(number, e.getOriginalMessage(), err);
             } catch (InvalidInputException e) {
-                return invalid(number, e.getMessage(), err);
+                return reportInvalidInput(number, e.getMessage(), err);
             }
         }
         return EXIT_DONE;
     }
 
-    private static int invalid(int lineNumber, String description, PrintStream err) {
+    private static int reportInvalidInput(int lineNumber, String description, PrintStream err) {
         err.println("rampshift drill: line " + lineNumber + ": " + description.replace('\n', ' '));
         return EXIT_INVALID_INPUT;
     }
@@ -72,7 +72,7 @@
         for (PolicyInstance instance : addressed) {
             instance.addressed = false;
             if (!instance.retired) {
-                instance.answer(reply);
+                instance.writeDecisions(reply);
             }
         }
         return reply.finish();
@@ -81,7 +81,7 @@
     /** Passes the events of a batch to their instances and lists these in the order of their first events. */
     private void readBatch(ByteBuffer line, List<PolicyInstance> addressed) throws IOException {
         try (JsonParser in = parser(line)) {
-            MessageFields.open(in, "batch");
+            MessageFields.requireObject(in, "batch");
             Moment now = null;
             boolean hasEvents = false;
             while (in.nextToken() != null && in.currentName() != null && !in.currentToken().isStructEnd()) {
@@ -127,7 +127,7 @@
     }
 
     private void readEvents(JsonParser in, Moment now, List<PolicyInstance> addressed) throws IOException {
-        MessageFields.array(in, EVENTS_FIELD);
+        MessageFields.requireArray(in, EVENTS_FIELD);
         while (!in.nextToken().isStructEnd()) {
             fields.read(in);
             String name = fields.text("Who");
@@ -147,18 +147,18 @@
             if (!instance.addressed) {
                 instance.addressed = true;
                 addressed.add(instance);
-                instance.clock(now);
+                instance.setTime(now);
             }
-            instance.event(type, fields);
+            instance.handleEvent(type, fields);
         }
     }
 
     /** Starts an instance and retires an existing one with the same name. */
     private void attach(String name, Moment now) {
-        PolicyInstance instance = new PolicyInstance(name, fields.settings, fields.whole("Seed"), now);
-        PolicyInstance former = instances.put(name, instance);
-        if (former != null) {
-            former.retired = true;
+        PolicyInstance instance = new PolicyInstance(name, fields.settings, fields.integer("Seed"), now);
+        PolicyInstance previous = instances.put(name, instance);
+        if (previous != null) {
+            previous.retired = true;
         }
     }
 }
--- a/src/main/java/rampshift/simulator/SimulatorWarmUp.java
+++ b/src/main/java/rampshift/simulator/SimulatorWarmUp.java
@@ -13,8 +13,8 @@
     private static final int ROUNDS = 120;
     private static final int TASKS_PER_ROUND = 6;
     private static final int WORKERS = 24;
-    private static final int RESPONSE_DELAY_TASKS = 20;
-    private static final int CHANGED_PER_ROUND = 6;
+    private static final int RESPONSE_DELAY_TASK_IDS = 20;
+    private static final int CHANGED_WORKERS_PER_ROUND = 6;
     private static final double START_MS = 1e6;
     private static final double ROUND_MS = 20;
     private static final String[] INSTANCES = {"r/0", "r/1", "r/2"};
@@ -47,7 +47,8 @@
                 attach(INSTANCES[2], true, "off", "rough", 0.0, true)));
         for (int round = 1; round <= ROUNDS; round++) {
             StringBuilder events = new StringBuilder(
-                    endpointList(INSTANCES[round % INSTANCES.length], "delta", CHANGED_PER_ROUND, round));
+                    endpointList(INSTANCES[round % INSTANCES.length], "delta", CHANGED_WORKERS_PER_ROUND,
+                            round));
             for (String instance : INSTANCES) {
                 for (int i = 0; i < TASKS_PER_ROUND; i++) {
                     appendTaskEvents(events, instance, round, i);
@@ -59,9 +60,11 @@
     }
 
     /** Returns the events that start an instance and send its first endpoint list. */
-    private static String attach(String instance, boolean tellsStart, String reports, String weights,
+    private static String attach(String instance, boolean reportsStart, String loadReports,
+            String weightSource,
             double handshakeCost, boolean mayProbe) {
-        return ATTACH.formatted(instance, tellsStart, reports, weights, handshakeCost, mayProbe) + ','
+        return ATTACH.formatted(instance, reportsStart, loadReports, weightSource, handshakeCost, mayProbe)
+                + ','
                 + endpointList(instance, "cached", WORKERS, 0);
     }
 
@@ -72,11 +75,11 @@
                 .append(",\"Object\":\"o").append(index).append("\",\"ExpectedMs\":").append(40.25 + index)
                 .append(",\"Owner\":0,\"Priority\":").append(index % 3)
                 .append(",\"StateBits\":1,\"Width\":1,\"PatienceLeftMs\":5000.0}");
-        appendAttemptEvent(events, "Note", instance, task - RESPONSE_DELAY_TASKS, ",\"What\":1");
-        appendAttemptEvent(events, "Note", instance, task - 2 * RESPONSE_DELAY_TASKS,
+        appendAttemptEvent(events, "Note", instance, task - RESPONSE_DELAY_TASK_IDS, ",\"What\":1");
+        appendAttemptEvent(events, "Note", instance, task - 2 * RESPONSE_DELAY_TASK_IDS,
                 ",\"What\":2,\"Value\":0.5");
         String outcome = outcome(round, index);
-        int age = (index % 2 == 0 ? 2 : 3) * RESPONSE_DELAY_TASKS;
+        int age = (index % 2 == 0 ? 2 : 3) * RESPONSE_DELAY_TASK_IDS;
         appendAttemptEvent(events, "Ended", instance, task - age,
                 ",\"DurationMs\":80.5,\"Disposition\":\"" + outcome + "\",\"Terminal\":" + outcome.equals("S")
                         + ",\"Load\":{\"x0\":1.5,\"concurrent\":3}");
@@ -91,22 +94,22 @@
     }
 
     private static void appendAttemptEvent(StringBuilder events, String type, String instance, long task,
-            String more) {
+            String extraFields) {
         events.append(",{\"t\":\"").append(type).append("\",\"Who\":\"").append(instance)
                 .append("\",\"Ref\":")
-                .append(task).append(",\"Try\":0,\"Worker\":").append(task % WORKERS).append(more)
+                .append(task).append(",\"Try\":0,\"Worker\":").append(task % WORKERS).append(extraFields)
                 .append('}');
     }
 
-    private static String endpointList(String instance, String how, int count, int from) {
+    private static String endpointList(String instance, String listKind, int count, int firstWorker) {
         StringBuilder list = new StringBuilder("{\"t\":\"Fleet\",\"Who\":\"").append(instance)
-                .append("\",\"Serial\":").append(from).append(",\"How\":\"").append(how)
+                .append("\",\"Serial\":").append(firstWorker).append(",\"How\":\"").append(listKind)
                 .append("\",\"Entries\":[");
         for (int i = 0; i < count; i++) {
-            int worker = (from + i) % WORKERS;
+            int worker = (firstWorker + i) % WORKERS;
             list.append(i == 0 ? "" : ",").append("{\"Worker\":").append(worker).append(",\"Site\":")
                     .append(worker % 2).append(",\"Availability\":\"IN\",\"Pod\":").append(worker / 4)
-                    .append(",\"Nominal\":").append(1.5 + from % 4).append(",\"Machine\":")
+                    .append(",\"Nominal\":").append(1.5 + firstWorker % 4).append(",\"Machine\":")
                     .append(worker / 2 % 2)
                     .append('}');
         }
--- a/src/test/java/rampshift/simulator/DispatchPolicyReplayTest.java
+++ b/src/test/java/rampshift/simulator/DispatchPolicyReplayTest.java
@@ -30,7 +30,7 @@
     private static final int WORKERS = 24;
     private static final int SLOTS = 3;
     private static final double TICK_MS = 2;
-    private static final double DAY_MS = 12_000;
+    private static final double SIMULATION_MS = 12_000;
     private static final double PROGRESS_MS = 400;
 
     /** A deployment, with the settings in which it differs from the others. */
@@ -90,11 +90,12 @@
                     + type("safe", ",\"AllowedOn\":[1],\"RunsIn\":[0]", 8, 0) + "]," + settings + "}}";
         }
 
-        private static String type(String effect, String more, double earnings, double late) {
+        private static String type(String effect, String extraFields, double earnings, double tardyEarnings) {
             return "{\"DueTimeMs\":120.0,\"ExpiryMs\":3000.0,\"AimStretch\":2.0,\"WindowMs\":1500.0,"
                     + "\"Effect\":\""
                     + effect
-                    + "\",\"Earnings\":" + earnings + ",\"TardyEarnings\":" + late + more + '}';
+                    + "\",\"Earnings\":" + earnings + ",\"TardyEarnings\":" + tardyEarnings + extraFields
+                    + '}';
         }
     }
 
@@ -106,14 +107,14 @@
     }
 
     /** One attempt of a task, as the simulated workers see it. */
-    private static final class Sending {
+    private static final class Attempt {
         final String dispatcher;
         final long task;
         final int number;
         final int worker;
-        boolean over;
+        boolean finished;
 
-        Sending(String dispatcher, long task, int number, int worker) {
+        Attempt(String dispatcher, long task, int number, int worker) {
             this.dispatcher = dispatcher;
             this.task = task;
             this.number = number;
@@ -122,24 +123,24 @@
     }
 
     /** Dispatchers under the policy, and a small fleet with all the events that the policy handles. */
-    private static final class Day {
+    private static final class Simulation {
         private final Deployment deployment;
         private final Random random;
         private final SimulatorHost host = new SimulatorHost();
         private final MessageDigest digest;
-        private final PriorityQueue<Event> events = new PriorityQueue<>();
-        private final List<String> news = new ArrayList<>();
-        private final Map<String, List<Sending>> sendings = new HashMap<>();
-        private final Map<String, Integer> commands = new HashMap<>();
+        private final PriorityQueue<Event> scheduledEvents = new PriorityQueue<>();
+        private final List<String> messages = new ArrayList<>();
+        private final Map<String, List<Attempt>> attempts = new HashMap<>();
+        private final Map<String, Integer> commandCounts = new HashMap<>();
         private final double[][] busyUntil = new double[WORKERS][SLOTS];
         private final double[] speed = new double[WORKERS];
         private final String[] states = new String[WORKERS];
         private final double[] startedAt = new double[WORKERS];
         private double now = 1_000_000;
         private long order;
-        private long tasks;
+        private long taskCount;
 
-        Day(Deployment deployment, long seed) throws NoSuchAlgorithmException {
+        Simulation(Deployment deployment, long seed) throws NoSuchAlgorithmException {
             this.deployment = deployment;
             random = new Random(seed);
             digest = MessageDigest.getInstance("SHA-256");
@@ -150,55 +151,56 @@
         }
 
         private void after(double delayMs, Runnable action) {
-            events.add(new Event(now + delayMs, order++, action));
+            scheduledEvents.add(new Event(now + delayMs, order++, action));
         }
 
-        String play() throws IOException {
+        String run() throws IOException {
             for (int d = 0; d < DISPATCHERS; d++) {
                 start("d/" + d, d % 2, d);
             }
-            arrive();
-            change();
-            double end = now + DAY_MS;
+            addArrival();
+            changeEndpoints();
+            double end = now + SIMULATION_MS;
             while (now < end) {
-                now = Math.max(now + TICK_MS, events.peek().at);
-                while (!events.isEmpty() && events.peek().at <= now) {
-                    events.poll().action.run();
+                now = Math.max(now + TICK_MS, scheduledEvents.peek().at);
+                while (!scheduledEvents.isEmpty() && scheduledEvents.peek().at <= now) {
+                    scheduledEvents.poll().action.run();
                 }
                 byte[] reply = host.reply(ByteBuffer.wrap(("{\"SimTimeMs\":" + now + ",\"news\":["
-                        + String.join(",", news) + "]}").getBytes(StandardCharsets.UTF_8)));
-                news.clear();
+                        + String.join(",", messages) + "]}").getBytes(StandardCharsets.UTF_8)));
+                messages.clear();
                 digest.update(reply);
-                carryOut(new String(reply, StandardCharsets.UTF_8));
+                execute(new String(reply, StandardCharsets.UTF_8));
             }
             return HexFormat.of().formatHex(digest.digest()).substring(0, 16);
         }
 
         private void start(String dispatcher, int zone, long seed) {
-            news.add(deployment.attach(dispatcher, zone, seed));
-            tellList(dispatcher, "cached", 0, WORKERS);
+            messages.add(deployment.attach(dispatcher, zone, seed));
+            addEndpointList(dispatcher, "cached", 0, WORKERS);
         }
 
         /** Adds a task and schedules the next. The load varies, as do timeouts; some clients disconnect. */
-        private void arrive() {
-            double wave = (now / 5000) % 2 < 1.4 ? 1 : 2.2;
+        private void addArrival() {
+            double loadFactor = (now / 5000) % 2 < 1.4 ? 1 : 2.2;
             String dispatcher = "d/" + (random.nextInt(4) == 0 ? random.nextInt(DISPATCHERS) : 0);
-            long id = ++tasks;
+            long id = ++taskCount;
             int type = random.nextInt(5);
             double patience = random.nextInt(8) == 0 ? 200 + 800 * random.nextDouble() : 3000;
-            news.add("{\"t\":\"Arrival\",\"Who\":\"" + dispatcher + "\",\"Ref\":" + id + ",\"ExpectedMs\":"
+            messages.add("{\"t\":\"Arrival\",\"Who\":\"" + dispatcher + "\",\"Ref\":" + id
+                    + ",\"ExpectedMs\":"
                     + (20 + random.nextInt(200)) + ",\"Owner\":" + random.nextInt(2) + ",\"Priority\":" + type
                     + ",\"StateBits\":" + random.nextInt(2) + ",\"Width\":" + (1 + random.nextInt(2))
                     + ",\"RamUnits\":"
                     + random.nextInt(3) + ",\"PatienceLeftMs\":" + patience + '}');
             if (random.nextInt(40) == 0) {
-                after(50 + random.nextInt(400), () -> tell("Hangup", dispatcher, id, ""));
+                after(50 + random.nextInt(400), () -> addTaskMessage("Hangup", dispatcher, id, ""));
             }
-            after(-Math.log(1 - random.nextDouble()) * 9 / wave, this::arrive);
+            after(-Math.log(1 - random.nextDouble()) * 9 / loadFactor, this::addArrival);
         }
 
         /** Changes the state of a worker and sends lists; lists may fail and a dispatcher may restart. */
-        private void change() {
+        private void changeEndpoints() {
             int worker = random.nextInt(WORKERS);
             states[worker] = switch (states[worker]) {
                 case "IN" -> random.nextBoolean() ? "LAME" : "OUT";
@@ -210,23 +212,23 @@
             for (int d = 0; d < DISPATCHERS; d++) {
                 String dispatcher = "d/" + d;
                 if (kind == 0) {
-                    tellList(dispatcher, "failed", 0, 0);
+                    addEndpointList(dispatcher, "failed", 0, 0);
                 } else if (kind < 3) {
-                    tellList(dispatcher, "full", 0, WORKERS);
+                    addEndpointList(dispatcher, "full", 0, WORKERS);
                 } else {
-                    tellList(dispatcher, "delta", worker, worker + 1);
+                    addEndpointList(dispatcher, "delta", worker, worker + 1);
                 }
             }
             if (kind == 11) {
                 String last = "d/" + (DISPATCHERS - 1);
-                news.add("{\"t\":\"Retire\",\"Who\":\"" + last + "\"}");
-                sendings.keySet().removeIf(key -> key.startsWith(last + ' '));
-                start(last, 1, tasks);
+                messages.add("{\"t\":\"Retire\",\"Who\":\"" + last + "\"}");
+                attempts.keySet().removeIf(key -> key.startsWith(last + ' '));
+                start(last, 1, taskCount);
             }
-            after(100 + random.nextInt(500), this::change);
+            after(100 + random.nextInt(500), this::changeEndpoints);
         }
 
-        private void tellList(String dispatcher, String how, int from, int to) {
+        private void addEndpointList(String dispatcher, String how, int from, int to) {
             StringBuilder entries = new StringBuilder();
             for (int w = from; w < to; w++) {
                 boolean live = deployment == Deployment.LIVE_WEIGHTS;
@@ -237,7 +239,7 @@
                         .append(",\"Nominal\":").append(weight).append(",\"Machine\":").append(w / 3 % 2)
                         .append(",\"BornMs\":").append(startedAt[w]).append('}');
             }
-            news.add("{\"t\":\"Fleet\",\"Who\":\"" + dispatcher + "\",\"Serial\":1,\"How\":\"" + how
+            messages.add("{\"t\":\"Fleet\",\"Who\":\"" + dispatcher + "\",\"Serial\":1,\"How\":\"" + how
                     + "\",\"Entries\":["
                     + entries + "]}");
         }
@@ -252,31 +254,34 @@
 
         private String load(int worker) {
             // Some workers report that they are idle whatever their load, during a part of the simulation.
-            boolean lies = worker % 7 == 3 && (now / 4000) % 3 < 1;
-            int busy = lies ? 0 : busySlots(worker);
+            boolean reportsIdle = worker % 7 == 3 && (now / 4000) % 3 < 1;
+            int busy = reportsIdle ? 0 : busySlots(worker);
             return ",\"Load\":{\"x0\":" + (SLOTS - busy) + ".0,\"x1\":" + (4 - busy) + ".0,\"concurrent\":"
                     + busy + '}';
         }
 
-        private void tell(String what, String dispatcher, long task, String more) {
-            news.add("{\"t\":\"" + what + "\",\"Who\":\"" + dispatcher + "\",\"Ref\":" + task + more + '}');
+        private void addTaskMessage(String messageType, String dispatcher, long task, String extraFields) {
+            messages.add("{\"t\":\"" + messageType + "\",\"Who\":\"" + dispatcher + "\",\"Ref\":" + task
+                    + extraFields + '}');
         }
 
-        private void carryOut(String reply) {
+        private void execute(String reply) {
             Matcher command =
                     Pattern.compile("\\{\"t\":\"(\\w+)\",\"Who\":\"([^\"]+)\"([^}]*)}").matcher(reply);
             while (command.find()) {
                 String dispatcher = command.group(2);
                 String fields = command.group(3);
-                commands.merge(command.group(1), 1, Integer::sum);
+                commandCounts.merge(command.group(1), 1, Integer::sum);
                 switch (command.group(1)) {
-                    case "Place" -> place(dispatcher, field(fields, "Ref"), (int) field(fields, "Worker"));
+                    case "Place" ->
+                        startAttempt(dispatcher, field(fields, "Ref"), (int) field(fields, "Worker"));
                     case "StopAttempt" ->
-                        stop(sendings(dispatcher, field(fields, "Ref")).get((int) field(fields, "Try")));
+                        cancel(attempts(dispatcher, field(fields, "Ref")).get((int) field(fields, "Try")));
                     case "HealthCheck" -> probe(dispatcher, (int) field(fields, "Worker"));
                     case "NotifyMe" -> after(Math.max(0, field(fields, "TimeMs") - now),
-                            () -> news.add("{\"t\":\"Wakeup\",\"Who\":\"" + dispatcher + "\",\"Name\":0}"));
-                    case "Observe" -> after(20, () -> tellList(dispatcher, "full", 0, WORKERS));
+                            () -> messages
+                                    .add("{\"t\":\"Wakeup\",\"Who\":\"" + dispatcher + "\",\"Name\":0}"));
+                    case "Observe" -> after(20, () -> addEndpointList(dispatcher, "full", 0, WORKERS));
                     case "OverloadReply", "Error" -> {
                     }
                     default -> throw new IllegalStateException(reply);
@@ -289,26 +294,26 @@
             return value.find() ? Long.parseLong(value.group(1)) : -1;
         }
 
-        private List<Sending> sendings(String dispatcher, long task) {
-            return sendings.computeIfAbsent(dispatcher + ' ' + task, key -> new ArrayList<>());
+        private List<Attempt> attempts(String dispatcher, long task) {
+            return attempts.computeIfAbsent(dispatcher + ' ' + task, key -> new ArrayList<>());
         }
 
-        private void place(String dispatcher, long task, int worker) {
-            List<Sending> all = sendings(dispatcher, task);
-            Sending sending = new Sending(dispatcher, task, all.size(), worker);
-            all.add(sending);
-            boolean ill = (worker * 1300 + now) % 9000 < 1500;
-            int luck = random.nextInt(100);
-            if (ill && luck < 70) {
+        private void startAttempt(String dispatcher, long task, int worker) {
+            List<Attempt> all = attempts(dispatcher, task);
+            Attempt attempt = new Attempt(dispatcher, task, all.size(), worker);
+            all.add(attempt);
+            boolean failing = (worker * 1300 + now) % 9000 < 1500;
+            int draw = random.nextInt(100);
+            if (failing && draw < 70) {
                 String[] outcomes = {"E", "C", "R", "T", "F", "N", ""};
                 String outcome = outcomes[random.nextInt(outcomes.length)];
                 if (!outcome.isEmpty()) {
-                    after(1 + random.nextInt(60), () -> end(sending, outcome));
+                    after(1 + random.nextInt(60), () -> finish(attempt, outcome));
                 }
                 return;
             }
-            if (luck < 2) {
-                after(15, () -> end(sending, "E"));
+            if (draw < 2) {
+                after(15, () -> finish(attempt, "E"));
                 return;
             }
             int slot = 0;
@@ -317,59 +322,60 @@
             }
             double start = Math.max(now + 1, busyUntil[worker][slot]);
             if (start > now + 400) {
-                after(2, () -> end(sending, "F"));
+                after(2, () -> finish(attempt, "F"));
                 return;
             }
-            double run = (20 + random.nextInt(160)) / speed[worker];
-            busyUntil[worker][slot] = start + run;
-            after(start - now, () -> started(sending, run));
+            double durationMs = (20 + random.nextInt(160)) / speed[worker];
+            busyUntil[worker][slot] = start + durationMs;
+            after(start - now, () -> started(attempt, durationMs));
         }
 
-        private void started(Sending sending, double run) {
-            if (sending.over) {
+        private void started(Attempt attempt, double durationMs) {
+            if (attempt.finished) {
                 return;
             }
             if (deployment != Deployment.LIVE_WEIGHTS) {
-                note(sending, ",\"What\":1");
+                addNote(attempt, ",\"What\":1");
             }
-            for (double at = PROGRESS_MS; at < run; at += PROGRESS_MS) {
-                double share = at / run;
-                after(at, () -> note(sending, ",\"What\":2,\"Value\":" + share));
+            for (double at = PROGRESS_MS; at < durationMs; at += PROGRESS_MS) {
+                double share = at / durationMs;
+                after(at, () -> addNote(attempt, ",\"What\":2,\"Value\":" + share));
             }
-            after(run, () -> end(sending, "S"));
+            after(durationMs, () -> finish(attempt, "S"));
         }
 
-        private void note(Sending sending, String more) {
-            if (!sending.over) {
-                tell("Note", sending.dispatcher, sending.task,
-                        ",\"Try\":" + sending.number + ",\"Worker\":" + sending.worker + more);
+        private void addNote(Attempt attempt, String extraFields) {
+            if (!attempt.finished) {
+                addTaskMessage("Note", attempt.dispatcher, attempt.task,
+                        ",\"Try\":" + attempt.number + ",\"Worker\":" + attempt.worker + extraFields);
             }
         }
 
-        private void end(Sending sending, String outcome) {
-            if (!sending.over) {
-                sending.over = true;
+        private void finish(Attempt attempt, String outcome) {
+            if (!attempt.finished) {
+                attempt.finished = true;
                 boolean answered = outcome.equals("S") || outcome.equals("E") || outcome.equals("F");
                 boolean reports =
                         answered && deployment.reportsLoad && deployment != Deployment.REPORTS_TO_PROBES;
-                tell("Ended", sending.dispatcher, sending.task,
-                        ",\"Try\":" + sending.number + ",\"Worker\":" + sending.worker
+                addTaskMessage("Ended", attempt.dispatcher, attempt.task,
+                        ",\"Try\":" + attempt.number + ",\"Worker\":" + attempt.worker
                                 + ",\"DurationMs\":1.0,\"Disposition\":\"" + outcome + "\",\"Terminal\":"
                                 + outcome.equals("S")
-                                + (reports ? load(sending.worker) : ""));
+                                + (reports ? load(attempt.worker) : ""));
             }
         }
 
-        private void stop(Sending sending) {
-            after(1, () -> end(sending, "X"));
+        private void cancel(Attempt attempt) {
+            after(1, () -> finish(attempt, "X"));
         }
 
         private void probe(String dispatcher, int worker) {
-            int luck = random.nextInt(10);
-            if (luck > 0) {
-                boolean answered = luck > 1;
+            int draw = random.nextInt(10);
+            if (draw > 0) {
+                boolean answered = draw > 1;
                 after(answered ? 2 : 12,
-                        () -> news.add("{\"t\":\"Echo\",\"Who\":\"" + dispatcher + "\",\"Worker\":" + worker
+                        () -> messages.add("{\"t\":\"Echo\",\"Who\":\"" + dispatcher + "\",\"Worker\":"
+                                + worker
                                 + ",\"Disposition\":\"" + (answered ? "S" : "T") + '"'
                                 + (answered && deployment.reportsLoad ? load(worker) : "") + '}'));
             }
@@ -381,9 +387,10 @@
             "NO_REPORTS, 3b1056260075e412", "LIVE_WEIGHTS, c5645d3a68abe8bd"})
     void repliesToTheSameInputStayTheSame(Deployment deployment, String expected)
             throws IOException, NoSuchAlgorithmException {
-        Day day = new Day(deployment, 48);
-        String hash = day.play();
-        assertTrue(day.commands.getOrDefault("Place", 0) > 1000, "too few tasks forwarded: " + day.commands);
-        assertEquals(expected, hash, "commands: " + day.commands);
+        Simulation simulation = new Simulation(deployment, 48);
+        String hash = simulation.run();
+        assertTrue(simulation.commandCounts.getOrDefault("Place", 0) > 1000,
+                "too few tasks forwarded: " + simulation.commandCounts);
+        assertEquals(expected, hash, "commands: " + simulation.commandCounts);
     }
 }
