--- a/src/main/java/rampshift/membership/AntiEntropySync.java
+++ b/src/main/java/rampshift/membership/AntiEntropySync.java
@@ -48,7 +48,7 @@
     }
 
     /** Returns the response to a sync request: the view of this member. */
-    byte[] respond(String to) {
+    byte[] createResponse(String to) {
         context.metrics().increment(Counter.SYNCS);
         return encodeView(to, new MessageBody.SyncResponse());
     }
@@ -67,7 +67,7 @@
     }
 
     /** Syncs with the seeds or with a random member if a sync is due. */
-    void onSyncDue() {
+    void syncIfDue() {
         Moment now = context.now();
         if (now.before(syncAt)) {
             return;
@@ -101,7 +101,7 @@
         if (candidates == 0) {
             return;
         }
-        int draw = context.random().below(candidates);
+        int draw = context.random().nextInt(candidates);
         if (draw < failed.size()) {
             request(failed.get(draw));
         } else {
--- a/src/main/java/rampshift/membership/FailureDetector.java
+++ b/src/main/java/rampshift/membership/FailureDetector.java
@@ -50,7 +50,7 @@
 
     /** Starts the first period at a random time within one period. */
     void start() {
-        periodEnd = context.now().plus(context.timings().period().times(context.random().next()));
+        periodEnd = context.now().plus(context.timings().period().times(context.random().nextDouble()));
     }
 
     void onPingRequest(String requester, MessageBody.PingRequest request) {
@@ -88,12 +88,12 @@
                 probe.target)) {
             probe.outstandingNacks++;
             gossip.send(helper.name(), new MessageBody.PingRequest(probe.sequence, probe.target),
-                    gossip.doubtsAbout(probe.target));
+                    gossip.updatesToRefute(probe.target));
         }
     }
 
     /** Ends the current period and starts the next one if the current one has elapsed. */
-    void onPeriodEnd() {
+    void startPeriodIfDue() {
         if (context.now().before(periodEnd)) {
             return;
         }
@@ -133,7 +133,7 @@
     }
 
     private void ping(String target, long sequence) {
-        gossip.send(target, new MessageBody.Ping(sequence), gossip.doubtsAbout(target));
+        gossip.send(target, new MessageBody.Ping(sequence), gossip.updatesToRefute(target));
     }
 
     /** Drops all probes after a stall, since their answers may not have been read, and ends the period. */
--- a/src/main/java/rampshift/membership/Gossip.java
+++ b/src/main/java/rampshift/membership/Gossip.java
@@ -26,7 +26,7 @@
     }
 
     /** Returns the update that a member must receive to refute it: its status, unless it is alive. */
-    List<MemberUpdate> doubtsAbout(String name) {
+    List<MemberUpdate> updatesToRefute(String name) {
         Member member = context.members().get(name);
         if (member == null || member.status() == Status.ALIVE) {
             return List.of();
@@ -40,15 +40,15 @@
     }
 
     /** Sends a message to a member if it is known. The given updates are always included. */
-    void send(String to, MessageBody body, List<MemberUpdate> first) {
+    void send(String to, MessageBody body, List<MemberUpdate> requiredUpdates) {
         Member member = context.members().get(to);
         if (member == null) {
             return;
         }
         String self = context.self().name();
-        List<MemberUpdate> sentUpdates = new ArrayList<>(first);
+        List<MemberUpdate> sentUpdates = new ArrayList<>(requiredUpdates);
         int capacity = Codec.piggybackCapacity(self, to, body);
-        for (MemberUpdate update : first) {
+        for (MemberUpdate update : requiredUpdates) {
             capacity -= Codec.sizeOf(update);
         }
         int transmissions = context.timings().transmissions(context.members().reachableCount());
--- a/src/main/java/rampshift/membership/HealthMonitor.java
+++ b/src/main/java/rampshift/membership/HealthMonitor.java
@@ -23,7 +23,7 @@
     void update() {
         int reachable = context.members().reachableCount();
         int known = context.members().knownCount();
-        MembershipHealth current = judge(reachable, known);
+        MembershipHealth current = evaluate(reachable, known);
         if (current != health) {
             health = current;
             context.emitOwn(MembershipEvent.Kind.HEALTH_CHANGED,
@@ -31,7 +31,7 @@
         }
     }
 
-    private MembershipHealth judge(int reachable, int known) {
+    private MembershipHealth evaluate(int reachable, int known) {
         if (!sync.hasJoined() && reachable == 1) {
             return MembershipHealth.JOINING;
         }
--- a/src/main/java/rampshift/membership/LocalHealth.java
+++ b/src/main/java/rampshift/membership/LocalHealth.java
@@ -41,21 +41,21 @@
      * Records that a probe failed and not all helpers sent a nack: messages may not reach this process.
      */
     void onMissingNacks() {
-        raise();
+        increaseScore();
     }
 
     /** Records that this process had to refute a suspicion or failure. */
     void onRefutation() {
-        raise();
+        increaseScore();
     }
 
     /** Records that this process stalled. */
     void onStall() {
         awaitingContact = true;
-        raise();
+        increaseScore();
     }
 
-    private void raise() {
+    private void increaseScore() {
         score = Math.min(MAX_SCORE, score + 1);
     }
 }
--- a/src/main/java/rampshift/membership/MemberRegistry.java
+++ b/src/main/java/rampshift/membership/MemberRegistry.java
@@ -54,7 +54,7 @@
         if (!reachable && update.ageMs() >= context.timings().forgetAfter().millis()) {
             return; // the other members drop it soon, too
         }
-        Member member = new Member(update, startOf(update));
+        Member member = new Member(update, statusSince(update));
         context.members().add(member);
         gossip.enqueue(update);
         String detail = "by " + update.reportedBy();
@@ -69,7 +69,7 @@
 
     private void replace(Member member, MemberUpdate update) {
         MemberUpdate previous = member.update();
-        member.setUpdate(update, startOf(update));
+        member.setUpdate(update, statusSince(update));
         gossip.enqueue(update);
         if (update.status() == Status.SUSPECT) {
             suspicions.start(member, update.reportedBy());
@@ -95,7 +95,7 @@
         context.emit(kind, member, detail);
     }
 
-    private Moment startOf(MemberUpdate update) {
+    private Moment statusSince(MemberUpdate update) {
         return context.now().minus(Span.ofMillis((double) update.ageMs()));
     }
 
--- a/src/main/java/rampshift/membership/MemberTable.java
+++ b/src/main/java/rampshift/membership/MemberTable.java
@@ -68,7 +68,7 @@
             }
         }
         while (sample.size() > count) {
-            sample.remove(random.below(sample.size()));
+            sample.remove(random.nextInt(sample.size()));
         }
         return sample;
     }
--- a/src/main/java/rampshift/membership/MembershipTimings.java
+++ b/src/main/java/rampshift/membership/MembershipTimings.java
@@ -46,19 +46,19 @@
     /**
      * Returns the length of a suspicion, counted from its start.
      *
-     * @param members       the number of reachable members
-     * @param confirmations the number of other members that suspect the same member
-     * @param couldConfirm  the number of members that could confirm the suspicion
+     * @param members                the number of reachable members
+     * @param confirmations          the number of other members that suspect the same member
+     * @param potentialConfirmations the number of members that could confirm the suspicion
      */
-    Span suspicion(int members, int confirmations, int couldConfirm) {
+    Span suspicion(int members, int confirmations, int potentialConfirmations) {
         Span shortest = minSuspicion(members);
-        int needed = Math.min(MAX_CONFIRMATIONS, couldConfirm);
+        int needed = Math.min(MAX_CONFIRMATIONS, potentialConfirmations);
         if (needed < 1) {
             return shortest;
         }
-        double confirmedShare = Math.log(Math.min(confirmations, needed) + 1) / Math.log(needed + 1);
+        double confirmedFraction = Math.log(Math.min(confirmations, needed) + 1) / Math.log(needed + 1);
         Span longest = maxSuspicion(members);
-        return longest.minus(longest.minus(shortest).times(confirmedShare));
+        return longest.minus(longest.minus(shortest).times(confirmedFraction));
     }
 
     /** Returns how many times each update is piggybacked on a datagram. */
@@ -86,8 +86,8 @@
      * @param healthMultiplier the highest local health multiplier of any member; 1 if all respond in time
      */
     public Span detectionBound(int members, int healthMultiplier) {
-        Span probed = period.times(2.0 * members * healthMultiplier);
-        Span spread = period.times(2.0 * transmissions(members));
-        return probed.plus(maxSuspicion(members)).plus(spread);
+        Span probeTime = period.times(2.0 * members * healthMultiplier);
+        Span gossipTime = period.times(2.0 * transmissions(members));
+        return probeTime.plus(maxSuspicion(members)).plus(gossipTime);
     }
 }
--- a/src/main/java/rampshift/membership/MessageHandler.java
+++ b/src/main/java/rampshift/membership/MessageHandler.java
@@ -78,14 +78,14 @@
     }
 
     private void answerPing(Message message, MessageBody.Ping ping) {
-        List<MemberUpdate> first = new ArrayList<>(gossip.doubtsAbout(message.from()));
-        if (message.updates().stream().anyMatch(this::doubtsSelf)) {
-            first.add(context.self().aliveUpdate()); // the statement that refutes the doubt
+        List<MemberUpdate> requiredUpdates = new ArrayList<>(gossip.updatesToRefute(message.from()));
+        if (message.updates().stream().anyMatch(this::claimsSelfNotAlive)) {
+            requiredUpdates.add(context.self().aliveUpdate()); // the statement that refutes the doubt
         }
-        gossip.send(message.from(), new MessageBody.Ack(ping.sequence(), ""), first);
+        gossip.send(message.from(), new MessageBody.Ack(ping.sequence(), ""), requiredUpdates);
     }
 
-    private boolean doubtsSelf(MemberUpdate update) {
+    private boolean claimsSelfNotAlive(MemberUpdate update) {
         return context.self().isNamed(update.member().name()) && update.status() != Status.ALIVE;
     }
 
--- a/src/main/java/rampshift/membership/NameConflictDetector.java
+++ b/src/main/java/rampshift/membership/NameConflictDetector.java
@@ -42,10 +42,10 @@
 
     /** Records that another process with this name overruled the incarnation of this one. */
     void onOverruled(MemberIdentity other) {
-        boolean known = isInConflict();
+        boolean wasInConflict = isInConflict();
         if (overrulingsByProcess.merge(other.processId(), 1, Integer::sum) >= MIN_OVERRULINGS) {
             lastSeenAt = context.now();
-            if (!known) {
+            if (!wasInConflict) {
                 context.output().onEvent(new MembershipEvent(MembershipEvent.Kind.NAME_CONFLICT,
                         context.self().name(), other.incarnation(), "another process at " + other.address()));
             }
--- a/src/main/java/rampshift/membership/ProbeOrder.java
+++ b/src/main/java/rampshift/membership/ProbeOrder.java
@@ -38,6 +38,6 @@
     }
 
     private void insert(Member member) {
-        remaining.add(context.random().below(remaining.size() + 1), member.name());
+        remaining.add(context.random().nextInt(remaining.size() + 1), member.name());
     }
 }
--- a/src/main/java/rampshift/membership/RelayedProbes.java
+++ b/src/main/java/rampshift/membership/RelayedProbes.java
@@ -36,7 +36,7 @@
         long sequence = sequenceNumbers.next();
         Moment deadline = context.now().plus(context.timings().ackTimeout());
         bySequence.put(sequence, new Relay(requester, target, request.sequence(), deadline));
-        gossip.send(target, new MessageBody.Ping(sequence), gossip.doubtsAbout(target));
+        gossip.send(target, new MessageBody.Ping(sequence), gossip.updatesToRefute(target));
     }
 
     /** Relays an ack if it belongs to a relayed probe; returns whether it does. */
--- a/src/main/java/rampshift/membership/Suspicions.java
+++ b/src/main/java/rampshift/membership/Suspicions.java
@@ -53,8 +53,9 @@
 
     private void updateLength(Suspicion suspicion) {
         int reachable = context.members().reachableCount();
-        int couldConfirm = reachable - 2; // excludes the suspected member and its first reporter
-        suspicion.setLength(context.timings().suspicion(reachable, suspicion.confirmations(), couldConfirm));
+        int potentialConfirmations = reachable - 2; // excludes the suspected member and its first reporter
+        suspicion.setLength(
+                context.timings().suspicion(reachable, suspicion.confirmations(), potentialConfirmations));
     }
 
     /** Declares the members failed whose suspicion has reached its deadline. */
--- a/src/main/java/rampshift/membership/SwimMembership.java
+++ b/src/main/java/rampshift/membership/SwimMembership.java
@@ -116,7 +116,7 @@
             return null;
         }
         messages.handle(decoded.get());
-        byte[] response = sync.respond(decoded.get().from());
+        byte[] response = sync.createResponse(decoded.get().from());
         afterInput();
         return response;
     }
@@ -155,8 +155,8 @@
         drainNotices.onWake();
         failureDetector.onWake();
         suspicions.onWake();
-        failureDetector.onPeriodEnd();
-        sync.onSyncDue();
+        failureDetector.startPeriodIfDue();
+        sync.syncIfDue();
         if (sync.isReconnectDue()) {
             sync.reconnect();
             registry.forgetExpired();
--- a/src/main/java/rampshift/membership/host/DrainOverrides.java
+++ b/src/main/java/rampshift/membership/host/DrainOverrides.java
@@ -27,7 +27,7 @@
 
     private final boolean enabled;
     private final Span lifetime;
-    private final ServerExtension.EndpointListener changes;
+    private final ServerExtension.EndpointListener listener;
     private final String dispatcher;
     /** The endpoints of the own list, by id. */
     private final Map<String, Endpoint> ownEndpoints = new HashMap<>();
@@ -40,14 +40,14 @@
      *
      * @param enabled    whether notices of others are applied at all
      * @param lifetime   how long a notice overrides an own list that is updated but remains older than it
-     * @param changes    is notified of workers that a notice takes out of service
+     * @param listener   is notified of workers that a notice takes out of service
      * @param dispatcher the name of this dispatcher, for the log
      */
-    DrainOverrides(boolean enabled, Span lifetime, ServerExtension.EndpointListener changes,
+    DrainOverrides(boolean enabled, Span lifetime, ServerExtension.EndpointListener listener,
             String dispatcher) {
         this.enabled = enabled;
         this.lifetime = lifetime;
-        this.changes = changes;
+        this.listener = listener;
         this.dispatcher = dispatcher;
     }
 
@@ -75,7 +75,7 @@
         overrides.put(notice.worker(), new ActiveOverride(notice, now));
         Log.info("drain-notice", "worker", notice.worker(), "kind", notice.kind().label(), "version",
                 notice.listVersion(), "own", ownVersion);
-        changes.onEndpoints(new EndpointList(ownVersion, false, List.of(overridden(endpoint, notice))));
+        listener.onEndpoints(new EndpointList(ownVersion, false, List.of(overridden(endpoint, notice))));
         return true;
     }
 
@@ -98,7 +98,7 @@
         List<Endpoint> effective = new ArrayList<>(list.endpoints().size());
         for (Endpoint endpoint : list.endpoints()) {
             unlisted.remove(endpoint.uid());
-            keep(endpoint);
+            updateOwnEndpoint(endpoint);
             if (endpoint.state() != Endpoint.State.READY) {
                 overrides.remove(endpoint.uid());
                 announce.accept(noticeOf(endpoint));
@@ -110,11 +110,11 @@
                     .forEach(endpoint -> announce.accept(notice(endpoint,
                             DrainNotice.Kind.REMOVED)));
         }
-        endOverrides(now, effective);
+        removeEndedOverrides(now, effective);
         return new EndpointList(list.version(), list.complete(), effective);
     }
 
-    private void keep(Endpoint endpoint) {
+    private void updateOwnEndpoint(Endpoint endpoint) {
         if (endpoint.state() == Endpoint.State.REMOVED) {
             ownEndpoints.remove(endpoint.uid());
         } else {
@@ -132,7 +132,7 @@
     }
 
     /** Ends the overrides that are expired or outdated by the own list, and restores their workers. */
-    private void endOverrides(Moment now, List<Endpoint> effective) {
+    private void removeEndedOverrides(Moment now, List<Endpoint> effective) {
         for (Map.Entry<String, ActiveOverride> entry : List.copyOf(overrides.entrySet())) {
             Endpoint endpoint = ownEndpoints.get(entry.getKey());
             ActiveOverride override = entry.getValue();
--- a/src/main/java/rampshift/membership/host/MembershipQuery.java
+++ b/src/main/java/rampshift/membership/host/MembershipQuery.java
@@ -30,12 +30,12 @@
      *
      * @throws IOException if no dispatcher answers there in time
      */
-    public static String ask(InetSocketAddress address, String question) throws IOException {
+    public static String ask(InetSocketAddress address, String query) throws IOException {
         try (Socket socket = new Socket()) {
             socket.setTcpNoDelay(true);
             socket.connect(address, TIMEOUT_MS);
             socket.setSoTimeout(TIMEOUT_MS);
-            byte[] request = question.getBytes(StandardCharsets.UTF_8);
+            byte[] request = query.getBytes(StandardCharsets.UTF_8);
             DataOutputStream out = new DataOutputStream(socket.getOutputStream());
             out.writeInt(request.length);
             out.write(request);
--- a/src/main/java/rampshift/membership/host/MembershipTransport.java
+++ b/src/main/java/rampshift/membership/host/MembershipTransport.java
@@ -55,7 +55,7 @@
     private XnioExecutor.Key wakeTimer;
     private SwimMembership membership;
     private DrainOverrides drainOverrides;
-    private boolean ended;
+    private boolean closed;
 
     /**
      * Creates a membership that is not started yet.
@@ -86,7 +86,7 @@
 
     @Override
     public void start(XnioWorker worker, XnioIoThread thread, Clock clock, Configuration configuration,
-            EndpointListener bound)
+            EndpointListener listener)
             throws IOException {
         this.thread = thread;
         this.clock = clock;
@@ -98,7 +98,7 @@
         String address = MemberAddresses.format(settings.listen());
         openSockets(worker, address);
         drainOverrides = new DrainOverrides(settings.acceptDrainNotices(), settings.drainNoticeLifetime(),
-                bound, name);
+                listener, name);
         membership = new SwimMembership(options(address), this);
         datagrams.resumeReceives();
         streams.resumeAccepts();
@@ -146,9 +146,9 @@
     // ---- Calls from the dispatcher
 
     @Override
-    public EndpointList adjust(EndpointList own) {
+    public EndpointList adjust(EndpointList ownList) {
         Moment now = clock.now();
-        return drainOverrides.onOwnList(now, own, membership.drainNotices(),
+        return drainOverrides.onOwnList(now, ownList, membership.drainNotices(),
                 notice -> membership.announce(now, notice));
     }
 
@@ -172,10 +172,10 @@
 
     @Override
     public void close() {
-        if (ended) {
+        if (closed) {
             return;
         }
-        ended = true;
+        closed = true;
         if (handler != null) {
             handler.end();
         }
@@ -242,7 +242,7 @@
     }
 
     private void writeEvent(String event, String subject, long number, String detail) {
-        if (!ended) {
+        if (!closed) {
             eventLog.write(event, subject, number, detail);
         }
     }
@@ -259,19 +259,19 @@
     }
 
     private byte[] onRequest(byte[] request) {
-        boolean isQuestion = request.length > 0 && request[0] == '?';
-        String answer = isQuestion ? answer(new String(request, StandardCharsets.UTF_8)) : null;
+        boolean isQuery = request.length > 0 && request[0] == '?';
+        String answer = isQuery ? answer(new String(request, StandardCharsets.UTF_8)) : null;
         if (answer != null) {
             return answer.getBytes(StandardCharsets.UTF_8);
         }
         return membership.onSyncRequest(clock.now(), request, request.length);
     }
 
-    private String answer(String question) {
-        if (question.equals(MembershipQuery.MEMBERS)) {
+    private String answer(String query) {
+        if (query.equals(MembershipQuery.MEMBERS)) {
             return new MembershipReport(settings.fleet(), membership, drainOverrides.count()).text();
         }
-        return handler == null ? null : handler.answer(question);
+        return handler == null ? null : handler.answer(query);
     }
 
     // ---- Messages of other modules
@@ -280,14 +280,14 @@
     public void send(String to, byte[] payload) {
         if (to.equals(name)) {
             thread.execute(() -> {
-                if (!ended) {
+                if (!closed) {
                     handler.onMessage(name, payload);
                 }
             });
             return;
         }
         String address = membership.address(to);
-        if (address != null && !ended) {
+        if (address != null && !closed) {
             sendDatagram(address, new Envelope(name, payload).encode(settings.fleet()));
         }
     }
--- a/src/main/java/rampshift/membership/host/MessageChannel.java
+++ b/src/main/java/rampshift/membership/host/MessageChannel.java
@@ -37,7 +37,7 @@
         void onReachableMembers(Collection<String> names);
 
         /** Returns the answer to a query from the command line, or null if this module doesn't know it. */
-        String answer(String question);
+        String answer(String query);
 
         /** Called when the dispatcher starts to shut down; the module releases its leases. */
         void stopping();
--- a/src/main/java/rampshift/membership/host/StreamExchange.java
+++ b/src/main/java/rampshift/membership/host/StreamExchange.java
@@ -92,7 +92,7 @@
                 if (count == 0 && input.hasRemaining()) {
                     return;
                 }
-                if (takeMessage()) {
+                if (deliverIfComplete()) {
                     return;
                 }
             }
@@ -102,7 +102,7 @@
     }
 
     /** Delivers the message if it is complete; returns whether no more input is expected. */
-    private boolean takeMessage() {
+    private boolean deliverIfComplete() {
         boolean lengthKnown = input.position() >= LENGTH_BYTES;
         int length = lengthKnown ? input.getInt(0) : 0;
         if (length < 0 || length > MAX_MESSAGE_BYTES) {
--- a/src/test/java/rampshift/membership/SimulatedNetwork.java
+++ b/src/test/java/rampshift/membership/SimulatedNetwork.java
@@ -41,11 +41,11 @@
         final List<DrainNotice> drainNotices = new ArrayList<>();
         final Map<String, Long> incarnations = new HashMap<>();
         SwimMembership membership;
-        private long starts;
-        private long wakes;
+        private long startCount;
+        private long wakeCount;
         private long clockMs = 1_000_000;
         private boolean paused;
-        private final List<Runnable> waiting = new ArrayList<>();
+        private final List<Runnable> pendingInputs = new ArrayList<>();
 
         Node(String name, int index) {
             this.name = name;
@@ -59,17 +59,17 @@
         /** Starts a new process with the given clock time. */
         void start(long newClockMs) {
             clockMs = newClockMs;
-            starts++;
-            long processId = starts * 1000 + index;
+            startCount++;
+            long processId = startCount * 1000 + index;
             MemberIdentity self =
                     new MemberIdentity(name, clockMs, processId, address(), "site" + index % 2, "b",
                             clockMs, MemberIdentity.Phase.SERVING);
             membership = new SwimMembership(
                     new MembershipOptions(FLEET, self, seeds, Map.of(), TIMINGS, index), this);
             paused = false;
-            waiting.clear();
+            pendingInputs.clear();
             incarnations.clear(); // a new process has no state
-            wakes++;
+            wakeCount++;
             membership.start(moment());
         }
 
@@ -80,8 +80,8 @@
         void kill() {
             membership = null;
             paused = false;
-            waiting.clear();
-            wakes++;
+            pendingInputs.clear();
+            wakeCount++;
         }
 
         boolean isRunning() {
@@ -95,14 +95,14 @@
         /** Resumes the process and handles the inputs received during the pause. */
         void resume() {
             paused = false;
-            List<Runnable> inputs = List.copyOf(waiting);
-            waiting.clear();
+            List<Runnable> inputs = List.copyOf(pendingInputs);
+            pendingInputs.clear();
             inputs.forEach(this::handle);
         }
 
         private void handle(Runnable input) {
             if (paused) {
-                waiting.add(input);
+                pendingInputs.add(input);
             } else if (membership != null) {
                 input.run();
                 checkIncarnations();
@@ -113,8 +113,8 @@
             List<MemberUpdate> others = membership == null ? List.of() : membership.others();
             for (MemberUpdate update : others) {
                 MemberIdentity member = update.member();
-                long before = incarnations.getOrDefault(member.name(), 0L);
-                if (member.incarnation() < before) {
+                long previous = incarnations.getOrDefault(member.name(), 0L);
+                if (member.incarnation() < previous) {
                     throw new AssertionError(name + " accepted an older update: " + update);
                 }
                 incarnations.put(member.name(), member.incarnation());
@@ -157,10 +157,10 @@
 
         @Override
         public void wakeAt(Moment when) {
-            wakes++;
-            long wake = wakes;
+            wakeCount++;
+            long wake = wakeCount;
             schedule(Math.max(now, when.micros()), () -> {
-                if (wake == wakes) {
+                if (wake == wakeCount) {
                     handle(() -> membership.onWake(moment()));
                 }
             });
@@ -267,7 +267,7 @@
     boolean agree() {
         for (Node observer : nodes.values()) {
             for (Node other : nodes.values()) {
-                if (observer != other && observer.isRunning() && !seesRightly(observer, other)) {
+                if (observer != other && observer.isRunning() && !hasCorrectStatus(observer, other)) {
                     return false;
                 }
             }
@@ -275,7 +275,7 @@
         return true;
     }
 
-    private static boolean seesRightly(Node observer, Node other) {
+    private static boolean hasCorrectStatus(Node observer, Node other) {
         MemberUpdate.Status status = observer.statusOf(other.name);
         if (other.isRunning()) {
             return status == MemberUpdate.Status.ALIVE;
--- a/src/test/java/rampshift/membership/SwimMembershipTest.java
+++ b/src/test/java/rampshift/membership/SwimMembershipTest.java
@@ -43,7 +43,7 @@
 
     @ParameterizedTest
     @ValueSource(ints = {2, 3, 5, 8, 20})
-    void allDetectAKilledMemberWithinTheStatedBound(int count) {
+    void allDetectAKilledMemberWithinTheDetectionBound(int count) {
         for (long seed = 1; seed <= 20; seed++) {
             SimulatedNetwork network = startedFleet(seed, count);
             network.node(count).kill();
@@ -58,7 +58,7 @@
     }
 
     @Test
-    void aMemberThatLeavesInOrderIsNotSuspected() {
+    void aMemberThatLeavesGracefullyIsNotSuspected() {
         SimulatedNetwork network = startedFleet(1, 5);
         network.node(3).membership.leave(network.moment());
         network.run(1);
@@ -71,7 +71,7 @@
 
     /** Guards against a suspicion if d1 cannot reach d2, but d2 reaches d1 and the others reach both. */
     @Test
-    void aLinkThatIsCutInOneDirectionMakesNobodySuspected() {
+    void aLinkCutInOneDirectionCausesNoSuspicion() {
         for (long seed = 1; seed <= 50; seed++) {
             SimulatedNetwork network = startedFleet(seed, 5);
             network.setLoss("d1", "d2", 1);
@@ -98,7 +98,7 @@
     }
 
     @Test
-    void aPausedMemberLearnsThatItWasTakenForFailedAndRefutes() {
+    void aPausedMemberRefutesThatItHasFailed() {
         for (long seed = 1; seed <= 20; seed++) {
             SimulatedNetwork network = startedFleet(seed, 5);
             SimulatedNetwork.Node paused = network.node(4);
@@ -118,7 +118,7 @@
     }
 
     @Test
-    void threeOfFiveThatRestartAtOnceAreNotTakenForFailed() {
+    void threeOfFiveThatRestartTogetherAreNotDeclaredFailed() {
         for (long seed = 1; seed <= 20; seed++) {
             SimulatedNetwork network = startedFleet(seed, 5);
             IntStream.of(1, 2, 3).forEach(i -> network.node(i).kill());
@@ -130,7 +130,7 @@
     }
 
     @Test
-    void aPartitionedFleetKnowsItsSmallerPartAndMergesAfterwards() {
+    void aPartitionedFleetDetectsItsMinorityAndMergesAfterwards() {
         for (long seed = 1; seed <= 20; seed++) {
             SimulatedNetwork network = startedFleet(seed, 5);
             network.partition(List.of(List.of("d1", "d2"), List.of("d3", "d4", "d5")));
@@ -208,7 +208,7 @@
     }
 
     @Test
-    void aFailedMemberIsForgottenOnlyAfterTheStatedTime() {
+    void aFailedMemberIsForgottenOnlyAfterTheConfiguredTime() {
         SimulatedNetwork network = startedFleet(5, 4);
         network.node(4).kill();
         network.run(SimulatedNetwork.TIMINGS.forgetAfter().millis() / 1000 - 60);
@@ -219,7 +219,7 @@
     }
 
     @Test
-    void aDrainNoticeReachesAllWithinMillisecondsAndOlderNoticesChangeNothing() {
+    void aDrainNoticeReachesMostAtOnceAndAllSoonAndOlderOnesAreIgnored() {
         for (long seed = 1; seed <= 50; seed++) {
             SimulatedNetwork network = startedFleet(seed, 20);
             DrainNotice newest = new DrainNotice("s-1", 5, 12, DrainNotice.Kind.DRAINING);
@@ -243,7 +243,7 @@
 
     /** Injects random faults by seed: kills and restarts, pauses, cuts, loss and duplicates; then none. */
     @Test
-    void allAgreeAfterRandomFaultsAndQuiet() {
+    void allAgreeAfterRandomFaultsEnd() {
         int seeds = Integer.getInteger("members.seeds", 300);
         for (long seed = 1; seed <= seeds; seed++) {
             SplittableRandom random = new SplittableRandom(seed);
@@ -293,10 +293,10 @@
     }
 
     @Test
-    void aLargeFleetLosesAFifthIsPartitionedAndHeals() {
+    void aLargeFleetRecoversFromLosingAFifthAndFromAPartition() {
         int count = Integer.getInteger("members.large", 60);
         SimulatedNetwork network = new SimulatedNetwork(6, count).startAll();
-        double found = network.until(60, network::agree);
+        double discovered = network.until(60, network::agree);
         long bytesBefore = sentBytes(network);
         network.run(30);
         long bytes = sentBytes(network) - bytesBefore;
@@ -313,9 +313,9 @@
         System.out.printf(
                 "members %d: all found after %.1f s, %.0f bytes per second and member, loss of a fifth "
                         + "detected after %.1f s, rejoined after %.1f s, healed after %.1f s%n",
-                count, found, bytes / 30.0 / count,
+                count, discovered, bytes / 30.0 / count,
                 detected, rejoined, healed);
-        assertTrue(found >= 0 && detected >= 0 && rejoined >= 0 && healed >= 0);
+        assertTrue(discovered >= 0 && detected >= 0 && rejoined >= 0 && healed >= 0);
     }
 
     private static long sentBytes(SimulatedNetwork network) {
@@ -324,7 +324,7 @@
     }
 
     @Test
-    void truncatedChangedAndForeignDatagramsMoveOnlyCounters() {
+    void truncatedChangedAndForeignDatagramsOnlyIncrementCounters() {
         SimulatedNetwork network = startedFleet(7, 3);
         SwimMembership receiver = network.node(1).membership;
         String sender = network.node(3).address();
--- a/src/test/java/rampshift/membership/host/DrainOverridesTest.java
+++ b/src/test/java/rampshift/membership/host/DrainOverridesTest.java
@@ -42,9 +42,9 @@
     }
 
     /** Applies an update of the own list and describes the resulting list for the dispatcher. */
-    private String ownList(long version, boolean whole, Endpoint... endpoints) {
+    private String ownList(long version, boolean complete, Endpoint... endpoints) {
         EndpointList effective = overrides.onOwnList(now(),
-                new EndpointList(version, whole, Arrays.asList(endpoints)), notices, announced::add);
+                new EndpointList(version, complete, Arrays.asList(endpoints)), notices, announced::add);
         return String.join(", ", effective.endpoints().stream().map(DrainOverridesTest::describe).toList());
     }
 
@@ -62,7 +62,7 @@
     }
 
     @Test
-    void aNoticeOfALaterListOverridesAndAnOlderOneDoesNot() {
+    void aNoticeOfANewerListOverridesAndAnOlderOneDoesNot() {
         ownList(5, true, endpoint("w", "READY", 10), endpoint("v", "READY", 10));
         assertFalse(receive(draining("w", 10, 5)), "the own list has the same version");
         assertFalse(receive(draining("w", 9, 7)), "the notice is about an earlier start");
@@ -86,7 +86,7 @@
     }
 
     @Test
-    void aListThatStaysBehindIsTrustedAgainAfterTheLifetimeButASilentOneIsNot() {
+    void anOlderListThatIsUpdatedAppliesAgainAfterTheLifetimeOfTheNotice() {
         ownList(5, true, endpoint("w", "READY", 10));
         receive(draining("w", 10, 8));
         clockMs += 29_000;
@@ -108,7 +108,7 @@
     }
 
     @Test
-    void aNoticeBeforeTheFirstListIsAppliedToItAndAnotherDiscoveryServiceStartsAnew() {
+    void aNoticeBeforeTheFirstListAppliesToItAndAnotherDiscoveryServiceResetsTheVersion() {
         assertFalse(receive(draining("w", 10, 8)));
         assertEquals("w DRAINING", ownList(5, true, endpoint("w", "READY", 10)));
         overrides.onDiscoveryChanged();
@@ -118,7 +118,7 @@
     }
 
     @Test
-    void nothingIsOverriddenWhenSwitchedOff() {
+    void nothingIsOverriddenWhenDisabled() {
         overrides = overrides(false);
         ownList(5, true, endpoint("w", "READY", 10));
         assertFalse(receive(draining("w", 10, 8)));
--- a/src/test/java/rampshift/membership/host/MembershipReportTest.java
+++ b/src/test/java/rampshift/membership/host/MembershipReportTest.java
@@ -20,7 +20,7 @@
 /** Fixes the words that operators, scripts and the verification of event logs read. */
 class MembershipReportTest {
     /** Ignores all decisions. */
-    private static final class NoOutput implements MembershipOutput {
+    private static final class IgnoringOutput implements MembershipOutput {
         @Override
         public void sendDatagram(String address, byte[] datagram) {
             // Not sent.
@@ -57,7 +57,7 @@
 
     @Test
     void theReportOfALoneMemberHasItsFixedWords() {
-        SwimMembership membership = membership("d3", "10.1.0.3:7946", new NoOutput());
+        SwimMembership membership = membership("d3", "10.1.0.3:7946", new IgnoringOutput());
         membership.start(Moment.ofMillis(0));
         byte[] tooShort = {1, 2, 3};
         membership.onDatagram(Moment.ofMillis(1), "10.1.0.9:7946", tooShort, tooShort.length);
