--- a/src/main/java/rampshift/extensions/LeaseExtension.java
+++ b/src/main/java/rampshift/extensions/LeaseExtension.java
@@ -14,7 +14,7 @@
 
 /** Runs the leases of a dispatcher and the periodic jobs that depend on them. */
 final class LeaseExtension implements MessageChannel.Handler {
-    private static final String JOBS_QUESTION = "?duties";
+    private static final String JOBS_QUERY = "?duties";
     private static final String LOOPBACK = "127.0.0.1";
 
     private final LeaseHost leases;
@@ -71,11 +71,11 @@
     }
 
     @Override
-    public String answer(String question) {
-        if (question.equals(JOBS_QUESTION)) {
+    public String answer(String query) {
+        if (query.equals(JOBS_QUERY)) {
             return jobs == null ? "there are no duties\n" : jobs.statusPage();
         }
-        return leases.answer(question);
+        return leases.answer(query);
     }
 
     @Override
--- a/src/main/java/rampshift/extensions/LeaseSection.java
+++ b/src/main/java/rampshift/extensions/LeaseSection.java
@@ -28,8 +28,8 @@
             section.fault("keepers", "names " + acceptors.size()
                     + ", expected 1, 3, 5 or 7, of which a majority must be reachable");
         }
-        boolean isNaming = section.has("names") || jobs.isEmpty();
-        Set<String> leases = new LinkedHashSet<>(isNaming ? names(section, "names") : List.of());
+        boolean hasNames = section.has("names") || jobs.isEmpty();
+        Set<String> leases = new LinkedHashSet<>(hasNames ? names(section, "names") : List.of());
         jobs.forEach(job -> leases.add(job.name()));
         Span term = section.span("term", DEFAULT_TERM);
         if (MIN_TERM.longerThan(term)) {
--- a/src/main/java/rampshift/extensions/MembershipSection.java
+++ b/src/main/java/rampshift/extensions/MembershipSection.java
@@ -17,8 +17,8 @@
 final class MembershipSection {
     private static final Span MIN_PERIOD = Span.ofMillis(20);
     private static final Span DEFAULT_PERIOD = Span.ofMillis(1000);
-    private static final Span DEFAULT_FORGET = Span.ofMillis(86_400_000);
-    private static final Span DEFAULT_NEWS_FOR = Span.ofMillis(30_000);
+    private static final Span DEFAULT_FORGET_AFTER = Span.ofMillis(86_400_000);
+    private static final Span DEFAULT_DRAIN_NOTICE_LIFETIME = Span.ofMillis(30_000);
 
     private MembershipSection() {}
 
@@ -34,16 +34,16 @@
         if (MIN_PERIOD.longerThan(period)) {
             section.fault("period", "is under 20 ms");
         }
-        Span forget = section.span("forget", DEFAULT_FORGET);
-        Span newsFor = section.span("news_for", DEFAULT_NEWS_FOR);
+        Span forgetAfter = section.span("forget", DEFAULT_FORGET_AFTER);
+        Span drainNoticeLifetime = section.span("news_for", DEFAULT_DRAIN_NOTICE_LIFETIME);
         List<String> seeds = seeds(section);
-        Map<String, String> reach = reach(section);
-        String ledger = section.text("ledger", null);
-        boolean news = section.flag("news", true);
+        Map<String, String> addressOverrides = addressOverrides(section);
+        String eventLogFile = section.text("ledger", null);
+        boolean acceptDrainNotices = section.flag("news", true);
         section.rejectUnknownKeys();
-        return new MembershipSettings(fleet, site, listen, seeds, reach,
-                new MembershipTimings(period, forget), news, newsFor,
-                ledger == null ? null : Path.of(ledger));
+        return new MembershipSettings(fleet, site, listen, seeds, addressOverrides,
+                new MembershipTimings(period, forgetAfter), acceptDrainNotices, drainNoticeLifetime,
+                eventLogFile == null ? null : Path.of(eventLogFile));
     }
 
     private static List<String> seeds(TomlTable section) {
@@ -56,7 +56,7 @@
         return seeds;
     }
 
-    private static Map<String, String> reach(TomlTable section) {
+    private static Map<String, String> addressOverrides(TomlTable section) {
         Map<String, String> addresses = new LinkedHashMap<>();
         for (TomlTable table : section.tables("reach")) {
             String name = table.name("name");
--- a/src/main/java/rampshift/extensions/OperatorCommands.java
+++ b/src/main/java/rampshift/extensions/OperatorCommands.java
@@ -52,7 +52,7 @@
         if (settings.leases() == null) {
             throw new InvalidInputException(file + ": has no [leases]");
         }
-        return MembershipQuery.ask(settings.membership().listen(), "?leases" + question(words));
+        return MembershipQuery.ask(settings.membership().listen(), "?leases" + leaseQuery(words));
     }
 
     /**
@@ -81,7 +81,7 @@
         return MembershipQuery.members(settings.membership().listen());
     }
 
-    private static String question(String[] words) {
+    private static String leaseQuery(String[] words) {
         String request = String.join(" ", words);
         if (words.length == 0) {
             return "";
--- a/src/main/java/rampshift/toml/KeyPositions.java
+++ b/src/main/java/rampshift/toml/KeyPositions.java
@@ -27,7 +27,7 @@
             if (openArrays == 0) {
                 table = readLine(line, number, table);
             }
-            openArrays += arraysOpened(line);
+            openArrays += bracketBalance(line);
         }
     }
 
@@ -57,7 +57,7 @@
     }
 
     /** Returns the opening minus the closing brackets in a line, outside of strings and comments. */
-    private static int arraysOpened(String line) {
+    private static int bracketBalance(String line) {
         int opened = 0;
         char quote = 0;
         for (int i = 0; i < line.length(); i++) {
--- a/src/main/java/rampshift/toml/TomlTable.java
+++ b/src/main/java/rampshift/toml/TomlTable.java
@@ -34,7 +34,7 @@
     private final Source source;
     private final JsonNode node;
     private final String path;
-    private final Set<String> known = new LinkedHashSet<>();
+    private final Set<String> requestedKeys = new LinkedHashSet<>();
 
     /**
      * The state shared by all tables of a file.
@@ -72,7 +72,7 @@
     }
 
     private JsonNode get(String key) {
-        known.add(key);
+        requestedKeys.add(key);
         return node.get(key);
     }
 
@@ -82,50 +82,50 @@
     }
 
     /** Returns a number between two inclusive bounds. */
-    public double number(String key, double minimum, double maximum, double ifAbsent) {
+    public double number(String key, double minimum, double maximum, double defaultValue) {
         JsonNode value = get(key);
         if (value == null) {
-            return ifAbsent;
+            return defaultValue;
         }
         if (!value.isNumber() || !(value.doubleValue() >= minimum && value.doubleValue() <= maximum)) {
             fault(key,
-                    "is " + value + ", expected a number from " + plain(minimum) + " to " + plain(maximum));
-            return ifAbsent;
+                    "is " + value + ", expected a number from " + format(minimum) + " to " + format(maximum));
+            return defaultValue;
         }
         return value.doubleValue();
     }
 
     /** Returns an integer between two inclusive bounds. */
-    public int integer(String key, int minimum, int maximum, int ifAbsent) {
+    public int integer(String key, int minimum, int maximum, int defaultValue) {
         JsonNode value = get(key);
         if (value == null) {
-            return ifAbsent;
+            return defaultValue;
         }
         if (!value.isIntegralNumber() || value.longValue() < minimum || value.longValue() > maximum) {
             fault(key, "is " + value + ", expected a whole number from " + minimum + " to " + maximum);
-            return ifAbsent;
+            return defaultValue;
         }
         return value.intValue();
     }
 
     /** Returns a boolean. */
-    public boolean flag(String key, boolean ifAbsent) {
+    public boolean flag(String key, boolean defaultValue) {
         JsonNode value = get(key);
         if (value != null && !value.isBoolean()) {
             fault(key, "is " + value + ", expected true or false");
-            return ifAbsent;
+            return defaultValue;
         }
-        return value == null ? ifAbsent : value.booleanValue();
+        return value == null ? defaultValue : value.booleanValue();
     }
 
     /** Returns a string. */
-    public String text(String key, String ifAbsent) {
+    public String text(String key, String defaultValue) {
         JsonNode value = get(key);
         if (value != null && !value.isTextual()) {
             fault(key, "is " + value + ", expected text in quotes");
-            return ifAbsent;
+            return defaultValue;
         }
-        return value == null ? ifAbsent : value.textValue();
+        return value == null ? defaultValue : value.textValue();
     }
 
     /** Returns a required name for use on the wire: 1 to 40 letters, digits, '-', '_' and '.'. */
@@ -140,15 +140,15 @@
     }
 
     /** Returns a span such as "250ms"; units are us, ms, s and min. */
-    public Span span(String key, Span ifAbsent) {
+    public Span span(String key, Span defaultValue) {
         JsonNode value = get(key);
         if (value == null) {
-            return ifAbsent;
+            return defaultValue;
         }
         Span span = spanOrNull(value);
         if (span == null) {
             fault(key, "is " + value + ", expected a span such as \"250ms\" or \"1.5s\"");
-            return ifAbsent;
+            return defaultValue;
         }
         return span;
     }
@@ -171,26 +171,26 @@
     }
 
     /** Returns a range, given as one span or as an array with its two bounds. */
-    public Range range(String key, Range ifAbsent) {
+    public Range range(String key, Range defaultValue) {
         JsonNode value = get(key);
         if (value == null) {
-            return ifAbsent;
+            return defaultValue;
         }
-        boolean pair = value.isArray() && value.size() == 2;
-        Span from = spanOrNull(pair ? value.get(0) : value);
-        Span to = spanOrNull(pair ? value.get(1) : value);
+        boolean isPair = value.isArray() && value.size() == 2;
+        Span from = spanOrNull(isPair ? value.get(0) : value);
+        Span to = spanOrNull(isPair ? value.get(1) : value);
         if (from == null || to == null || from.longerThan(to)) {
             fault(key, "is " + value + ", expected a span or a range such as [\"100ms\", \"2s\"]");
-            return ifAbsent;
+            return defaultValue;
         }
         return new Range(from, to);
     }
 
     /** Returns an enum constant, which the file spells in lower case with hyphens. */
-    public <E extends Enum<E>> E oneOf(String key, Class<E> type, E ifAbsent) {
+    public <E extends Enum<E>> E oneOf(String key, Class<E> type, E defaultValue) {
         String text = text(key, null);
         if (text == null) {
-            return ifAbsent;
+            return defaultValue;
         }
         List<String> names = new ArrayList<>();
         for (E constant : type.getEnumConstants()) {
@@ -201,14 +201,14 @@
             names.add(name);
         }
         fault(key, "is \"" + text + "\", expected one of " + String.join(", ", names));
-        return ifAbsent;
+        return defaultValue;
     }
 
     /** Returns an array of strings. */
-    public List<String> strings(String key, List<String> ifAbsent) {
+    public List<String> strings(String key, List<String> defaultValue) {
         JsonNode value = get(key);
         if (value == null) {
-            return ifAbsent;
+            return defaultValue;
         }
         List<String> texts = new ArrayList<>();
         for (JsonNode element : value) {
@@ -248,18 +248,19 @@
     public void rejectUnknownKeys() {
         for (Iterator<String> names = node.fieldNames(); names.hasNext();) {
             String name = names.next();
-            if (!known.contains(name)) {
-                String nearest = nearestKnown(name);
+            if (!requestedKeys.contains(name)) {
+                String nearest = nearestRequestedKey(name);
                 fault(name, "is not known" + (nearest == null ? "" : "; the nearest key here is " + nearest));
             }
         }
     }
 
-    private String nearestKnown(String name) {
-        return known.stream().min(Comparator.comparingInt(key -> DISTANCE.apply(key, name))).orElse(null);
+    private String nearestRequestedKey(String name) {
+        return requestedKeys.stream().min(Comparator.comparingInt(key -> DISTANCE.apply(key, name)))
+                .orElse(null);
     }
 
-    private static String plain(double value) {
+    private static String format(double value) {
         boolean integer = value == Math.rint(value) && Math.abs(value) < MAX_PLAIN_INTEGER;
         return integer ? String.valueOf((long) value) : String.valueOf(value);
     }
--- a/src/test/java/rampshift/extensions/OperatorFileTest.java
+++ b/src/test/java/rampshift/extensions/OperatorFileTest.java
@@ -21,18 +21,18 @@
             """;
 
     @Test
-    void theSampleIsValidAndStatesTheDefaults() {
+    void theSampleIsValidAndContainsTheDefaults() {
         MembershipSettings sample = OperatorFile.read(Path.of("deploy/operator.toml")).membership();
-        MembershipSettings bare = OperatorFile
+        MembershipSettings minimal = OperatorFile
                 .read("f", "[members]\nfleet = \"valle\"\nlisten = \"127.0.0.1:7946\"\n").membership();
-        assertEquals(bare.timings(), sample.timings());
-        assertEquals(bare.drainNoticeLifetime(), sample.drainNoticeLifetime());
-        assertTrue(sample.acceptDrainNotices() && bare.acceptDrainNotices());
+        assertEquals(minimal.timings(), sample.timings());
+        assertEquals(minimal.drainNoticeLifetime(), sample.drainNoticeLifetime());
+        assertTrue(sample.acceptDrainNotices() && minimal.acceptDrainNotices());
         assertNull(OperatorFile.read("f", "").membership(), "a missing section is disabled");
     }
 
     @Test
-    void aPeriodicJobHasALeaseOfItsName() {
+    void aPeriodicJobAddsALeaseWithItsName() {
         OperatorFile file = OperatorFile.read("f", MEMBERS + """
                 [leases]
                 keepers = ["d1", "d2", "d3"]
