--- a/src/main/java/rampshift/migrate/JsonObject.java
+++ b/src/main/java/rampshift/migrate/JsonObject.java
@@ -82,7 +82,7 @@
     }
 
     /** Returns any value as text for the report, or null if it is absent. */
-    String printed(String key) {
+    String toText(String key) {
         Object value = entries.get(key);
         return value == null ? null : String.valueOf(value);
     }
@@ -112,7 +112,7 @@
     }
 
     /** Returns an object within this one and adds it if it is absent. */
-    JsonObject objectOrAdded(String key) {
+    JsonObject getOrAddObject(String key) {
         entries.putIfAbsent(key, new LinkedHashMap<String, Object>());
         return object(key);
     }
--- a/src/main/java/rampshift/migrate/MigrateCommand.java
+++ b/src/main/java/rampshift/migrate/MigrateCommand.java
@@ -68,7 +68,7 @@
     }
 
     private static void migrate(CommandLine line, PrintStream out) throws IOException, ParseException {
-        Path target = checkedTarget(line);
+        Path target = parseTarget(line);
         String file = line.getArgList().get(0);
         TargetDeployment deployment = parse(line.getOptionValue("shape"), TargetDeployment::read);
         Migration migration = parse(file, bytes -> {
@@ -89,7 +89,7 @@
     }
 
     /** Returns the file to write, which must not exist, or null for a dry run. */
-    private static Path checkedTarget(CommandLine line) throws ParseException {
+    private static Path parseTarget(CommandLine line) throws ParseException {
         if (line.getArgList().size() != 1 || !line.hasOption("shape")) {
             throw new ParseException(
                     "expected one OLD and --shape SHAPE; see rampshift migrate --help");
--- a/src/main/java/rampshift/migrate/Migration.java
+++ b/src/main/java/rampshift/migrate/Migration.java
@@ -41,7 +41,7 @@
         migrateLoadReports(settings);
         migrateEndpointList(settings);
         migrateZones(settings);
-        set(settings.objectOrAdded("Limits"), "MayProbe", target.probes());
+        set(settings.getOrAddObject("Limits"), "MayProbe", target.probes());
         migrateDispatcherPool(settings);
         reviewTrafficTypes();
         reviewTenants();
@@ -61,7 +61,7 @@
         for (String key : List.copyOf(result.keys())) {
             if (!KNOWN_KEYS.contains(key)) {
                 result.remove(key);
-                report.notCarriedOver(key, "not known to this program");
+                report.addOmission(key, "not known to this program");
             }
         }
     }
@@ -70,37 +70,37 @@
     private void dropKnownEndpoints() {
         result.remove("known");
         if (source.knownWorkers() != null) {
-            report.notCarriedOver("known, " + source.knownWorkers() + " workers",
+            report.addOmission("known, " + source.knownWorkers() + " workers",
                     "they belong to the old deployment");
         }
     }
 
     private void migrateLoadReports(JsonObject settings) {
-        JsonObject load = settings.objectOrAdded("LoadInfo");
-        set(load, "How", target.reports().word());
+        JsonObject load = settings.getOrAddObject("LoadInfo");
+        set(load, "How", target.reports().spelling());
         if (target.reports() != TargetDeployment.LoadReports.OFF) {
             return;
         }
         if (!source.loadNames().isEmpty()) {
-            report.notCarriedOver(load.path("Names") + " " + source.loadNames(),
+            report.addOmission(load.path("Names") + " " + source.loadNames(),
                     "workers report no load there");
         }
         load.set("Names", new ArrayList<>());
         if (LIVE_WEIGHTS.equals(source.weightSource())) {
-            report.notCarriedOver(settings.path("WeightSource") + " " + LIVE_WEIGHTS,
+            report.addOmission(settings.path("WeightSource") + " " + LIVE_WEIGHTS,
                     "endpoint lists there contain no live weights");
             set(settings, "WeightSource", NOMINAL_WEIGHTS);
         }
         if (!source.tellsStart()) {
-            report.toReview("settings.FamilyInfo.TellsStart is not true",
+            report.addReview("settings.FamilyInfo.TellsStart is not true",
                     "without load reports and start notes, a dispatcher knows of each worker only its own"
                             + " tasks");
         }
     }
 
     private void migrateEndpointList(JsonObject settings) {
-        set(settings, "Discovery", target.list().word());
-        JsonObject rules = settings.objectOrAdded("Rules");
+        set(settings, "Discovery", target.list().spelling());
+        JsonObject rules = settings.getOrAddObject("Rules");
         if (target.askWithinMs() != null) {
             set(rules, "AskWithinMs", target.askWithinMs());
             return;
@@ -120,7 +120,7 @@
         set(settings, "Zone", BigDecimal.valueOf(zones.indexOf(target.zone())));
         BigDecimal cost = source.crossZoneCost();
         if (cost != null && cost.signum() > 0) {
-            report.toReview("settings.Costs.CrossZone " + cost,
+            report.addReview("settings.Costs.CrossZone " + cost,
                     "the same cost applies between any two of " + zones.size() + " zones");
         }
     }
@@ -129,12 +129,12 @@
     private void migrateDispatcherPool(JsonObject settings) {
         settings.remove("Me");
         if (source.dispatcherNumber() != null) {
-            report.notCarriedOver(settings.path("Me") + " " + source.dispatcherNumber(),
+            report.addOmission(settings.path("Me") + " " + source.dispatcherNumber(),
                     "there is no pool of dispatchers there");
         }
         set(settings, "PeersTotal", target.dispatchers());
         if (source.retryFloor() != null) {
-            report.toReview("settings.Rules.ExtraFloor " + source.retryFloor(),
+            report.addReview("settings.Rules.ExtraFloor " + source.retryFloor(),
                     "each dispatcher is allowed this many further assignments per span,"
                             + " and the number of dispatchers differs");
         }
@@ -142,8 +142,8 @@
 
     private void reviewTrafficTypes() {
         for (SourceDeployment.TrafficTypeRow type : source.trafficTypes()) {
-            if (type.isRepeatDroppedInPart()) {
-                report.toReview("settings.TrafficTypes " + type.name(),
+            if (type.isDeduplicatedPartially()) {
+                report.addReview("settings.TrafficTypes " + type.name(),
                         "its repeats are dropped within one " + type.dedupScope()
                                 + "; check that workers there do so before serving this type");
             }
@@ -152,7 +152,7 @@
 
     private void reviewTenants() {
         if (source.hasTenants()) {
-            report.toReview("settings.Tenants",
+            report.addReview("settings.Tenants",
                     "QuotaPerS applies to all dispatchers together, and their number differs");
         }
     }
@@ -164,7 +164,7 @@
         }
         Object previous = object.set(key, value);
         if (!isSameValue(previous, value)) {
-            report.changed(object.path(key), previous, value);
+            report.addChange(object.path(key), previous, value);
         }
     }
 
--- a/src/main/java/rampshift/migrate/MigrationReport.java
+++ b/src/main/java/rampshift/migrate/MigrationReport.java
@@ -27,17 +27,17 @@
     private final List<Remark> reviews = new ArrayList<>();
 
     /** Records a value that differs in the new configuration; null stands for an absent value. */
-    void changed(String path, Object from, Object to) {
+    void addChange(String path, Object from, Object to) {
         changes.add(new Change(path, text(from), text(to)));
     }
 
     /** Records a part that the new configuration does not contain, and the reason. */
-    void notCarriedOver(String part, String reason) {
+    void addOmission(String part, String reason) {
         omissions.add(new Remark(part, reason));
     }
 
     /** Records a part that was copied unchanged and may have another meaning in the new deployment. */
-    void toReview(String part, String note) {
+    void addReview(String part, String note) {
         reviews.add(new Remark(part, note));
     }
 
--- a/src/main/java/rampshift/migrate/SourceDeployment.java
+++ b/src/main/java/rampshift/migrate/SourceDeployment.java
@@ -43,12 +43,12 @@
 
         private static TrafficTypeRow of(JsonObject row) {
             String scope = row.text("DedupScope");
-            return new TrafficTypeRow(String.valueOf(row.printed("Name")), KEYED.equals(row.text("Effect")),
+            return new TrafficTypeRow(String.valueOf(row.toText("Name")), KEYED.equals(row.text("Effect")),
                     scope == null ? SCOPE_IF_ABSENT : scope);
         }
 
         /** Returns whether only some workers drop a repeated task, and the others would run it again. */
-        boolean isRepeatDroppedInPart() {
+        boolean isDeduplicatedPartially() {
             return isKeyed && !dedupScope.equals(ALL_WORKERS);
         }
     }
@@ -60,7 +60,7 @@
         return new SourceDeployment(knownWorkers(configuration), loadNames(settings.object("LoadInfo")),
                 settings.text("WeightSource"), settings.object("FamilyInfo").flag("TellsStart"),
                 rules.number("AskWithinMs"), settings.object("Costs").number("CrossZone"),
-                settings.printed("Me"), rules.printed("ExtraFloor"),
+                settings.toText("Me"), rules.toText("ExtraFloor"),
                 settings.objects("TrafficTypes").stream().map(TrafficTypeRow::of).toList(),
                 !settings.elements("Tenants").isEmpty());
     }
--- a/src/main/java/rampshift/migrate/TargetDeployment.java
+++ b/src/main/java/rampshift/migrate/TargetDeployment.java
@@ -41,22 +41,22 @@
         Boolean probes) {
 
     /** A value that is spelled as a word in lower case in files. */
-    private interface Word {
+    private interface SpelledValue {
         String name();
 
         /** Returns the spelling of the value in files. */
-        default String word() {
+        default String spelling() {
             return name().toLowerCase(Locale.ROOT);
         }
     }
 
     /** How workers report their load: not at all, with responses, or when probed. */
-    enum LoadReports implements Word {
+    enum LoadReports implements SpelledValue {
         OFF, INLINE, ON_PROBE
     }
 
     /** Whether a dispatcher polls for the endpoint list or is sent it. */
-    enum ListDelivery implements Word {
+    enum ListDelivery implements SpelledValue {
         ON_REQUEST, PUSHED
     }
 
@@ -103,24 +103,25 @@
         }
     }
 
-    private static String text(Map<String, Object> tree, String key, String ifAbsent) {
+    private static String text(Map<String, Object> tree, String key, String defaultValue) {
         Object value = tree.get(key);
         if (value != null && !(value instanceof String)) {
             throw ConfigurationException.ofKey(key, key + " is not a string");
         }
-        return value == null ? ifAbsent : (String) value;
+        return value == null ? defaultValue : (String) value;
     }
 
     /** Returns the value with the given spelling, or the first value if the key is absent. */
-    private static <W extends Word> W oneOf(Map<String, Object> tree, String key, W[] values) {
-        String word = text(tree, key, values[0].word());
+    private static <W extends SpelledValue> W oneOf(Map<String, Object> tree, String key, W[] values) {
+        String spelling = text(tree, key, values[0].spelling());
         for (W value : values) {
-            if (value.word().equals(word)) {
+            if (value.spelling().equals(spelling)) {
                 return value;
             }
         }
-        String words = Arrays.stream(values).map(Word::word).collect(Collectors.joining(", "));
-        throw ConfigurationException.ofKey(key, key + " is " + word + ", expected one of " + words);
+        String spellings =
+                Arrays.stream(values).map(SpelledValue::spelling).collect(Collectors.joining(", "));
+        throw ConfigurationException.ofKey(key, key + " is " + spelling + ", expected one of " + spellings);
     }
 
     private static BigDecimal number(Map<String, Object> tree, String key) {
--- a/src/test/java/rampshift/migrate/MigrateCommandTest.java
+++ b/src/test/java/rampshift/migrate/MigrateCommandTest.java
@@ -35,19 +35,19 @@
             "{\"zones\":[\"a\",\"b\",\"c\",\"d\"],\"zone\":\"c\",\"ask_within_ms\":4000}";
     @TempDir
     private Path folder;
-    private Path old;
-    private Path migrated;
-    private Path shape;
+    private Path oldFile;
+    private Path newFile;
+    private Path shapeFile;
     private String output;
     private String errors;
 
     @BeforeEach
     void writeInputFiles() throws IOException {
-        old = folder.resolve("old.json");
-        migrated = folder.resolve("new.json");
-        shape = folder.resolve("shape.json");
-        Files.writeString(shape, TARGET);
-        Files.writeString(old, TestPeers
+        oldFile = folder.resolve("old.json");
+        newFile = folder.resolve("new.json");
+        shapeFile = folder.resolve("shape.json");
+        Files.writeString(shapeFile, TARGET);
+        Files.writeString(oldFile, TestPeers
                 .configuration(null, TestPeers.list(true, "{\"uid\":\"s-1\"}"), LIMITS)
                 .replace("\"settings\"", "\"more\":{},\"settings\"")
                 .replace("\"Zones\"",
@@ -56,7 +56,7 @@
     }
 
     private int migrate(String... more) {
-        List<String> args = new ArrayList<>(List.of(old.toString()));
+        List<String> args = new ArrayList<>(List.of(oldFile.toString()));
         args.addAll(List.of(more));
         return run(args);
     }
@@ -72,7 +72,7 @@
     }
 
     private int migrateTo(Path to) {
-        return migrate("--shape", shape.toString(), "--out", to.toString());
+        return migrate("--shape", shapeFile.toString(), "--out", to.toString());
     }
 
     private Configuration read(Path file) {
@@ -81,19 +81,19 @@
 
     @Test
     void writesAConfigurationWithoutLoadReports() throws IOException {
-        byte[] before = Files.readAllBytes(old);
-        Files.setPosixFilePermissions(old, PosixFilePermissions.fromString("rw-r-----"));
-        assertEquals(0, migrateTo(migrated), errors);
-        var settings = read(migrated).settings().read(1);
+        byte[] before = Files.readAllBytes(oldFile);
+        Files.setPosixFilePermissions(oldFile, PosixFilePermissions.fromString("rw-r-----"));
+        assertEquals(0, migrateTo(newFile), errors);
+        var settings = read(newFile).settings().read(1);
         assertFalse(settings.reportsLoad);
         assertFalse(settings.liveWeights);
         assertTrue(settings.endpointListOnRequest);
         assertEquals(2, settings.zone);
         assertEquals(4000, settings.maxSubscribeDelay.millis());
-        assertNull(read(migrated).knownEndpoints(), "the known workers belong to the old deployment");
-        assertArrayEquals(before, Files.readAllBytes(old), "the old configuration stays unchanged");
-        assertEquals("rw-r-----", PosixFilePermissions.toString(Files.getPosixFilePermissions(migrated)));
-        assertTrue(Files.readString(migrated).contains("1.250"),
+        assertNull(read(newFile).knownEndpoints(), "the known workers belong to the old deployment");
+        assertArrayEquals(before, Files.readAllBytes(oldFile), "the old configuration stays unchanged");
+        assertEquals("rw-r-----", PosixFilePermissions.toString(Files.getPosixFilePermissions(newFile)));
+        assertTrue(Files.readString(newFile).contains("1.250"),
                 "an unknown setting is kept as written");
         try (var files = Files.list(folder)) {
             assertEquals(3, files.count(), "no temporary file is left");
@@ -102,7 +102,7 @@
 
     @Test
     void listsChangesAndWhatIsNotCarriedOver() {
-        assertEquals(0, migrateTo(migrated), errors);
+        assertEquals(0, migrateTo(newFile), errors);
         for (String line : List.of("changed: settings.LoadInfo.How: inline -> off",
                 "changed: settings.Zones: [a] -> [a, b, c, d]", "changed: settings.Zone: 0 -> 2",
                 "not carried over: settings.WeightSource live",
@@ -116,11 +116,11 @@
 
     @Test
     void dryRunPrintsTheSameAndWritesNothing() throws IOException {
-        migrateTo(migrated);
+        migrateTo(newFile);
         String written = output;
-        Files.delete(migrated);
-        assertEquals(0, migrate("--shape", shape.toString(), "--dry-run"));
-        assertEquals(written.replace("written: " + migrated, "nothing was written"), output);
+        Files.delete(newFile);
+        assertEquals(0, migrate("--shape", shapeFile.toString(), "--dry-run"));
+        assertEquals(written.replace("written: " + newFile, "nothing was written"), output);
         try (var files = Files.list(folder)) {
             assertEquals(2, files.count(), "the old configuration and the shape file only");
         }
@@ -128,8 +128,8 @@
 
     @Test
     void writesNothingForAFileOfTheTargetDeployment() {
-        migrateTo(migrated);
-        old = migrated;
+        migrateTo(newFile);
+        oldFile = newFile;
         Path again = folder.resolve("again.json");
         assertEquals(0, migrateTo(again), errors);
         assertTrue(output.contains("is of that shape already"), output);
@@ -138,9 +138,9 @@
 
     @Test
     void doesNotOverwriteAnExistingFile() throws IOException {
-        Files.writeString(migrated, "other content");
-        assertEquals(2, migrateTo(migrated));
-        assertEquals("other content", Files.readString(migrated));
+        Files.writeString(newFile, "other content");
+        assertEquals(2, migrateTo(newFile));
+        assertEquals("other content", Files.readString(newFile));
         assertTrue(errors.contains("exists"), errors);
     }
 
@@ -154,13 +154,15 @@
             "127.0.0.1:0         | localhost:0            | listen is not an address",
             "\"Me\":3            | \"Me\":3,\"Me\":4      | Duplicate field 'Me'",
     })
-    void reportsAnInvalidConfigurationInOneLineAndWritesNothing(String part, String instead, String named)
+    void reportsAnInvalidConfigurationInOneLineAndWritesNothing(String part, String replacement,
+            String expectedError)
             throws IOException {
-        Files.writeString(old, Files.readString(old).replace(part, instead));
-        assertEquals(2, migrateTo(migrated));
+        Files.writeString(oldFile, Files.readString(oldFile).replace(part, replacement));
+        assertEquals(2, migrateTo(newFile));
         assertEquals(1, errors.lines().count(), errors);
-        assertTrue(errors.startsWith("rampshift migrate: " + old) && errors.contains(named), errors);
-        assertFalse(Files.exists(migrated));
+        assertTrue(errors.startsWith("rampshift migrate: " + oldFile) && errors.contains(expectedError),
+                errors);
+        assertFalse(Files.exists(newFile));
     }
 
     @ParameterizedTest
@@ -177,13 +179,15 @@
             "4000                        | 4000,\"zoens\":[]       | unknown key zoens",
             "4000                        | NaN                     | line 1, column",
     })
-    void reportsAnInvalidTargetInOneLineAndWritesNothing(String part, String instead, String named)
+    void reportsAnInvalidTargetInOneLineAndWritesNothing(String part, String replacement,
+            String expectedError)
             throws IOException {
-        Files.writeString(shape, TARGET.replace(part, instead));
-        assertEquals(2, migrateTo(migrated));
+        Files.writeString(shapeFile, TARGET.replace(part, replacement));
+        assertEquals(2, migrateTo(newFile));
         assertEquals(1, errors.lines().count(), errors);
-        assertTrue(errors.startsWith("rampshift migrate: " + shape) && errors.contains(named), errors);
-        assertFalse(Files.exists(migrated));
+        assertTrue(errors.startsWith("rampshift migrate: " + shapeFile) && errors.contains(expectedError),
+                errors);
+        assertFalse(Files.exists(newFile));
     }
 
     @ParameterizedTest
@@ -197,27 +201,28 @@
             default -> {
             }
         }
-        old = file;
-        assertEquals(2, migrateTo(migrated));
+        oldFile = file;
+        assertEquals(2, migrateTo(newFile));
         assertEquals(1, errors.lines().count(), errors);
         assertTrue(errors.startsWith("rampshift migrate: " + file), errors);
-        assertFalse(Files.exists(migrated));
+        assertFalse(Files.exists(newFile));
     }
 
     /** Guards against printing such a number without an exponent, which exhausted the memory. */
     @Test
     void printsNumbersOfAnySizeAsWritten() throws IOException {
-        Files.writeString(old, Files.readString(old).replace("\"Me\":3", "\"Me\":3e99999999"));
-        assertEquals(0, migrateTo(migrated), errors);
+        Files.writeString(oldFile, Files.readString(oldFile).replace("\"Me\":3", "\"Me\":3e99999999"));
+        assertEquals(0, migrateTo(newFile), errors);
         assertTrue(output.contains("settings.Me 3E+99999999"), output);
     }
 
     @Test
     void rejectsAnInvalidCommandLineInOneLine() {
-        String there = shape.toString();
-        String[][] lines = {{"--dry-run"}, {"--shape", there}, {"--shape", there, "--dry-run", "--out", "x"},
-                {"--shape", there, "--dry-run", "--odd"}, {"--shape", "/no/such", "--dry-run"},
-                {"--shape", there, "--out", "/no/such/x"}, {"--shape"}};
+        String shapePath = shapeFile.toString();
+        String[][] lines = {{"--dry-run"}, {"--shape", shapePath},
+                {"--shape", shapePath, "--dry-run", "--out", "x"},
+                {"--shape", shapePath, "--dry-run", "--odd"}, {"--shape", "/no/such", "--dry-run"},
+                {"--shape", shapePath, "--out", "/no/such/x"}, {"--shape"}};
         for (String[] line : lines) {
             assertEquals(2, migrate(line), String.join(" ", line));
             assertEquals(1, errors.lines().count(), errors);
@@ -247,12 +252,12 @@
                 Thread.sleep(50);
             }
         });
-        Files.writeString(old,
-                Files.readString(old).replace("\"SecondCopies\":false", "\"SecondCopies\":true"));
-        Files.writeString(shape,
+        Files.writeString(oldFile,
+                Files.readString(oldFile).replace("\"SecondCopies\":false", "\"SecondCopies\":true"));
+        Files.writeString(shapeFile,
                 TARGET.replace("4000", "4000,\"discovery\":\"127.0.0.1:" + discovery.port() + "\""));
-        assertEquals(0, migrateTo(migrated), errors);
-        DispatcherServer node = new DispatcherServer(read(migrated));
+        assertEquals(0, migrateTo(newFile), errors);
+        DispatcherServer node = new DispatcherServer(read(newFile));
         try (unresponsive; good; discovery; TestConnection client = new TestConnection(node)) {
             node.awaitReady();
             TestPeers.until("the endpoint list has arrived",
