--- a/src/main/java/rampshift/membership/RandomDraws.java
+++ b/src/main/java/rampshift/membership/RandomDraws.java
@@ -3,10 +3,11 @@
 import java.util.zip.CRC32;
 
 /**
- * Random numbers by a CRC32 over the seed, the process id and a counter: the same inputs give the same draws.
+ * A deterministic random number generator: each number is the CRC32 of the seed, the process id and a
+ * counter.
  */
 final class RandomDraws {
-    private static final double VALUES = 1L << 32;
+    private static final double VALUE_COUNT = 1L << 32;
     private static final double MIN_JITTER_FACTOR = 0.75;
     private static final double JITTER_RANGE = 0.5;
 
@@ -19,24 +20,24 @@
         this.processId = processId;
     }
 
-    /** A number from 0 to under 1. */
-    double next() {
+    /** Returns a number from 0 (inclusive) to 1 (exclusive). */
+    double nextDouble() {
         counter++;
         CRC32 crc = new CRC32();
         update(crc, seed);
         update(crc, processId);
         update(crc, counter);
-        return crc.getValue() / VALUES;
+        return crc.getValue() / VALUE_COUNT;
     }
 
-    /** A whole number from 0 to under the bound. */
-    int below(int bound) {
-        return Math.min(bound - 1, (int) (next() * bound));
+    /** Returns an integer from 0 (inclusive) to the bound (exclusive). */
+    int nextInt(int bound) {
+        return Math.min(bound - 1, (int) (nextDouble() * bound));
     }
 
-    /** A factor from 0.75 to under 1.25, to keep members from acting in step. */
+    /** Returns a factor from 0.75 to 1.25 that keeps the members from acting at the same times. */
     double jitterFactor() {
-        return MIN_JITTER_FACTOR + next() * JITTER_RANGE;
+        return MIN_JITTER_FACTOR + nextDouble() * JITTER_RANGE;
     }
 
     private static void update(CRC32 crc, long value) {
--- a/src/main/java/rampshift/membership/host/DrainOverrides.java
+++ b/src/main/java/rampshift/membership/host/DrainOverrides.java
@@ -16,9 +16,10 @@
 import rampshift.time.Span;
 
 /**
- * Overrides the own endpoint list with drain notices of other members. Notices can only take workers out of
- * service; what puts a worker back is the own list alone: a list as new as the notice, a later start of the
- * worker, or a list that is still updated a stated time after without the drain. No sockets, no clock.
+ * Overrides the endpoint list of this dispatcher with drain notices of other members. Notices only take
+ * workers out of service. Only the own list puts a worker back: by a list as new as the notice, by a later
+ * start of the worker, or by any update, after the lifetime of the override, that leaves the worker ready.
+ * Uses no sockets and no clock.
  */
 final class DrainOverrides {
     private record ActiveOverride(DrainNotice notice, Moment since) {
@@ -26,46 +27,44 @@
 
     private final boolean enabled;
     private final Span lifetime;
-    private final ServerExtension.EndpointListener changes;
+    private final ServerExtension.EndpointListener listener;
     private final String dispatcher;
-    /** The endpoints of the own list, by their ids. */
+    /** The endpoints of the own list, by id. */
     private final Map<String, Endpoint> ownEndpoints = new HashMap<>();
     private final Map<String, ActiveOverride> overrides = new LinkedHashMap<>();
     private long ownVersion = -1;
     private boolean hasOwnList;
 
     /**
-     * No overrides yet.
+     * Creates an object without overrides.
      *
-     * @param enabled    whether notices of others are taken at all
-     * @param lifetime   for how long a notice overrides an own list that is updated but stays behind it
-     * @param changes    is told of workers that a notice takes out of service
+     * @param enabled    whether notices of others are applied at all
+     * @param lifetime   how long a notice overrides an own list that is updated but remains older than it
+     * @param listener   is notified of workers that a notice takes out of service
      * @param dispatcher the name of this dispatcher, for the log
      */
-    DrainOverrides(boolean enabled, Span lifetime, ServerExtension.EndpointListener changes,
+    DrainOverrides(boolean enabled, Span lifetime, ServerExtension.EndpointListener listener,
             String dispatcher) {
         this.enabled = enabled;
         this.lifetime = lifetime;
-        this.changes = changes;
+        this.listener = listener;
         this.dispatcher = dispatcher;
     }
 
-    /** The number of workers that are overridden. */
+    /** Returns the number of workers that are overridden. */
     int count() {
         return overrides.size();
     }
 
-    /**
-     * The endpoint list comes from another service from now on, whose versions say nothing of the former's.
-     */
+    /** Discards the list version: another service, whose versions are not comparable, sends the next list. */
     void onDiscoveryChanged() {
         hasOwnList = false;
         ownVersion = -1;
     }
 
     /**
-     * Takes a notice from another member; returns whether it overrides a worker that the own list calls
-     * ready.
+     * Handles a notice from another member; returns whether it overrides a worker that is ready in the own
+     * list.
      */
     boolean onNotice(Moment now, DrainNotice notice) {
         Endpoint endpoint = ownEndpoints.get(notice.worker());
@@ -76,15 +75,15 @@
         overrides.put(notice.worker(), new ActiveOverride(notice, now));
         Log.info("drain-notice", "worker", notice.worker(), "kind", notice.kind().label(), "version",
                 notice.listVersion(), "own", ownVersion);
-        changes.onEndpoints(new EndpointList(ownVersion, false, List.of(overridden(endpoint, notice))));
+        listener.onEndpoints(new EndpointList(ownVersion, false, List.of(overridden(endpoint, notice))));
         return true;
     }
 
     /**
-     * Takes an update of the own endpoint list.
+     * Handles an update of the own endpoint list.
      *
-     * @param notices  the notices that are known
-     * @param announce takes the notices that the other members are to be told
+     * @param notices  the known notices
+     * @param announce receives the notices to send to the other members
      * @return the list with the overrides applied
      */
     EndpointList onOwnList(Moment now, EndpointList list, DrainNotices notices,
@@ -99,7 +98,7 @@
         List<Endpoint> effective = new ArrayList<>(list.endpoints().size());
         for (Endpoint endpoint : list.endpoints()) {
             unlisted.remove(endpoint.uid());
-            keep(endpoint);
+            updateOwnEndpoint(endpoint);
             if (endpoint.state() != Endpoint.State.READY) {
                 overrides.remove(endpoint.uid());
                 announce.accept(noticeOf(endpoint));
@@ -111,11 +110,11 @@
                     .forEach(endpoint -> announce.accept(notice(endpoint,
                             DrainNotice.Kind.REMOVED)));
         }
-        endOverrides(now, effective);
+        removeEndedOverrides(now, effective);
         return new EndpointList(list.version(), list.complete(), effective);
     }
 
-    private void keep(Endpoint endpoint) {
+    private void updateOwnEndpoint(Endpoint endpoint) {
         if (endpoint.state() == Endpoint.State.REMOVED) {
             ownEndpoints.remove(endpoint.uid());
         } else {
@@ -132,8 +131,8 @@
         return overridden(endpoint, notice);
     }
 
-    /** Ends the overrides that the own list has caught up with or outlived, and puts their workers back. */
-    private void endOverrides(Moment now, List<Endpoint> effective) {
+    /** Ends the overrides that are expired or outdated by the own list, and restores their workers. */
+    private void removeEndedOverrides(Moment now, List<Endpoint> effective) {
         for (Map.Entry<String, ActiveOverride> entry : List.copyOf(overrides.entrySet())) {
             Endpoint endpoint = ownEndpoints.get(entry.getKey());
             ActiveOverride override = entry.getValue();
--- a/src/main/java/rampshift/migrate/Migration.java
+++ b/src/main/java/rampshift/migrate/Migration.java
@@ -9,9 +9,9 @@
 import rampshift.settings.ConfigurationException;
 
 /**
- * Makes the counterpart of a configuration for the new deployment: each client process with a dispatcher of
- * its own, workers that report no load, lists that must be polled, other zones. Does no I/O; that is {@link
- * MigrateCommand}'s.
+ * Derives the configuration for a new deployment from that of an old one. In the new deployment, each client
+ * process has its own dispatcher, workers may report no load, endpoint lists may have to be polled, and the
+ * zones differ. Does no I/O.
  */
 final class Migration {
     private static final Set<String> KNOWN_KEYS =
@@ -25,8 +25,8 @@
     private final JsonObject result;
 
     /**
-     * Migrates a configuration that has been read without a fault. Throws a {@link ConfigurationException}
-     * where neither it nor the target tells what the new one must hold.
+     * Migrates a valid configuration. Throws {@link ConfigurationException} if neither it nor the target
+     * states a required value.
      */
     Migration(Map<String, Object> old, TargetDeployment target) {
         source = SourceDeployment.of(JsonObject.of(old));
@@ -41,18 +41,18 @@
         migrateLoadReports(settings);
         migrateEndpointList(settings);
         migrateZones(settings);
-        set(settings.objectOrAdded("Limits"), "MayProbe", target.probes());
+        set(settings.getOrAddObject("Limits"), "MayProbe", target.probes());
         migrateDispatcherPool(settings);
         reviewTrafficTypes();
         reviewTenants();
     }
 
-    /** The new configuration, as {@link rampshift.settings.JsonTree} writes it. */
+    /** Returns the new configuration, as {@link rampshift.settings.JsonTree} writes it. */
     Map<String, Object> result() {
         return result.tree();
     }
 
-    /** What was changed, what was left out, and what is to be reviewed. */
+    /** Returns the changes, the omissions and the parts to review. */
     MigrationReport report() {
         return report;
     }
@@ -61,46 +61,46 @@
         for (String key : List.copyOf(result.keys())) {
             if (!KNOWN_KEYS.contains(key)) {
                 result.remove(key);
-                report.notCarriedOver(key, "not known to this program");
+                report.addOmission(key, "not known to this program");
             }
         }
     }
 
-    /** Its workers are numbered by the old deployment's zones. */
+    /** Drops the known endpoints, whose zones belong to the old deployment. */
     private void dropKnownEndpoints() {
         result.remove("known");
         if (source.knownWorkers() != null) {
-            report.notCarriedOver("known, " + source.knownWorkers() + " workers",
-                    "they are of the old house");
+            report.addOmission("known, " + source.knownWorkers() + " workers",
+                    "they belong to the old deployment");
         }
     }
 
     private void migrateLoadReports(JsonObject settings) {
-        JsonObject load = settings.objectOrAdded("LoadInfo");
-        set(load, "How", target.reports().word());
+        JsonObject load = settings.getOrAddObject("LoadInfo");
+        set(load, "How", target.reports().spelling());
         if (target.reports() != TargetDeployment.LoadReports.OFF) {
             return;
         }
         if (!source.loadNames().isEmpty()) {
-            report.notCarriedOver(load.path("Names") + " " + source.loadNames(),
+            report.addOmission(load.path("Names") + " " + source.loadNames(),
                     "workers report no load there");
         }
         load.set("Names", new ArrayList<>());
         if (LIVE_WEIGHTS.equals(source.weightSource())) {
-            report.notCarriedOver(settings.path("WeightSource") + " " + LIVE_WEIGHTS,
-                    "weights that tell load are not listed there");
+            report.addOmission(settings.path("WeightSource") + " " + LIVE_WEIGHTS,
+                    "endpoint lists there contain no live weights");
             set(settings, "WeightSource", NOMINAL_WEIGHTS);
         }
         if (!source.tellsStart()) {
-            report.toReview("settings.FamilyInfo.TellsStart is not true",
-                    "with neither reports nor start notes a dispatcher knows nothing of a worker but its own"
+            report.addReview("settings.FamilyInfo.TellsStart is not true",
+                    "without load reports and start notes, a dispatcher knows of each worker only its own"
                             + " tasks");
         }
     }
 
     private void migrateEndpointList(JsonObject settings) {
-        set(settings, "Discovery", target.list().word());
-        JsonObject rules = settings.objectOrAdded("Rules");
+        set(settings, "Discovery", target.list().spelling());
+        JsonObject rules = settings.getOrAddObject("Rules");
         if (target.askWithinMs() != null) {
             set(rules, "AskWithinMs", target.askWithinMs());
             return;
@@ -109,8 +109,8 @@
         if (target.list() == TargetDeployment.ListDelivery.ON_REQUEST && !isStated) {
             String path = rules.path("AskWithinMs");
             throw ConfigurationException.ofKey(path,
-                    path + " is missing, and the list must be asked for there:"
-                            + " the shape's ask_within_ms has to tell");
+                    path + " is missing, and the list is polled there:"
+                            + " set ask_within_ms in the shape file");
         }
     }
 
@@ -120,55 +120,55 @@
         set(settings, "Zone", BigDecimal.valueOf(zones.indexOf(target.zone())));
         BigDecimal cost = source.crossZoneCost();
         if (cost != null && cost.signum() > 0) {
-            report.toReview("settings.Costs.CrossZone " + cost,
-                    "one price between any two of " + zones.size() + " zones");
+            report.addReview("settings.Costs.CrossZone " + cost,
+                    "the same cost applies between any two of " + zones.size() + " zones");
         }
     }
 
-    /** The number in a pool of dispatchers means nothing to one that serves a single client process. */
+    /** Adapts the pool settings. A dispatcher that serves one client process has no number in a pool. */
     private void migrateDispatcherPool(JsonObject settings) {
         settings.remove("Me");
         if (source.dispatcherNumber() != null) {
-            report.notCarriedOver(settings.path("Me") + " " + source.dispatcherNumber(),
+            report.addOmission(settings.path("Me") + " " + source.dispatcherNumber(),
                     "there is no pool of dispatchers there");
         }
         set(settings, "PeersTotal", target.dispatchers());
         if (source.retryFloor() != null) {
-            report.toReview("settings.Rules.ExtraFloor " + source.retryFloor(),
-                    "each dispatcher has so many further assignments in a span,"
-                            + " and their number is another");
+            report.addReview("settings.Rules.ExtraFloor " + source.retryFloor(),
+                    "each dispatcher is allowed this many further assignments per span,"
+                            + " and the number of dispatchers differs");
         }
     }
 
     private void reviewTrafficTypes() {
         for (SourceDeployment.TrafficTypeRow type : source.trafficTypes()) {
-            if (type.isRepeatDroppedInPart()) {
-                report.toReview("settings.TrafficTypes " + type.name(),
+            if (type.isDeduplicatedPartially()) {
+                report.addReview("settings.TrafficTypes " + type.name(),
                         "its repeats are dropped within one " + type.dedupScope()
-                                + "; make sure that workers do so there before it is served");
+                                + "; check that workers there do so before serving this type");
             }
         }
     }
 
     private void reviewTenants() {
         if (source.hasTenants()) {
-            report.toReview("settings.Tenants",
-                    "QuotaPerS counts all dispatchers together, and the fleet is another");
+            report.addReview("settings.Tenants",
+                    "QuotaPerS applies to all dispatchers together, and their number differs");
         }
     }
 
-    /** Sets a value unless it is null; reports it where the old one was another. */
+    /** Sets a value unless it is null, and reports it if it differs from the old value. */
     private void set(JsonObject object, String key, Object value) {
         if (value == null) {
             return;
         }
         Object previous = object.set(key, value);
         if (!isSameValue(previous, value)) {
-            report.changed(object.path(key), previous, value);
+            report.addChange(object.path(key), previous, value);
         }
     }
 
-    /** Numbers are the same where they differ in trailing zeros alone. */
+    /** Returns whether two values are equal; numbers may differ in trailing zeros. */
     private static boolean isSameValue(Object one, Object other) {
         if (one instanceof BigDecimal number && other instanceof BigDecimal otherNumber) {
             return number.compareTo(otherNumber) == 0;
--- a/src/main/java/rampshift/simulator/MessageFields.java
+++ b/src/main/java/rampshift/simulator/MessageFields.java
@@ -8,38 +8,33 @@
 import rampshift.settings.InvalidInputException;
 import rampshift.settings.SettingsReader;
 
-/**
- * The fields of the message being read. One object is used for all messages in turn: a batch holds
- * thousands.
- */
+/** The fields of the current message. One object is reused for all messages: a batch holds thousands. */
 final class MessageFields {
-    private static final String MESSAGE = "a message";
+    private static final String MESSAGE = "message";
     /**
-     * In place of an object or an array that no message type uses: it is there, and of no type that is
-     * asked for.
+     * The value recorded for an object or array that no message type uses. The field counts as present, is
+     * neither a number nor a boolean, and {@link #text} returns this value.
      */
-    private static final String UNREAD_STRUCTURE = "{}";
+    private static final String UNUSED_STRUCTURE = "{}";
 
     private final List<String> names = new ArrayList<>();
     private final List<Object> values = new ArrayList<>();
-    /** The settings of an Attach; null in other messages. */
+    /** The settings in an Attach message; null in other messages. */
     SettingsReader settings;
-    /**
-     * The entries of an endpoint list: the first {@link #count} of these, in the order in which they came.
-     */
+    /** Reusable entries; the first {@link #entryCount} are the endpoint list of the message, in its order. */
     final List<EndpointEntry> entries = new ArrayList<>();
-    int count;
-    /** The load report of a worker; null where there is none. */
-    MessageFields load;
+    int entryCount;
+    /** The load report of a worker; null if the message has none. */
+    MessageFields loadReport;
 
-    /** Reads the object at whose start the parser stands, in place of the message before. */
+    /** Replaces the fields by those of the JSON object that starts at the parser's position. */
     void read(JsonParser in) throws IOException {
-        open(in, MESSAGE);
+        requireObject(in, MESSAGE);
         names.clear();
         values.clear();
-        count = 0;
+        entryCount = 0;
         settings = null;
-        load = null;
+        loadReport = null;
         while (!in.nextToken().isStructEnd()) {
             String name = in.currentName();
             readField(in, name, in.nextToken());
@@ -52,33 +47,33 @@
         } else if (name.equals("Entries") && token == JsonToken.START_ARRAY) {
             readEntries(in);
         } else if (name.equals("Load") && token == JsonToken.START_OBJECT) {
-            load = new MessageFields();
-            load.read(in);
+            loadReport = new MessageFields();
+            loadReport.read(in);
         } else if (token.isNumeric()) {
-            put(name, token == JsonToken.VALUE_NUMBER_INT ? whole(in) : (Object) in.getDoubleValue());
+            put(name, token == JsonToken.VALUE_NUMBER_INT ? integer(in) : (Object) in.getDoubleValue());
         } else if (token == JsonToken.VALUE_STRING) {
             put(name, in.getText());
         } else if (token.isBoolean()) {
             put(name, in.getBooleanValue());
         } else if (token.isStructStart()) {
-            put(name, UNREAD_STRUCTURE);
+            put(name, UNUSED_STRUCTURE);
             in.skipChildren();
         }
     }
 
     private void readEntries(JsonParser in) throws IOException {
         while (!in.nextToken().isStructEnd()) {
-            if (count == entries.size()) {
+            if (entryCount == entries.size()) {
                 entries.add(new EndpointEntry());
             }
-            entries.get(count).read(in);
-            count++;
+            entries.get(entryCount).read(in);
+            entryCount++;
         }
     }
 
-    private static Object whole(JsonParser in) throws IOException {
-        boolean overLong = in.getNumberType() == JsonParser.NumberType.BIG_INTEGER;
-        return overLong ? (Object) in.getDoubleValue() : (Object) in.getLongValue();
+    private static Object integer(JsonParser in) throws IOException {
+        boolean exceedsLong = in.getNumberType() == JsonParser.NumberType.BIG_INTEGER;
+        return exceedsLong ? (Object) in.getDoubleValue() : (Object) in.getLongValue();
     }
 
     private void put(String name, Object value) {
@@ -107,67 +102,67 @@
         return find("t") instanceof String text ? text : MESSAGE;
     }
 
-    private InvalidInputException fault(String name, String description) {
+    private InvalidInputException invalidField(String name, String description) {
         return new InvalidInputException(type() + ": " + name + " " + description);
     }
 
-    /** A text, which must be there. */
+    /** Returns the string in a required field. */
     String text(String name) {
         if (required(name) instanceof String text) {
             return text;
         }
-        throw fault(name, "is not text");
+        throw invalidField(name, "is not a string");
     }
 
-    /** A whole number, which must be there. */
-    long whole(String name) {
+    /** Returns the integer in a required field. */
+    long integer(String name) {
         if (required(name) instanceof Long number) {
             return number;
         }
-        throw fault(name, "is not a whole number");
+        throw invalidField(name, "is not an integer");
     }
 
-    /** A whole number; 0 where there is none. */
-    int index(String name) {
-        return find(name) == null ? 0 : (int) whole(name);
+    /** Returns the integer in a field, or 0 if the field is absent. */
+    int integerOrZero(String name) {
+        return find(name) == null ? 0 : (int) integer(name);
     }
 
-    double number(String name, double ifAbsent) {
+    double number(String name, double defaultValue) {
         Object value = find(name);
         if (value == null) {
-            return ifAbsent;
+            return defaultValue;
         }
         if (value instanceof Number number) {
             return number.doubleValue();
         }
-        throw fault(name, "is not a number");
+        throw invalidField(name, "is not a number");
     }
 
-    /** True or false; false where there is none. */
+    /** Returns the boolean in a field, or false if the field is absent. */
     boolean flag(String name) {
         Object value = find(name);
         if (value == null || value instanceof Boolean) {
             return Boolean.TRUE.equals(value);
         }
-        throw fault(name, "is neither true nor false");
+        throw invalidField(name, "is neither true nor false");
     }
 
-    /** The parser has to stand at, or before, the start of an object. */
-    static void open(JsonParser in, String description) throws IOException {
+    /** Checks that the parser is at, or directly before, the start of an object. */
+    static void requireObject(JsonParser in, String description) throws IOException {
         JsonToken token = in.currentToken() == null ? in.nextToken() : in.currentToken();
         if (token != JsonToken.START_OBJECT) {
             throw new InvalidInputException(description + " is not an object");
         }
     }
 
-    /** The parser has to stand at the start of an array. */
-    static void array(JsonParser in, String description) {
+    /** Checks that the parser is at the start of an array. */
+    static void requireArray(JsonParser in, String description) {
         if (in.currentToken() != JsonToken.START_ARRAY) {
             throw new InvalidInputException(description + " is not an array");
         }
     }
 
-    /** The number at which the parser stands. */
+    /** Returns the number at the parser's position. */
     static double number(JsonParser in, String name) throws IOException {
         if (!in.currentToken().isNumeric()) {
             throw new InvalidInputException(name + " is not a number");
--- a/src/main/java/rampshift/toml/TomlTable.java
+++ b/src/main/java/rampshift/toml/TomlTable.java
@@ -17,8 +17,8 @@
 import rampshift.time.Span;
 
 /**
- * One table of a file, read strictly: each key that is asked for counts as known, all others are faults.
- * Reading never throws: a value that can't be used is noted as a fault and counts as absent.
+ * One table of a file. Reading is strict: a key that has been requested is known, and all others are faults.
+ * Reading never throws: an invalid value is recorded as a fault and treated as absent.
  */
 public final class TomlTable {
     private static final Pattern SPAN = Pattern.compile("(\\d{1,9}(?:\\.\\d{1,6})?)\\s*(us|ms|s|min)");
@@ -27,108 +27,108 @@
     private static final double MICROS_PER_MILLI = 1_000;
     private static final double MICROS_PER_SECOND = 1_000_000;
     private static final double MICROS_PER_MINUTE = 60_000_000;
-    /** Up to here whole numbers are written without a fraction or an exponent. */
+    /** Integers below this value are printed without a fraction or an exponent. */
     private static final double MAX_PLAIN_INTEGER = 1e15;
     private static final LevenshteinDistance DISTANCE = LevenshteinDistance.getDefaultInstance();
 
     private final Source source;
     private final JsonNode node;
     private final String path;
-    private final Set<String> known = new LinkedHashSet<>();
+    private final Set<String> requestedKeys = new LinkedHashSet<>();
 
     /**
-     * What all tables of a file share.
+     * The state shared by all tables of a file.
      *
-     * @param file its name in messages
+     * @param file the name of the file in error messages
      * @param positions the lines of its keys
-     * @param faults what was found wrong so far
+     * @param faults the faults found so far
      */
     public record Source(String file, KeyPositions positions, List<ConfigurationFault> faults) {
-        /** Notes a fault of the key with that path; the description names the key. */
+        /** Records a fault of the key with that path; the description includes the path. */
         public void fault(String path, String description) {
             SourcePosition position = SourcePosition.ofLine(file, positions.line(path));
             faults.add(new ConfigurationFault(position, path, description));
         }
     }
 
-    /** The table at that path, empty for the file itself; an absent node counts as an empty table. */
+    /** Creates the table at a path, which is empty for the root; a null node stands for an empty table. */
     public TomlTable(Source source, JsonNode node, String path) {
         this.source = source;
         this.path = path;
         if (node != null && !node.isObject()) {
-            source.fault(path, path + " is to be a table");
+            source.fault(path, path + " must be a table");
         }
         this.node = node != null && node.isObject() ? node : JsonNodeFactory.instance.objectNode();
     }
 
-    /** The path of a key of this table, such as {@code type[1].due}. */
+    /** Returns the path of a key of this table, such as {@code type[1].due}. */
     public String path(String key) {
         return path.isEmpty() ? key : path + "." + key;
     }
 
-    /** Notes a fault of a key; the description follows its path. */
+    /** Records a fault of a key; the message is its path followed by the description. */
     public void fault(String key, String description) {
         source.fault(path(key), path(key) + " " + description);
     }
 
     private JsonNode get(String key) {
-        known.add(key);
+        requestedKeys.add(key);
         return node.get(key);
     }
 
-    /** Whether the key is there, with whatever value. */
+    /** Returns whether the key is present, with any value. */
     public boolean has(String key) {
         return get(key) != null;
     }
 
-    /** A number between the two bounds, both included. */
-    public double number(String key, double minimum, double maximum, double ifAbsent) {
+    /** Returns a number between two inclusive bounds. */
+    public double number(String key, double minimum, double maximum, double defaultValue) {
         JsonNode value = get(key);
         if (value == null) {
-            return ifAbsent;
+            return defaultValue;
         }
         if (!value.isNumber() || !(value.doubleValue() >= minimum && value.doubleValue() <= maximum)) {
             fault(key,
-                    "is " + value + ", expected a number from " + plain(minimum) + " to " + plain(maximum));
-            return ifAbsent;
+                    "is " + value + ", expected a number from " + format(minimum) + " to " + format(maximum));
+            return defaultValue;
         }
         return value.doubleValue();
     }
 
-    /** A whole number between the two bounds, both included. */
-    public int integer(String key, int minimum, int maximum, int ifAbsent) {
+    /** Returns an integer between two inclusive bounds. */
+    public int integer(String key, int minimum, int maximum, int defaultValue) {
         JsonNode value = get(key);
         if (value == null) {
-            return ifAbsent;
+            return defaultValue;
         }
         if (!value.isIntegralNumber() || value.longValue() < minimum || value.longValue() > maximum) {
             fault(key, "is " + value + ", expected a whole number from " + minimum + " to " + maximum);
-            return ifAbsent;
+            return defaultValue;
         }
         return value.intValue();
     }
 
-    /** True or false. */
-    public boolean flag(String key, boolean ifAbsent) {
+    /** Returns a boolean. */
+    public boolean flag(String key, boolean defaultValue) {
         JsonNode value = get(key);
         if (value != null && !value.isBoolean()) {
             fault(key, "is " + value + ", expected true or false");
-            return ifAbsent;
+            return defaultValue;
         }
-        return value == null ? ifAbsent : value.booleanValue();
+        return value == null ? defaultValue : value.booleanValue();
     }
 
-    /** Any text. */
-    public String text(String key, String ifAbsent) {
+    /** Returns a string. */
+    public String text(String key, String defaultValue) {
         JsonNode value = get(key);
         if (value != null && !value.isTextual()) {
             fault(key, "is " + value + ", expected text in quotes");
-            return ifAbsent;
+            return defaultValue;
         }
-        return value == null ? ifAbsent : value.textValue();
+        return value == null ? defaultValue : value.textValue();
     }
 
-    /** A text that names things on the wire: required, no blanks, nothing that needs escaping. */
+    /** Returns a required name for use on the wire: 1 to 40 letters, digits, '-', '_' and '.'. */
     public String name(String key) {
         String text = text(key, null);
         if (text == null || !text.matches(NAME)) {
@@ -139,16 +139,16 @@
         return text;
     }
 
-    /** A span such as "250ms"; units are us, ms, s and min. */
-    public Span span(String key, Span ifAbsent) {
+    /** Returns a span such as "250ms"; units are us, ms, s and min. */
+    public Span span(String key, Span defaultValue) {
         JsonNode value = get(key);
         if (value == null) {
-            return ifAbsent;
+            return defaultValue;
         }
         Span span = spanOrNull(value);
         if (span == null) {
             fault(key, "is " + value + ", expected a span such as \"250ms\" or \"1.5s\"");
-            return ifAbsent;
+            return defaultValue;
         }
         return span;
     }
@@ -170,27 +170,27 @@
         return new Span(Math.round(Double.parseDouble(matcher.group(1)) * unitMicros));
     }
 
-    /** One span, or an array with the two ends of a range. */
-    public Range range(String key, Range ifAbsent) {
+    /** Returns a range, given as one span or as an array with its two bounds. */
+    public Range range(String key, Range defaultValue) {
         JsonNode value = get(key);
         if (value == null) {
-            return ifAbsent;
+            return defaultValue;
         }
-        boolean pair = value.isArray() && value.size() == 2;
-        Span from = spanOrNull(pair ? value.get(0) : value);
-        Span to = spanOrNull(pair ? value.get(1) : value);
+        boolean isPair = value.isArray() && value.size() == 2;
+        Span from = spanOrNull(isPair ? value.get(0) : value);
+        Span to = spanOrNull(isPair ? value.get(1) : value);
         if (from == null || to == null || from.longerThan(to)) {
             fault(key, "is " + value + ", expected a span or a range such as [\"100ms\", \"2s\"]");
-            return ifAbsent;
+            return defaultValue;
         }
         return new Range(from, to);
     }
 
-    /** One of an enum's constants, written in lower case with hyphens. */
-    public <E extends Enum<E>> E oneOf(String key, Class<E> type, E ifAbsent) {
+    /** Returns an enum constant, which the file spells in lower case with hyphens. */
+    public <E extends Enum<E>> E oneOf(String key, Class<E> type, E defaultValue) {
         String text = text(key, null);
         if (text == null) {
-            return ifAbsent;
+            return defaultValue;
         }
         List<String> names = new ArrayList<>();
         for (E constant : type.getEnumConstants()) {
@@ -201,14 +201,14 @@
             names.add(name);
         }
         fault(key, "is \"" + text + "\", expected one of " + String.join(", ", names));
-        return ifAbsent;
+        return defaultValue;
     }
 
-    /** An array of texts. */
-    public List<String> strings(String key, List<String> ifAbsent) {
+    /** Returns an array of strings. */
+    public List<String> strings(String key, List<String> defaultValue) {
         JsonNode value = get(key);
         if (value == null) {
-            return ifAbsent;
+            return defaultValue;
         }
         List<String> texts = new ArrayList<>();
         for (JsonNode element : value) {
@@ -220,17 +220,17 @@
         return texts;
     }
 
-    /** A table within this one; an empty one where there is none. */
+    /** Returns a table within this one, or an empty table if the key is absent. */
     public TomlTable table(String key) {
         return new TomlTable(source, get(key), path(key));
     }
 
-    /** An array of tables; empty where there is none. */
+    /** Returns an array of tables, or an empty list if the key is absent. */
     public List<TomlTable> tables(String key) {
         JsonNode value = get(key);
         List<TomlTable> tables = new ArrayList<>();
         if (value != null && !value.isArray()) {
-            fault(key, "is to be an array of tables, [[" + path(key) + "]]");
+            fault(key, "must be an array of tables, [[" + path(key) + "]]");
         } else if (value != null) {
             for (int i = 0; i < value.size(); i++) {
                 tables.add(new TomlTable(source, value.get(i), path(key) + "[" + i + "]"));
@@ -239,27 +239,28 @@
         return tables;
     }
 
-    /** The value as parsed, for what is passed on unread; null where there is none. */
+    /** Returns the parsed value for use by another reader, or null if the key is absent. */
     public JsonNode node(String key) {
         return get(key);
     }
 
-    /** To be called once all has been read: each key that was not asked for is a fault. */
+    /** Records a fault for each key that has not been requested; call this after reading all keys. */
     public void rejectUnknownKeys() {
         for (Iterator<String> names = node.fieldNames(); names.hasNext();) {
             String name = names.next();
-            if (!known.contains(name)) {
-                String nearest = nearestKnown(name);
+            if (!requestedKeys.contains(name)) {
+                String nearest = nearestRequestedKey(name);
                 fault(name, "is not known" + (nearest == null ? "" : "; the nearest key here is " + nearest));
             }
         }
     }
 
-    private String nearestKnown(String name) {
-        return known.stream().min(Comparator.comparingInt(key -> DISTANCE.apply(key, name))).orElse(null);
+    private String nearestRequestedKey(String name) {
+        return requestedKeys.stream().min(Comparator.comparingInt(key -> DISTANCE.apply(key, name)))
+                .orElse(null);
     }
 
-    private static String plain(double value) {
+    private static String format(double value) {
         boolean integer = value == Math.rint(value) && Math.abs(value) < MAX_PLAIN_INTEGER;
         return integer ? String.valueOf((long) value) : String.valueOf(value);
     }
--- a/src/test/java/rampshift/membership/SimulatedNetwork.java
+++ b/src/test/java/rampshift/membership/SimulatedNetwork.java
@@ -11,13 +11,13 @@
 import rampshift.time.Moment;
 import rampshift.time.Span;
 
-/** A network in simulated time between as many members as a test wants; its faults are drawn by a seed. */
+/** A simulated network between members, in simulated time; its faults depend on a seed. */
 final class SimulatedNetwork extends EventSimulation {
     static final MembershipTimings TIMINGS =
             new MembershipTimings(Span.ofMillis(1000), Span.ofMillis(3_600_000));
     static final String FLEET = "fleet";
 
-    /** The delay of one direction of a stream, as a multiple of that of a datagram. */
+    /** The delay of a request over a stream, as a multiple of the delay of a datagram. */
     private static final double STREAM_DELAY_FACTOR = 2;
     private static final double CHECK_INTERVAL_SECONDS = 0.1;
     private static final int MICROS_PER_MILLI = 1000;
@@ -28,12 +28,12 @@
     final SplittableRandom random;
     double lossEverywhere;
     double duplicationRate;
-    private final Map<String, Double> lossByLink = new HashMap<>(); // keys as in "d1>d2"
+    private final Map<String, Double> lossByLink = new HashMap<>(); // the key of a link is "d1>d2"
     private final List<String> seeds = new ArrayList<>();
     private final int minDelayMs = 1;
     private final int maxDelayMs = 20;
 
-    /** One process after another under one name. */
+    /** A member with its current process, which may be killed and replaced by a new one of the same name. */
     final class Node implements MembershipOutput {
         final String name;
         final int index;
@@ -41,11 +41,11 @@
         final List<DrainNotice> drainNotices = new ArrayList<>();
         final Map<String, Long> incarnations = new HashMap<>();
         SwimMembership membership;
-        private long starts;
-        private long wakes;
+        private long startCount;
+        private long wakeCount;
         private long clockMs = 1_000_000;
         private boolean paused;
-        private final List<Runnable> waiting = new ArrayList<>();
+        private final List<Runnable> pendingInputs = new ArrayList<>();
 
         Node(String name, int index) {
             this.name = name;
@@ -56,20 +56,20 @@
             return "10.0." + index / HOSTS_PER_SUBNET + "." + (index % HOSTS_PER_SUBNET + 1) + ":7";
         }
 
-        /** Starts a new process whose clock shows the given time. */
+        /** Starts a new process with the given clock time. */
         void start(long newClockMs) {
             clockMs = newClockMs;
-            starts++;
-            long processId = starts * 1000 + index;
+            startCount++;
+            long processId = startCount * 1000 + index;
             MemberIdentity self =
                     new MemberIdentity(name, clockMs, processId, address(), "site" + index % 2, "b",
                             clockMs, MemberIdentity.Phase.SERVING);
             membership = new SwimMembership(
                     new MembershipOptions(FLEET, self, seeds, Map.of(), TIMINGS, index), this);
             paused = false;
-            waiting.clear();
-            incarnations.clear(); // a new process remembers nothing
-            wakes++;
+            pendingInputs.clear();
+            incarnations.clear(); // a new process has no state
+            wakeCount++;
             membership.start(moment());
         }
 
@@ -80,8 +80,8 @@
         void kill() {
             membership = null;
             paused = false;
-            waiting.clear();
-            wakes++;
+            pendingInputs.clear();
+            wakeCount++;
         }
 
         boolean isRunning() {
@@ -92,17 +92,17 @@
             paused = true;
         }
 
-        /** Handles all that has come while the process was paused. */
+        /** Resumes the process and handles the inputs received during the pause. */
         void resume() {
             paused = false;
-            List<Runnable> inputs = List.copyOf(waiting);
-            waiting.clear();
+            List<Runnable> inputs = List.copyOf(pendingInputs);
+            pendingInputs.clear();
             inputs.forEach(this::handle);
         }
 
         private void handle(Runnable input) {
             if (paused) {
-                waiting.add(input);
+                pendingInputs.add(input);
             } else if (membership != null) {
                 input.run();
                 checkIncarnations();
@@ -113,9 +113,9 @@
             List<MemberUpdate> others = membership == null ? List.of() : membership.others();
             for (MemberUpdate update : others) {
                 MemberIdentity member = update.member();
-                long before = incarnations.getOrDefault(member.name(), 0L);
-                if (member.incarnation() < before) {
-                    throw new AssertionError(name + " took an older update: " + update);
+                long previous = incarnations.getOrDefault(member.name(), 0L);
+                if (member.incarnation() < previous) {
+                    throw new AssertionError(name + " accepted an older update: " + update);
                 }
                 incarnations.put(member.name(), member.incarnation());
             }
@@ -157,10 +157,10 @@
 
         @Override
         public void wakeAt(Moment when) {
-            wakes++;
-            long wake = wakes;
+            wakeCount++;
+            long wake = wakeCount;
             schedule(Math.max(now, when.micros()), () -> {
-                if (wake == wakes) {
+                if (wake == wakeCount) {
                     handle(() -> membership.onWake(moment()));
                 }
             });
@@ -176,7 +176,7 @@
             drainNotices.add(notice);
         }
 
-        /** The status of another member in the view of this one, or null if it is not known. */
+        /** Returns the status of another member in the view of this one, or null if it is unknown. */
         MemberUpdate.Status statusOf(String other) {
             return membership.others().stream().filter(update -> update.member().name().equals(other))
                     .map(MemberUpdate::status).findFirst().orElse(null);
@@ -221,12 +221,12 @@
         return lossByLink.getOrDefault(from.name + ">" + to.name, 0.0);
     }
 
-    /** Sets the share of datagrams that one direction between two members loses; 1 cuts it. */
+    /** Sets the fraction of datagrams lost in one direction between two members; 1 cuts the link. */
     void setLoss(String from, String to, double loss) {
         lossByLink.put(from + ">" + to, loss);
     }
 
-    /** Members of different groups don't reach one another. */
+    /** Cuts the links between members of different groups. */
     void partition(List<List<String>> groups) {
         groups.forEach(group -> groups.forEach(other -> {
             if (group != other) {
@@ -258,16 +258,16 @@
         return this;
     }
 
-    /** Runs until the condition holds; returns the seconds that took, or -1 if it did not hold in time. */
+    /** Runs until the condition holds; returns the elapsed seconds, or -1 if the time is exceeded. */
     double until(double maxSeconds, BooleanSupplier condition) {
         return advanceUntil(maxSeconds, CHECK_INTERVAL_SECONDS, condition);
     }
 
-    /** Whether all running members take those that run for alive, and the others not. */
+    /** Returns whether all running members consider exactly the running members to be alive. */
     boolean agree() {
         for (Node observer : nodes.values()) {
             for (Node other : nodes.values()) {
-                if (observer != other && observer.isRunning() && !seesRightly(observer, other)) {
+                if (observer != other && observer.isRunning() && !hasCorrectStatus(observer, other)) {
                     return false;
                 }
             }
@@ -275,7 +275,7 @@
         return true;
     }
 
-    private static boolean seesRightly(Node observer, Node other) {
+    private static boolean hasCorrectStatus(Node observer, Node other) {
         MemberUpdate.Status status = observer.statusOf(other.name);
         if (other.isRunning()) {
             return status == MemberUpdate.Status.ALIVE;
--- a/src/test/java/rampshift/membership/SwimMembershipTest.java
+++ b/src/test/java/rampshift/membership/SwimMembershipTest.java
@@ -18,7 +18,7 @@
 import rampshift.membership.MembershipMetrics.Counter;
 import rampshift.time.Span;
 
-/** Members in simulated time. */
+/** Tests members in a simulated network. */
 class SwimMembershipTest {
     private static final double PERIOD_SECONDS = SimulatedNetwork.TIMINGS.period().millis() / 1000;
 
@@ -28,7 +28,7 @@
 
     private static SimulatedNetwork startedFleet(long seed, int count) {
         SimulatedNetwork network = new SimulatedNetwork(seed, count).startAll();
-        assertTrue(network.until(30, network::agree) >= 0, "all find one another");
+        assertTrue(network.until(30, network::agree) >= 0, "all members discover one another");
         return network;
     }
 
@@ -43,7 +43,7 @@
 
     @ParameterizedTest
     @ValueSource(ints = {2, 3, 5, 8, 20})
-    void allDetectAKilledMemberWithinTheStatedBound(int count) {
+    void allDetectAKilledMemberWithinTheDetectionBound(int count) {
         for (long seed = 1; seed <= 20; seed++) {
             SimulatedNetwork network = startedFleet(seed, count);
             network.node(count).kill();
@@ -53,12 +53,12 @@
             network.node(count).start();
             assertTrue(network.until(30, network::agree) >= 0);
             assertEquals(1, network.node(1).eventCount(MembershipEvent.Kind.JOINED),
-                    "a new process is a new incarnation at once");
+                    "a restart is reported as one join");
         }
     }
 
     @Test
-    void aMemberThatLeavesInOrderIsNotSuspected() {
+    void aMemberThatLeavesGracefullyIsNotSuspected() {
         SimulatedNetwork network = startedFleet(1, 5);
         network.node(3).membership.leave(network.moment());
         network.run(1);
@@ -69,9 +69,9 @@
         assertEquals(MembershipHealth.COMPLETE, network.node(1).membership.health());
     }
 
-    /** d1 does not reach d2, but d2 reaches d1, and the others reach both. */
+    /** Guards against a suspicion if d1 cannot reach d2, but d2 reaches d1 and the others reach both. */
     @Test
-    void aLinkThatIsCutInOneDirectionMakesNobodySuspected() {
+    void aLinkCutInOneDirectionCausesNoSuspicion() {
         for (long seed = 1; seed <= 50; seed++) {
             SimulatedNetwork network = startedFleet(seed, 5);
             network.setLoss("d1", "d2", 1);
@@ -98,7 +98,7 @@
     }
 
     @Test
-    void aPausedMemberLearnsThatItWasTakenForFailedAndRefutes() {
+    void aPausedMemberRefutesThatItHasFailed() {
         for (long seed = 1; seed <= 20; seed++) {
             SimulatedNetwork network = startedFleet(seed, 5);
             SimulatedNetwork.Node paused = network.node(4);
@@ -107,18 +107,18 @@
                     .allMatch(node -> node == paused || node.statusOf("d4") == Status.FAILED)) >= 0);
             long suspected = paused.membership.metrics().get(Counter.SUSPECTED);
             paused.resume();
-            assertFalse(paused.membership.health().isInAgreement(), "it acts on nothing that needs consent");
+            assertFalse(paused.membership.health().isInAgreement(), "no agreement after a stall");
             assertTrue(network.until(30, network::agree) >= 0, "seed " + seed);
             assertTrue(paused.eventCount(MembershipEvent.Kind.REFUTED) > 0);
             assertTrue(paused.eventCount(MembershipEvent.Kind.STALLED) > 0);
             assertEquals(suspected, paused.membership.metrics().get(Counter.SUSPECTED),
-                    "nor suspects those whose answers lay unread");
+                    "it must not suspect members whose answers were unread");
             assertTrue(paused.membership.health().isInAgreement());
         }
     }
 
     @Test
-    void threeOfFiveThatRestartAtOnceAreNotTakenForFailed() {
+    void threeOfFiveThatRestartTogetherAreNotDeclaredFailed() {
         for (long seed = 1; seed <= 20; seed++) {
             SimulatedNetwork network = startedFleet(seed, 5);
             IntStream.of(1, 2, 3).forEach(i -> network.node(i).kill());
@@ -130,7 +130,7 @@
     }
 
     @Test
-    void aPartitionedFleetKnowsItsSmallerPartAndMergesAfterwards() {
+    void aPartitionedFleetDetectsItsMinorityAndMergesAfterwards() {
         for (long seed = 1; seed <= 20; seed++) {
             SimulatedNetwork network = startedFleet(seed, 5);
             network.partition(List.of(List.of("d1", "d2"), List.of("d3", "d4", "d5")));
@@ -183,7 +183,7 @@
         network.node(2).start(5);
         assertTrue(network.until(30, network::agree) >= 0);
         assertTrue(network.node(2).membership.self().incarnation() > 1_000_000,
-                "it learned the last incarnation of its name");
+                "it must learn the last incarnation of its name");
     }
 
     @Test
@@ -208,7 +208,7 @@
     }
 
     @Test
-    void aFailedMemberIsForgottenOnlyAfterTheStatedTime() {
+    void aFailedMemberIsForgottenOnlyAfterTheConfiguredTime() {
         SimulatedNetwork network = startedFleet(5, 4);
         network.node(4).kill();
         network.run(SimulatedNetwork.TIMINGS.forgetAfter().millis() / 1000 - 60);
@@ -219,7 +219,7 @@
     }
 
     @Test
-    void aDrainNoticeReachesAllWithinMillisecondsAndOlderNoticesChangeNothing() {
+    void aDrainNoticeReachesMostAtOnceAndAllSoonAndOlderOnesAreIgnored() {
         for (long seed = 1; seed <= 50; seed++) {
             SimulatedNetwork network = startedFleet(seed, 20);
             DrainNotice newest = new DrainNotice("s-1", 5, 12, DrainNotice.Kind.DRAINING);
@@ -241,9 +241,9 @@
         }
     }
 
-    /** Random faults by seed: kills and restarts, pauses, cuts, loss and duplicates; then quiet. */
+    /** Injects random faults by seed: kills and restarts, pauses, cuts, loss and duplicates; then none. */
     @Test
-    void allAgreeAfterRandomFaultsAndQuiet() {
+    void allAgreeAfterRandomFaultsEnd() {
         int seeds = Integer.getInteger("members.seeds", 300);
         for (long seed = 1; seed <= seeds; seed++) {
             SplittableRandom random = new SplittableRandom(seed);
@@ -293,10 +293,10 @@
     }
 
     @Test
-    void aLargeFleetLosesAFifthIsPartitionedAndHeals() {
+    void aLargeFleetRecoversFromLosingAFifthAndFromAPartition() {
         int count = Integer.getInteger("members.large", 60);
         SimulatedNetwork network = new SimulatedNetwork(6, count).startAll();
-        double found = network.until(60, network::agree);
+        double discovered = network.until(60, network::agree);
         long bytesBefore = sentBytes(network);
         network.run(30);
         long bytes = sentBytes(network) - bytesBefore;
@@ -311,11 +311,11 @@
         network.heal();
         double healed = network.until(120, network::agree);
         System.out.printf(
-                "members %d: all found after %.1f s, %.0f bytes a second and member at rest, a fifth known "
-                        + "lost after %.1f s, back after %.1f s, healed after %.1f s%n",
-                count, found, bytes / 30.0 / count,
+                "members %d: all found after %.1f s, %.0f bytes per second and member, loss of a fifth "
+                        + "detected after %.1f s, rejoined after %.1f s, healed after %.1f s%n",
+                count, discovered, bytes / 30.0 / count,
                 detected, rejoined, healed);
-        assertTrue(found >= 0 && detected >= 0 && rejoined >= 0 && healed >= 0);
+        assertTrue(discovered >= 0 && detected >= 0 && rejoined >= 0 && healed >= 0);
     }
 
     private static long sentBytes(SimulatedNetwork network) {
@@ -324,7 +324,7 @@
     }
 
     @Test
-    void truncatedChangedAndForeignDatagramsMoveOnlyCounters() {
+    void truncatedChangedAndForeignDatagramsOnlyIncrementCounters() {
         SimulatedNetwork network = startedFleet(7, 3);
         SwimMembership receiver = network.node(1).membership;
         String sender = network.node(3).address();
@@ -355,7 +355,7 @@
         assertEquals(1, receiver.metrics().get(Counter.FOREIGN));
         assertNull(receiver.drainNotices().get("s-1"));
         receiver.onDatagram(network.moment(), sender, good, good.length);
-        assertEquals(Status.FAILED, network.node(1).statusOf("d2"), "the complete one is accepted");
+        assertEquals(Status.FAILED, network.node(1).statusOf("d2"), "the unchanged datagram is accepted");
     }
 
     @Test
--- a/src/test/java/rampshift/migrate/MigrateCommandTest.java
+++ b/src/test/java/rampshift/migrate/MigrateCommandTest.java
@@ -35,19 +35,19 @@
             "{\"zones\":[\"a\",\"b\",\"c\",\"d\"],\"zone\":\"c\",\"ask_within_ms\":4000}";
     @TempDir
     private Path folder;
-    private Path old;
-    private Path migrated;
-    private Path shape;
+    private Path oldFile;
+    private Path newFile;
+    private Path shapeFile;
     private String output;
     private String errors;
 
     @BeforeEach
     void writeInputFiles() throws IOException {
-        old = folder.resolve("old.json");
-        migrated = folder.resolve("new.json");
-        shape = folder.resolve("shape.json");
-        Files.writeString(shape, TARGET);
-        Files.writeString(old, TestPeers
+        oldFile = folder.resolve("old.json");
+        newFile = folder.resolve("new.json");
+        shapeFile = folder.resolve("shape.json");
+        Files.writeString(shapeFile, TARGET);
+        Files.writeString(oldFile, TestPeers
                 .configuration(null, TestPeers.list(true, "{\"uid\":\"s-1\"}"), LIMITS)
                 .replace("\"settings\"", "\"more\":{},\"settings\"")
                 .replace("\"Zones\"",
@@ -56,7 +56,7 @@
     }
 
     private int migrate(String... more) {
-        List<String> args = new ArrayList<>(List.of(old.toString()));
+        List<String> args = new ArrayList<>(List.of(oldFile.toString()));
         args.addAll(List.of(more));
         return run(args);
     }
@@ -72,7 +72,7 @@
     }
 
     private int migrateTo(Path to) {
-        return migrate("--shape", shape.toString(), "--out", to.toString());
+        return migrate("--shape", shapeFile.toString(), "--out", to.toString());
     }
 
     private Configuration read(Path file) {
@@ -81,28 +81,28 @@
 
     @Test
     void writesAConfigurationWithoutLoadReports() throws IOException {
-        byte[] before = Files.readAllBytes(old);
-        Files.setPosixFilePermissions(old, PosixFilePermissions.fromString("rw-r-----"));
-        assertEquals(0, migrateTo(migrated), errors);
-        var settings = read(migrated).settings().read(1);
+        byte[] before = Files.readAllBytes(oldFile);
+        Files.setPosixFilePermissions(oldFile, PosixFilePermissions.fromString("rw-r-----"));
+        assertEquals(0, migrateTo(newFile), errors);
+        var settings = read(newFile).settings().read(1);
         assertFalse(settings.reportsLoad);
         assertFalse(settings.liveWeights);
         assertTrue(settings.endpointListOnRequest);
         assertEquals(2, settings.zone);
         assertEquals(4000, settings.maxSubscribeDelay.millis());
-        assertNull(read(migrated).knownEndpoints(), "workers of the old house");
-        assertArrayEquals(before, Files.readAllBytes(old), "the old one is the way back");
-        assertEquals("rw-r-----", PosixFilePermissions.toString(Files.getPosixFilePermissions(migrated)));
-        assertTrue(Files.readString(migrated).contains("1.250"),
-                "what this program does not know is kept as written");
+        assertNull(read(newFile).knownEndpoints(), "the known workers belong to the old deployment");
+        assertArrayEquals(before, Files.readAllBytes(oldFile), "the old configuration stays unchanged");
+        assertEquals("rw-r-----", PosixFilePermissions.toString(Files.getPosixFilePermissions(newFile)));
+        assertTrue(Files.readString(newFile).contains("1.250"),
+                "an unknown setting is kept as written");
         try (var files = Files.list(folder)) {
-            assertEquals(3, files.count(), "no half file is left");
+            assertEquals(3, files.count(), "no temporary file is left");
         }
     }
 
     @Test
     void listsChangesAndWhatIsNotCarriedOver() {
-        assertEquals(0, migrateTo(migrated), errors);
+        assertEquals(0, migrateTo(newFile), errors);
         for (String line : List.of("changed: settings.LoadInfo.How: inline -> off",
                 "changed: settings.Zones: [a] -> [a, b, c, d]", "changed: settings.Zone: 0 -> 2",
                 "not carried over: settings.WeightSource live",
@@ -116,20 +116,20 @@
 
     @Test
     void dryRunPrintsTheSameAndWritesNothing() throws IOException {
-        migrateTo(migrated);
+        migrateTo(newFile);
         String written = output;
-        Files.delete(migrated);
-        assertEquals(0, migrate("--shape", shape.toString(), "--dry-run"));
-        assertEquals(written.replace("written: " + migrated, "nothing was written"), output);
+        Files.delete(newFile);
+        assertEquals(0, migrate("--shape", shapeFile.toString(), "--dry-run"));
+        assertEquals(written.replace("written: " + newFile, "nothing was written"), output);
         try (var files = Files.list(folder)) {
-            assertEquals(2, files.count(), "the old one and the shape");
+            assertEquals(2, files.count(), "the old configuration and the shape file only");
         }
     }
 
     @Test
     void writesNothingForAFileOfTheTargetDeployment() {
-        migrateTo(migrated);
-        old = migrated;
+        migrateTo(newFile);
+        oldFile = newFile;
         Path again = folder.resolve("again.json");
         assertEquals(0, migrateTo(again), errors);
         assertTrue(output.contains("is of that shape already"), output);
@@ -138,9 +138,9 @@
 
     @Test
     void doesNotOverwriteAnExistingFile() throws IOException {
-        Files.writeString(migrated, "somebody's");
-        assertEquals(2, migrateTo(migrated));
-        assertEquals("somebody's", Files.readString(migrated));
+        Files.writeString(newFile, "other content");
+        assertEquals(2, migrateTo(newFile));
+        assertEquals("other content", Files.readString(newFile));
         assertTrue(errors.contains("exists"), errors);
     }
 
@@ -154,36 +154,40 @@
             "127.0.0.1:0         | localhost:0            | listen is not an address",
             "\"Me\":3            | \"Me\":3,\"Me\":4      | Duplicate field 'Me'",
     })
-    void reportsAnInvalidConfigurationInOneLineAndWritesNothing(String part, String instead, String named)
+    void reportsAnInvalidConfigurationInOneLineAndWritesNothing(String part, String replacement,
+            String expectedError)
             throws IOException {
-        Files.writeString(old, Files.readString(old).replace(part, instead));
-        assertEquals(2, migrateTo(migrated));
+        Files.writeString(oldFile, Files.readString(oldFile).replace(part, replacement));
+        assertEquals(2, migrateTo(newFile));
         assertEquals(1, errors.lines().count(), errors);
-        assertTrue(errors.startsWith("rampshift migrate: " + old) && errors.contains(named), errors);
-        assertFalse(Files.exists(migrated));
+        assertTrue(errors.startsWith("rampshift migrate: " + oldFile) && errors.contains(expectedError),
+                errors);
+        assertFalse(Files.exists(newFile));
     }
 
     @ParameterizedTest
     @CsvSource(delimiter = '|', value = {
-            "\"zone\":\"c\"           | \"zone\":\"z\"           | zone is z, none of zones",
-            "\"b\",                     | \"b\",\"b\",            | zones is not a list of names",
-            "[\"a\",\"b\",\"c\",\"d\"] | []                     | zones is not a list of names",
-            "4000                        | 0                       | ask_within_ms is not a number of 1",
-            "4000                        | \"soon\"                | ask_within_ms is not a number of 1",
+            "\"zone\":\"c\"           | \"zone\":\"z\"           | zone is z, expected one of zones",
+            "\"b\",                     | \"b\",\"b\",            | zones is not a list of distinct names",
+            "[\"a\",\"b\",\"c\",\"d\"] | []                     | zones is not a list of distinct names",
+            "4000                        | 0                       | ask_within_ms is not a number from 1",
+            "4000                        | \"soon\"                | ask_within_ms is not a number from 1",
             "4000                        | 4000,\"probes\":1       | probes is not true or false",
-            "4000                        | 4000,\"reports\":\"no\"  | reports is no, none of off",
-            "4000                        | 4000,\"list\":\"asked\"  | list is asked, none of on_request",
+            "4000                        | 4000,\"reports\":\"no\"  | reports is no, expected one of off",
+            "4000                    | 4000,\"list\":\"asked\"  | list is asked, expected one of on_request",
             "4000                        | 4000,\"listen\":\"here\" | listen is not an address",
             "4000                        | 4000,\"zoens\":[]       | unknown key zoens",
             "4000                        | NaN                     | line 1, column",
     })
-    void reportsAnInvalidTargetInOneLineAndWritesNothing(String part, String instead, String named)
+    void reportsAnInvalidTargetInOneLineAndWritesNothing(String part, String replacement,
+            String expectedError)
             throws IOException {
-        Files.writeString(shape, TARGET.replace(part, instead));
-        assertEquals(2, migrateTo(migrated));
+        Files.writeString(shapeFile, TARGET.replace(part, replacement));
+        assertEquals(2, migrateTo(newFile));
         assertEquals(1, errors.lines().count(), errors);
-        assertTrue(errors.startsWith("rampshift migrate: " + shape) && errors.contains(named), errors);
-        assertFalse(Files.exists(migrated));
+        assertTrue(errors.startsWith("rampshift migrate: " + shapeFile) && errors.contains(expectedError),
+                errors);
+        assertFalse(Files.exists(newFile));
     }
 
     @ParameterizedTest
@@ -197,27 +201,28 @@
             default -> {
             }
         }
-        old = file;
-        assertEquals(2, migrateTo(migrated));
+        oldFile = file;
+        assertEquals(2, migrateTo(newFile));
         assertEquals(1, errors.lines().count(), errors);
         assertTrue(errors.startsWith("rampshift migrate: " + file), errors);
-        assertFalse(Files.exists(migrated));
+        assertFalse(Files.exists(newFile));
     }
 
-    /** Written out in full, one such number took all memory. */
+    /** Guards against printing such a number without an exponent, which exhausted the memory. */
     @Test
     void printsNumbersOfAnySizeAsWritten() throws IOException {
-        Files.writeString(old, Files.readString(old).replace("\"Me\":3", "\"Me\":3e99999999"));
-        assertEquals(0, migrateTo(migrated), errors);
+        Files.writeString(oldFile, Files.readString(oldFile).replace("\"Me\":3", "\"Me\":3e99999999"));
+        assertEquals(0, migrateTo(newFile), errors);
         assertTrue(output.contains("settings.Me 3E+99999999"), output);
     }
 
     @Test
     void rejectsAnInvalidCommandLineInOneLine() {
-        String there = shape.toString();
-        String[][] lines = {{"--dry-run"}, {"--shape", there}, {"--shape", there, "--dry-run", "--out", "x"},
-                {"--shape", there, "--dry-run", "--odd"}, {"--shape", "/no/such", "--dry-run"},
-                {"--shape", there, "--out", "/no/such/x"}, {"--shape"}};
+        String shapePath = shapeFile.toString();
+        String[][] lines = {{"--dry-run"}, {"--shape", shapePath},
+                {"--shape", shapePath, "--dry-run", "--out", "x"},
+                {"--shape", shapePath, "--dry-run", "--odd"}, {"--shape", "/no/such", "--dry-run"},
+                {"--shape", shapePath, "--out", "/no/such/x"}, {"--shape"}};
         for (String[] line : lines) {
             assertEquals(2, migrate(line), String.join(" ", line));
             assertEquals(1, errors.lines().count(), errors);
@@ -225,8 +230,8 @@
     }
 
     /**
-     * The migration as a whole: four zones, a list that is polled and refuses at first, workers that report
-     * nothing.
+     * Serves tasks with a migrated configuration: four zones, an endpoint list that is polled and fails at
+     * first, and workers that report no load.
      */
     @Test
     void dispatcherServesWithTheMigratedConfiguration() throws Exception {
@@ -247,24 +252,24 @@
                 Thread.sleep(50);
             }
         });
-        Files.writeString(old,
-                Files.readString(old).replace("\"SecondCopies\":false", "\"SecondCopies\":true"));
-        Files.writeString(shape,
+        Files.writeString(oldFile,
+                Files.readString(oldFile).replace("\"SecondCopies\":false", "\"SecondCopies\":true"));
+        Files.writeString(shapeFile,
                 TARGET.replace("4000", "4000,\"discovery\":\"127.0.0.1:" + discovery.port() + "\""));
-        assertEquals(0, migrateTo(migrated), errors);
-        DispatcherServer node = new DispatcherServer(read(migrated));
+        assertEquals(0, migrateTo(newFile), errors);
+        DispatcherServer node = new DispatcherServer(read(newFile));
         try (unresponsive; good; discovery; TestConnection client = new TestConnection(node)) {
             node.awaitReady();
-            TestPeers.until("the list has come",
+            TestPeers.until("the endpoint list has arrived",
                     () -> client.write("GET /ready HTTP/1.1\r\nHost: a\r\n\r\n").read()
                             .status() == 200);
             for (int i = 0; i < 6; i++) {
                 assertEquals(200, client.sendTask("t" + i, "look", "x").read().status());
             }
-            assertEquals(6, good.received.size(), "what does not begin at one worker goes on to the other");
-            assertTrue(polls.get() >= 2, "the list refused at first");
+            assertEquals(6, good.received.size(), "unstarted tasks are retried on the other worker");
+            assertTrue(polls.get() >= 2, "the first poll fails");
         } finally {
-            node.stop();    // waited for: its I/O thread would run on into other stories
+            node.stop();    // waits for the I/O thread, which would otherwise run on during other tests
         }
     }
 }
