--- a/src/main/java/rampshift/leases/Acceptor.java
+++ b/src/main/java/rampshift/leases/Acceptor.java
@@ -12,38 +12,39 @@
 import rampshift.time.Span;
 
 /**
- * An acceptor of CASPaxos. Whatever it answers is on its disk first. It does not vote while its directory is
- * new, is older than what others have witnessed of it, or is not the one that the acceptor set names.
+ * A CASPaxos acceptor. It confirms promises, accepted values and installed acceptor sets only once they are
+ * on disk. It does not vote while its directory is new, is older than the version that other acceptors have
+ * witnessed, or is not the directory named by the acceptor set.
  */
 final class Acceptor {
-    /** Carries out what the acceptor decides. */
+    /** Stores and sends what the acceptor requests. */
     interface Output {
-        /** Writes a record; a later one of the same key replaces it. */
+        /** Writes a record, which replaces an earlier record of the same key. */
         void persist(String key, byte[] value);
 
-        /** Sends once all records so far are on disk. */
+        /** Sends a message once all records written so far are on disk. */
         void sendAfterSync(String to, Message message);
 
-        /** Sends at once. */
+        /** Sends a message immediately. */
         void send(String to, Message message);
 
         /** Reports an event; see {@link LeaseEvent#detail}. */
         void emit(EventType type, String detail);
     }
 
-    /** Whether the acceptor votes, and why not. The names of the states are words of the event log. */
+    /** Whether the acceptor votes, or why it does not. The event log contains the names of these states. */
     enum State {
         /** No acceptor set is known yet. */
         NEW,
-        /** It asks the other acceptors what they have witnessed of its directory. */
+        /** The acceptor asks the others which version of its directory they have witnessed. */
         ASKING,
-        /** It votes. */
+        /** The acceptor votes. */
         VOTING,
-        /** The acceptor set names another directory of this dispatcher. */
+        /** The acceptor set names another directory for this dispatcher. */
         LOST,
-        /** Its directory is an older copy. */
+        /** The directory is an older copy. */
         OLD,
-        /** It is no member of the acceptor set. */
+        /** The acceptor is not a member of the acceptor set. */
         OUT
     }
 
@@ -56,9 +57,9 @@
     private final Output out;
     private final RegisterTable registers;
     private final DirectoryWitness witness;
-    /** Directory ids of other initial members that know of no acceptor set. */
+    /** Directory ids of the other initial members that do not know an acceptor set yet. */
     private final Map<String, Long> newDirectories = new TreeMap<>();
-    /** Members that have answered in the present step of the start. */
+    /** Members that have replied in the current step of the start. */
     private final Set<String> replied = new TreeSet<>();
     private AcceptorSet acceptors = AcceptorSet.UNKNOWN;
     private State state = State.NEW;
@@ -70,11 +71,11 @@
     private Moment helloAt;
 
     /**
-     * An acceptor that has not started.
+     * Creates an acceptor that has not started.
      *
-     * @param name its dispatcher
+     * @param name name of its dispatcher
      * @param initialNames the members of the first acceptor set
-     * @param helloInterval time between two greetings to the other acceptors
+     * @param helloInterval time between two {@link Message.Hello} messages to each other acceptor
      */
     Acceptor(String name, List<String> initialNames, Span helloInterval, Output out) {
         this.name = name;
@@ -85,7 +86,7 @@
         witness = new DirectoryWitness(out);
     }
 
-    /** Starts with the records of its directory. An empty directory is given the new id. */
+    /** Starts with the records of its directory. An empty directory gets the new id. */
     void start(Moment now, Map<String, byte[]> records, long recordCount, long newDirectoryId) {
         recordsOnDisk = recordCount;
         helloAt = now;
@@ -106,7 +107,7 @@
             acceptors = AcceptorSet.parse(new String(storedSet, StandardCharsets.US_ASCII));
             if (acceptors == null) {
                 throw new IllegalStateException(
-                        "the directory of " + name + " holds a malformed acceptor set");
+                        "the stored acceptor (keeper) set of " + name + " is malformed");
             }
         }
         if (acceptors.isKnown()) {
@@ -122,17 +123,17 @@
         return acceptors;
     }
 
-    /** Takes note of how many records its directory has held, all on disk. */
+    /** Records how many records have been written to the directory so far; all of them are on disk. */
     void onSynced(long recordCount) {
         recordsOnDisk = recordCount;
     }
 
-    /** When {@link #onTimer} is to be called. */
+    /** Returns when {@link #onTimer} is to be called. */
     Moment dueAt() {
         return helloAt;
     }
 
-    /** Greets the other acceptors, if it is time. */
+    /** Sends {@link Message.Hello} to the other acceptors if it is due. */
     void onTimer(Moment now) {
         if (now.before(helloAt)) {
             return;
@@ -155,7 +156,7 @@
         }
     }
 
-    /** Goes on with the start, by one step or, where it is a quorum alone, by several. */
+    /** Advances the start by one step, or by several if this acceptor forms a quorum by itself. */
     private void advanceStart() {
         boolean first = !initialNames.isEmpty() && initialNames.get(0).equals(name);
         if (state == State.NEW && !acceptors.isKnown() && first) {
@@ -166,7 +167,8 @@
             if (announcingStart) {
                 enter(State.VOTING);
             } else {
-                // Others witness this start before it votes: an older copy of the directory is recognised.
+                // A quorum witnesses this start before the acceptor votes, so that an older copy of the
+                // directory is recognised.
                 announcingStart = true;
                 starts = startsOnDisk + 1;
                 out.persist(IDENTITY_KEY, Codec.encode(directoryId, starts));
@@ -181,7 +183,7 @@
         return acceptors.hasQuorum(members);
     }
 
-    /** The first of the initial members forms the first set, once all of them have new directories. */
+    /** Forms the first acceptor set once all initial members have reported new directories. */
     private void formFirstSet() {
         List<AcceptorSet.Member> members = new ArrayList<>();
         for (String member : initialNames) {
@@ -214,7 +216,7 @@
         }
     }
 
-    /** Handles a request of a dispatcher, this one among them. */
+    /** Handles a request from any dispatcher, including this one. */
     void onRequest(String from, Message.Request request) {
         if (request instanceof Message.Vote vote) {
             onVote(from, vote);
@@ -261,7 +263,7 @@
         out.sendAfterSync(from, new Message.HelloReply(hello.directory().starts(), acceptors, ownId, known));
     }
 
-    /** Handles the answer to its greeting. */
+    /** Handles the reply to a {@link Message.Hello}. */
     void onHelloReply(String from, Message.HelloReply reply) {
         installIfNewer(reply.acceptors());
         if (!reply.acceptors().isKnown() && initialNames.contains(from) && reply.directoryId() != 0) {
@@ -274,7 +276,7 @@
             if (reply.witnessed().isNewerThan(own) && !announcingStart) {
                 enter(State.OLD);
             } else if (acceptors.contains(from, reply.directoryId())) {
-                // A dispatcher without a directory, or with another one than its set names, is no witness.
+                // A dispatcher without a directory, or with another one than the set names, is not a witness.
                 replied.add(from);
             }
         }
--- a/src/main/java/rampshift/leases/AcceptorSet.java
+++ b/src/main/java/rampshift/leases/AcceptorSet.java
@@ -7,12 +7,12 @@
 import java.util.Set;
 
 /**
- * The acceptors of one epoch. During a reconfiguration a quorum is a majority of the current and a majority
- * of the joining members.
+ * The acceptors of one epoch. During a reconfiguration a quorum consists of a majority of the current members
+ * and a majority of the joining members.
  *
- * @param epoch rises by one with each step of a reconfiguration; 0 while the acceptors are not known
- * @param current members whose majority is required
- * @param joining members whose majority is required as well; empty except during a reconfiguration
+ * @param epoch increases by one with each step of a reconfiguration; 0 while the acceptors are not known
+ * @param current members of whom a majority is required
+ * @param joining members of whom a majority is required as well; empty except during a reconfiguration
  */
 public record AcceptorSet(long epoch, List<Member> current, List<Member> joining) {
 
@@ -26,7 +26,7 @@
      * One acceptor.
      *
      * @param name name of its dispatcher
-     * @param id number that its directory was given when it was created; a replaced disk has another one
+     * @param id number given to its directory on creation; the directory on a replaced disk has another one
      */
     public record Member(String name, long id) {
         @Override
@@ -48,7 +48,7 @@
         return current.contains(member) || joining.contains(member);
     }
 
-    /** The names of all members, current ones first. */
+    /** Returns the names of all members, current members first. */
     Set<String> names() {
         Set<String> names = new LinkedHashSet<>();
         current.forEach(member -> names.add(member.name()));
@@ -56,7 +56,7 @@
         return names;
     }
 
-    /** Whether the replies of these members form a quorum. A name counts once, however often it replied. */
+    /** Returns whether these members form a quorum. A name counts once even if it is given repeatedly. */
     boolean hasQuorum(Collection<String> replied) {
         return isKnown() && hasMajority(current, replied)
                 && (joining.isEmpty() || hasMajority(joining, replied));
@@ -67,7 +67,7 @@
                 .size();
     }
 
-    /** The set as text, {@code epoch|name:id,...|name:id,...} with ids in hexadecimal digits. */
+    /** Encodes the set as {@code epoch|name:id,...|name:id,...} with hexadecimal ids. */
     String encode() {
         return epoch + "|" + encode(current) + "|" + encode(joining);
     }
@@ -76,7 +76,7 @@
         return String.join(",", members.stream().map(Member::toString).toList());
     }
 
-    /** The set that {@link #encode} made this text of; null where the text is malformed. */
+    /** Parses the text format of {@link #encode}; returns null if the text is malformed. */
     static AcceptorSet parse(String text) {
         String[] parts = text.split("\\|", -1);
         if (parts.length != ENCODED_PARTS || !parts[0].matches("\\d{1,18}")) {
--- a/src/main/java/rampshift/leases/ChangeBatch.java
+++ b/src/main/java/rampshift/leases/ChangeBatch.java
@@ -5,13 +5,13 @@
 import java.util.Map;
 import rampshift.time.Moment;
 
-/** Changes of several registers that are made side by side, with their retries. */
+/** Concurrent changes of several registers, with their retries. */
 final class ChangeBatch {
     /**
-     * One of them.
+     * A change in flight.
      *
-     * @param register its register
-     * @param proposer its proposer
+     * @param register name of the changed register
+     * @param proposer proposer of the change
      */
     record Entry(String register, Proposer proposer) {}
 
@@ -50,7 +50,7 @@
         entry.proposer().attempt(context.acceptors(), number, deadline, context);
     }
 
-    /** Attempts again what is past its deadline. */
+    /** Begins another attempt of each change whose deadline has passed. */
     void retryOverdue(Moment now) {
         for (Entry entry : List.copyOf(entries.values())) {
             Proposer proposer = entry.proposer();
@@ -64,7 +64,7 @@
         }
     }
 
-    /** Takes an acceptor's reply. Returns the change that is decided by it; null for none. */
+    /** Handles an acceptor's reply. Returns the change that it decided; null for none. */
     Entry onReply(Moment now, String from, Message.VoteReply reply) {
         Entry entry = entries.get(reply.number());
         if (entry == null || !entry.proposer().onReply(now, from, reply, context)) {
--- a/src/main/java/rampshift/leases/ChangeFunction.java
+++ b/src/main/java/rampshift/leases/ChangeFunction.java
@@ -1,13 +1,14 @@
 package rampshift.leases;
 
 /**
- * The change function of CASPaxos: what a proposer wants of a register. It is a value and free of side
- * effects, so it can be applied again and again, and it recognises its own result.
+ * A CASPaxos change function, which computes the next value of a register. It is immutable and free of side
+ * effects, so that it can be applied repeatedly. {@link Acquire}, {@link Renew} and {@link ReplaceAcceptors}
+ * recognise their own result.
  */
 sealed interface ChangeFunction {
     /**
-     * The value that the register is to hold next: null where the change does not apply to the current one;
-     * the current one itself where the change has been made already.
+     * Returns the next value of the register: null if the change does not apply to the current value, and the
+     * current value itself if there is nothing to change.
      */
     LeaseRecord applyTo(LeaseRecord current);
 
@@ -18,9 +19,9 @@
     /**
      * Acquires a lease that was observed to be free or expired.
      *
-     * @param expected the observed value; only this one is replaced
-     * @param holder the acquiring dispatcher
-     * @param processId its process
+     * @param expected the observed value; no other value is replaced
+     * @param holder name of the acquiring dispatcher
+     * @param processId id of its process
      * @param stamp number never used before by this process for this register
      * @param termMicros term of the lease
      */
@@ -42,12 +43,12 @@
     /**
      * Renews a lease that this process holds.
      *
-     * @param holder the holding dispatcher
-     * @param processId its process
+     * @param holder name of the holding dispatcher
+     * @param processId id of its process
      * @param token the token under which it holds the lease
      * @param stamp number never used before by this process for this register
      * @param termMicros term of the lease
-     * @param note the new note; null leaves it as it is
+     * @param note the new note; null to leave the note unchanged
      */
     record Renew(String holder, long processId, long token, long stamp, long termMicros,
             String note) implements ChangeFunction {
@@ -65,10 +66,10 @@
     }
 
     /**
-     * Releases a lease that this process holds. It stays reserved for the next holder, if one is named, for a
-     * term.
+     * Releases a lease that this process holds. If a next holder is named, the lease stays reserved for it
+     * for a term.
      *
-     * @param processId the holding process
+     * @param processId id of the holding process
      * @param token the token under which it holds the lease
      * @param stamp number never used before by this process for this register
      */
@@ -92,10 +93,10 @@
     }
 
     /**
-     * An operator's request: nobody is to hold the lease for a time once its holder has released it.
+     * An operator's request to release the lease and keep it free for a time.
      *
-     * @param requestNumber tells equal requests apart
-     * @param micros that time
+     * @param requestNumber distinguishes requests that are otherwise equal
+     * @param micros how long the lease is to stay free, in microseconds
      */
     record Block(long requestNumber, long micros) implements ChangeFunction {
         @Override
@@ -110,15 +111,15 @@
     }
 
     /**
-     * An operator's request, or one for balance: another dispatcher is to hold the lease.
+     * A request of an operator, or of the balancing of leases, to move the lease to another dispatcher.
      *
-     * @param requestNumber tells equal requests apart
-     * @param nextHolder that dispatcher, or {@link #ANYBODY}
-     * @param reservationMicros how long a free lease is reserved for it
+     * @param requestNumber distinguishes requests that are otherwise equal
+     * @param nextHolder name of that dispatcher, or {@link #ANYBODY}
+     * @param reservationMicros how long a free lease is reserved for that dispatcher, in microseconds
      */
     record HandOver(long requestNumber, String nextHolder, long reservationMicros) implements ChangeFunction {
 
-        /** Whichever dispatcher acquires it first. */
+        /** In place of a name: whichever dispatcher acquires the lease first. */
         static final String ANYBODY = "*";
 
         @Override
@@ -134,9 +135,9 @@
     }
 
     /**
-     * Puts another acceptor set into the register of the acceptors.
+     * Replaces the set in the register of the acceptors.
      *
-     * @param expected the value that the new set follows
+     * @param expected the current value; no other value is replaced
      * @param acceptors the new set, encoded
      */
     record ReplaceAcceptors(LeaseRecord expected, String acceptors) implements ChangeFunction {
@@ -152,7 +153,7 @@
         }
     }
 
-    /** Leaves the value as it is: afterwards a quorum of the present acceptor set has accepted it. */
+    /** Leaves the value unchanged; once chosen, a quorum of the present acceptor set has accepted it. */
     record Rewrite() implements ChangeFunction {
         @Override
         public LeaseRecord applyTo(LeaseRecord current) {
--- a/src/main/java/rampshift/leases/Codec.java
+++ b/src/main/java/rampshift/leases/Codec.java
@@ -9,17 +9,22 @@
 import java.util.ArrayList;
 import java.util.List;
 
-/** Messages and stored records as bytes. Checksums are the carrier's; bounds are checked here. */
+/**
+ * Encodes and decodes messages and stored records. Decoding checks bounds; checksums are left to the
+ * transport and the record log.
+ */
 final class Codec {
-    /** Most bytes of a message. */
+    /** Maximum size of a message in bytes. */
     static final int MAX_MESSAGE_BYTES = 1300;
 
     private static final int MAX_COUNT = 200;
     private static final int MAX_TEXT_LENGTH = 600;
     private static final int INITIAL_BUFFER_BYTES = 128;
-    /** Left free in a read reply for what is neither a name nor a value. */
+    /** Bytes of a read reply that are reserved for the fields other than names and values. */
     private static final int MESSAGE_OVERHEAD_BYTES = 200;
-    /** A value without its texts, with the lengths of all texts. */
+    /**
+     * Bytes of a value in a read reply besides its name and texts, including the length fields of all texts.
+     */
     private static final int VALUE_OVERHEAD_BYTES = 60;
 
     private Codec() {}
@@ -57,7 +62,7 @@
         });
     }
 
-    /** The message in these bytes; null where they are malformed or longer than the message. */
+    /** Decodes a message; returns null if the bytes are malformed or have a trailing rest. */
     static Message decodeMessage(byte[] bytes) {
         WireMessage wire = decode(bytes, Codec::readMessage);
         return wire == null ? null : wire.toMessage();
@@ -66,7 +71,7 @@
     private static WireMessage readMessage(DataInputStream in) throws IOException {
         MessageType type = MessageType.ofCode(in.readUnsignedByte());
         if (type == null) {
-            throw new IOException("an unknown type of message");
+            throw new IOException("unknown message type");
         }
         return new WireMessage(type, in.readLong(), in.readLong(), readText(in), readBallot(in),
                 readBallot(in), readRecord(in), readNames(in), readRecords(in), readText(in), in.readLong(),
@@ -81,17 +86,17 @@
         });
     }
 
-    /** The state in these bytes; null where they are malformed or longer than the state. */
+    /** Decodes a state; returns null if the bytes are malformed or have a trailing rest. */
     static AcceptorState decodeState(byte[] bytes) {
         return decode(bytes, in -> new AcceptorState(readBallot(in), readBallot(in), readRecord(in)));
     }
 
-    /** Two numbers as a stored record. */
+    /** Encodes two numbers as a stored record. */
     static byte[] encode(long first, long second) {
         return ByteBuffer.allocate(2 * Long.BYTES).putLong(first).putLong(second).array();
     }
 
-    /** How many of these, from the first on, fit into one message; at least one. */
+    /** Returns how many leading names and values fit into one message; at least one. */
     static int countThatFits(List<String> names, List<LeaseRecord> values) {
         int room = MAX_MESSAGE_BYTES - MESSAGE_OVERHEAD_BYTES;
         int count = 0;
@@ -112,7 +117,7 @@
         try {
             encoder.write(new DataOutputStream(bytes));
         } catch (IOException e) {
-            throw new IllegalArgumentException("text of over 64 KB", e);
+            throw new IllegalArgumentException("text exceeds 64 KB in UTF-8", e);
         }
         return bytes.toByteArray();
     }
@@ -148,7 +153,7 @@
     private static int readCount(DataInputStream in) throws IOException {
         int count = in.readUnsignedShort();
         if (count > MAX_COUNT) {
-            throw new IOException("a count out of bounds");
+            throw new IOException("element count exceeds its limit");
         }
         return count;
     }
@@ -156,7 +161,7 @@
     private static String readText(DataInputStream in) throws IOException {
         String text = in.readUTF();
         if (text.length() > MAX_TEXT_LENGTH) {
-            throw new IOException("text out of bounds");
+            throw new IOException("text exceeds its length limit");
         }
         return text;
     }
@@ -164,7 +169,7 @@
     private static long readNotNegative(DataInputStream in) throws IOException {
         long number = in.readLong();
         if (number < 0) {
-            throw new IOException("a number below 0");
+            throw new IOException("negative number");
         }
         return number;
     }
--- a/src/main/java/rampshift/leases/DirectoryVersion.java
+++ b/src/main/java/rampshift/leases/DirectoryVersion.java
@@ -1,10 +1,10 @@
 package rampshift.leases;
 
 /**
- * How far an acceptor's directory has come. An older copy of a directory is recognised by it.
+ * The version of an acceptor's directory, by which an older copy of the directory is recognised.
  *
- * @param starts how often it has been started
- * @param records how many records it has held
+ * @param starts how often an acceptor has been started with the directory
+ * @param records how many records have been written to the directory
  */
 record DirectoryVersion(long starts, long records) {
     static final DirectoryVersion NONE = new DirectoryVersion(0, 0);
--- a/src/main/java/rampshift/leases/DirectoryWitness.java
+++ b/src/main/java/rampshift/leases/DirectoryWitness.java
@@ -5,13 +5,15 @@
 import java.util.Map;
 
 /**
- * What an acceptor remembers of the directories of others: an older copy of a directory that was put back is
- * recognised by what a quorum of them has witnessed of it.
+ * The versions of other acceptors' directories that an acceptor has witnessed. A directory that was restored
+ * from an older copy is recognised, since a quorum has witnessed a newer version of it.
  */
 final class DirectoryWitness {
     private static final String KEY_PREFIX = "w ";
     private static final int MAX_DIRECTORIES = 4096;
-    /** How many records a directory may be ahead of what is stored of it here. */
+    /**
+     * Number of records by which a witnessed version may be ahead of the stored one; fewer are not written.
+     */
     private static final int MAX_RECORDS_AHEAD = 64;
     private static final int HEXADECIMAL = 16;
 
@@ -23,7 +25,7 @@
         this.out = out;
     }
 
-    /** Takes a stored record, if it is one of these. */
+    /** Loads a stored record if it is a witnessed version. */
     void load(String key, byte[] bytes) {
         if (key.startsWith(KEY_PREFIX)) {
             ByteBuffer buffer = ByteBuffer.wrap(bytes);
@@ -34,7 +36,7 @@
         }
     }
 
-    /** Notes how far a directory has come; id 0 is none. Returns what was known of it before. */
+    /** Records the version of a directory, unless its id is 0. Returns the version known before. */
     DirectoryVersion witness(long directoryId, DirectoryVersion version) {
         DirectoryVersion known = witnessed.getOrDefault(directoryId, DirectoryVersion.NONE);
         boolean hasRoom = witnessed.size() < MAX_DIRECTORIES || witnessed.containsKey(directoryId);
--- a/src/main/java/rampshift/leases/EventType.java
+++ b/src/main/java/rampshift/leases/EventType.java
@@ -1,24 +1,24 @@
 package rampshift.leases;
 
-/** What can happen to a lease or an acceptor, with the word that stands for it in logs and event logs. */
+/** The types of events of leases and acceptors, with their words in logs and event logs. */
 public enum EventType {
     /** This dispatcher acquired the lease. */
     ACQUIRED("holds"),
-    /** It stops acting and releases the lease. */
+    /** This dispatcher stops acting and releases the lease. */
     RELEASED("gives"),
-    /** It could not renew in time and stops acting. */
+    /** This dispatcher could not renew the lease in time and stops acting. */
     EXPIRED("lapsed"),
-    /** A renewal found that another dispatcher has acquired the lease. */
+    /** A renewal found that this process no longer holds the lease. */
     LOST("taken"),
-    /** Another holder was observed. */
+    /** Another holder, or a free lease, was observed. */
     HOLDER_OBSERVED("seen"),
-    /** This dispatcher's acceptor has entered the state named by the detail. */
+    /** This dispatcher's acceptor has entered the state in the detail. */
     ACCEPTOR_STATE("keeper"),
-    /** This dispatcher's acceptor goes by the set in the detail. */
+    /** This dispatcher's acceptor has installed the acceptor set in the detail. */
     ACCEPTOR_SET("keepers"),
     /** A reconfiguration is complete. */
     RECONFIGURED("changed"),
-    /** A reconfiguration was asked for that changes nothing. */
+    /** The requested reconfiguration would change nothing. */
     RECONFIGURATION_UNNEEDED("unchanged"),
     /** A reconfiguration could not begin in time. */
     RECONFIGURATION_FAILED("given up");
@@ -29,7 +29,7 @@
         this.word = word;
     }
 
-    /** The word in logs and event logs. */
+    /** Returns the word in logs and event logs. */
     public String word() {
         return word;
     }
--- a/src/main/java/rampshift/leases/LeaseClient.java
+++ b/src/main/java/rampshift/leases/LeaseClient.java
@@ -4,14 +4,14 @@
 import rampshift.time.Span;
 
 /**
- * One dispatcher's part in one lease: it observes who holds the lease, acquires it once nobody can act under
- * it any more, renews it, and knows at any instant whether this dispatcher may act. No two dispatchers ever
- * act at once; the proof is in docs/design/leases.md.
+ * One dispatcher's client of one lease: observes who holds the lease, acquires it once no other dispatcher
+ * can act under it, renews it, and knows at any instant whether this dispatcher may act. No two dispatchers
+ * ever act at the same time; the proof is in docs/design/leases.md.
  */
 final class LeaseClient {
-    /** What a lease needs of the dispatcher. */
+    /** What the client of a lease needs from the dispatcher. */
     interface Context extends ProposerContext {
-        /** How much longer this dispatcher waits than the first contender for the lease. */
+        /** Returns how much longer this dispatcher waits than the first contender for the lease. */
         Span contentionDelay(String lease);
 
         void emit(String lease, EventType type, LeaseRecord value);
@@ -20,9 +20,9 @@
         void changeCompleted(String lease, LeaseRecord value, Span elapsed);
     }
 
-    /** A contender that would be later than this many takeover steps polls more rarely, */
+    /** Number of takeover steps after the first contender beyond which a contender polls less often. */
     private static final double LATE_CONTENDER_STEPS = 3.5;
-    /** this many times. */
+    /** Factor by which the poll interval of such a late contender is longer. */
     private static final double LATE_CONTENDER_POLL_FACTOR = 3;
 
     private final String name;
@@ -34,12 +34,15 @@
     private final RegisterWriter writer;
     private boolean holding;
     private long token;
-    /** When the value was requested by which it holds the lease. */
+    /**
+     * When the change by which this dispatcher holds the lease was requested; the acting time counts from
+     * here.
+     */
     private Moment heldFrom;
     private Moment pollAt;
-    /** To be written with the next renewal; null for none. */
+    /** Note to be written with the next renewal; null for none. */
     private String pendingNote;
-    /** Other contenders come first until then; null where they don't. */
+    /** Time until which this dispatcher does not acquire the lease, so that others can; null for no limit. */
     private Moment notBefore;
     private boolean shuttingDown;
     private ChangeFunction operatorRequest;
@@ -58,25 +61,25 @@
         return name;
     }
 
-    /** What this dispatcher has observed of the lease. */
+    /** Returns what this dispatcher has observed of the lease. */
     RegisterObserver observer() {
         return observer;
     }
 
-    /** The changes that this dispatcher makes to the lease. */
+    /** Returns the writer of this dispatcher's changes to the lease. */
     RegisterWriter writer() {
         return writer;
     }
 
     /**
-     * How long this dispatcher may act under the lease from this instant on; it may not where that is not
-     * positive. To be asked right before acting.
+     * Returns how long this dispatcher may act under the lease from this instant on; it may not act unless
+     * that is positive. To be called immediately before acting.
      */
     Span remaining(Moment now) {
         return holding ? heldFrom.plus(timings.actingTime()).since(now) : Span.ZERO;
     }
 
-    /** The fencing token under which this dispatcher acts, while it may. */
+    /** Returns the fencing token; valid only while this dispatcher may act. */
     long token() {
         return token;
     }
@@ -86,8 +89,8 @@
     }
 
     /**
-     * Writes a note with the next renewal, which begins at once if none is in flight. Lost unless it is the
-     * holder.
+     * Writes a note with the next renewal, which begins immediately if no change is in flight. While this
+     * dispatcher does not hold the lease, the note stays pending until it acquires the lease.
      */
     void writeNote(Moment now, String note) {
         pendingNote = note;
@@ -96,7 +99,7 @@
         }
     }
 
-    /** Takes an operator's change, which is tried for one term. */
+    /** Requests an operator's change, which is retried for one term. */
     void request(Moment now, ChangeFunction change) {
         operatorRequest = change;
         operatorRequestDeadline = now.plus(timings.term());
@@ -105,13 +108,13 @@
         }
     }
 
-    /** Releases the lease for good: the dispatcher shuts down. */
+    /** Releases the lease and does not acquire it again. */
     void shutDown(Moment now) {
         shuttingDown = true;
         release(now);
     }
 
-    /** Stops acting, then releases the lease. The other dispatchers come first for a term. */
+    /** Stops acting, then releases the lease, and does not acquire it for a term so that others can. */
     private void release(Moment now) {
         if (holding) {
             stopActing(EventType.RELEASED);
@@ -121,7 +124,7 @@
         }
     }
 
-    /** When {@link #onTimer} is to be called next. */
+    /** Returns when {@link #onTimer} is to be called next. */
     Moment dueAt() {
         boolean busy = writer.isBusy();
         Moment due = busy ? writer.dueAt() : pollAt == null ? new Moment(0) : pollAt;
@@ -137,7 +140,7 @@
         return heldFrom.plus(timings.renewalInterval());
     }
 
-    /** Does what is due. */
+    /** Performs the actions that are due. */
     void onTimer(Moment now) {
         stopActingIfExpired(now);
         handle(now, writer.onTimer(now));
@@ -167,7 +170,7 @@
         }
         LeaseRecord current = observer.current();
         if (current.isHeldBy(processId)) {
-            // A change of this process that it had given up: it does not wait for itself.
+            // A quorum accepted a change of this process after it had timed out: renew it without waiting.
             writer.begin(now, renewal(current.token(), null));
         } else {
             writer.begin(now, new ChangeFunction.Acquire(current, self, processId, context.nextNumber(),
@@ -197,12 +200,12 @@
         return pollAt == null || !now.before(pollAt);
     }
 
-    /** Whether its register is to be read now: the owner reads many of them with one message. */
+    /** Returns whether the register is to be read now; the owner reads several registers with one message. */
     boolean needsPoll(Moment now) {
         return !holding && !writer.isBusy() && isPollDue(now);
     }
 
-    /** Takes an acceptor's reply to an attempt of this lease. */
+    /** Handles an acceptor's reply to an attempt of this lease. */
     void onReply(Moment now, String from, Message.VoteReply reply) {
         stopActingIfExpired(now);
         handle(now, writer.onReply(now, from, reply));
@@ -247,7 +250,7 @@
         return value.blockMicros() > 0 || (!value.nextHolder().isEmpty() && !value.nextHolder().equals(self));
     }
 
-    /** The dispatcher acts from before it requested the value, by its own clock. */
+    /** Holds the lease for the acting time, counted by its own clock from before the change was requested. */
     private void hold(Moment now, RegisterWriter.Outcome.Chosen chosen) {
         boolean wasHolding = holding;
         heldFrom = chosen.requestedAt();
@@ -270,7 +273,7 @@
         context.emit(name, reason, observer.current());
     }
 
-    /** Takes the value that one acceptor has accepted, whether a quorum has it or not. */
+    /** Handles a value that one acceptor, but not necessarily a quorum, has accepted. */
     void onRead(Moment now, LeaseRecord value) {
         if (observer.observe(now, value)) {
             setCurrent(now, value);
@@ -284,7 +287,7 @@
         }
     }
 
-    /** When this dispatcher acquires the lease if nothing changes; null for never. */
+    /** Returns when this dispatcher acquires the lease if nothing changes; null for never. */
     private Moment acquireAt() {
         LeaseRecord current = observer.current();
         if (shuttingDown || current == null) {
--- a/src/main/java/rampshift/leases/LeaseClients.java
+++ b/src/main/java/rampshift/leases/LeaseClients.java
@@ -11,13 +11,16 @@
 import rampshift.time.Span;
 
 /**
- * The clients of all leases of one dispatcher: when each is called, which replies are whose, and their
- * balance.
+ * The clients of all leases of one dispatcher: schedules their timers, routes replies to them, and balances
+ * leases between dispatchers.
  */
 final class LeaseClients {
     private static final int MAX_READS_PER_MESSAGE = 8;
     private static final int MAX_CONTENTION_STEPS = 10;
-    /** Two calls that are nearer than this part of a term become one. */
+    /**
+     * Minimum delay before the next timer call of a client, in terms, which merges calls that are close
+     * together.
+     */
     private static final double TIMER_RESOLUTION_TERMS = 0.01;
 
     private final LeaseTimings timings;
@@ -46,22 +49,22 @@
         clients.values().forEach(client -> reschedule(now, client));
     }
 
-    /** The client of that lease; null where there is no such lease. */
+    /** Returns the client of the lease; null if there is no such lease. */
     LeaseClient get(String lease) {
         return clients.get(lease);
     }
 
-    /** All clients by the names of their leases. */
+    /** Returns all clients, sorted by the names of their leases. */
     Collection<LeaseClient> all() {
         return clients.values();
     }
 
-    /** When {@link #onTimer} is to be called; the given time where that is earlier. */
+    /** Returns when {@link #onTimer} is to be called, or the given time if that is earlier. */
     Moment dueAtOr(Moment other) {
         return schedule.nextOr(other);
     }
 
-    /** Calls the clients that are due, and reads the registers that they want to be read. */
+    /** Calls the clients that are due, and polls the registers of those that need it. */
     void onTimer(Moment now) {
         List<String> toRead = new ArrayList<>();
         for (String lease = schedule.pollDue(now); lease != null; lease = schedule.pollDue(now)) {
@@ -79,7 +82,7 @@
         }
     }
 
-    /** Takes a reply to an attempt. Returns whether the attempt is one of these clients'. */
+    /** Routes a reply to its client. Returns whether the attempt belongs to one of these clients. */
     boolean onVoteReply(Moment now, String from, Message.VoteReply reply) {
         LeaseClient client = clientByAttempt.get(reply.number());
         if (client == null) {
@@ -114,7 +117,7 @@
         reschedule(now, client);
     }
 
-    /** Takes an operator's change. Returns whether there is such a lease. */
+    /** Requests an operator's change. Returns whether the lease exists. */
     boolean request(Moment now, String lease, ChangeFunction change) {
         LeaseClient client = clients.get(lease);
         if (client == null) {
@@ -130,7 +133,7 @@
                 new ChangeFunction.HandOver(process.nextNumber(), to, timings.term().micros()));
     }
 
-    /** Hands one lease over to the dispatcher with the fewest, no more often than the timings allow. */
+    /** Hands one lease over to the dispatcher with the fewest leases, at most once per balance interval. */
     void balance(Moment now) {
         String target = distribution.handoverTarget();
         if (target == null || !now.since(balancedAt).longerThan(timings.balanceInterval())) {
@@ -160,7 +163,7 @@
         schedule.schedule(client.name(), due.before(earliest) ? earliest : due);
     }
 
-    /** One lease's view of the process: replies to its attempts find their way back to it. */
+    /** One lease's view of the process, which maps the numbers of its attempts to its client. */
     private final class ClientContext extends ProcessContext.View implements LeaseClient.Context {
         private LeaseClient client;
         private long attempt;
--- a/src/main/java/rampshift/leases/LeaseDistribution.java
+++ b/src/main/java/rampshift/leases/LeaseDistribution.java
@@ -7,10 +7,12 @@
 import java.util.TreeSet;
 
 /**
- * How many leases each dispatcher holds, as observed here, and which dispatchers are alive. These are hints:
- * they decide who contends first for a lease and who hands one over, never who may hold it.
+ * How many leases each dispatcher holds, as observed by this one, and which dispatchers are alive. These are
+ * hints: they decide which dispatcher contends first for a lease and which hands one over, never which may
+ * hold it.
  */
 final class LeaseDistribution {
+    /** Difference in held leases from which on a dispatcher hands a lease over. */
     private static final int MIN_IMBALANCE = 2;
 
     private final String self;
@@ -23,7 +25,7 @@
         alive.add(self);
     }
 
-    /** Takes the names of the dispatchers that are alive; this one always is. */
+    /** Sets the names of the dispatchers that are alive; this dispatcher is added to them. */
     void setAlive(Collection<String> names) {
         alive = new TreeSet<>(names);
         alive.add(self);
@@ -33,7 +35,7 @@
         return alive;
     }
 
-    /** Takes the value of a lease that most likely stands; null while none is known. */
+    /** Counts the value of a lease that is most likely the current one; null while none is known. */
     void update(String lease, LeaseRecord value) {
         LeaseRecord before = counted.get(lease);
         if (value == null || value.equals(before)) {
@@ -53,8 +55,8 @@
     }
 
     /**
-     * How many contenders come before this dispatcher: those with fewer leases, then by an order of each
-     * lease.
+     * Returns how many contenders come before this dispatcher: those that hold fewer leases, and among equals
+     * those that come first in an order that differs from lease to lease.
      */
     int contendersBefore(String lease) {
         int before = 0;
@@ -74,7 +76,8 @@
     }
 
     /**
-     * The dispatcher that is to get a lease of this one; null while this one does not hold that many more.
+     * Returns the dispatcher to hand a lease over to: the one with the fewest leases, or null while the
+     * difference to this dispatcher is below {@link #MIN_IMBALANCE}.
      */
     String handoverTarget() {
         String least = null;
--- a/src/main/java/rampshift/leases/LeaseManager.java
+++ b/src/main/java/rampshift/leases/LeaseManager.java
@@ -9,42 +9,42 @@
 import rampshift.time.Span;
 
 /**
- * All leases as one dispatcher sees them, and its acceptor if it has one. It takes messages and the time, and
- * decides what is sent and stored; it has no clock, disk, socket or thread.
+ * The leases of one dispatcher, and its acceptor if it has one. A deterministic state machine: its input is
+ * messages and the time, its output is what to send and store; it has no clock, disk, socket or thread.
  */
 public final class LeaseManager {
-    /** Carries out what is decided. */
+    /** Sends, stores and reports what the manager requests. */
     public interface Output {
-        /** Sends a message to a dispatcher; it may be lost. */
+        /** Sends a message to a dispatcher; the message may be lost. */
         void send(String to, byte[] message);
 
-        /** Writes a record to the acceptor's directory; a later one of the same key replaces it. */
+        /** Writes a record to the acceptor's directory, which replaces an earlier record of the same key. */
         void persist(String key, byte[] value);
 
-        /** Sends a message once all records so far are on disk. */
+        /** Sends a message once all records written so far are on disk. */
         void sendAfterSync(String to, byte[] message);
 
-        /** Asks for a call of {@link LeaseManager#onTimer}; a later request replaces it. */
+        /** Schedules a call of {@link LeaseManager#onTimer}, which replaces the call scheduled before. */
         void wakeAt(Moment time);
 
         /** Reports an event. */
         void emit(LeaseEvent event);
 
         /**
-         * Reports a change of a register by this process that a quorum has accepted, for a history of them.
+         * Reports a change of a lease by this process that a quorum has accepted, for a history of changes.
          */
         void changeCompleted(String register, LeaseRecord value, Span elapsed);
     }
 
     /**
-     * Who this dispatcher is, and what it contends for.
+     * The identity of this dispatcher, and the leases that it contends for.
      *
-     * @param name its name
-     * @param processId number of this process, which no other process ever has
-     * @param initialAcceptors names of the first acceptors; those in force may be others by now
+     * @param name name of this dispatcher
+     * @param processId number of this process, unique among all processes at all times
+     * @param initialAcceptors names of the first acceptors; a reconfiguration may have replaced them
      * @param leases names of the leases
      * @param timings times of the leases
-     * @param seed of all random draws
+     * @param seed seed of all random draws
      */
     public record Settings(String name, long processId, List<String> initialAcceptors, List<String> leases,
             LeaseTimings timings, long seed) {}
@@ -60,7 +60,7 @@
     private Moment housekeepingAt;
     private Moment wakeRequestedAt;
 
-    /** A manager that has not started: nothing is known of the leases. */
+    /** Creates a manager that has not started and knows nothing of the leases yet. */
     public LeaseManager(Settings settings, Output out) {
         this.settings = settings;
         this.out = out;
@@ -80,8 +80,8 @@
     /**
      * Starts with an acceptor.
      *
-     * @param records what its directory holds
-     * @param recordCount how many records it has ever held
+     * @param records the records in its directory by key
+     * @param recordCount how many records have ever been written to the directory
      * @param newDirectoryId id for a directory that has none yet
      */
     public void startWithAcceptor(Moment at, Map<String, byte[]> records, long recordCount,
@@ -94,7 +94,7 @@
         start(at);
     }
 
-    /** Takes a message of a dispatcher; a malformed one is ignored. */
+    /** Handles a message from a dispatcher; a malformed message is ignored. */
     public void onMessage(Moment at, String from, byte[] bytes) {
         Message message = Codec.decodeMessage(bytes);
         if (message == null) {
@@ -153,7 +153,7 @@
         }
     }
 
-    /** Takes note of how many records of the acceptor's directory are on disk. */
+    /** Records how many records of the acceptor's directory are on disk. */
     public void onSynced(long recordCount) {
         if (acceptor != null) {
             acceptor.onSynced(recordCount);
@@ -161,8 +161,8 @@
     }
 
     /**
-     * The acceptor's directory takes no more records: it answers nothing from now on. The leases go on
-     * without it.
+     * Stops the acceptor, since its directory can no longer be written. This dispatcher keeps its leases and
+     * answers {@link Message.Hello} as one without an acceptor.
      */
     public void stopAcceptor(Moment at) {
         now = at;
@@ -170,7 +170,7 @@
         out.emit(LeaseEvent.ofAcceptor(EventType.ACCEPTOR_STATE, "STOPPED"));
     }
 
-    /** Does what is due; see {@link Output#wakeAt}. */
+    /** Performs the actions that are due; see {@link Output#wakeAt}. */
     public void onTimer(Moment at) {
         now = at;
         wakeRequestedAt = null;
@@ -204,13 +204,14 @@
     }
 
     /**
-     * Takes the names of the dispatchers that are alive, by the membership: a hint for who contends first.
+     * Sets the names of the dispatchers that the membership reports as alive: a hint for the order of
+     * contenders, the balance of leases and the search for acceptors.
      */
     public void setAlive(Collection<String> names) {
         clients.setAlive(names);
     }
 
-    /** Releases all leases for good. */
+    /** Releases all leases and does not acquire any again. */
     public void shutDown(Moment at) {
         now = at;
         clients.shutDown(at);
@@ -218,27 +219,27 @@
     }
 
     /**
-     * How long this dispatcher may act under the lease from this instant on; it may not where that is not
-     * positive. To be asked right before acting.
+     * Returns how long this dispatcher may act under the lease from this instant on; it may not act unless
+     * that is positive. To be called immediately before acting.
      */
     public Span remaining(String lease, Moment at) {
         LeaseClient client = clients.get(lease);
         return client == null ? Span.ZERO : client.remaining(at);
     }
 
-    /** The fencing token that goes with each act, while this dispatcher may act. */
+    /** Returns the fencing token to send with each action; valid only while this dispatcher may act. */
     public long token(String lease) {
         return clients.get(lease).token();
     }
 
-    /** The note of the lease as far as is known here; empty for none. */
+    /** Returns the last observed note of the lease; empty for none. */
     public String note(String lease) {
         LeaseClient client = clients.get(lease);
         LeaseRecord value = client == null ? null : client.observer().current();
         return value == null ? "" : value.note();
     }
 
-    /** Writes the note of a lease that this dispatcher holds, cut to its longest length. */
+    /** Writes the note of a lease that this dispatcher holds, truncated to the maximum length. */
     public void writeNote(Moment at, String lease, String note) {
         now = at;
         clients.writeNote(at, lease, note.substring(0, Math.min(note.length(), LeaseRecord.MAX_NOTE_LENGTH)));
@@ -246,7 +247,8 @@
     }
 
     /**
-     * Asks the holder to release the lease to a dispatcher, or to anybody for "*". Returns whether it exists.
+     * Requests that the holder release the lease to a dispatcher, or to any dispatcher for "*". Returns
+     * whether the lease exists.
      */
     public boolean handOver(Moment at, String lease, String to) {
         now = at;
@@ -256,7 +258,7 @@
     }
 
     /**
-     * Asks that nobody holds the lease for a time after its holder has released it. Returns whether it
+     * Requests that the holder release the lease, and that it stay free for a time. Returns whether the lease
      * exists.
      */
     public boolean block(Moment at, String lease, Span length) {
@@ -267,7 +269,7 @@
         return exists;
     }
 
-    /** Begins a reconfiguration: these are to be the acceptors. */
+    /** Begins a reconfiguration to the acceptors with these names. */
     public ReconfigurationStart reconfigure(Moment at, List<String> names) {
         if (!process.acceptors().isKnown()) {
             return ReconfigurationStart.ACCEPTORS_UNKNOWN;
@@ -286,7 +288,7 @@
         return ReconfigurationStart.BEGUN;
     }
 
-    /** The leases and acceptors as text for operators. */
+    /** Renders the leases and acceptors as text for operators. */
     public String statusPage(Moment at) {
         return new LeaseStatusPage(at, timings.term()).render(process.acceptors(),
                 settings.initialAcceptors(), acceptor, clients.all());
@@ -318,7 +320,7 @@
         }
     }
 
-    /** The reconfiguration's view of the process. */
+    /** The view of this process that a reconfiguration has. */
     private final class ReconfigurationContext extends ProcessContext.View
             implements
                 Reconfiguration.Context {
@@ -337,7 +339,7 @@
         }
     }
 
-    /** The acceptor's view. */
+    /** Encodes and forwards the output of the acceptor. */
     private final class AcceptorOutput implements Acceptor.Output {
         @Override
         public void persist(String key, byte[] value) {
--- a/src/main/java/rampshift/leases/LeaseSchedule.java
+++ b/src/main/java/rampshift/leases/LeaseSchedule.java
@@ -6,9 +6,9 @@
 import java.util.TreeMap;
 import rampshift.time.Moment;
 
-/** When each lease wants to be called next. */
+/** The times of the next timer call of each lease. */
 final class LeaseSchedule {
-    /** A later entry of the same lease makes this one void. */
+    /** Only valid while it is the last entry of its lease. */
     private record Entry(Moment at, String lease) {}
 
     private final Map<String, Moment> dueByLease = new TreeMap<>();
@@ -21,7 +21,7 @@
         }
     }
 
-    /** Removes the lease that is due first; null where none is due by now. */
+    /** Removes and returns the lease that is due first; null if none is due. */
     String pollDue(Moment now) {
         while (!entries.isEmpty() && !now.before(entries.peek().at())) {
             Entry entry = entries.poll();
@@ -32,7 +32,7 @@
         return null;
     }
 
-    /** When the first entry is due; the given time where that is earlier. */
+    /** Returns when the first entry is due, or the given time if that is earlier. */
     Moment nextOr(Moment other) {
         return entries.isEmpty() ? other : other.orEarlier(entries.peek().at());
     }
--- a/src/main/java/rampshift/leases/LeaseStatusPage.java
+++ b/src/main/java/rampshift/leases/LeaseStatusPage.java
@@ -6,7 +6,7 @@
 import rampshift.time.Moment;
 import rampshift.time.Span;
 
-/** The leases and acceptors as text for operators. */
+/** Renders the leases and acceptors as text for operators. */
 final class LeaseStatusPage {
     private final Moment now;
     private final Span term;
@@ -17,11 +17,11 @@
     }
 
     /**
-     * The page.
+     * Renders the page.
      *
      * @param acceptors the set that is in force
      * @param initialNames the members of the first set
-     * @param acceptor this dispatcher's; null where it has none
+     * @param acceptor this dispatcher's acceptor; null if it has none
      */
     String render(AcceptorSet acceptors, List<String> initialNames, Acceptor acceptor,
             Collection<LeaseClient> leases) {
--- a/src/main/java/rampshift/leases/LeaseTimings.java
+++ b/src/main/java/rampshift/leases/LeaseTimings.java
@@ -3,11 +3,11 @@
 import rampshift.time.Span;
 
 /**
- * The times of a lease, as parts of its term.
+ * The durations of the lease protocol, as fractions of the lease's term.
  *
  * @param term how long a lease belongs to its holder without a renewal
- * @param drift how far a clock may run fast or slow, as a share of true time: 0.01 for a hundredth
- * @param balanceInterval least time between two leases that one dispatcher hands over for balance alone
+ * @param drift maximum rate by which a clock may run fast or slow, as a fraction of true time: 0.01 for 1%
+ * @param balanceInterval minimum time between two leases that a dispatcher hands over for balance alone
  */
 public record LeaseTimings(Span term, double drift, Span balanceInterval) {
 
@@ -21,36 +21,38 @@
     private static final double MAX_LATENCY_FACTOR = 6;
     private static final double LATENCY_FACTOR_DECAY = 0.95;
 
-    /** How long the holder may act, by its clock from before it requested the acquisition or renewal. */
+    /**
+     * Returns how long the holder may act, by its clock, from before it requested the acquisition or renewal.
+     */
     Span actingTime() {
         return term.times(ACTING_TERMS);
     }
 
-    /** From a holder's request until its next renewal. */
+    /** Returns the time from a holder's request until its next renewal. */
     Span renewalInterval() {
         return term.times(RENEWAL_TERMS);
     }
 
     /**
-     * How long one attempt waits for replies.
+     * Returns how long one attempt waits for replies.
      *
-     * @param latencyFactor how many times longer than usual the replies of acceptors have taken lately
+     * @param latencyFactor factor by which recent replies of acceptors took longer than usual
      */
     Span attemptTimeout(double latencyFactor) {
         return term.times(ATTEMPT_TERMS * latencyFactor);
     }
 
     /**
-     * After an attempt that timed out: the next gets more time, since a slow disk would never answer one in
-     * time.
+     * Returns the latency factor after an attempt timed out. It is higher, since an acceptor with a slow disk
+     * would never reply within the unchanged timeout.
      */
     double increasedLatencyFactor(double latencyFactor) {
         return Math.min(MAX_LATENCY_FACTOR, latencyFactor * 2);
     }
 
     /**
-     * After an attempt that was answered: the next may take twice as long as this one did, and one that soon
-     * follows a slower one as long as that.
+     * Returns the latency factor after an attempt got its replies. The next attempt may take twice as long as
+     * this one did; the factor decays slowly, so that attempts soon after a slow one still get enough time.
      */
     double latencyFactorAfter(double latencyFactor, Span elapsed) {
         double decayed = latencyFactor * LATENCY_FACTOR_DECAY;
@@ -58,32 +60,32 @@
         return Math.max(1, Math.min(MAX_LATENCY_FACTOR, Math.max(decayed, required)));
     }
 
-    /** How long one change may take with all its attempts. */
+    /** Returns how long one change may take with all its attempts. */
     Span changeTimeout() {
         return term.times(CHANGE_TERMS);
     }
 
-    /** Time between two reads of a lease that is held elsewhere. */
+    /** Returns the time between two reads of a lease that this dispatcher does not hold. */
     Span pollInterval() {
         return term.times(POLL_TERMS);
     }
 
-    /** The longest backoff after an attempt that another process has outbid. */
+    /** Returns the maximum backoff, at a latency factor of 1, after a higher ballot rejected an attempt. */
     Span maxBackoff() {
         return term.times(MAX_BACKOFF_TERMS);
     }
 
-    /** Contenders for one lease wait for this times their rank, so that they do not outbid each other. */
+    /** Returns the delay per rank of a contender, so that contenders do not reject each other's ballots. */
     Span takeoverStep() {
         return term.times(TAKEOVER_STEP_TERMS);
     }
 
     /**
-     * How long a contender waits from its first observation of a value, by its own clock: by then the
-     * holder's clock, as slow as allowed, has gone through the term, even if its own clock is as fast as
-     * allowed.
+     * Returns how long a contender waits by its own clock after it first observed a value: long enough that
+     * the term has passed by the holder's clock even if that runs as slow, and the contender's as fast, as
+     * the drift permits.
      *
-     * @param termMicros the term in that value
+     * @param termMicros the term in the observed value, in microseconds
      */
     Span takeoverDelay(long termMicros) {
         return new Span((long) Math.ceil(termMicros * (1 + drift) / (1 - drift)));
--- a/src/main/java/rampshift/leases/Message.java
+++ b/src/main/java/rampshift/leases/Message.java
@@ -4,18 +4,24 @@
 
 /** A message between a dispatcher and an acceptor. */
 sealed interface Message {
-    /** The number of the attempt that a request belongs to, repeated in its reply; 0 where there is none. */
+    /**
+     * The number of the attempt that a request belongs to, repeated in its reply; 0 if there is none. See
+     * also {@link HelloReply}.
+     */
     long number();
 
-    /** The message in the layout that all types share on the wire. */
+    /** Returns the message in the common wire layout of all types. */
     WireMessage toWire();
 
-    /** A message that acceptors handle. */
+    /** A message that an acceptor handles. */
     sealed interface Request extends Message {}
 
-    /** A request of a proposer, which an acceptor answers only while it votes and in its own epoch. */
+    /**
+     * A request of a proposer. An acceptor processes it only while it votes and only in its own epoch;
+     * otherwise it replies with {@link NotVoting}, {@link StaleEpoch} or {@link AcceptorBehind}.
+     */
     sealed interface Vote extends Request {
-        /** The epoch of the acceptor set by which the proposer counts its quorum. */
+        /** The epoch of the acceptor set of which the proposer needs a quorum. */
         long epoch();
 
         String register();
@@ -23,10 +29,10 @@
         Ballot ballot();
     }
 
-    /** An answer to a {@link Vote} that decides something about its attempt. */
+    /** A reply to a {@link Vote} that counts towards its quorum or rejects the attempt. */
     sealed interface VoteReply extends Message {}
 
-    /** Phase 1: asks for a promise to accept nothing under a lower ballot. */
+    /** Phase 1 request: asks for a promise to accept nothing under a lower ballot. */
     record Prepare(long number, long epoch, String register, Ballot ballot) implements Vote {
         @Override
         public WireMessage toWire() {
@@ -35,7 +41,7 @@
         }
     }
 
-    /** The promise of {@link Prepare}, with the value accepted last and its ballot. */
+    /** The promise requested by {@link Prepare}, with the last accepted value and its ballot. */
     record Promise(long number, long epoch, String register, Ballot ballot, Ballot accepted,
             LeaseRecord value) implements VoteReply {
         @Override
@@ -45,7 +51,7 @@
         }
     }
 
-    /** Phase 2: asks to accept a value. */
+    /** Phase 2 request: asks to accept a value. */
     record Accept(long number, long epoch, String register, Ballot ballot,
             LeaseRecord value) implements Vote {
         @Override
@@ -56,7 +62,8 @@
     }
 
     /**
-     * The value of {@link Accept} is accepted, and the next ballot of the same process is promised with it.
+     * Confirms that the value of {@link Accept} is accepted and the next ballot of the same process is
+     * promised.
      */
     record Accepted(long number, long epoch, String register, Ballot ballot) implements VoteReply {
         @Override
@@ -66,7 +73,7 @@
         }
     }
 
-    /** A higher ballot was promised already. */
+    /** Rejects an attempt: a higher ballot, or in phase 1 an equal one, is already promised. */
     record Reject(long number, long epoch, String register, Ballot promised,
             Ballot accepted) implements VoteReply {
         @Override
@@ -76,7 +83,7 @@
         }
     }
 
-    /** The acceptor does not vote, or has no room for another register. */
+    /** Reports that the acceptor does not vote, or has no room for another register. */
     record NotVoting(long number, long epoch, String register) implements Message {
         @Override
         public WireMessage toWire() {
@@ -84,7 +91,7 @@
         }
     }
 
-    /** The proposer's epoch is over; the acceptor's set follows it. */
+    /** Reports that the proposer's epoch has ended, with the acceptor's newer set. */
     record StaleEpoch(long number, AcceptorSet acceptors) implements Message {
         @Override
         public WireMessage toWire() {
@@ -92,7 +99,7 @@
         }
     }
 
-    /** The proposer's epoch is newer than the acceptor's, which asks for the newer set. */
+    /** Reports that the proposer's epoch is newer than the acceptor's, to request the newer set. */
     record AcceptorBehind(long number, AcceptorSet acceptors) implements Message {
         @Override
         public WireMessage toWire() {
@@ -100,7 +107,7 @@
         }
     }
 
-    /** Asks for the accepted values of registers without a promise. */
+    /** Requests the accepted values of registers without a promise. */
     record Read(long number, List<String> registers) implements Request {
         @Override
         public WireMessage toWire() {
@@ -108,7 +115,7 @@
         }
     }
 
-    /** The values that one acceptor has accepted, which a quorum may not have; in the order of the names. */
+    /** Values that one acceptor, but not necessarily a quorum, has accepted; in the order of the names. */
     record ReadReply(long number, List<String> registers, List<LeaseRecord> values) implements Message {
         @Override
         public WireMessage toWire() {
@@ -116,7 +123,7 @@
         }
     }
 
-    /** Tells an acceptor the set that is in force. */
+    /** Sends an acceptor the set that is in force. */
     record Install(long number, AcceptorSet acceptors) implements Request {
         @Override
         public WireMessage toWire() {
@@ -124,7 +131,7 @@
         }
     }
 
-    /** The set that the acceptor has on disk after {@link Install}. */
+    /** Replies to {@link Install} with the set that the acceptor has on disk. */
     record Installed(long number, AcceptorSet acceptors) implements Message {
         @Override
         public WireMessage toWire() {
@@ -132,7 +139,7 @@
         }
     }
 
-    /** Asks for the names of registers that sort after a name. */
+    /** Requests the names of registers that sort after a given name. */
     record ListRegisters(long number, long epoch, String after) implements Request {
         @Override
         public WireMessage toWire() {
@@ -140,7 +147,7 @@
         }
     }
 
-    /** Names of registers in their order; none once all have been listed. */
+    /** Names of registers in sorted order; empty at the end of the list. */
     record RegisterList(long number, List<String> registers) implements Message {
         @Override
         public WireMessage toWire() {
@@ -149,10 +156,10 @@
     }
 
     /**
-     * Asks a dispatcher for its acceptor set and for its directory's id.
+     * Requests a dispatcher's acceptor set and directory id.
      *
-     * @param directoryId id of the sender's directory; 0 where the sender is no acceptor
-     * @param directory how far that directory has come
+     * @param directoryId id of the sender's directory; 0 if the sender is not an acceptor
+     * @param directory version of that directory
      */
     record Hello(long number, AcceptorSet acceptors, long directoryId,
             DirectoryVersion directory) implements Request {
@@ -164,11 +171,12 @@
     }
 
     /**
-     * Answers {@link Hello}.
+     * Replies to {@link Hello}.
      *
-     * @param number how often the asking directory has been started
-     * @param directoryId id of the answering directory; 0 where it is none
-     * @param witnessed how far the asking directory had come when the answering one last heard of it
+     * @param number how often the requesting directory has been started
+     * @param directoryId id of the replying directory; 0 if the sender is not an acceptor or its directory is
+     *         an older copy
+     * @param witnessed the version of the requesting directory that the replying acceptor knew before
      */
     record HelloReply(long number, AcceptorSet acceptors, long directoryId,
             DirectoryVersion witnessed) implements Message {
--- a/src/main/java/rampshift/leases/MessageType.java
+++ b/src/main/java/rampshift/leases/MessageType.java
@@ -1,6 +1,6 @@
 package rampshift.leases;
 
-/** The types of messages with their codes on the wire. A code never changes its meaning. */
+/** The message types with their wire codes. The meaning of a code never changes. */
 enum MessageType {
     /** {@link Message.Prepare}. */
     PREPARE(0),
@@ -45,7 +45,7 @@
         return code;
     }
 
-    /** The type with this code; null where there is none. */
+    /** Returns the type with this code; null if there is none. */
     static MessageType ofCode(int code) {
         for (MessageType type : values()) {
             if (type.code == code) {
--- a/src/main/java/rampshift/leases/ProcessContext.java
+++ b/src/main/java/rampshift/leases/ProcessContext.java
@@ -1,6 +1,6 @@
 package rampshift.leases;
 
-/** What all changes of registers by this process share: acceptor set, numbers, random draws, and sending. */
+/** What all proposers of this process share: acceptor set, numbers, random draws and the transport. */
 final class ProcessContext implements ProposerContext {
     private final LeaseManager.Output out;
     private final SeededDraws draws;
@@ -36,12 +36,12 @@
         out.send(to, Codec.encode(message));
     }
 
-    /** Reports an event of a register. */
+    /** Reports an event of a register with its token and holder. */
     void emit(String register, EventType type, LeaseRecord value) {
         out.emit(new LeaseEvent(register, type, value.token(), value.isFree() ? "-" : value.holder()));
     }
 
-    /** A view of this context that can be extended by what one kind of change needs. */
+    /** A view of this context, to be extended with what one kind of change needs. */
     static class View implements ProposerContext {
         private final ProcessContext delegate;
 
--- a/src/main/java/rampshift/leases/Proposer.java
+++ b/src/main/java/rampshift/leases/Proposer.java
@@ -5,14 +5,14 @@
 import rampshift.time.Moment;
 
 /**
- * The proposer of one change of a register, by CASPaxos: a quorum promises a ballot, the change is applied to
- * the value accepted under the highest ballot, and a quorum accepts the result. Any message may be lost; then
- * the change is attempted again under a higher ballot.
+ * The CASPaxos proposer of one change of a register: a quorum promises a ballot, the change is applied to the
+ * value accepted under the highest ballot, and a quorum accepts the result. If messages are lost, the owner
+ * attempts the change again under a higher ballot.
  */
 final class Proposer {
     /** The state of the change. */
     enum State {
-        /** Not decided yet. */
+        /** The change is not decided yet. */
         PENDING,
         /** A quorum has accepted the result. */
         CHOSEN,
@@ -42,9 +42,9 @@
     private Moment deadline;
 
     /**
-     * A proposer that has not sent anything.
+     * Creates a proposer that has not sent anything.
      *
-     * @param processId this process
+     * @param processId id of this process
      * @param highestRound the highest round of a ballot that this process knows of for the register
      */
     Proposer(String register, ChangeFunction change, long processId, long highestRound) {
@@ -55,8 +55,7 @@
     }
 
     /**
-     * Begins an attempt with both phases. The attempt number must never have been used before by this
-     * process.
+     * Begins an attempt with both phases. This process must not have used the attempt number before.
      */
     void attempt(AcceptorSet set, long attemptNumber, Moment attemptDeadline, Transport transport) {
         acceptors = set;
@@ -74,9 +73,9 @@
     }
 
     /**
-     * Begins an attempt at phase 2, with what a quorum promised when it accepted the last value: the current
-     * value is known. If another process has come between, acceptors reject this, and the next attempt takes
-     * both phases.
+     * Begins an attempt at phase 2 with the ballot that a quorum promised when it accepted the last value,
+     * which is therefore the current one. If another process has proposed since, acceptors reject this
+     * attempt, and the next one takes both phases.
      */
     void attemptPrepared(AcceptorSet set, long attemptNumber, Prepared prepared, Moment attemptDeadline,
             Transport transport) {
@@ -91,15 +90,15 @@
     }
 
     /**
-     * What a chosen change leaves for the next one of the same process.
+     * What the next change of the same process needs to skip phase 1.
      *
-     * @param ballot the ballot that a quorum promised along with accepting the value
-     * @param value that value
+     * @param ballot the ballot that a quorum promised when it accepted the value
+     * @param value the accepted value
      * @param epoch the epoch of the acceptor set that promised
      */
     record Prepared(Ballot ballot, LeaseRecord value, long epoch) {}
 
-    /** To be asked for once the change is chosen. */
+    /** Returns what the next change needs to skip phase 1; valid once this change is chosen. */
     Prepared prepared() {
         return new Prepared(ballot.next(), value, acceptors.epoch());
     }
@@ -113,8 +112,8 @@
     }
 
     /**
-     * Chosen: the result. Inapplicable: the value to which the change does not apply, which a quorum may not
-     * have.
+     * Returns the result of a chosen change. For an inapplicable change, returns the value to which it does
+     * not apply, which a quorum may not have accepted.
      */
     LeaseRecord value() {
         return value;
@@ -124,27 +123,27 @@
         return highestRound;
     }
 
-    /** Whether this attempt was ended by a higher ballot, not by its deadline. */
+    /** Returns whether a higher ballot, not the deadline, ended this attempt. */
     boolean isRejected() {
         return rejected;
     }
 
-    /** Rejections of all attempts. The first one only tells how high the ballots are by now. */
+    /** Returns how many attempts were rejected. The first rejection may only mean an outdated ballot. */
     int rejections() {
         return rejections;
     }
 
-    /** Puts off the next attempt after a rejection. */
+    /** Delays the next attempt after a rejection. */
     void waitUntil(Moment time) {
         deadline = time;
     }
 
-    /** When this attempt is given up. */
+    /** Returns when this attempt times out. */
     Moment deadline() {
         return deadline;
     }
 
-    /** Takes an acceptor's reply. Returns whether the change is decided or the attempt is over by it. */
+    /** Handles an acceptor's reply. Returns whether it decided the change or ended the attempt. */
     boolean onReply(Moment now, String from, Message.VoteReply reply, Transport transport) {
         if (reply.number() != attempt || state != State.PENDING) {
             return false;
@@ -166,7 +165,8 @@
     }
 
     private boolean onPromise(String from, Message.Promise promise, Transport transport) {
-        // Attempt numbers begin anew with each process, ballots never do.
+        // Attempt numbers restart with each process, so that a reply to an earlier process may carry the
+        // number of this attempt; its ballot differs.
         if (accepting || !promise.ballot().equals(ballot)) {
             return false;
         }
@@ -190,7 +190,7 @@
         return true;
     }
 
-    /** Phase 2. Returns whether the change is decided: it does not apply. */
+    /** Begins phase 2. Returns whether the change is decided because it does not apply to the value. */
     private boolean propose(Transport transport) {
         LeaseRecord next = change.applyTo(value);
         if (next == null) {
--- a/src/main/java/rampshift/leases/ProposerContext.java
+++ b/src/main/java/rampshift/leases/ProposerContext.java
@@ -1,13 +1,13 @@
 package rampshift.leases;
 
-/** What makes changes of registers needs of the dispatcher. */
+/** What proposers need from their dispatcher. */
 interface ProposerContext extends Proposer.Transport {
-    /** The acceptor set that is in force, as far as is known here. */
+    /** Returns the newest acceptor set that this process knows. */
     AcceptorSet acceptors();
 
-    /** A number never used before by this process. */
+    /** Returns a number that this process has not used before. */
     long nextNumber();
 
-    /** The next random draw, from 0 to under 1. */
+    /** Returns the next random draw, from 0 inclusive to 1 exclusive. */
     double nextRandom();
 }
--- a/src/main/java/rampshift/leases/Reconfiguration.java
+++ b/src/main/java/rampshift/leases/Reconfiguration.java
@@ -9,38 +9,41 @@
 import rampshift.time.Moment;
 
 /**
- * Replaces the acceptor set. First the majorities of both sets are required; once a majority of the current
- * set has installed that, every register is written anew, so that a majority of the joining set has its
- * value; then the joining set stands alone. Several processes may work on the same reconfiguration: each step
- * can be repeated.
+ * Replaces the acceptor set. First a joint set comes into force, which requires majorities of both the
+ * current and the joining members. Once majorities of both have installed it, every register is rewritten, so
+ * that a majority of the joining members has its value. Then the joining members alone form the set. Several
+ * processes may work on the same reconfiguration: each step can be repeated.
  */
 final class Reconfiguration {
-    /** What a reconfiguration needs of the dispatcher. */
+    /** What a reconfiguration needs from the dispatcher. */
     interface Context extends ProposerContext {
-        /** Takes an acceptor set that a quorum has accepted. */
+        /** Handles an acceptor set that a quorum has accepted. */
         void learn(AcceptorSet newer);
 
         void emit(EventType type, LeaseRecord value);
     }
 
     private enum Step {
-        /** Asks the wanted acceptors for the ids of their directories. */
+        /** Requests the directory ids of the wanted acceptors. */
         FINDING_DIRECTORIES,
-        /** Writes the set that requires both majorities. */
+        /** Writes the joint set, which requires both majorities. */
         JOINING,
-        /** Tells that set to all acceptors. */
+        /** Sends the joint set to all acceptors. */
         INSTALLING,
-        /** Finds the names of all registers. */
+        /** Collects the names of all registers. */
         LISTING,
-        /** Writes all registers anew. */
+        /** Rewrites all registers. */
         REWRITING,
-        /** Writes the set that requires the new majority alone. */
+        /** Writes the set that requires a majority of the new members alone. */
         LEAVING, FINISHED
     }
 
-    /** An operator's reconfiguration that has not begun by then fails. */
+    /** Time after which an operator's reconfiguration that has not begun fails, in terms. */
     private static final double START_TIMEOUT_TERMS = 6;
-    /** How long another process's reconfiguration is left to it, times one's place among the acceptors. */
+    /**
+     * Time after which an acceptor continues a reconfiguration that another process began, in terms per
+     * position among the acceptors, so that not all continue it at once.
+     */
     private static final double ADOPTION_TERMS = 2;
     private static final int MAX_CONCURRENT_REWRITES = 16;
 
@@ -57,7 +60,7 @@
     private Moment startDeadline;
     private Moment now;
 
-    /** One that an operator asked for: these are to be the acceptors. */
+    /** Creates a reconfiguration to the acceptors with these names, requested by an operator. */
     Reconfiguration(long processId, LeaseTimings timings, List<String> wanted, Context context) {
         this.timings = timings;
         this.wanted = List.copyOf(wanted);
@@ -66,7 +69,7 @@
         changes = new ChangeBatch(processId, timings, context);
     }
 
-    /** One that another process began: it is continued if it does not end without this dispatcher. */
+    /** Creates one that another process began; this dispatcher continues it if it does not finish in time. */
     static Reconfiguration begunElsewhere(String self, long processId, LeaseTimings timings,
             AcceptorSet joint, Moment now, Context context) {
         List<String> wanted = joint.joining().stream().map(AcceptorSet.Member::name).toList();
@@ -82,12 +85,12 @@
         return step == Step.FINISHED;
     }
 
-    /** When {@link #onTimer} is to be called. */
+    /** Returns when {@link #onTimer} is to be called. */
     Moment dueAt() {
         return nextAt;
     }
 
-    /** Goes on with the present step, if it is time. */
+    /** Advances the current step if it is due. */
     void onTimer(Moment at) {
         now = at;
         if (startDeadline == null) {
@@ -117,7 +120,7 @@
         return step == Step.FINDING_DIRECTORIES || step == Step.JOINING;
     }
 
-    /** Another process may have gone on with it, or ended it. */
+    /** Catches up with another process that has continued or finished this reconfiguration. */
     private void followNewerEpoch() {
         AcceptorSet known = context.acceptors();
         if (isStarting() || known.epoch() <= acceptors.epoch()) {
@@ -151,7 +154,7 @@
         wanted.forEach(name -> context.send(name, hello));
     }
 
-    /** Takes the directory id of a wanted acceptor. */
+    /** Records the directory id of a wanted acceptor. */
     void onHelloReply(String from, Message.HelloReply reply) {
         if (step == Step.FINDING_DIRECTORIES && wanted.contains(from) && reply.directoryId() != 0) {
             directoryIds.put(from, reply.directoryId());
@@ -187,14 +190,15 @@
     }
 
     /**
-     * What the register of the acceptors holds while these are in force: the first set was formed without it.
+     * Returns the value of the register of the acceptors while this set is in force. The register is not
+     * written when the first set is formed.
      */
     private static LeaseRecord registerValue(AcceptorSet known) {
         return known.epoch() == 1 ? LeaseRecord.INITIAL
                 : new LeaseRecord(known.epoch() - 1, 0, "", 0, 0, 0, "", 0, known.encode());
     }
 
-    /** Takes the answer of an acceptor that was told the joint set. */
+    /** Handles the reply of an acceptor to which the joint set was sent. */
     void onInstalled(Moment at, String from, Message.Installed reply) {
         now = at;
         if (step == Step.INSTALLING && reply.acceptors().epoch() == acceptors.epoch()) {
@@ -205,7 +209,7 @@
         }
     }
 
-    /** Takes a part of an acceptor's register names. */
+    /** Handles a part of an acceptor's register names. */
     void onRegisterList(Moment at, String from, Message.RegisterList reply) {
         now = at;
         if (step == Step.LISTING && listing.onList(acceptors, from, reply.registers())) {
@@ -213,7 +217,7 @@
         }
     }
 
-    /** Takes a reply to an attempt of this reconfiguration. */
+    /** Handles a reply to an attempt of this reconfiguration. */
     void onReply(Moment at, String from, Message.VoteReply reply) {
         now = at;
         ChangeBatch.Entry decided = changes.onReply(at, from, reply);
@@ -248,7 +252,8 @@
         }
         if (proposer.state() != Proposer.State.CHOSEN) {
             if (decided.epoch() > context.acceptors().epoch()) {
-                // Another process's, which a quorum may not have yet: nobody goes by it before one has.
+                // Another process proposed this set, and a quorum may not have accepted it yet: have it
+                // chosen before using it.
                 changes.begin(now, AcceptorSet.REGISTER, new ChangeFunction.Rewrite());
             }
             return;
--- a/src/main/java/rampshift/leases/ReconfigurationStart.java
+++ b/src/main/java/rampshift/leases/ReconfigurationStart.java
@@ -1,15 +1,15 @@
 package rampshift.leases;
 
-/** What came of an operator's request for another acceptor set. */
+/** The result of an operator's request for another acceptor set. */
 public enum ReconfigurationStart {
-    /** It has begun. */
+    /** The reconfiguration has begun. */
     BEGUN(""),
-    /** The set in force is not known here. */
-    ACCEPTORS_UNKNOWN("the keepers are not known here yet"),
-    /** Another reconfiguration has not ended. */
-    ALREADY_CHANGING("the keepers are being changed already"),
-    /** The names are no set. */
-    INVALID_NAMES("expected different names, separated by commas");
+    /** This dispatcher does not know the set in force. */
+    ACCEPTORS_UNKNOWN("this dispatcher does not know the current keepers yet"),
+    /** Another reconfiguration is in progress. */
+    ALREADY_CHANGING("another change of the keepers is in progress"),
+    /** The names are empty or contain a duplicate. */
+    INVALID_NAMES("expected distinct dispatcher names, separated by commas");
 
     private final String reason;
 
@@ -17,7 +17,7 @@
         this.reason = reason;
     }
 
-    /** Why it has not begun, for operators. */
+    /** Returns why the reconfiguration has not begun, for operators. */
     public String reason() {
         return reason;
     }
--- a/src/main/java/rampshift/leases/RegisterListing.java
+++ b/src/main/java/rampshift/leases/RegisterListing.java
@@ -7,7 +7,7 @@
 import java.util.Set;
 import java.util.TreeSet;
 
-/** Finds the names of all registers, from a majority of the current acceptors. */
+/** Collects the names of all registers from a majority of the current acceptors. */
 final class RegisterListing {
     private final Proposer.Transport transport;
     private final Map<String, String> lastNameOf = new HashMap<>();
@@ -18,7 +18,7 @@
         this.transport = transport;
     }
 
-    /** Asks all current acceptors that have not told all their names yet. */
+    /** Requests names from all current acceptors that have not sent their whole list yet. */
     void requestMissing(AcceptorSet acceptors) {
         for (AcceptorSet.Member member : acceptors.current()) {
             if (!completed.contains(member.name())) {
@@ -33,8 +33,8 @@
     }
 
     /**
-     * Takes a part of an acceptor's names, and asks it for the next. Returns whether all registers are known
-     * by now.
+     * Handles a part of an acceptor's list and requests the next part. Returns whether a majority has sent
+     * its whole list, so that all registers are known.
      */
     boolean onList(AcceptorSet acceptors, String from, List<String> names) {
         if (completed.contains(from)) {
@@ -55,7 +55,7 @@
         return false;
     }
 
-    /** Removes the next register; null where there are none left. */
+    /** Removes and returns the next register; null if none is left. */
     String pollRegister() {
         return registers.pollFirst();
     }
--- a/src/main/java/rampshift/leases/RegisterObserver.java
+++ b/src/main/java/rampshift/leases/RegisterObserver.java
@@ -4,7 +4,7 @@
 import java.util.Map;
 import rampshift.time.Moment;
 
-/** What a dispatcher has observed of one register, and when it first observed it. */
+/** The values that a dispatcher has observed in one register, and when it first observed each. */
 final class RegisterObserver {
     private static final int MAX_OBSERVATIONS = 6;
 
@@ -12,24 +12,24 @@
     private LeaseRecord current;
     private Moment lastContactAt;
 
-    /** The value that most likely stands; null while none is known. */
+    /** Returns the value that is most likely the current one; null while none is known. */
     LeaseRecord current() {
         return current;
     }
 
-    /** When the current value was first observed; null while none is known. */
+    /** Returns when the current value was first observed; null while none is known. */
     Moment currentSince() {
         return current == null ? null : firstObservedAt.get(current);
     }
 
-    /** When an acceptor last sent a value; null for never. */
+    /** Returns when an acceptor last sent a value; null for never. */
     Moment lastContactAt() {
         return lastContactAt;
     }
 
     /**
-     * Takes the value of one acceptor, which a quorum may not have. Returns whether it is newer than the
-     * current.
+     * Records a value of one acceptor, which a quorum may not have accepted. Returns whether it is newer than
+     * the current value.
      */
     boolean observe(Moment now, LeaseRecord value) {
         lastContactAt = now;
@@ -38,8 +38,8 @@
     }
 
     /**
-     * Makes a value the current one. Returns whether it has another holder, or another term of the same
-     * holder.
+     * Sets the current value. Returns whether it differs from the previous one in holder (or in being free)
+     * or in fencing token.
      */
     boolean setCurrent(Moment now, LeaseRecord value) {
         lastContactAt = now;
@@ -51,8 +51,8 @@
     }
 
     /**
-     * A contender waits from the first observation of a value: its holder requested it before that, so the
-     * holder's time to act is over first.
+     * Records when a value was first observed. A contender counts its takeover delay from then: the holder
+     * requested the value earlier, so that the holder's acting time ends first.
      */
     private void remember(Moment now, LeaseRecord value) {
         if (firstObservedAt.putIfAbsent(value, now) == null && firstObservedAt.size() > MAX_OBSERVATIONS) {
--- a/src/main/java/rampshift/leases/RegisterTable.java
+++ b/src/main/java/rampshift/leases/RegisterTable.java
@@ -4,11 +4,11 @@
 import java.util.List;
 import java.util.TreeMap;
 
-/** The registers of one acceptor: promises, accepted values, and their records in its directory. */
+/** The registers of one acceptor: promises and accepted values, and their records in its directory. */
 final class RegisterTable {
     private static final String KEY_PREFIX = "r ";
     private static final int MAX_REGISTERS = 4096;
-    /** Length field of a name in a message. */
+    /** Bytes of the length field of a name in a message. */
     private static final int NAME_OVERHEAD_BYTES = 2;
 
     private final Acceptor.Output out;
@@ -18,7 +18,7 @@
         this.out = out;
     }
 
-    /** Takes a stored record, if it is one of a register. */
+    /** Loads a stored record if it belongs to a register. */
     void load(String key, byte[] bytes) {
         if (key.startsWith(KEY_PREFIX)) {
             states.put(key.substring(KEY_PREFIX.length()), Codec.decodeState(bytes));
@@ -29,7 +29,7 @@
         return states.size() < MAX_REGISTERS || states.containsKey(register);
     }
 
-    /** Phase 1. Nothing is promised twice under the same ballot. */
+    /** Handles phase 1. Rejects a ballot equal to the promised one: no ballot is promised twice. */
     void prepare(String from, Message.Prepare request) {
         AcceptorState state = state(request.register());
         if (request.ballot().compareTo(state.promised()) <= 0) {
@@ -41,7 +41,7 @@
                 request.ballot(), state.accepted(), state.value()));
     }
 
-    /** Phase 2. The next ballot of the same process is promised along with accepting. */
+    /** Handles phase 2. Accepting a value also promises the next ballot of the same process. */
     void accept(String from, Message.Accept request) {
         AcceptorState state = state(request.register());
         if (request.ballot().compareTo(state.promised()) < 0) {
@@ -59,7 +59,10 @@
                 state.promised(), state.accepted()));
     }
 
-    /** Sends accepted values without a promise: nothing rests on them but how long a contender waits. */
+    /**
+     * Sends accepted values without a promise. Contenders use them to time a takeover; safety does not depend
+     * on them.
+     */
     void read(String from, Message.Read request) {
         List<String> names = request.registers();
         List<LeaseRecord> values = names.stream().map(name -> state(name).value()).toList();
@@ -74,8 +77,8 @@
     }
 
     /**
-     * Sends the names that sort after the given one, as many as one message takes; none at the end of the
-     * list.
+     * Sends the names that sort after the given one, as many as fit into one message, or none at the end of
+     * the list.
      */
     void list(String from, Message.ListRegisters request) {
         List<String> names = new ArrayList<>();
--- a/src/main/java/rampshift/leases/RegisterWriter.java
+++ b/src/main/java/rampshift/leases/RegisterWriter.java
@@ -4,8 +4,8 @@
 import rampshift.time.Span;
 
 /**
- * Makes the changes of one register, one after another: attempts, their timeouts, retries and backoff.
- * Whoever is outbid while acquiring a lease yields to the other contender.
+ * Makes the changes of one register, one after another: attempts, their timeouts, retries and backoff. A
+ * change that acquires a lease yields to the other contender at its second rejection.
  */
 final class RegisterWriter {
     /** How a change ended. */
@@ -13,17 +13,17 @@
         /**
          * A quorum has accepted the result.
          *
-         * @param requestedAt before the change was requested; a term counts from here
+         * @param requestedAt time before the change was requested, from which the term of the lease counts
          */
         record Chosen(ChangeFunction change, LeaseRecord value, Moment requestedAt) implements Outcome {}
 
-        /** The change does not apply to a value that was found. */
+        /** The change does not apply to the current value. */
         record Inapplicable(ChangeFunction change, LeaseRecord current) implements Outcome {}
 
-        /** Another contender is acquiring the lease; this one is to wait. */
+        /** Another contender is acquiring the lease; this one waits for the backoff. */
         record Yielded(Span backoff) implements Outcome {}
 
-        /** It was given up. A result that a quorum accepts later lets nobody act. */
+        /** The change took too long. If a quorum accepts its result later, that alone permits no acting. */
         record TimedOut() implements Outcome {}
     }
 
@@ -34,11 +34,11 @@
     private Proposer proposer;
     private Moment attemptedAt;
     private Moment requestedAt;
-    /** When the next attempt begins; null while one is under way. */
+    /** When the next attempt begins; null while an attempt is in progress. */
     private Moment retryAt;
     private long highestRound;
     private double latencyFactor = 1;
-    /** Null where the next change has to begin with phase 1. */
+    /** What a renewal needs to skip phase 1; null if the next change has to begin with phase 1. */
     private Proposer.Prepared prepared;
 
     RegisterWriter(String register, long processId, LeaseTimings timings, ProposerContext context) {
@@ -48,29 +48,29 @@
         this.context = context;
     }
 
-    /** Whether a change is in flight. */
+    /** Returns whether a change is in flight. */
     boolean isBusy() {
         return proposer != null;
     }
 
-    /** The proposer of the change in flight; null for none. */
+    /** Returns the proposer of the change in flight; null for none. */
     Proposer proposer() {
         return proposer;
     }
 
-    /** How many times longer than usual the replies of acceptors have taken lately. */
+    /** Returns the factor by which recent replies of acceptors took longer than usual. */
     double latencyFactor() {
         return latencyFactor;
     }
 
-    /** When {@link #onTimer} is to be called, while a change is in flight. */
+    /** Returns when {@link #onTimer} is to be called; only valid while a change is in flight. */
     Moment dueAt() {
         return retryAt != null ? retryAt : proposer.deadline();
     }
 
     /**
-     * Begins a change, and drops the one in flight. A renewal leaves out phase 1 where the last change allows
-     * it.
+     * Begins a change, which replaces the change in flight. A renewal skips phase 1 if the last change
+     * permits it.
      */
     void begin(Moment now, ChangeFunction change) {
         requestedAt = now;
@@ -98,7 +98,7 @@
         return now.plus(timings.attemptTimeout(latencyFactor));
     }
 
-    /** Goes on with the change in flight. Returns how it ended; null while it has not. */
+    /** Advances the change in flight. Returns how it ended; null if it has not ended. */
     Outcome onTimer(Moment now) {
         if (proposer == null) {
             return null;
@@ -124,7 +124,7 @@
         }
         if (proposer.isRejected() && proposer.change() instanceof ChangeFunction.Acquire) {
             proposer = null;
-            // Two contenders that insist would keep each other from acquiring the lease.
+            // Two contenders that both kept retrying would prevent each other from acquiring the lease.
             return new Outcome.Yielded(timings.maxBackoff().times(latencyFactor * context.nextRandom()));
         }
         if (now.since(requestedAt).longerThan(timings.changeTimeout())) {
@@ -135,7 +135,7 @@
         return null;
     }
 
-    /** Takes an acceptor's reply. Returns how the change ended; null while it has not. */
+    /** Handles an acceptor's reply. Returns how the change ended; null if it has not ended. */
     Outcome onReply(Moment now, String from, Message.VoteReply reply) {
         if (proposer == null || retryAt != null || !proposer.onReply(now, from, reply, context)) {
             return null;
--- a/src/main/java/rampshift/leases/SeededDraws.java
+++ b/src/main/java/rampshift/leases/SeededDraws.java
@@ -3,7 +3,7 @@
 import java.nio.charset.StandardCharsets;
 import java.util.zip.CRC32;
 
-/** Random draws from a seed and a counter: the same seed gives the same draws. */
+/** Random draws from a seed and a counter; the same seed gives the same draws. */
 final class SeededDraws {
     private static final double CRC_VALUES = 1L << 32;
 
@@ -14,13 +14,13 @@
         this.seed = seed;
     }
 
-    /** The next draw, from 0 to under 1. */
+    /** Returns the next draw, from 0 inclusive to 1 exclusive. */
     double next() {
         counter++;
         return checksum(seed + " " + counter) / CRC_VALUES;
     }
 
-    /** The CRC32 of a text, as an order of things that is the same everywhere. */
+    /** Returns the CRC32 of a text, which gives the same order in all processes. */
     static long checksum(String text) {
         CRC32 crc = new CRC32();
         crc.update(text.getBytes(StandardCharsets.UTF_8));
--- a/src/main/java/rampshift/leases/WireMessage.java
+++ b/src/main/java/rampshift/leases/WireMessage.java
@@ -3,20 +3,20 @@
 import java.util.List;
 
 /**
- * The layout that messages of all types share on the wire; what a type does not use is empty.
+ * The common wire layout of all message types; fields that a type does not use are empty.
  *
- * @param type which message it is
- * @param number of the attempt, or what else the type counts
- * @param epoch of the acceptor set
+ * @param type the message type
+ * @param number number of the attempt; see {@link Message#number} and {@link Message.HelloReply}
+ * @param epoch epoch of the acceptor set
  * @param register name of a register
- * @param ballot of the attempt; in a rejection the promised one
+ * @param ballot ballot of the attempt; in a rejection the promised ballot
  * @param accepted ballot under which the value was accepted
- * @param value of a register
- * @param names of registers
- * @param values of the named registers
+ * @param value value of a register
+ * @param names names of registers
+ * @param values values of the named registers
  * @param acceptors an encoded acceptor set
  * @param directoryId id of an acceptor's directory
- * @param directory how far a directory has come
+ * @param directory version of an acceptor's directory
  */
 record WireMessage(MessageType type, long number, long epoch, String register, Ballot ballot, Ballot accepted,
         LeaseRecord value, List<String> names, List<LeaseRecord> values, String acceptors, long directoryId,
@@ -26,14 +26,14 @@
         return new Builder(type, number, epoch);
     }
 
-    /** Of a message that carries an acceptor set. */
+    /** Returns a builder of a message that carries an acceptor set. */
     static Builder of(MessageType type, long number, AcceptorSet acceptors) {
         Builder builder = new Builder(type, number, acceptors.epoch());
         builder.acceptors = acceptors.isKnown() ? acceptors.encode() : "";
         return builder;
     }
 
-    /** The message of this type, without the fields that the type does not use. */
+    /** Converts to the message of this type, without the fields that the type does not use. */
     Message toMessage() {
         return switch (type) {
             case PREPARE -> new Message.Prepare(number, epoch, register, ballot);
