--- a/src/main/java/rampshift/leases/host/BootTimeClock.java
+++ b/src/main/java/rampshift/leases/host/BootTimeClock.java
@@ -6,14 +6,14 @@
 import rampshift.time.Moment;
 
 /**
- * A clock that goes on while the machine is suspended: the JVM's monotonic clock stands still then, and a
- * lease would seem to last. Where the system tells no uptime it is the monotonic clock alone. Steps of the
- * wall clock change nothing.
+ * A monotonic clock that includes the time in which the machine is suspended. The JVM's monotonic clock stops
+ * during a suspension, so that an expired lease would look valid afterwards. If the system does not report
+ * its uptime, this clock equals the JVM's. Steps of the wall clock have no effect.
  */
 final class BootTimeClock {
-    /** Seconds since the machine's start, time in suspension included. */
+    /** File with the seconds since the machine was booted, including time in suspension. */
     private static final Path UPTIME = Path.of("/proc/uptime");
-    /** How far the two clocks may differ without a suspension. */
+    /** Difference between the two clocks above which a suspension is assumed. */
     private static final long TOLERANCE_MICROS = 50_000;
     private static final long UNKNOWN = -1;
     private static final double MICROS_PER_SECOND = 1e6;
@@ -35,7 +35,8 @@
     }
 
     /**
-     * The time since the clock was made. It reads the uptime anew each time: it is asked right before acting.
+     * Returns the time since this clock was created. Reads the uptime on each call, since callers decide by
+     * it whether they may act.
      */
     Moment now() {
         long uptimeMicros = uptimeMicros();
--- a/src/main/java/rampshift/leases/host/LeaseHost.java
+++ b/src/main/java/rampshift/leases/host/LeaseHost.java
@@ -19,7 +19,7 @@
 import rampshift.time.Span;
 
 /**
- * The timer, clock and disk of the leases, on the dispatcher's one I/O thread. It owns the acceptor's
+ * Runs the leases on the dispatcher's I/O thread with a timer, a clock and a disk. It owns the acceptor's
  * directory and the event log.
  */
 public final class LeaseHost implements MessageChannel.Handler {
@@ -41,8 +41,8 @@
     /**
      * Opens the directory and the event log.
      *
-     * @param name this dispatcher
-     * @throws IOException if one of them can't be used
+     * @param name name of this dispatcher
+     * @throws IOException if one of them cannot be opened
      */
     public LeaseHost(LeaseSettings settings, String name) throws IOException {
         this.settings = settings;
@@ -75,14 +75,16 @@
     }
 
     /**
-     * How long this dispatcher may act under the lease from this instant on; it may not where that is not
-     * positive. It reads the clock.
+     * Returns how long this dispatcher may act under the lease from now on, by a new reading of the clock; it
+     * may not act unless that is positive.
      */
     public Span remaining(String lease) {
         return leases.remaining(lease, clock.now());
     }
 
-    /** The token of each of these leases under which this dispatcher may act now; 0 for the others. */
+    /**
+     * Returns the token of each of these leases, or 0 for those under which this dispatcher may not act now.
+     */
     public long[] tokens(List<String> names) {
         Moment now = clock.now();
         return names.stream().mapToLong(lease -> tokenAt(lease, now)).toArray();
@@ -92,17 +94,17 @@
         return leases.remaining(lease, now).longerThan(Span.ZERO) ? leases.token(lease) : 0;
     }
 
-    /** The term of all leases. */
+    /** Returns the term of all leases. */
     public Span term() {
         return settings.timings().term();
     }
 
-    /** The fencing token that goes with each act, while this dispatcher may act. */
+    /** Returns the fencing token to send with each action; valid only while this dispatcher may act. */
     public long token(String lease) {
         return leases.token(lease);
     }
 
-    /** The note of the lease as far as is known here; empty for none. */
+    /** Returns the last observed note of the lease; empty for none. */
     public String note(String lease) {
         return leases.note(lease);
     }
@@ -112,7 +114,7 @@
         leases.writeNote(clock.now(), lease, note);
     }
 
-    /** Writes a line to the event log, if there is one. */
+    /** Writes a line to the event log if one is configured. */
     public void logEvent(String word, String lease, long token, String detail) {
         if (eventLog != null && !stopped) {
             eventLog.append(EventClock.now(), "leases", name, word, lease, token,
@@ -156,7 +158,7 @@
         }
     }
 
-    /** Carries out what the manager decides. */
+    /** Sends, stores and reports what the manager requests. */
     private final class ManagerOutput implements LeaseManager.Output {
         @Override
         public void send(String to, byte[] message) {
--- a/src/main/java/rampshift/leases/host/LeaseQueries.java
+++ b/src/main/java/rampshift/leases/host/LeaseQueries.java
@@ -7,7 +7,7 @@
 import rampshift.time.Moment;
 import rampshift.time.Span;
 
-/** Answers what operators ask and request by the command {@code leases}. */
+/** Answers the queries and requests that operators send with the command {@code leases}. */
 final class LeaseQueries {
     private static final Pattern QUESTION =
             Pattern.compile("\\?leases( give [!-~]+( [!-~]+)?| hold [!-~]+ \\d{1,16}| keepers [!-~]+)?");
@@ -22,7 +22,7 @@
         this.leases = leases;
     }
 
-    /** The answer; null where the question is not about leases. */
+    /** Returns the answer; null if the question is not about leases. */
     String answer(String question, Moment now) {
         if (!QUESTION.matcher(question).matches()) {
             return null;
@@ -46,12 +46,12 @@
 
     private String reconfigure(Moment now, String names) {
         ReconfigurationStart start = leases.reconfigure(now, List.of(names.split(",", 0)));
-        return start == ReconfigurationStart.BEGUN ? "begun; \"rampshift leases\" tells how it stands\n"
+        return start == ReconfigurationStart.BEGUN ? "begun; \"rampshift leases\" shows the progress\n"
                 : "not begun: " + start.reason() + "\n";
     }
 
     private static String told(boolean exists, String lease) {
-        return exists ? "told; \"rampshift leases\" tells what came of it\n"
+        return exists ? "told; \"rampshift leases\" shows the result\n"
                 : "there is no lease " + lease + "\n";
     }
 }
--- a/src/main/java/rampshift/leases/host/LeaseSettings.java
+++ b/src/main/java/rampshift/leases/host/LeaseSettings.java
@@ -9,9 +9,9 @@
  *
  * @param initialAcceptors names of the first acceptors
  * @param leases names of the leases
- * @param timings times of the leases
- * @param directory where this dispatcher's acceptor stores its registers; null where it has none
- * @param eventLog where events are written; null for nowhere
+ * @param timings durations of the lease protocol
+ * @param directory directory of this dispatcher's acceptor; null if it has no acceptor
+ * @param eventLog file to which events are written; null for none
  */
 public record LeaseSettings(List<String> initialAcceptors, List<String> leases, LeaseTimings timings,
         Path directory, Path eventLog) {}
--- a/src/main/java/rampshift/leases/host/RecordWriter.java
+++ b/src/main/java/rampshift/leases/host/RecordWriter.java
@@ -9,14 +9,13 @@
 import rampshift.log.Log;
 
 /**
- * Writes an acceptor's records on a thread of its own, and owns them: whatever has come since the last write
- * shares one sync. Listeners are called on the I/O thread. Once the disk has failed no listener is called any
- * more.
+ * Writes an acceptor's records on its own thread, and owns the record log. Records that arrive during a sync
+ * share the next one. Listeners are called on the I/O thread; none is called after the disk has failed.
  */
 final class RecordWriter {
-    /** Called once all records that came before it are on disk. */
+    /** Called once all records that were written before the listener was added are on disk. */
     interface SyncListener {
-        /** Takes the number of records that the directory has held. */
+        /** Receives the number of records that have ever been written to the directory. */
         void onSynced(long recordCount);
     }
 
@@ -30,7 +29,7 @@
         }
     }
 
-    /** What shares one sync. */
+    /** The records and listeners that share one sync. */
     private static final class Batch {
         private final List<PendingRecord> records = new ArrayList<>();
         private final List<SyncListener> listeners = new ArrayList<>();
@@ -50,8 +49,8 @@
     /**
      * Starts the thread.
      *
-     * @param ioThread where listeners are called
-     * @param onFailure called there once, when nothing can be written any more
+     * @param ioThread executor of the listeners
+     * @param onFailure called once on that executor if the disk fails
      */
     RecordWriter(RecordLog records, Executor ioThread, Runnable onFailure) {
         this.records = records;
@@ -76,7 +75,7 @@
         }
     }
 
-    /** Ends the thread once all that waits is written. */
+    /** Ends the thread once all pending records are written. */
     synchronized void close() {
         closed = true;
         notifyAll();
@@ -87,7 +86,7 @@
         waiting = new Batch();
     }
 
-    /** Waits for the next batch; an empty one where there is none any more. */
+    /** Waits for the next batch; returns an empty one once the writer is closed and nothing is pending. */
     private synchronized Batch next() throws InterruptedException {
         while (waiting.isEmpty() && !closed) {
             wait();
@@ -107,7 +106,7 @@
             Log.warn("leases", "keeper", "stops", "why", e.getMessage());
             ioThread.execute(onFailure);
         } catch (RejectedExecutionException e) {
-            // The dispatcher has stopped: nobody waits for it any more.
+            // The dispatcher has stopped: no listener waits for these records.
         } catch (InterruptedException e) {
             Thread.currentThread().interrupt();
         }
--- a/src/main/java/rampshift/leases/store/DirectoryLock.java
+++ b/src/main/java/rampshift/leases/store/DirectoryLock.java
@@ -8,23 +8,23 @@
 import java.nio.file.Path;
 import java.nio.file.StandardOpenOption;
 
-/** Keeps other processes out of a directory until it is closed. */
+/** An exclusive lock on a directory, held until it is closed. */
 final class DirectoryLock implements Closeable {
     private static final String FILE = "lock";
 
     private final FileChannel channel;
 
     /**
-     * Takes the lock.
+     * Acquires the lock.
      *
-     * @throws IOException if another process has it
+     * @throws IOException if it is held already, or the lock file cannot be opened
      */
     DirectoryLock(Path directory) throws IOException {
         channel = FileChannel.open(directory.resolve(FILE), StandardOpenOption.CREATE,
                 StandardOpenOption.WRITE);
         try {
             if (lock(channel) == null) {
-                throw new IOException(directory + ": another process keeps its records there");
+                throw new IOException(directory + ": another process uses this directory");
             }
         } catch (IOException e) {
             channel.close();
--- a/src/main/java/rampshift/leases/store/RecordFormat.java
+++ b/src/main/java/rampshift/leases/store/RecordFormat.java
@@ -6,16 +6,16 @@
 import java.util.zip.CRC32C;
 
 /**
- * The layout of a file of records: a header, then frames. A frame is the length of its body, the CRC32C of
- * its body, and the body: a number that rises from frame to frame, the length of the key, the key, and the
- * value.
+ * The layout of a record file: a header, then frames. A frame consists of the length of its body, the CRC32C
+ * of its body, and the body: a number that increases from frame to frame, the length of the key, the key, and
+ * the value.
  */
 final class RecordFormat {
-    /** Length and checksum of a frame. */
+    /** Size of the length and checksum of a frame. */
     static final int FRAME_HEADER_BYTES = 8;
-    /** The shortest body: its number and the length of an empty key. */
+    /** Minimum size of a body: its number and the length of an empty key. */
     static final int MIN_BODY_BYTES = 10;
-    /** The longest body. */
+    /** Maximum size of a body. */
     static final int MAX_BODY_BYTES = 1 << 16;
 
     private static final byte[] FILE_HEADER = "RSHREC01".getBytes(StandardCharsets.US_ASCII);
@@ -23,12 +23,12 @@
 
     private RecordFormat() {}
 
-    /** The bytes with which each file begins. */
+    /** Returns the header of each file. */
     static byte[] fileHeader() {
         return FILE_HEADER.clone();
     }
 
-    /** Reads the header; returns whether it is one of this format. */
+    /** Reads the header; returns whether it belongs to this format. */
     static boolean readFileHeader(ByteBuffer file) {
         if (file.remaining() < FILE_HEADER.length) {
             return false;
@@ -38,12 +38,12 @@
         return Arrays.equals(FILE_HEADER, header);
     }
 
-    /** Bytes of a frame's body. */
+    /** Returns the size of a frame's body in bytes. */
     static int bodyBytes(byte[] key, byte[] value) {
         return MIN_BODY_BYTES + key.length + value.length;
     }
 
-    /** Appends a frame to a buffer that has room for it. */
+    /** Appends a frame to a buffer, which must have room for it. */
     static void write(ByteBuffer buffer, long number, byte[] key, byte[] value) {
         int start = buffer.position();
         int length = bodyBytes(key, value);
@@ -52,8 +52,8 @@
     }
 
     /**
-     * Whether an undamaged frame with a number above the given one begins at this offset; 0 stands for any
-     * number.
+     * Returns whether an undamaged frame with a number above the given one begins at this offset; 0 permits
+     * any number.
      */
     static boolean isFrameAt(ByteBuffer file, int offset, long lastNumber) {
         int bytesLeft = file.limit() - offset - FRAME_HEADER_BYTES;
@@ -69,7 +69,7 @@
         return rises && checksum(file, body, length) == file.getInt(offset + CHECKSUM_OFFSET);
     }
 
-    /** Reads the frame at the buffer's position, which is known to be undamaged. */
+    /** Reads the frame at the buffer's position, which must be undamaged. */
     static StoredRecord read(ByteBuffer file) {
         int length = file.getInt();
         file.getInt();
@@ -87,7 +87,7 @@
         return (int) crc.getValue();
     }
 
-    /** A record as it was read from a file. */
+    /** A record read from a file. */
     static final class StoredRecord {
         private final long number;
         private final String key;
--- a/src/main/java/rampshift/leases/store/RecordLog.java
+++ b/src/main/java/rampshift/leases/store/RecordLog.java
@@ -14,15 +14,15 @@
 
 /**
  * A directory that stores records by key, in one file to which each change is appended. A torn record at the
- * end was never acknowledged and is cut off. Damage before the end is an error: nothing may go on without a
- * record that was acknowledged. For one thread at a time.
+ * end was never acknowledged and is truncated. Damage before the end is an error, since an acknowledged
+ * record would be lost. Not thread-safe.
  */
 public final class RecordLog implements Closeable {
     private static final String FILE = "records";
     private static final String NEW_FILE = "records.new";
-    /** A file is compacted once it is larger than this, */
+    /** Size that a file must exceed before it is compacted. */
     private static final long MIN_COMPACTION_BYTES = 1 << 20;
-    /** and this many times larger than the records in force. */
+    /** Ratio of the file's size to that of the live records above which it is compacted. */
     private static final int COMPACTION_FACTOR = 4;
 
     private final Path directory;
@@ -38,7 +38,7 @@
     /**
      * Opens the directory, or creates it.
      *
-     * @throws IOException if another process uses it or it is damaged; the message says what is to be done
+     * @throws IOException if another process uses it or it is damaged; the message says how to recover
      */
     public RecordLog(Path directory) throws IOException {
         this.directory = directory;
@@ -61,7 +61,7 @@
     private void load(Path path) throws IOException {
         ByteBuffer content = ByteBuffer.wrap(Files.readAllBytes(path));
         if (!RecordFormat.readFileHeader(content)) {
-            throw new IOException(path + ": is no file of records, or of another version");
+            throw new IOException(path + ": not a record file, or of an unsupported version");
         }
         while (RecordFormat.isFrameAt(content, content.position(), recordCount)) {
             RecordFormat.StoredRecord stored = RecordFormat.read(content);
@@ -77,14 +77,14 @@
         fileBytes = end;
     }
 
-    /** An undamaged record after a damaged one shows that the damage is not a torn end. */
+    /** Throws if an undamaged record follows after the end: then the damage there is not a torn end. */
     private void requireTornEnd(Path path, ByteBuffer content, int end) throws IOException {
         for (int offset = end + 1; offset < content.limit() - RecordFormat.FRAME_HEADER_BYTES; offset++) {
             if (RecordFormat.isFrameAt(content, offset, recordCount)) {
                 throw new IOException(path + ": byte " + end
-                        + ": a damaged record, and a sound one after it at byte " + offset
-                        + ": what this keeper promised is lost. Put its directory away, start it with an"
-                        + " empty one, and take it in again: rampshift leases keepers NAME,NAME,...");
+                        + ": a damaged record is followed by an undamaged one at byte " + offset
+                        + ": promises of this acceptor (keeper) are lost. Move its directory away, start it"
+                        + " with an empty one, and add it again: rampshift leases keepers NAME,NAME,...");
             }
         }
     }
@@ -99,18 +99,18 @@
         }
     }
 
-    /** A copy of all records by key. */
+    /** Returns a copy of all records by key. */
     public Map<String, byte[]> records() {
         return new TreeMap<>(records);
     }
 
-    /** How many records the directory has ever held; the number of the last one. */
+    /** Returns how many records have ever been written; also the number of the last one. */
     public long recordCount() {
         return recordCount;
     }
 
     /**
-     * Adds a record in memory. It is on disk after {@link #sync}.
+     * Buffers a record, which {@link #sync} writes to disk.
      *
      * @throws IOException if the record is too long
      */
@@ -118,7 +118,7 @@
         byte[] keyBytes = key.getBytes(StandardCharsets.UTF_8);
         int length = RecordFormat.bodyBytes(keyBytes, value);
         if (length > RecordFormat.MAX_BODY_BYTES) {
-            throw new IOException("a record of " + length + " bytes");
+            throw new IOException("record of " + length + " bytes exceeds the maximum size");
         }
         if (pending.remaining() < RecordFormat.FRAME_HEADER_BYTES + length) {
             pending = ByteBuffer.allocate(pending.capacity() * 2).put(pending.flip());
@@ -129,13 +129,13 @@
     }
 
     /**
-     * Returns once all records that were added are on disk.
+     * Writes all added records and returns once they are on disk.
      *
-     * @throws IOException if the disk fails; from then on always, since nothing is known of the file's end
+     * @throws IOException if the disk fails; all later calls fail too, since the end of the file is unknown
      */
     public void sync() throws IOException {
         if (broken) {
-            throw new IOException(directory + ": was not written to its end before");
+            throw new IOException(directory + ": an earlier write failed");
         }
         broken = true;
         writePending();
@@ -154,7 +154,7 @@
         pending.clear();
     }
 
-    /** A new file of the records in force replaces the old one, wholly or not at all. */
+    /** Atomically replaces the file by a new one that contains only the live records. */
     private void compact() throws IOException {
         Path path = directory.resolve(NEW_FILE);
         FileChannel old = file;
