--- a/src/main/java/rampshift/jobs/JobEvent.java
+++ b/src/main/java/rampshift/jobs/JobEvent.java
@@ -1,18 +1,18 @@
 package rampshift.jobs;
 
-/** What can happen to a periodic job, with the word that stands for it in the event log. */
+/** The types of events of a periodic job, with their words in the event log. */
 public enum JobEvent {
     /** A run has begun. */
     RUN_STARTED("begins"),
-    /** A run was not made, and is not made up for. */
+    /** A run was missed and is not caught up. */
     RUN_MISSED("missed"),
     /** All tasks of a run are settled. */
     RUN_COMPLETED("over"),
     /** A task was completed. */
     TASK_COMPLETED("done"),
-    /** A task may have run, and must not run twice. */
+    /** A task may have run and is not retried: it is not idempotent, or has no attempts left. */
     TASK_UNSURE("unsure"),
-    /** A task never ran, however often it was submitted. */
+    /** The last permitted attempt at a task did not run; earlier attempts at an idempotent task may have. */
     TASK_FAILED("given-up");
 
     private final String word;
@@ -21,7 +21,7 @@
         this.word = word;
     }
 
-    /** The word in the event log. */
+    /** Returns the word in the event log. */
     public String word() {
         return word;
     }
--- a/src/main/java/rampshift/jobs/PeriodicJob.java
+++ b/src/main/java/rampshift/jobs/PeriodicJob.java
@@ -8,50 +8,53 @@
 import rampshift.time.Span;
 
 /**
- * One periodic job, at the dispatcher that holds its lease. Before a task is submitted the register says that
- * it may be, so that the next holder knows which tasks may have run. It has no clock, socket or thread.
+ * A periodic job at the dispatcher that holds its lease. The register of the lease records which tasks may be
+ * submitted before they are, so that the next holder knows which tasks may have run. A deterministic state
+ * machine: it has no clock, socket or thread.
  */
 public final class PeriodicJob {
-    /** Carries out what is decided. */
+    /** Submits, stores and reports what the job requests. */
     public interface Output {
         /**
-         * Submits a task; how it ends is told to {@link PeriodicJob#onTaskEnded}.
+         * Submits a task, whose outcome is reported to {@link PeriodicJob#onTaskEnded}.
          *
          * @param object index of its object
-         * @param id idempotency key: the same for all attempts of the task
-         * @param transactionId different for each attempt
+         * @param id idempotency key, the same for all attempts of the task
+         * @param transactionId unique id of the attempt
          */
         void submit(int object, String id, String transactionId);
 
         /** Writes the note of the job's lease. */
         void writeNote(String note);
 
-        /** Reports an event of a run; the object is 0 where it is about the whole run. */
+        /** Reports an event of a run; the object is 0 if the event concerns the whole run. */
         void emit(JobEvent event, long run, int object);
     }
 
-    /** How a task ended. */
+    /** The outcome of an attempt at a task. */
     public enum TaskOutcome {
-        /** It was completed. */
+        /** The task was completed. */
         COMPLETED,
-        /** It certainly had no effect. */
+        /** The task certainly had no effect. */
         NEVER_RAN,
-        /** It may have had its effect. */
+        /** The task may have taken effect. */
         MAY_HAVE_RUN
     }
 
     private static final int MAX_IN_FLIGHT = 200;
-    /** Attempts at a task that never runs, before it is reported as failed. */
+    /** Attempts at a task before it is reported as failed or unsure. */
     private static final int MAX_ATTEMPTS = 20;
     private static final double MILLIS_PER_SECOND = 1000;
 
     private final PeriodicJobSettings settings;
     private final Output out;
-    /** Tasks that may be in flight at once: as many as are submitted in half a term. */
+    /**
+     * Maximum number of tasks in flight: those submitted in half a term, from 1 to {@link #MAX_IN_FLIGHT}.
+     */
     private final int window;
     private final TreeMap<Integer, Moment> retryAt = new TreeMap<>();
     private final Map<Integer, Integer> attempts = new HashMap<>();
-    /** Objects that were submitted, or wait for a retry. */
+    /** Objects whose tasks are in flight or wait for a retry. */
     private final TreeSet<Integer> unsettled = new TreeSet<>();
     private long token;
     private JobProgress written = JobProgress.NONE;
@@ -60,7 +63,7 @@
     private Moment submitAt;
     private boolean holding;
 
-    /** A job whose lease is not held; the term is that of the lease. */
+    /** Creates a job whose lease is not held yet; the term is that of the lease. */
     public PeriodicJob(PeriodicJobSettings settings, Span term, Output out) {
         this.settings = settings;
         this.out = out;
@@ -68,19 +71,19 @@
         window = (int) Math.max(1, Math.min(MAX_IN_FLIGHT, tasksInHalfATerm));
     }
 
-    /** Its settings. */
+    /** Returns the settings of the job. */
     public PeriodicJobSettings settings() {
         return settings;
     }
 
     /**
-     * Does what is due. To be called at short intervals.
+     * Performs the actions that are due. To be called at short intervals.
      *
-     * @param now on any clock that only advances
-     * @param dueRun number of the run that is due: it decides when a run starts, never whether two
-     *         dispatchers act
+     * @param now time of a monotonic clock
+     * @param dueRun number of the run that is due; it may come from an inaccurate clock, since only the start
+     *         of a run depends on it, not the exclusion of other dispatchers
      * @param heldToken the fencing token; 0 while the lease is not held
-     * @param note the note of the lease, as far as is known
+     * @param note the last observed note of the lease
      */
     public void onTimer(Moment now, long dueRun, long heldToken, String note) {
         if (heldToken == 0) {
@@ -95,7 +98,7 @@
             startRun(dueRun);
         }
         if (!current.equals(written)) {
-            return; // nothing is submitted before a quorum knows that it may be
+            return; // submit nothing before a quorum has stored that it may be submitted
         }
         if (!current.complete()) {
             submitTasks(now);
@@ -103,7 +106,7 @@
         }
     }
 
-    /** What the former holder may have submitted is submitted again only where that is harmless. */
+    /** Retries the tasks that the previous holder may have submitted if idempotent; else reports them. */
     private void takeOver(Moment now, long heldToken) {
         holding = true;
         token = heldToken;
@@ -156,7 +159,7 @@
         }
     }
 
-    /** Retries come first; null where nothing may be submitted now. */
+    /** Returns the next object, retries first; null if nothing may be submitted now. */
     private Integer nextToSubmit(Moment now) {
         Integer retry = firstDueRetry(now);
         if (retry != null) {
@@ -176,10 +179,10 @@
     }
 
     /**
-     * Takes how a task ended.
+     * Handles the outcome of a task.
      *
-     * @param taskToken the token under which it was submitted; one of another token no longer counts
-     * @param retryAfter how long it is not submitted again, where it is
+     * @param taskToken the token under which the task was submitted; outcomes of another token are ignored
+     * @param retryAfter minimum delay of a retry
      */
     public void onTaskEnded(Moment now, long taskToken, int object, TaskOutcome outcome, Span retryAfter) {
         if (taskToken != token || !unsettled.contains(object)) {
@@ -206,7 +209,7 @@
         out.emit(event, current.run(), object);
     }
 
-    /** Writes the progress once half of the window is settled, or all. */
+    /** Writes the progress once half of the window, or the whole run, is newly settled. */
     private void writeProgress() {
         int settled = unsettled.isEmpty() ? nextObject : Math.min(nextObject, unsettled.first());
         int submittable = Math.min(settings.objectCount(), settled + window);
--- a/src/main/java/rampshift/jobs/PeriodicJobSettings.java
+++ b/src/main/java/rampshift/jobs/PeriodicJobSettings.java
@@ -4,22 +4,22 @@
 import rampshift.time.Span;
 
 /**
- * A job of the whole fleet, as a section {@code [[duty]]} of the operator's file states it.
+ * The settings of a periodic job of the whole fleet, from a section {@code [[duty]]} of the operator's file.
  *
- * @param name its name, and that of its lease
+ * @param name name of the job and of its lease
  * @param trafficType traffic type of its tasks
  * @param interval time between the starts of two runs
- * @param offsetMicros when in each interval a run is due, in microseconds; intervals of a day begin at
- *         midnight UTC
- * @param predecessor the job whose complete run makes one of this job due; empty for none, then the interval
- *         decides
- * @param objects what {@code {object}} stands for; one task each in a run
+ * @param offsetMicros offset of a run from the start of each interval, in microseconds; intervals of a day
+ *         begin at midnight UTC
+ * @param predecessor the job after each of whose runs this job is due; empty if the interval determines the
+ *         runs
+ * @param objects the values of {@code {object}}; each run has one task per value
  * @param tasksPerSecond rate at which tasks are submitted
- * @param maxCatchUpRuns how many missed runs are made up for
- * @param targetTemplate request target of a task, with {@code {object}} in it
- * @param bodyTemplate body of a task, with {@code {object}} in it
+ * @param maxCatchUpRuns how many missed runs are caught up
+ * @param targetTemplate request target of a task, may contain {@code {object}}
+ * @param bodyTemplate body of a task, may contain {@code {object}}
  * @param idempotent whether a task that may have run may be submitted again
- * @param taskTimeout how long a task is waited for at most
+ * @param taskTimeout maximum duration of a task
  */
 public record PeriodicJobSettings(String name, String trafficType, Span interval, long offsetMicros,
         String predecessor, List<String> objects, double tasksPerSecond, int maxCatchUpRuns,
@@ -28,10 +28,10 @@
     private static final String PLACEHOLDER = "{object}";
 
     /**
-     * The number of the run that is due.
+     * Returns the number of the run that is due.
      *
      * @param wallMicros the wall clock, in microseconds since the epoch
-     * @param predecessorProgress how far the job before this one has come, if there is one
+     * @param predecessorProgress progress of the predecessor, if there is one
      */
     public long dueRun(long wallMicros, JobProgress predecessorProgress) {
         if (!predecessor.isEmpty()) {
@@ -40,12 +40,12 @@
         return Math.floorDiv(wallMicros - offsetMicros, interval.micros());
     }
 
-    /** The request target of the task for an object. */
+    /** Returns the request target of the task for an object. */
     public String target(int object) {
         return targetTemplate.replace(PLACEHOLDER, objects.get(object));
     }
 
-    /** The body of the task for an object. */
+    /** Returns the body of the task for an object. */
     public String body(int object) {
         return bodyTemplate.replace(PLACEHOLDER, objects.get(object));
     }
@@ -54,7 +54,9 @@
         return objects.size();
     }
 
-    /** These settings with what the dispatcher's configuration says of the traffic type. */
+    /**
+     * Returns these settings with the values that the dispatcher's configuration has for the traffic type.
+     */
     public PeriodicJobSettings withTrafficType(boolean isIdempotent, Span timeout) {
         return new PeriodicJobSettings(name, trafficType, interval, offsetMicros, predecessor, objects,
                 tasksPerSecond, maxCatchUpRuns, targetTemplate, bodyTemplate, isIdempotent, timeout);
--- a/src/main/java/rampshift/jobs/host/PeriodicJobHost.java
+++ b/src/main/java/rampshift/jobs/host/PeriodicJobHost.java
@@ -14,7 +14,9 @@
 import rampshift.time.Clock;
 import rampshift.time.Span;
 
-/** The timer of the periodic jobs, on the dispatcher's I/O thread, and what they submit and write. */
+/**
+ * Runs the periodic jobs on the dispatcher's I/O thread: calls them at intervals and performs their output.
+ */
 public final class PeriodicJobHost {
     private static final Span TIMER_INTERVAL = Span.ofMillis(20);
     private static final long MICROS_PER_MILLI = 1000;
@@ -28,7 +30,7 @@
     private XnioExecutor.Key timer;
     private boolean stopped;
 
-    /** Starts the timer. The address is the dispatcher's own, where it takes tasks of clients. */
+    /** Starts the timer. The address is the one at which this dispatcher accepts tasks of clients. */
     public PeriodicJobHost(List<PeriodicJobSettings> settings, LeaseHost leases, XnioIoThread thread,
             Clock clock, InetSocketAddress address) {
         this.leases = leases;
@@ -65,7 +67,7 @@
         return settings.dueRun(wallMicros, progress);
     }
 
-    /** The progress of all jobs as text for operators. */
+    /** Renders the progress of all jobs as text for operators. */
     public String statusPage() {
         StringBuilder text = new StringBuilder();
         for (PeriodicJob job : jobs) {
@@ -90,7 +92,7 @@
         client.stop();
     }
 
-    /** Carries out what one job decides. */
+    /** Submits, stores and reports what one job requests. */
     private final class JobOutput implements PeriodicJob.Output {
         private final String name;
         private PeriodicJob job;
--- a/src/main/java/rampshift/jobs/host/TaskClient.java
+++ b/src/main/java/rampshift/jobs/host/TaskClient.java
@@ -8,7 +8,7 @@
 import rampshift.time.Span;
 
 /**
- * Submits tasks to the dispatcher's own listener, as any client would, and owns the idle connections to it.
+ * Submits tasks to this dispatcher's own listener as a client does, and owns the idle connections to it.
  */
 final class TaskClient {
     private static final Span CONNECT_TIMEOUT = Span.ofMillis(1000);
@@ -25,7 +25,7 @@
         dialer = new Dialer(thread);
     }
 
-    /** Starts an exchange on an idle connection, or on a new one. */
+    /** Starts an exchange on an idle connection, or on a new one if none is reusable. */
     void submit(TaskExchange exchange) {
         HttpConnection connection = idle.poll();
         while (connection != null && !connection.isReusable()) {
@@ -39,7 +39,7 @@
         }
     }
 
-    /** Takes a connection back after an exchange. */
+    /** Returns a connection to the idle ones after an exchange, or closes it. */
     void release(HttpConnection connection) {
         if (connection.isReusable() && !stopped) {
             idle.push(connection);
@@ -48,7 +48,7 @@
         }
     }
 
-    /** Runs later on the I/O thread. */
+    /** Schedules a call on the I/O thread. */
     void execute(Runnable task) {
         thread.execute(task);
     }
--- a/src/main/java/rampshift/jobs/host/TaskExchange.java
+++ b/src/main/java/rampshift/jobs/host/TaskExchange.java
@@ -10,17 +10,18 @@
 import rampshift.time.Span;
 
 /**
- * The exchange of one task with the dispatcher. The lease is asked for as the first byte is written, which is
- * the last moment; the token goes with the task, and the task may not outlast the lease.
+ * The exchange of one task with the dispatcher. It checks the lease immediately before the first byte is
+ * written. The task carries the fencing token, and its remaining time is limited so that it ends before the
+ * lease does.
  */
 final class TaskExchange implements ExchangeListener, Dialer.DialListener {
-    /** Takes how the task ended. */
+    /** Receives the outcome of the task. */
     interface Listener {
-        /** The span is how long the task is not to be submitted again. */
+        /** Reports the outcome, and the minimum delay of a retry. */
         void onEnded(TaskOutcome outcome, Span retryAfter);
     }
 
-    /** The part of the lease's remaining time that a task may take. */
+    /** Fraction of the lease's remaining time that a task may take. */
     private static final double REMAINING_SHARE = 0.8;
     private static final Span DEFAULT_RETRY_AFTER = Span.ofMillis(200);
     private static final Pattern RETRY_AFTER_SECONDS = Pattern.compile("\\d{1,6}(\\.\\d{1,6})?");
@@ -63,7 +64,9 @@
         end(TaskOutcome.NEVER_RAN);
     }
 
-    /** A dispatcher that was stopped since the task was submitted may not hold the lease any more. */
+    /**
+     * Checks the lease again, which may have expired since submission, as when this process was suspended.
+     */
     @Override
     public boolean mayWriteFirstByte() {
         written = leases.remaining(lease()).longerThan(Span.ZERO) && leases.token(lease()) == request.token();
--- a/src/main/java/rampshift/jobs/host/TaskRequest.java
+++ b/src/main/java/rampshift/jobs/host/TaskRequest.java
@@ -8,17 +8,17 @@
 /**
  * One attempt at a task of a periodic job.
  *
- * @param settings of its job
+ * @param settings settings of its job
  * @param object index of its object
  * @param id idempotency key
- * @param transactionId different for each attempt
+ * @param transactionId unique id of the attempt
  * @param token fencing token of the job's lease
  */
 record TaskRequest(PeriodicJobSettings settings, int object, String id, String transactionId, long token) {
 
     private static final Span MIN_REMAINING = Span.ofMillis(1);
 
-    /** The request as it goes to the dispatcher; remaining is the time that the task may take. */
+    /** Encodes the request; remaining is the time that the task may take. */
     ByteBuffer encode(Span remaining) {
         byte[] body = settings.body(object).getBytes(StandardCharsets.UTF_8);
         String head = "POST " + settings.target(object) + " HTTP/1.1\r\nHost: duty\r\nX-Txn: " + transactionId
