--- a/src/main/java/rampshift/eventlog/EventLog.java
+++ b/src/main/java/rampshift/eventlog/EventLog.java
@@ -10,9 +10,9 @@
 import rampshift.time.Moment;
 
 /**
- * What one process observed, one line an event: {@code micros word field ...}. A thread of its own writes
- * the file, so that a slow disk is never taken for a slow worker or client. Fields hold no blanks; an empty
- * one is written as a dash.
+ * The event log of one process, with one line per event: {@code micros word field ...}. A separate thread
+ * writes the file, so that a slow disk does not delay the process, which would look like a slow worker or
+ * client. Fields must not contain spaces; an empty field is written as a dash.
  */
 public final class EventLog implements Closeable {
     private static final int MAX_BUFFERED_CHARS = 64 << 20;
@@ -27,7 +27,7 @@
     private volatile IOException failure;
     private boolean closed;
 
-    /** A new file, in which every line is written; {@link #append} throws once the disk is too far behind. */
+    /** Creates a new file without loss of lines: {@link #append} throws once the disk is too far behind. */
     public EventLog(Path file) throws IOException {
         this(file, false);
     }
@@ -35,8 +35,8 @@
     /**
      * Opens the file.
      *
-     * @param lossy whether to append to what the file holds and, where the disk fails or is behind, to
-     * leave lines out
+     * @param lossy whether to append to the existing content and to omit lines while the disk is too far
+     *         behind or after it has failed
      */
     public EventLog(Path file, boolean lossy) throws IOException {
         this.lossy = lossy;
@@ -47,7 +47,7 @@
         writer.start();
     }
 
-    /** Adds an event; after {@link #close} it does nothing. It never waits for the disk. */
+    /** Adds an event without waiting for the disk. Does nothing after {@link #close}. */
     public synchronized void append(Moment when, String word, Object... fields) {
         if (closed) {
             return;
@@ -56,7 +56,7 @@
             return;
         }
         if (buffer.length() > MAX_BUFFERED_CHARS) {
-            throw new IllegalStateException("the event log's disk does not keep up");
+            throw new IllegalStateException("the disk does not keep up with the event log");
         }
         buffer.append(when.micros()).append(' ').append(word);
         for (Object field : fields) {
@@ -88,7 +88,7 @@
         }
     }
 
-    /** Returns once all lines are in the file; throws what went wrong in writing them. */
+    /** Returns once all lines are written; throws the exception by which writing failed, if any. */
     @Override
     public void close() throws IOException {
         synchronized (this) {
