--- a/src/test/java/rampshift/jobs/JobSimulation.java
+++ b/src/test/java/rampshift/jobs/JobSimulation.java
@@ -10,9 +10,9 @@
 import rampshift.time.Span;
 
 /**
- * The register of a periodic job's lease, and whoever holds the lease. Time goes in steps of 10 ms; the
- * register is written after 30 ms; tasks are rejected, fail after they took effect, or are completed by
- * random draws.
+ * Simulates the register of a periodic job's lease and the holder of the lease. Time advances in steps of
+ * 10 ms; a write of the register takes 30 ms; random draws decide whether a task is rejected, fails after it
+ * took effect, or is completed.
  */
 final class JobSimulation implements PeriodicJob.Output {
     private static final long START_MILLIS = 5000;
@@ -62,12 +62,12 @@
         return nowMillis * MICROS_PER_MILLI;
     }
 
-    /** What was reported since the list was cleared. */
+    /** Returns the events reported since the list was last cleared. */
     List<Event> events() {
         return events;
     }
 
-    /** The runs of which such an event was reported. */
+    /** Returns the runs for which an event of this type was reported. */
     List<Long> runs(JobEvent type) {
         return reported.stream().filter(event -> event.type == type).map(Event::run).toList();
     }
@@ -80,18 +80,18 @@
         return effects.isEmpty();
     }
 
-    /** How often a task took effect. */
+    /** Returns how often a task took effect. */
     int effects(long run, int object) {
         return effects.getOrDefault(settings.name() + "-" + run + "-" + object, 0);
     }
 
-    /** Another dispatcher acquires the lease. */
+    /** Lets another dispatcher acquire the lease. */
     void takeOver() {
         holder = new PeriodicJob(settings, Span.ofMillis(1000), this);
         token++;
     }
 
-    /** The holder dies with what it has in flight. */
+    /** Crashes the holder. Its tasks in flight still take effect, but its pending writes are lost. */
     void kill() {
         holder = null;
     }
--- a/src/test/java/rampshift/jobs/PeriodicJobTest.java
+++ b/src/test/java/rampshift/jobs/PeriodicJobTest.java
@@ -13,7 +13,7 @@
 import rampshift.time.Moment;
 import rampshift.time.Span;
 
-/** A periodic job over changes of the holder of its lease. */
+/** Tests a periodic job across changes of the holder of its lease. */
 class PeriodicJobTest {
     private static final int OBJECTS = 40;
     private static final int SEEDS = 200;
@@ -25,7 +25,7 @@
                 "/{object}", "", idempotent, Span.ofMillis(500));
     }
 
-    /** Holders that die with what they have in flight, then one that completes what is left. */
+    /** Simulates holders that crash with tasks in flight, then one that completes the rest. */
     private static JobSimulation playChanges(long seed, boolean idempotent) {
         JobSimulation simulation = new JobSimulation(seed, settings(idempotent, 1));
         for (int change = 0; change < CHANGES; change++) {
@@ -52,7 +52,7 @@
                     int effects = simulation.effects(run, object);
                     String task = "seed " + seed + ": task " + object + " of run " + run;
                     assertTrue(effects > 0 || simulation.isReportedUnsure(run, object),
-                            task + " was left out, and nobody was told");
+                            task + " neither ran nor was reported");
                     assertTrue(effects <= 1 || idempotent, task + " took effect " + effects + " times");
                     once += effects == 1 ? 1 : 0;
                     moreOften += effects > 1 ? 1 : 0;
@@ -60,8 +60,8 @@
                 }
             }
         }
-        System.out.println((idempotent ? "idempotent" : "others") + ": once " + once + ", more " + moreOften
-                + ", never, and told so " + never);
+        System.out.println((idempotent ? "idempotent" : "not idempotent") + ": once " + once
+                + ", more often " + moreOften + ", never but reported " + never);
         assertEquals(idempotent, never == 0);
         assertTrue(once > 20_000);
     }
@@ -104,7 +104,8 @@
         assertEquals(10, daily.dueRun(10 * 24 * hour + 3 * hour, JobProgress.NONE));
         PeriodicJobSettings following =
                 new PeriodicJobSettings("b", "t", day, 0, "a", List.of("0"), 1, 0, "/", "", true, Span.ZERO);
-        assertEquals(9, following.dueRun(0, new JobProgress(10, 3, 7, false)), "that one is in progress");
+        assertEquals(9, following.dueRun(0, new JobProgress(10, 3, 7, false)),
+                "run 10 of the predecessor is in progress");
         assertEquals(10, following.dueRun(0, new JobProgress(10, 7, 7, true)));
     }
 
