--- a/src/bench/java/rampshift/leases/LeaseMeasurementTest.java
+++ b/src/bench/java/rampshift/leases/LeaseMeasurementTest.java
@@ -9,8 +9,8 @@
 import rampshift.leases.LeaseSimulation.Dispatcher;
 
 /**
- * Figures of leases in simulated time, in terms: a message takes up to 5 ms, a sync about 1 ms, clocks are up
- * to 5% off, the term is 1 s. {@code mvn -q -Pbench test -Dtest=LeaseMeasurementTest}
+ * Measures leases in simulated time, in units of the term: a message takes up to 5 ms, a sync about 1 ms,
+ * clock drift is up to 5%, the term is 1 s. Run by {@code mvn -q -Pbench test -Dtest=LeaseMeasurementTest}.
  */
 class LeaseMeasurementTest {
     private static final String LEASE = "l0";
@@ -19,7 +19,7 @@
     private static final int HOURS = 10;
     private static final double SECONDS_PER_HOUR = 3600;
     private static final double STEP_SECONDS = 0.1;
-    /** A fault each 10 s on the mean, at steps of a tenth of a second. */
+    /** One fault every 10 s on average, at steps of 0.1 s. */
     private static final int STEPS_PER_FAULT = 100;
 
     private static LeaseSimulation held(long seed) {
@@ -41,16 +41,16 @@
                     () -> simulation.actor(LEASE) != null && !simulation.actor(LEASE).equals(first)));
         }
         terms.sort(null);
-        System.out.printf("next act after %-28s median %.2f terms, most %.2f%n", what,
+        System.out.printf("next holder acts after %-28s median %.2f terms, maximum %.2f%n", what,
                 terms.get(TAKEOVERS / 2), terms.get(TAKEOVERS - 1));
     }
 
     @Test
     void takeover() {
-        measureTakeover("death", Dispatcher::kill);
-        measureTakeover("a stall", dispatcher -> dispatcher.setPaused(true));
-        measureTakeover("a cut", dispatcher -> dispatcher.cutOff = true);
-        measureTakeover("an end in order", dispatcher -> dispatcher.manager.shutDown(dispatcher.clock()));
+        measureTakeover("a crash", Dispatcher::kill);
+        measureTakeover("a pause", dispatcher -> dispatcher.setPaused(true));
+        measureTakeover("a partition", dispatcher -> dispatcher.cutOff = true);
+        measureTakeover("a graceful shutdown", dispatcher -> dispatcher.manager.shutDown(dispatcher.clock()));
     }
 
     @Test
@@ -73,8 +73,8 @@
         simulation.run(terms);
         double cpuMillis = (System.nanoTime() - startNanos) / 1e6;
         System.out.printf(
-                "%d keepers, 20 dispatchers, %d leases: a term and lease %.1f messages, %.0f bytes,"
-                        + " %.2f syncs; CPU of all %.2f ms a term%n",
+                "%d acceptors, 20 dispatchers, %d leases: per term and lease %.1f messages, %.0f bytes,"
+                        + " %.2f syncs; CPU of all %.2f ms per term%n",
                 acceptors, leases, (simulation.messages - messages) / terms / leases,
                 (simulation.bytes - bytes) / terms / leases, (simulation.syncs - syncs) / terms / leases,
                 cpuMillis / terms);
@@ -86,7 +86,7 @@
         for (int seed = 0; seed < HOURS; seed++) {
             percentWithoutActor[seed] = playHour(seed);
         }
-        System.out.println("an hour of faults, each 10 s on the mean, 2.5 terms long: nobody acts in % "
+        System.out.println("an hour of faults of 2.5 terms, each 10 s on average: % of time without an actor "
                 + Arrays.toString(percentWithoutActor));
     }
 
--- a/src/test/java/rampshift/leases/ExplorerNode.java
+++ b/src/test/java/rampshift/leases/ExplorerNode.java
@@ -9,9 +9,9 @@
 import rampshift.time.Moment;
 import rampshift.time.Span;
 
-/** An acceptor or a contender of an explored world. */
+/** An acceptor or a contender of the explored system. */
 final class ExplorerNode implements Acceptor.Output, LeaseClient.Context {
-    /** The three acceptors of the world. */
+    /** The three acceptors of the system. */
     static final AcceptorSet ACCEPTORS = new AcceptorSet(1, List.of(new AcceptorSet.Member("k1", 1),
             new AcceptorSet.Member("k2", 2), new AcceptorSet.Member("k3", 3)), List.of());
 
@@ -19,9 +19,9 @@
     private static final long START_MICROS = 1_000_000;
     private static final Span NEVER = new Span(1L << 40);
 
-    /** What all nodes of all states share. */
+    /** The environment that all nodes of all states share. */
     static final class World {
-        /** The state in which nodes act; each thread works on one at a time. */
+        /** The state that this thread currently expands. */
         private static final ThreadLocal<ExplorerState> STATE = new ThreadLocal<>();
 
         final Set<String> cutLinks;
@@ -36,7 +36,7 @@
             return STATE.get();
         }
 
-        /** The state in which nodes act from now on, on this thread. */
+        /** Sets the state that this thread expands. */
         void enter(ExplorerState entered) {
             STATE.set(entered);
         }
@@ -58,7 +58,7 @@
         this.clockRate = clockRate;
     }
 
-    /** An acceptor that votes at once: how it starts is not explored. */
+    /** Creates an acceptor that votes immediately; its start is not explored. */
     static ExplorerNode acceptor(World world, long id) {
         ExplorerNode node = new ExplorerNode(world, "k" + id, 1);
         node.disk.put("keepers", ACCEPTORS.encode().getBytes(StandardCharsets.US_ASCII));
@@ -93,7 +93,7 @@
         return lease;
     }
 
-    /** How many numbers a contender has given to changes and attempts. */
+    /** Returns how many numbers a contender has assigned to changes and attempts. */
     long numbers() {
         return numbers;
     }
@@ -115,7 +115,7 @@
         }
     }
 
-    /** Everything that waits is on disk and sent. */
+    /** Writes and sends all pending output. */
     void sync() {
         for (PendingOutput each : pending) {
             if (each instanceof PendingOutput.Write write) {
@@ -127,7 +127,7 @@
         pending.clear();
     }
 
-    /** The acceptor starts again with what is on its disk. */
+    /** Restarts the acceptor with the records on its disk; pending output is lost. */
     void crash() {
         pending.clear();
         startAcceptor();
@@ -199,7 +199,8 @@
     }
 
     /**
-     * Equal for equal nodes. It leaves out which acceptors have replied: states count that for each of them.
+     * Returns a hash that is equal for equal nodes. It excludes which acceptors have replied, which
+     * {@link ExplorerState#fingerprint} includes per acceptor.
      */
     long fingerprint() {
         if (fingerprint == 0) {
@@ -217,7 +218,7 @@
         return fingerprint;
     }
 
-    /** Which acceptors have replied in the present phase of the contender's attempt. */
+    /** Returns the acceptors that have replied in the current phase of the contender's attempt. */
     @SuppressWarnings("unchecked")
     Set<String> replied() {
         Proposer proposer = lease == null ? null : lease.writer().proposer();
--- a/src/test/java/rampshift/leases/ExplorerState.java
+++ b/src/test/java/rampshift/leases/ExplorerState.java
@@ -6,13 +6,13 @@
 import java.util.Map;
 import java.util.TreeMap;
 
-/** One state of an explored world. Nodes are shared between states until they change. */
+/** A state of the explored system. States share nodes until a node changes. */
 final class ExplorerState {
     private static final long PRIME = 31;
     private static final long NODE_PRIME = 1_000_003;
     private static final long REPLIED = 7;
 
-    /** A message under way; its number stands for all of it. */
+    /** A message in flight; its hash identifies its content in fingerprints. */
     record InFlight(String from, String to, Message message, long hash) {}
 
     final Map<String, ExplorerNode> nodes;
@@ -20,12 +20,12 @@
     int ticks;
     int repeats;
     int crashes;
-    /** The highest token under which anybody acted. */
+    /** The highest token under which a contender acted. */
     long highestToken;
     private final ExplorerState parent;
     private final String step;
 
-    /** The first state of a world without nodes. */
+    /** Creates the first state, without nodes. */
     ExplorerState() {
         parent = null;
         step = "";
@@ -33,7 +33,7 @@
         inFlight = new ArrayList<>();
     }
 
-    /** A state that one step leads to from its parent. */
+    /** Creates the state that follows its parent by one step. */
     ExplorerState(ExplorerState parent, String step) {
         this.parent = parent;
         this.step = step;
@@ -45,7 +45,7 @@
         highestToken = parent.highestToken;
     }
 
-    /** Replaces the node of that name by a copy that is this state's alone, and returns it. */
+    /** Replaces a node by a copy that belongs to this state alone, and returns the copy. */
     ExplorerNode ownNode(String name) {
         ExplorerNode original = nodes.get(name);
         IdentityHashMap<Object, Object> shared = new IdentityHashMap<>();
@@ -56,7 +56,7 @@
         return copy;
     }
 
-    /** Equal for equal states, and for states in which acceptors have changed places. */
+    /** Returns a hash that is equal for equal states and for states that differ in the order of acceptors. */
     long fingerprint() {
         long sum = ticks + PRIME * (repeats + PRIME * (crashes + PRIME * highestToken));
         for (ExplorerNode node : nodes.values()) {
@@ -94,7 +94,7 @@
         return (mixed ^ (mixed >>> 29)) * 0xbf58476d1ce4e5b9L;
     }
 
-    /** All steps that lead here. */
+    /** Returns all steps that lead to this state. */
     String path() {
         return parent == null ? "" : parent.path() + " " + step + ";";
     }
--- a/src/test/java/rampshift/leases/InterleavingExplorer.java
+++ b/src/test/java/rampshift/leases/InterleavingExplorer.java
@@ -13,35 +13,36 @@
 import rampshift.time.Span;
 
 /**
- * Walks the interleavings of a small world over the real state machines of acceptors and leases. At each step
- * any message under way may arrive, in any order; any may be lost, which is to arrive never; one may come
- * twice; acceptors may crash with what they have not synced; time goes on in steps whether a contender is
- * called or not, so each may stand still at any point. What is asserted holds in each state.
+ * A model checker that explores the interleavings of a small system of the real state machines of acceptors
+ * and leases. At each step any message in flight may be delivered, in any order; a lost message is one that
+ * is never delivered; a message may be delivered twice; an acceptor may crash and lose what it has not
+ * synced; time advances in ticks whether or not a contender's timer is called, so that a contender may pause
+ * at any point. The assertions are checked in each state.
  */
 final class InterleavingExplorer {
-    /** Microseconds of a step of time; a term is four of them. */
+    /** Duration of a tick; a term is four ticks. */
     static final long TICK_MICROS = 1000;
     static final LeaseTimings TIMINGS = new LeaseTimings(new Span(4 * TICK_MICROS), 0.2, new Span(1L << 40));
 
     private static final List<String> ACCEPTOR_NAMES = List.of("k1", "k2", "k3");
 
     /**
-     * What a walk may use up.
+     * Bounds of an exploration.
      *
-     * @param ticks steps of time, from where it begins
-     * @param numbers that each contender gives: each change takes one, each attempt at it another
-     * @param repeats messages that come twice
-     * @param crashes of acceptors
-     * @param maxStates states, then it ends
+     * @param ticks maximum number of ticks from the first state
+     * @param numbers maximum number of numbers per contender: each change takes one, and each attempt another
+     * @param repeats maximum number of messages that are delivered twice
+     * @param crashes maximum number of crashes of acceptors
+     * @param maxStates number of states after which the exploration ends
      */
     record Bounds(int ticks, int numbers, int repeats, int crashes, long maxStates) {}
 
-    /** What is broken on purpose. */
+    /** A deliberate bug, which the exploration has to find. */
     enum Bug {
         NONE,
-        /** Acceptors answer before it is on disk. */
+        /** Acceptors reply before their records are on disk. */
         NO_SYNC,
-        /** Contenders leave out that clocks drift. */
+        /** Contenders ignore the drift of clocks. */
         NO_DRIFT
     }
 
@@ -57,34 +58,34 @@
     private volatile String violation;
     private boolean complete;
 
-    /** The cut links, as "a&gt;k3", carry nothing. */
+    /** Creates an explorer; the cut links, such as "a&gt;k3", deliver no messages. */
     InterleavingExplorer(Bounds bounds, Bug bug, Set<String> cutLinks) {
         this.bounds = bounds;
         this.bug = bug;
         world = new ExplorerNode.World(cutLinks, bug == Bug.NO_SYNC);
     }
 
-    /** States that were found. */
+    /** Returns how many states were found. */
     long states() {
         return states.get();
     }
 
-    /** How often a state was met in which somebody may act. */
+    /** Returns how often a state was reached in which a contender may act. */
     long actingStates() {
         return actingStates.get();
     }
 
-    /** The highest token under which anybody acted. */
+    /** Returns the highest token under which a contender acted. */
     long highestToken() {
         return highestToken.get();
     }
 
-    /** Whether all states within the bounds were walked. */
+    /** Returns whether all states within the bounds were explored. */
     boolean isComplete() {
         return complete;
     }
 
-    /** Three acceptors that vote, and two contenders for a lease that was never held. */
+    /** Returns a state with three voting acceptors and two contenders for a lease that was never held. */
     ExplorerState initialState() {
         ExplorerState state = new ExplorerState();
         world.enter(state);
@@ -105,7 +106,7 @@
         return state;
     }
 
-    /** The same once the slow contender holds the lease and the fast one has observed that. */
+    /** Returns the state after the slow contender acquired the lease and the fast one observed that. */
     ExplorerState heldState() {
         ExplorerState state = change(initialState(), "a", "wakes", node -> node.lease().onTimer(node.now()));
         while (!state.inFlight.isEmpty()) {
@@ -119,8 +120,8 @@
     }
 
     /**
-     * Walks depth first on several threads, until all states within the bounds are walked or enough are
-     * known. Returns what is violated; null for nothing.
+     * Explores depth first on several threads, until all states within the bounds are explored or the maximum
+     * number is reached. Returns a violated assertion; null for none.
      */
     String walk(ExplorerState first, int threadCount) throws InterruptedException {
         known.add(first.fingerprint());
@@ -263,13 +264,13 @@
         ExplorerNode node = next.ownNode(delivered.to());
         node.onMessage(delivered.from(), message);
         if (!node.isContender() && bounds.crashes == 0) {
-            node.sync(); // when that happens makes no difference unless it is lost
+            node.sync(); // without crashes the time of the sync makes no difference
         }
         dropStaleReplies(next);
         return next;
     }
 
-    /** A reply to an attempt that is over changes nothing: it is as good as lost. */
+    /** Removes replies to attempts that have ended, which change nothing. */
     private static void dropStaleReplies(ExplorerState state) {
         state.inFlight.removeIf(each -> {
             ExplorerNode node = state.nodes.get(each.to());
--- a/src/test/java/rampshift/leases/InterleavingExplorerTest.java
+++ b/src/test/java/rampshift/leases/InterleavingExplorerTest.java
@@ -10,8 +10,8 @@
 import rampshift.leases.InterleavingExplorer.Bug;
 
 /**
- * Three acceptors and two contenders, whose clocks are a fifth slow and a fifth fast: every interleaving
- * within the bounds.
+ * Explores every interleaving, within bounds, of three acceptors and two contenders whose clocks are a fifth
+ * too slow and a fifth too fast.
  */
 class InterleavingExplorerTest {
     private static final int THREADS = Math.max(2, Runtime.getRuntime().availableProcessors() / 2);
@@ -20,14 +20,15 @@
     private static final int MIN_ACTING_STATES = 100;
     private static final String TWO_ACT = "two act at once";
     private static final String[] NONE_CUT = {};
-    /** Each contender reaches another two of the three acceptors. */
+    /** Each contender reaches a different pair of the three acceptors. */
     private static final String[] ONE_CUT_EACH = {"a>k3", "b>k2"};
 
     private static InterleavingExplorer assertSafe(boolean held, Bounds bounds, String... cutLinks)
             throws Exception {
         InterleavingExplorer explorer = new InterleavingExplorer(bounds, Bug.NONE, Set.of(cutLinks));
         assertNull(walk(explorer, held, bounds, Bug.NONE));
-        assertTrue(explorer.actingStates() > MIN_ACTING_STATES, "the assertion was at stake");
+        assertTrue(explorer.actingStates() > MIN_ACTING_STATES,
+                "the assertion was checked in states with an acting contender");
         return explorer;
     }
 
@@ -43,7 +44,7 @@
         String violation = explorer.walk(held ? explorer.heldState() : explorer.initialState(), THREADS);
         if (Boolean.getBoolean("explorer.talk")) {
             System.out.println(bounds + " " + bug + ": " + explorer.states() + " states"
-                    + (explorer.isComplete() ? ", all there are" : "") + ", somebody acts in "
+                    + (explorer.isComplete() ? ", complete" : "") + ", a contender acts in "
                     + explorer.actingStates() + ", tokens up to " + explorer.highestToken() + ": "
                     + violation);
         }
@@ -66,7 +67,7 @@
         assertSafe(true, new Bounds(4, 4, 0, 0, MAX_STATES), NONE_CUT);
         assertSafe(true, new Bounds(6, 6, 0, 0, MAX_STATES), NONE_CUT);
         InterleavingExplorer takeover = assertSafe(true, new Bounds(6, 3, 0, 0, MAX_STATES), NONE_CUT);
-        assertEquals(2, takeover.highestToken(), "without a renewal it is taken over");
+        assertEquals(2, takeover.highestToken(), "without a renewal the lease is taken over");
     }
 
     @Test
--- a/src/test/java/rampshift/leases/LeaseManagerTest.java
+++ b/src/test/java/rampshift/leases/LeaseManagerTest.java
@@ -22,14 +22,14 @@
 import rampshift.time.Span;
 
 /**
- * Leases over a simulated network: three acceptors among five dispatchers, a term of 1 s, clocks up to 5%
- * off. The simulation asserts after every event that no two dispatchers may act under one lease.
+ * Tests leases over a simulated network: three acceptors among five dispatchers, a term of 1 s, clock drift
+ * of up to 5%. The simulation asserts after every event that no two dispatchers may act under the same lease.
  */
 class LeaseManagerTest {
     private static final String LEASE = "l0";
     private static final LeaseEvent LOST = LeaseEvent.ofAcceptor(EventType.ACCEPTOR_STATE, "LOST");
     private static final LeaseEvent VOTING = LeaseEvent.ofAcceptor(EventType.ACCEPTOR_STATE, "VOTING");
-    /** How the acceptor set of a complete reconfiguration of the first one begins. */
+    /** Prefix of the encoded acceptor set after the first reconfiguration is complete. */
     private static final String RECONFIGURED_SET = "3|";
     private static final int MAX_REGISTERS = 4096;
 
@@ -41,7 +41,7 @@
 
     private static double assertActsWithin(double seconds, LeaseSimulation simulation) {
         double elapsed = simulation.until(seconds, () -> simulation.actor(LEASE) != null);
-        assertTrue(elapsed >= 0, "somebody acquires it");
+        assertTrue(elapsed >= 0, "a dispatcher acquires the lease");
         return elapsed;
     }
 
@@ -49,9 +49,9 @@
         return simulation.dispatchers.get(simulation.actor(LEASE));
     }
 
-    /** What a dispatcher had on its disk at some time. */
+    /** A copy of a dispatcher's disk. */
     private record DiskCopy(Map<String, byte[]> files, long recordCount) {
-        /** Copies the disk, then restarts the dispatcher and lets it run, so that the copy is old. */
+        /** Copies the disk, then restarts and runs the dispatcher, so that the copy is outdated. */
         static DiskCopy takeBeforeRestart(LeaseSimulation simulation, Dispatcher dispatcher) {
             DiskCopy copy = new DiskCopy(new TreeMap<>(dispatcher.disk), dispatcher.recordCount);
             dispatcher.kill();
@@ -60,7 +60,7 @@
             return copy;
         }
 
-        /** Restarts the dispatcher with the copy in place of its disk. */
+        /** Restarts the dispatcher with the copy as its disk. */
         void restore(Dispatcher dispatcher) {
             dispatcher.kill();
             dispatcher.disk = new TreeMap<>(files);
@@ -105,7 +105,7 @@
         double stopped = simulation.until(3, () -> !first.mayAct(LEASE));
         assertTrue(stopped <= 0.9, stopped + " s");
         assertTrue(assertActsWithin(3, simulation) > 0);
-        assertTrue(first.hasReported(EventType.EXPIRED, ""), "and reports it");
+        assertTrue(first.hasReported(EventType.EXPIRED, ""), "the former holder reports the expiry");
     }
 
     @Test
@@ -155,7 +155,7 @@
         assertTrue(lost.events.contains(LOST), lost.events.toString());
         simulation.dispatcher(2).kill();
         simulation.run(5);
-        assertNull(simulation.actor(LEASE), "it is one of two that are there, and does not count");
+        assertNull(simulation.actor(LEASE), "the acceptor with the lost disk does not vote");
         simulation.dispatcher(2).start();
         assertActsWithin(10, simulation);
         Dispatcher any = simulation.dispatcher(4);
@@ -168,7 +168,7 @@
                 lost.events.toString());
         simulation.dispatcher(2).kill();
         simulation.run(5);
-        assertNotNull(simulation.actor(LEASE), "now it counts");
+        assertNotNull(simulation.actor(LEASE), "the acceptor votes after the reconfiguration");
     }
 
     @Test
@@ -234,7 +234,7 @@
         assertNotNull(simulation.actor(LEASE), "three of five are a majority");
         simulation.dispatcher(3).kill();
         simulation.run(5);
-        assertNull(simulation.actor(LEASE), "two of five are none");
+        assertNull(simulation.actor(LEASE), "two of five are no majority");
     }
 
     @Test
@@ -272,7 +272,7 @@
                 () -> simulation.leases.stream().allMatch(lease -> simulation.actor(lease) != null)) >= 0);
         for (Dispatcher dispatcher : simulation.dispatchers.values()) {
             long held = simulation.leases.stream().filter(dispatcher::mayAct).count();
-            assertTrue(held >= 2 && held <= 25, dispatcher.name + " has " + held);
+            assertTrue(held >= 2 && held <= 25, dispatcher.name + " holds " + held);
         }
         simulation.dispatcher(7).kill();
         simulation.run(5);
@@ -280,7 +280,7 @@
         long before = simulation.takeovers;
         simulation.dispatcher(7).start();
         simulation.run(30);
-        assertEquals(before, simulation.takeovers, "none moves only because one is back");
+        assertEquals(before, simulation.takeovers, "no lease moves when a dispatcher returns");
     }
 
     @Test
@@ -305,7 +305,7 @@
             LeaseSimulation simulation = new LeaseSimulation(seed, 5, 3, 1).startAll();
             assertActsWithin(5, simulation);
             String first = simulation.actor(LEASE);
-            simulation.syncMillis = 130; // 65 to 195 ms of a term of 1 s, behind another as long
+            simulation.syncMillis = 130; // 65 to 195 ms of a term of 1 s, possibly after another sync
             simulation.run(60);
             assertEquals(first, simulation.actor(LEASE), "seed " + seed);
             assertEquals(1, simulation.highestToken(LEASE));
@@ -320,7 +320,7 @@
         List<Dispatcher> acceptors =
                 List.of(simulation.dispatcher(1), simulation.dispatcher(2), simulation.dispatcher(3));
         acceptors.forEach(Dispatcher::kill);
-        // As if a majority had never promised anything.
+        // Lose the promises and accepted values of a majority.
         acceptors.forEach(acceptor -> acceptor.disk.keySet().removeIf(LeaseManagerTest::isRegister));
         acceptors.forEach(Dispatcher::start);
         assertThrows(AssertionError.class, () -> {
@@ -356,10 +356,10 @@
         simulation.run(5);
         assertNotNull(simulation.actor(LEASE));
         long registers = acceptor.disk.keySet().stream().filter(LeaseManagerTest::isRegister).count();
-        assertTrue(registers <= MAX_REGISTERS, "it stores no more than that");
+        assertTrue(registers <= MAX_REGISTERS, "the number of registers is limited");
     }
 
-    /** Seeds {@code leases.from} and on, {@code leases.seeds} of them. */
+    /** Runs {@code leases.seeds} seeds, the first of which is {@code leases.from}. */
     @Test
     void noTwoActAtOnceUnderRandomFaults() {
         long from = Long.getLong("leases.from", 0);
@@ -386,7 +386,7 @@
             boolean healed = simulation.until(40,
                     () -> simulation.actor("l0") != null && simulation.actor("l1") != null) >= 0;
             Dispatcher first = simulation.dispatcher(1);
-            assertTrue(healed, () -> "once all faults are healed somebody acts: "
+            assertTrue(healed, () -> "once all faults have ended a dispatcher acts under each lease: "
                     + first.manager.statusPage(first.clock()));
             return simulation;
         } catch (AssertionError e) {
--- a/src/test/java/rampshift/leases/LeaseSimulation.java
+++ b/src/test/java/rampshift/leases/LeaseSimulation.java
@@ -12,8 +12,8 @@
 import rampshift.time.Span;
 
 /**
- * Dispatchers with leases in simulated time: clocks that differ, lost messages, crashes, slow disks, all
- * drawn from a seed. After every event it asserts that no two dispatchers may act under one lease.
+ * Simulates dispatchers with leases in virtual time, with clock drift, lost messages, crashes and slow disks
+ * drawn from a seed. After every event it asserts that no two dispatchers may act under the same lease.
  */
 final class LeaseSimulation extends EventSimulation {
     static final LeaseTimings TIMINGS = new LeaseTimings(Span.ofMillis(1000), 0.05, Span.ofMillis(1L << 40));
@@ -24,12 +24,12 @@
 
     final Map<String, Dispatcher> dispatchers = new TreeMap<>();
     final List<String> leases;
-    /** Shares of messages that are lost, and that come twice. */
+    /** Fractions of messages that are lost and that are delivered twice. */
     double lossRate;
     double repeatRate;
     double maxLatencyMillis = 5;
     double syncMillis = 1;
-    /** Changes of who acts. */
+    /** Number of fencing tokens under which a dispatcher acted. */
     long takeovers;
     long messages;
     long bytes;
@@ -54,17 +54,17 @@
         }
     }
 
-    /** One process after another under one name. */
+    /** A dispatcher, as a sequence of processes with the same name. */
     final class Dispatcher implements LeaseManager.Output {
         final String name;
         final List<LeaseEvent> events = new ArrayList<>();
-        /** The acceptor's directory; null where it has none. */
+        /** The records in the acceptor's directory; null if the dispatcher has no acceptor. */
         TreeMap<String, byte[]> disk;
         long recordCount;
         double clockRate = 1;
         /** Null while no process runs. */
         LeaseManager manager;
-        /** Whether it reaches only others that are cut off. */
+        /** Whether the dispatcher is partitioned: it reaches only others that are cut off as well. */
         boolean cutOff;
         private LeaseClients clients;
         private final List<PendingOutput> pending = new ArrayList<>();
@@ -107,7 +107,7 @@
             return manager != null;
         }
 
-        /** Ends the process; its disk keeps what is written by now. */
+        /** Crashes the process; its disk keeps the records written so far. */
         void kill() {
             manager = null;
             process = -1;
@@ -210,7 +210,7 @@
 
         @Override
         public void changeCompleted(String register, LeaseRecord value, Span elapsed) {
-            // The simulation keeps its own history.
+            // The simulation records its own history.
         }
 
         @Override
@@ -222,13 +222,13 @@
             return isRunning() && manager.remaining(lease, clock()).longerThan(Span.ZERO);
         }
 
-        /** Whether an event of that type was reported whose detail begins like that. */
+        /** Returns whether an event of this type was reported whose detail has this prefix. */
         boolean hasReported(EventType type, String detailPrefix) {
             return events.stream()
                     .anyMatch(event -> event.type() == type && event.detail().startsWith(detailPrefix));
         }
 
-        /** The state that its acceptor reported last. */
+        /** Returns the last state that the acceptor reported. */
         String lastAcceptorState() {
             return events.stream().filter(event -> event.type() == EventType.ACCEPTOR_STATE)
                     .reduce((earlier, later) -> later).orElseThrow().detail();
@@ -244,7 +244,7 @@
         return dispatchers.get("d" + number);
     }
 
-    /** Draws the rates of all clocks within the allowed drift. */
+    /** Draws the rates of all clocks within the permitted drift. */
     void drawClockRates() {
         dispatchers.values()
                 .forEach(each -> each.clockRate = 1 + TIMINGS.drift() * (2 * random.nextDouble() - 1));
@@ -259,12 +259,15 @@
         return this;
     }
 
-    /** Runs until the condition holds; returns the seconds that took, or -1 where it did not come to hold. */
+    /** Runs until the condition holds; returns the elapsed seconds, or -1 on a timeout. */
     double until(double maxSeconds, BooleanSupplier condition) {
         return advanceUntil(maxSeconds, CHECK_INTERVAL_SECONDS, condition);
     }
 
-    /** Under what a dispatcher may act nobody else may, and nobody ever did with a higher token. */
+    /**
+     * Asserts for each lease under which the dispatcher may act that no other dispatcher may, that the token
+     * has not decreased, and that no other dispatcher acted with the same token.
+     */
     private void assertActsAlone(Dispatcher dispatcher) {
         if (!dispatcher.isRunning()) {
             return;
@@ -295,18 +298,18 @@
         }
     }
 
-    /** Asserts that all histories are those of registers; returns how many changes were checked. */
+    /** Asserts that all histories are linearizable; returns how many changes were checked. */
     long checkHistories() {
         return history.check();
     }
 
-    /** The dispatcher that may act under the lease; null for none. */
+    /** Returns the dispatcher that may act under the lease; null for none. */
     String actor(String lease) {
         return dispatchers.values().stream().filter(each -> each.mayAct(lease)).map(each -> each.name)
                 .findFirst().orElse(null);
     }
 
-    /** The highest token under which anybody acted. */
+    /** Returns the highest token under which any dispatcher acted. */
     long highestToken(String lease) {
         return highestTokenOf.getOrDefault(lease, 0L);
     }
--- a/src/test/java/rampshift/leases/PendingOutput.java
+++ b/src/test/java/rampshift/leases/PendingOutput.java
@@ -1,6 +1,6 @@
 package rampshift.leases;
 
-/** What an acceptor waits for its disk with. */
+/** Output of an acceptor that waits for its disk. */
 sealed interface PendingOutput {
     /** A record that is not on disk yet. */
     final class Write implements PendingOutput {
--- a/src/test/java/rampshift/leases/RandomFaultRun.java
+++ b/src/test/java/rampshift/leases/RandomFaultRun.java
@@ -6,8 +6,7 @@
 import java.util.TreeMap;
 
 /**
- * A simulation with faults that are drawn from a seed: kills, pauses, partitions, reconfigurations,
- * handovers.
+ * A simulation with faults drawn from a seed: crashes, pauses, partitions, reconfigurations and handovers.
  */
 final class RandomFaultRun {
     private static final int FAULTS = 12;
@@ -17,7 +16,7 @@
     private final LeaseSimulation simulation;
     private final int dispatcherCount;
 
-    /** Draws the fleet, its clocks, network and disks. */
+    /** Draws the number of dispatchers and the properties of their clocks, network and disks. */
     RandomFaultRun(long seed) {
         random = new SplittableRandom(seed);
         dispatcherCount = 3 + random.nextInt(18);
@@ -35,7 +34,7 @@
         }
     }
 
-    /** Plays the faults, and heals them all at the end. */
+    /** Runs the simulation with faults, and ends all faults afterwards. */
     LeaseSimulation play() {
         simulation.startAll();
         simulation.run(3);
@@ -102,7 +101,7 @@
         }
     }
 
-    /** What was drawn and played, for whoever looks into a seed. */
+    /** Describes the drawn simulation, to analyse a seed. */
     @Override
     public String toString() {
         return dispatcherCount + " dispatchers, " + simulation.played + " events, " + simulation.takeovers
--- a/src/test/java/rampshift/leases/RecordLogTest.java
+++ b/src/test/java/rampshift/leases/RecordLogTest.java
@@ -13,7 +13,7 @@
 import org.junit.jupiter.api.io.TempDir;
 import rampshift.leases.store.RecordLog;
 
-/** The directory of an acceptor. */
+/** Tests the directory of an acceptor. */
 class RecordLogTest {
     private static final int FILE_HEADER_BYTES = 8;
     private static final int KEYS = 3;
@@ -29,7 +29,7 @@
         return folder.resolve("records");
     }
 
-    /** Writes records of equal length; returns the file. */
+    /** Writes records of equal length; returns the content of the file. */
     private byte[] write(int count) throws IOException {
         try (RecordLog log = new RecordLog(folder)) {
             for (int i = 0; i < count; i++) {
@@ -60,7 +60,7 @@
                 assertEquals(3, log.recordCount(), "cut by " + cut);
             }
         }
-        Files.write(file(), Arrays.copyOf(whole, whole.length + 4096)); // the system had made room already
+        Files.write(file(), Arrays.copyOf(whole, whole.length + 4096)); // space allocated before a crash
         try (RecordLog log = new RecordLog(folder)) {
             assertEquals(4, log.recordCount());
             log.add("new", value(9));
--- a/src/test/java/rampshift/leases/RegisterHistory.java
+++ b/src/test/java/rampshift/leases/RegisterHistory.java
@@ -7,15 +7,15 @@
 import java.util.Map;
 import java.util.TreeMap;
 
-/** The changes of all registers as they were seen from outside, and whether they are those of registers. */
+/** The history of the changes of all registers as clients observe it, and a check that it is linearizable. */
 final class RegisterHistory {
-    /** A change by when it was requested, and known as chosen. */
+    /** A chosen change, with the times at which it was requested and known to be chosen. */
     private record Chosen(long requestedMicros, long knownMicros, LeaseRecord value) {}
 
     private final IdentityHashMap<Proposer, Long> requestedMicros = new IdentityHashMap<>();
     private final Map<String, List<Chosen>> chosenByRegister = new TreeMap<>();
 
-    /** Takes the proposer of a register before and after a process did something; null for none. */
+    /** Records the proposer of a register before and after a step of a process; null for none. */
     void observe(String register, Proposer before, Proposer after, long nowMicros) {
         if (after != null) {
             requestedMicros.putIfAbsent(after, nowMicros);
@@ -30,9 +30,9 @@
     }
 
     /**
-     * Asserts that each register's changes are linearizable: a version is one value, and what was known as
-     * chosen before another change was requested comes before it. Versions make the order total, so no search
-     * is needed. Returns how many changes were checked.
+     * Asserts that each register's changes are linearizable: each version has one value, and a change that
+     * was known to be chosen before another was requested has the lower version. Versions make the order
+     * total, so that no search is needed. Returns how many changes were checked.
      */
     long check() {
         long checked = 0;
@@ -49,7 +49,7 @@
         for (Chosen change : changes) {
             LeaseRecord other = valueByVersion.putIfAbsent(change.value.version(), change.value);
             if (other != null && !other.equals(change.value)) {
-                throw new AssertionError("two values of one version: " + other + " and " + change.value);
+                throw new AssertionError("two values of the same version: " + other + " and " + change.value);
             }
         }
     }
@@ -67,8 +67,8 @@
                 known++;
             }
             if (change.value.version() < highestVersion) {
-                throw new AssertionError(
-                        "requested after version " + highestVersion + " was known: " + change.value);
+                throw new AssertionError("requested after version " + highestVersion
+                        + " was known as chosen: " + change.value);
             }
         }
     }
--- a/src/test/java/rampshift/leases/StateCopier.java
+++ b/src/test/java/rampshift/leases/StateCopier.java
@@ -15,13 +15,13 @@
 import java.util.TreeSet;
 import java.util.concurrent.ConcurrentHashMap;
 
-/** Copies real state machines and prints their state, by reflection: they know nothing of the explorer. */
+/** Copies state machines and prints their state by reflection, since they do not support the explorer. */
 final class StateCopier {
     private static final Map<Class<?>, Field[]> FIELDS = new ConcurrentHashMap<>();
 
     private StateCopier() {}
 
-    /** A deep copy. What is shared, as the outside world, is neither copied nor looked into. */
+    /** Returns a deep copy. Shared objects, such as the environment, are neither copied nor traversed. */
     static <T> T copy(T original, IdentityHashMap<Object, Object> shared) {
         return copyOnce(original, new IdentityHashMap<>(shared));
     }
@@ -34,7 +34,7 @@
     @SuppressWarnings("unchecked")
     private static <T> T copyOnce(T original, IdentityHashMap<Object, Object> copies) {
         if (isPlain(original) || original.getClass().isArray()) {
-            return original; // records and arrays here hold what never changes
+            return original; // records and arrays here are never modified
         }
         Object known = copies.get(original);
         if (known != null) {
@@ -89,7 +89,7 @@
         return copy;
     }
 
-    /** The value of a private field. */
+    /** Returns the value of a private field. */
     static Object get(Object owner, String fieldName) {
         try {
             return field(owner, fieldName).get(owner);
@@ -98,7 +98,7 @@
         }
     }
 
-    /** Sets a private field to a value that its class would have come to by steps that are not explored. */
+    /** Sets a private field to a value that would otherwise need steps that are not explored. */
     static void set(Object owner, String fieldName, Object value) {
         try {
             field(owner, fieldName).set(owner, value);
@@ -116,7 +116,7 @@
         throw new IllegalArgumentException(name);
     }
 
-    /** Makes instances without their constructors, which the copied classes do not offer for that. */
+    /** Creates instances without a constructor, since the copied classes have no copy constructors. */
     private static final class Allocator {
         private static final Object UNSAFE;
         private static final Method ALLOCATE;
@@ -155,7 +155,7 @@
         return found.toArray(Field[]::new);
     }
 
-    /** Prints the whole state, in an order that is always the same. */
+    /** Prints the whole state in a deterministic order. */
     static void print(Object value, StringBuilder text, IdentityHashMap<Object, Object> shared) {
         if (value != null && shared.containsKey(value)) {
             text.append('^');
--- a/src/test/java/rampshift/leases/StoredFormatTest.java
+++ b/src/test/java/rampshift/leases/StoredFormatTest.java
@@ -19,7 +19,8 @@
 import rampshift.leases.store.RecordLog;
 
 /**
- * What version 0f49a4a wrote is read, and is written byte for byte alike: the directories of three acceptors,
+ * Guards against incompatible changes of the stored formats and of the messages: files and messages of
+ * version 0f49a4a are read, and are written byte for byte alike. They are the directories of three acceptors,
  * a file of known records, and one message of each type.
  */
 class StoredFormatTest {
@@ -100,7 +101,7 @@
         assertArrayEquals(resource("sample.records"), Files.readAllBytes(folder.resolve(RECORDS_FILE)));
     }
 
-    /** In the order of their codes. */
+    /** One message of each type, in the order of their codes. */
     private static List<Message> messages() {
         return List.of(new Message.Prepare(41, 3, "l0", HIGH),
                 new Message.Promise(41, 3, "l0", HIGH, LOW, HELD),
--- a/src/test/java/rampshift/leases/host/HostPartsTest.java
+++ b/src/test/java/rampshift/leases/host/HostPartsTest.java
@@ -17,10 +17,10 @@
 import rampshift.leases.store.RecordLog;
 import rampshift.time.Moment;
 
-/** The clock and the disk of leases. */
+/** Tests the clock of leases and the writer of records. */
 class HostPartsTest {
     private static final int TIMEOUT_SECONDS = 5;
-    /** A file header and one record: frame header, shortest body, key and value of a byte each. */
+    /** File header, frame header, minimum body, and a key and a value of one byte each. */
     private static final int ONE_RECORD_BYTES = 8 + 8 + 10 + 1 + 1;
 
     @TempDir
@@ -36,9 +36,9 @@
         assertTrue(elapsedMillis > 3_590_000 && elapsedMillis < 3_610_000, elapsedMillis + " ms");
         Moment after = clock.now();
         Files.writeString(uptime, "900.00 0.00\n");
-        assertFalse(clock.now().before(after), "it never goes back");
+        assertFalse(clock.now().before(after), "the clock never goes back");
         Files.delete(uptime);
-        assertFalse(clock.now().before(after), "nor where nothing tells the uptime any more");
+        assertFalse(clock.now().before(after), "nor when the uptime is no longer available");
     }
 
     @Test
@@ -56,7 +56,7 @@
         });
         assertTrue(synced.await(TIMEOUT_SECONDS, TimeUnit.SECONDS));
         assertEquals(List.of("1 " + ONE_RECORD_BYTES), calls);
-        records.close(); // as good as a disk that takes nothing
+        records.close(); // makes the next write fail, like a failed disk
         writer.write("k", new byte[]{2});
         writer.afterSync(recordCount -> calls.add("called"));
         assertTrue(failed.await(TIMEOUT_SECONDS, TimeUnit.SECONDS));
