--- a/src/bench/java/rampshift/leases/LeaseMeasurementTest.java
+++ b/src/bench/java/rampshift/leases/LeaseMeasurementTest.java
@@ -22,22 +22,22 @@
     /** One fault every 10 s on average, at steps of 0.1 s. */
     private static final int STEPS_PER_FAULT = 100;
 
-    private static LeaseSimulation held(long seed) {
+    private static LeaseSimulation simulationWithHolder(long seed) {
         LeaseSimulation simulation = new LeaseSimulation(seed, 5, 3, 1);
         simulation.drawClockRates();
         simulation.startAll();
-        simulation.until(10, () -> simulation.actor(LEASE) != null);
+        simulation.runUntil(10, () -> simulation.actor(LEASE) != null);
         return simulation;
     }
 
     private static void measureTakeover(String what, Consumer<Dispatcher> fault) {
         List<Double> terms = new ArrayList<>();
         for (long seed = 0; seed < TAKEOVERS; seed++) {
-            LeaseSimulation simulation = held(seed);
+            LeaseSimulation simulation = simulationWithHolder(seed);
             simulation.run(2 + new SplittableRandom(seed).nextDouble());
             String first = simulation.actor(LEASE);
             fault.accept(simulation.dispatchers.get(first));
-            terms.add(simulation.until(20,
+            terms.add(simulation.runUntil(20,
                     () -> simulation.actor(LEASE) != null && !simulation.actor(LEASE).equals(first)));
         }
         terms.sort(null);
@@ -62,7 +62,7 @@
 
     private static void measureCost(int acceptors, int leases) {
         LeaseSimulation simulation = new LeaseSimulation(1, 20, acceptors, leases).startAll();
-        simulation.until(60,
+        simulation.runUntil(60,
                 () -> simulation.leases.stream().allMatch(lease -> simulation.actor(lease) != null));
         simulation.run(5);
         long messages = simulation.messages;
@@ -84,15 +84,15 @@
     void anHourOfFaults() {
         double[] percentWithoutActor = new double[HOURS];
         for (int seed = 0; seed < HOURS; seed++) {
-            percentWithoutActor[seed] = playHour(seed);
+            percentWithoutActor[seed] = runHour(seed);
         }
         System.out.println("an hour of faults of 2.5 terms, each 10 s on average: % of time without an actor "
                 + Arrays.toString(percentWithoutActor));
     }
 
-    private static double playHour(long seed) {
+    private static double runHour(long seed) {
         SplittableRandom random = new SplittableRandom(seed);
-        LeaseSimulation simulation = held(seed);
+        LeaseSimulation simulation = simulationWithHolder(seed);
         long withoutActor = 0;
         long steps = 0;
         for (double second = 0; second < SECONDS_PER_HOUR; second += STEP_SECONDS) {
--- a/src/test/java/rampshift/jobs/JobSimulation.java
+++ b/src/test/java/rampshift/jobs/JobSimulation.java
@@ -29,7 +29,7 @@
     private final SplittableRandom random;
     private final Map<String, Integer> effects = new TreeMap<>();
     private final List<Event> events = new ArrayList<>();
-    private final List<Event> reported = new ArrayList<>();
+    private final List<Event> allEvents = new ArrayList<>();
     private final List<Runnable> scheduled = new ArrayList<>();
     private final Map<Runnable, Long> scheduledMillis = new HashMap<>();
     private String register = "";
@@ -69,11 +69,11 @@
 
     /** Returns the runs for which an event of this type was reported. */
     List<Long> runs(JobEvent type) {
-        return reported.stream().filter(event -> event.type == type).map(Event::run).toList();
+        return allEvents.stream().filter(event -> event.type == type).map(Event::run).toList();
     }
 
     boolean isReportedUnsure(long run, int object) {
-        return reported.contains(new Event(JobEvent.TASK_UNSURE, run, object));
+        return allEvents.contains(new Event(JobEvent.TASK_UNSURE, run, object));
     }
 
     boolean hasNoEffects() {
@@ -92,7 +92,7 @@
     }
 
     /** Crashes the holder. Its tasks in flight still take effect, but its pending writes are lost. */
-    void kill() {
+    void crash() {
         holder = null;
     }
 
@@ -124,8 +124,8 @@
         PeriodicJob submitter = holder;
         long taskToken = token;
         long millis = random.nextInt(MAX_TASK_MILLIS);
-        int fate = random.nextInt(10);
-        PeriodicJob.TaskOutcome outcome = switch (fate) {
+        int draw = random.nextInt(10);
+        PeriodicJob.TaskOutcome outcome = switch (draw) {
             case 0, 1 -> PeriodicJob.TaskOutcome.NEVER_RAN;
             case 2 -> PeriodicJob.TaskOutcome.MAY_HAVE_RUN;
             default -> PeriodicJob.TaskOutcome.COMPLETED;
@@ -147,6 +147,6 @@
     @Override
     public void emit(JobEvent type, long run, int object) {
         events.add(new Event(type, run, object));
-        reported.add(new Event(type, run, object));
+        allEvents.add(new Event(type, run, object));
     }
 }
--- a/src/test/java/rampshift/jobs/PeriodicJobTest.java
+++ b/src/test/java/rampshift/jobs/PeriodicJobTest.java
@@ -17,7 +17,7 @@
 class PeriodicJobTest {
     private static final int OBJECTS = 40;
     private static final int SEEDS = 200;
-    private static final int CHANGES = 6;
+    private static final int HOLDER_CHANGES = 6;
 
     private static PeriodicJobSettings settings(boolean idempotent, int maxCatchUpRuns) {
         List<String> objects = IntStream.range(0, OBJECTS).mapToObj(String::valueOf).toList();
@@ -26,12 +26,12 @@
     }
 
     /** Simulates holders that crash with tasks in flight, then one that completes the rest. */
-    private static JobSimulation playChanges(long seed, boolean idempotent) {
+    private static JobSimulation simulateHolderChanges(long seed, boolean idempotent) {
         JobSimulation simulation = new JobSimulation(seed, settings(idempotent, 1));
-        for (int change = 0; change < CHANGES; change++) {
+        for (int change = 0; change < HOLDER_CHANGES; change++) {
             simulation.takeOver();
             simulation.run(100 + simulation.random().nextInt(700));
-            simulation.kill();
+            simulation.crash();
             simulation.run(simulation.random().nextInt(300));
         }
         simulation.takeOver();
@@ -41,12 +41,12 @@
 
     @ParameterizedTest
     @ValueSource(booleans = {true, false})
-    void overChangesOfHolderEachTaskRunsOrIsReportedAndNoNonIdempotentOneRunsTwice(boolean idempotent) {
+    void eachTaskRunsOrIsReportedAcrossHolderChangesAndNonIdempotentTasksRunAtMostOnce(boolean idempotent) {
         long once = 0;
         long moreOften = 0;
         long never = 0;
         for (long seed = 0; seed < SEEDS; seed++) {
-            JobSimulation simulation = playChanges(seed, idempotent);
+            JobSimulation simulation = simulateHolderChanges(seed, idempotent);
             for (long run : simulation.runs(JobEvent.RUN_COMPLETED)) {
                 for (int object = 0; object < OBJECTS; object++) {
                     int effects = simulation.effects(run, object);
@@ -67,7 +67,7 @@
     }
 
     @Test
-    void noTaskIsSubmittedBeforeTheRegisterSaysThatItMayBe() {
+    void noTaskIsSubmittedBeforeTheRegisterContainsTheProgress() {
         JobSimulation simulation = new JobSimulation(1, settings(false, 1));
         simulation.takeOver();
         simulation.run(20);
@@ -77,13 +77,13 @@
     }
 
     @Test
-    void onlyTheStatedNumberOfMissedRunsIsMadeUpFor() {
+    void missedRunsAreCaughtUpOnlyToTheConfiguredNumber() {
         JobSimulation simulation = new JobSimulation(2, settings(true, 2));
         simulation.takeOver();
         while (!simulation.register().startsWith("5:") || !simulation.register().endsWith("over")) {
             simulation.run(10);
         }
-        simulation.kill();
+        simulation.crash();
         simulation.runUntil(11_900);
         simulation.events().clear();
         simulation.takeOver();
@@ -110,7 +110,7 @@
     }
 
     @Test
-    void aClockThatGoesBackStartsNoRunTwice() {
+    void aClockThatGoesBackDoesNotRestartARun() {
         JobSimulation simulation = new JobSimulation(3, settings(true, 0));
         simulation.takeOver();
         simulation.run(990);
@@ -121,7 +121,7 @@
     }
 
     @Test
-    void eventWordsAreThoseOfTheEventLog() {
+    void eventWordsMatchTheEventLog() {
         List<String> words = List.of(JobEvent.values()).stream().map(JobEvent::word).toList();
         assertEquals(List.of("begins", "missed", "over", "done", "unsure", "given-up"), words);
     }
--- a/src/test/java/rampshift/leases/ExplorerNode.java
+++ b/src/test/java/rampshift/leases/ExplorerNode.java
@@ -20,14 +20,14 @@
     private static final Span NEVER = new Span(1L << 40);
 
     /** The environment that all nodes of all states share. */
-    static final class World {
+    static final class Environment {
         /** The state that this thread currently expands. */
         private static final ThreadLocal<ExplorerState> STATE = new ThreadLocal<>();
 
         final Set<String> cutLinks;
         final boolean sendsBeforeSync;
 
-        World(Set<String> cutLinks, boolean sendsBeforeSync) {
+        Environment(Set<String> cutLinks, boolean sendsBeforeSync) {
             this.cutLinks = cutLinks;
             this.sendsBeforeSync = sendsBeforeSync;
         }
@@ -43,7 +43,7 @@
     }
 
     final String name;
-    private final World world;
+    private final Environment environment;
     private final double clockRate;
     private final TreeMap<String, byte[]> disk = new TreeMap<>();
     private final List<PendingOutput> pending = new ArrayList<>();
@@ -52,15 +52,15 @@
     private long numbers;
     private long fingerprint;
 
-    private ExplorerNode(World world, String name, double clockRate) {
-        this.world = world;
+    private ExplorerNode(Environment environment, String name, double clockRate) {
+        this.environment = environment;
         this.name = name;
         this.clockRate = clockRate;
     }
 
     /** Creates an acceptor that votes immediately; its start is not explored. */
-    static ExplorerNode acceptor(World world, long id) {
-        ExplorerNode node = new ExplorerNode(world, "k" + id, 1);
+    static ExplorerNode acceptor(Environment environment, long id) {
+        ExplorerNode node = new ExplorerNode(environment, "k" + id, 1);
         node.disk.put("keepers", ACCEPTORS.encode().getBytes(StandardCharsets.US_ASCII));
         node.disk.put("self", Codec.encode(id, 0));
         node.startAcceptor();
@@ -68,9 +68,9 @@
         return node;
     }
 
-    static ExplorerNode contender(World world, String name, long processId, double clockRate,
+    static ExplorerNode contender(Environment environment, String name, long processId, double clockRate,
             LeaseTimings timings) {
-        ExplorerNode node = new ExplorerNode(world, name, clockRate);
+        ExplorerNode node = new ExplorerNode(environment, name, clockRate);
         node.lease = new LeaseClient(LEASE, name, processId, timings, node);
         return node;
     }
@@ -81,8 +81,8 @@
         StateCopier.set(acceptor, "state", Acceptor.State.VOTING);
     }
 
-    World world() {
-        return world;
+    Environment environment() {
+        return environment;
     }
 
     boolean isContender() {
@@ -104,7 +104,7 @@
 
     Moment now() {
         return new Moment(START_MICROS
-                + Math.round(world.state().ticks * InterleavingExplorer.TICK_MICROS * clockRate));
+                + Math.round(environment.state().ticks * InterleavingExplorer.TICK_MICROS * clockRate));
     }
 
     void onMessage(String from, Message message) {
@@ -140,7 +140,7 @@
 
     @Override
     public void sendAfterSync(String to, Message message) {
-        if (world.sendsBeforeSync) {
+        if (environment.sendsBeforeSync) {
             send(to, message);
         } else {
             pending.add(new PendingOutput.Send<>(to, message));
@@ -149,9 +149,9 @@
 
     @Override
     public void send(String to, Message message) {
-        if (!world.cutLinks.contains(name + ">" + to)) {
+        if (!environment.cutLinks.contains(name + ">" + to)) {
             long hash = ExplorerState.hash(contenderName(name) + contenderName(to) + message);
-            world.state().inFlight.add(new ExplorerState.InFlight(name, to, message, hash));
+            environment.state().inFlight.add(new ExplorerState.InFlight(name, to, message, hash));
         }
     }
 
@@ -194,7 +194,7 @@
         return 1;
     }
 
-    void forgetFingerprint() {
+    void invalidateFingerprint() {
         fingerprint = 0;
     }
 
--- a/src/test/java/rampshift/leases/ExplorerState.java
+++ b/src/test/java/rampshift/leases/ExplorerState.java
@@ -46,12 +46,12 @@
     }
 
     /** Replaces a node by a copy that belongs to this state alone, and returns the copy. */
-    ExplorerNode ownNode(String name) {
+    ExplorerNode copyNode(String name) {
         ExplorerNode original = nodes.get(name);
         IdentityHashMap<Object, Object> shared = new IdentityHashMap<>();
-        shared.put(original.world(), original.world());
+        shared.put(original.environment(), original.environment());
         ExplorerNode copy = StateCopier.copy(original, shared);
-        copy.forgetFingerprint();
+        copy.invalidateFingerprint();
         nodes.put(name, copy);
         return copy;
     }
--- a/src/test/java/rampshift/leases/InterleavingExplorer.java
+++ b/src/test/java/rampshift/leases/InterleavingExplorer.java
@@ -48,9 +48,9 @@
 
     private final Bounds bounds;
     private final Bug bug;
-    private final ExplorerNode.World world;
-    private final Set<Long> known = ConcurrentHashMap.newKeySet();
-    private final ConcurrentLinkedDeque<ExplorerState> open = new ConcurrentLinkedDeque<>();
+    private final ExplorerNode.Environment environment;
+    private final Set<Long> visited = ConcurrentHashMap.newKeySet();
+    private final ConcurrentLinkedDeque<ExplorerState> frontier = new ConcurrentLinkedDeque<>();
     private final AtomicInteger busyThreads = new AtomicInteger();
     private final AtomicLong states = new AtomicLong();
     private final AtomicLong actingStates = new AtomicLong();
@@ -62,7 +62,7 @@
     InterleavingExplorer(Bounds bounds, Bug bug, Set<String> cutLinks) {
         this.bounds = bounds;
         this.bug = bug;
-        world = new ExplorerNode.World(cutLinks, bug == Bug.NO_SYNC);
+        environment = new ExplorerNode.Environment(cutLinks, bug == Bug.NO_SYNC);
     }
 
     /** Returns how many states were found. */
@@ -88,17 +88,17 @@
     /** Returns a state with three voting acceptors and two contenders for a lease that was never held. */
     ExplorerState initialState() {
         ExplorerState state = new ExplorerState();
-        world.enter(state);
+        environment.enter(state);
         for (int id = 1; id <= ACCEPTOR_NAMES.size(); id++) {
-            ExplorerNode acceptor = ExplorerNode.acceptor(world, id);
+            ExplorerNode acceptor = ExplorerNode.acceptor(environment, id);
             state.nodes.put(acceptor.name, acceptor);
         }
         state.inFlight.clear();
         LeaseTimings timings =
                 bug == Bug.NO_DRIFT ? new LeaseTimings(TIMINGS.term(), 0, TIMINGS.balanceInterval())
                         : TIMINGS;
-        ExplorerNode slow = ExplorerNode.contender(world, "a", 101, 1 - TIMINGS.drift(), timings);
-        ExplorerNode fast = ExplorerNode.contender(world, "b", 102, 1 + TIMINGS.drift(), timings);
+        ExplorerNode slow = ExplorerNode.contender(environment, "a", 101, 1 - TIMINGS.drift(), timings);
+        ExplorerNode fast = ExplorerNode.contender(environment, "b", 102, 1 + TIMINGS.drift(), timings);
         for (ExplorerNode contender : List.of(slow, fast)) {
             state.nodes.put(contender.name, contender);
             contender.lease().onRead(contender.now(), LeaseRecord.INITIAL);
@@ -123,30 +123,30 @@
      * Explores depth first on several threads, until all states within the bounds are explored or the maximum
      * number is reached. Returns a violated assertion; null for none.
      */
-    String walk(ExplorerState first, int threadCount) throws InterruptedException {
-        known.add(first.fingerprint());
-        open.push(first);
+    String explore(ExplorerState first, int threadCount) throws InterruptedException {
+        visited.add(first.fingerprint());
+        frontier.push(first);
         List<Thread> threads = new ArrayList<>();
         for (int i = 0; i < threadCount; i++) {
-            threads.add(new Thread(this::work));
+            threads.add(new Thread(this::runWorker));
         }
         threads.forEach(Thread::start);
         for (Thread thread : threads) {
             thread.join();
         }
-        complete = violation == null && open.isEmpty();
+        complete = violation == null && frontier.isEmpty();
         return violation;
     }
 
-    private void work() {
+    private void runWorker() {
         try {
             while (violation == null && states.get() < bounds.maxStates) {
                 busyThreads.incrementAndGet();
-                ExplorerState state = open.pollFirst();
+                ExplorerState state = frontier.pollFirst();
                 if (state != null) {
                     expand(state);
                 }
-                if (busyThreads.decrementAndGet() == 0 && open.isEmpty()) {
+                if (busyThreads.decrementAndGet() == 0 && frontier.isEmpty()) {
                     return;
                 }
             }
@@ -165,15 +165,15 @@
             }
             boolean isWithinBounds =
                     next.nodes.values().stream().allMatch(node -> node.numbers() <= bounds.numbers);
-            if (isWithinBounds && known.add(next.fingerprint())) {
-                open.push(next);
+            if (isWithinBounds && visited.add(next.fingerprint())) {
+                frontier.push(next);
                 states.incrementAndGet();
             }
         }
     }
 
     private String violationIn(ExplorerState state) {
-        world.enter(state);
+        environment.enter(state);
         int acting = 0;
         long highest = 0;
         for (ExplorerNode node : state.nodes.values()) {
@@ -196,13 +196,14 @@
     private List<Supplier<ExplorerState>> steps(ExplorerState state) {
         List<Supplier<ExplorerState>> steps = new ArrayList<>();
         addDeliveries(state, steps);
-        world.enter(state);
+        environment.enter(state);
         for (ExplorerNode node : state.nodes.values()) {
             if (!node.isContender() && node.hasPendingOutput()) {
                 steps.add(() -> change(state, node.name, "syncs", ExplorerNode::sync));
             }
             if (node.isContender() && !node.now().before(node.lease().dueAt())) {
-                steps.add(() -> change(state, node.name, "wakes", own -> own.lease().onTimer(own.now())));
+                steps.add(() -> change(state, node.name, "wakes",
+                        contender -> contender.lease().onTimer(contender.now())));
             }
         }
         addCrashes(state, steps);
@@ -244,8 +245,8 @@
     private ExplorerState change(ExplorerState state, String name, String what,
             Consumer<ExplorerNode> change) {
         ExplorerState next = new ExplorerState(state, name + " " + what);
-        world.enter(next);
-        change.accept(next.ownNode(name));
+        environment.enter(next);
+        change.accept(next.copyNode(name));
         dropStaleReplies(next);
         return next;
     }
@@ -260,8 +261,8 @@
         } else {
             next.inFlight.remove(index);
         }
-        world.enter(next);
-        ExplorerNode node = next.ownNode(delivered.to());
+        environment.enter(next);
+        ExplorerNode node = next.copyNode(delivered.to());
         node.onMessage(delivered.from(), message);
         if (!node.isContender() && bounds.crashes == 0) {
             node.sync(); // without crashes the time of the sync makes no difference
--- a/src/test/java/rampshift/leases/InterleavingExplorerTest.java
+++ b/src/test/java/rampshift/leases/InterleavingExplorerTest.java
@@ -18,30 +18,30 @@
     private static final long MAX_STATES = Long.getLong("explorer.states", 80_000);
     private static final long ALL_STATES = 1_000_000;
     private static final int MIN_ACTING_STATES = 100;
-    private static final String TWO_ACT = "two act at once";
-    private static final String[] NONE_CUT = {};
+    private static final String TWO_ACT_AT_ONCE = "two act at once";
+    private static final String[] NO_CUT_LINKS = {};
     /** Each contender reaches a different pair of the three acceptors. */
-    private static final String[] ONE_CUT_EACH = {"a>k3", "b>k2"};
+    private static final String[] ONE_CUT_LINK_EACH = {"a>k3", "b>k2"};
 
     private static InterleavingExplorer assertSafe(boolean held, Bounds bounds, String... cutLinks)
             throws Exception {
         InterleavingExplorer explorer = new InterleavingExplorer(bounds, Bug.NONE, Set.of(cutLinks));
-        assertNull(walk(explorer, held, bounds, Bug.NONE));
+        assertNull(explore(explorer, held, bounds, Bug.NONE));
         assertTrue(explorer.actingStates() > MIN_ACTING_STATES,
                 "the assertion was checked in states with an acting contender");
         return explorer;
     }
 
-    private static void assertFound(boolean held, Bounds bounds, Bug bug, String... cutLinks)
+    private static void assertBugFound(boolean held, Bounds bounds, Bug bug, String... cutLinks)
             throws Exception {
         InterleavingExplorer explorer = new InterleavingExplorer(bounds, bug, Set.of(cutLinks));
-        String violation = walk(explorer, held, bounds, bug);
-        assertTrue(violation != null && violation.startsWith(TWO_ACT), "found: " + violation);
+        String violation = explore(explorer, held, bounds, bug);
+        assertTrue(violation != null && violation.startsWith(TWO_ACT_AT_ONCE), "found: " + violation);
     }
 
-    private static String walk(InterleavingExplorer explorer, boolean held, Bounds bounds, Bug bug)
+    private static String explore(InterleavingExplorer explorer, boolean held, Bounds bounds, Bug bug)
             throws Exception {
-        String violation = explorer.walk(held ? explorer.heldState() : explorer.initialState(), THREADS);
+        String violation = explorer.explore(held ? explorer.heldState() : explorer.initialState(), THREADS);
         if (Boolean.getBoolean("explorer.talk")) {
             System.out.println(bounds + " " + bug + ": " + explorer.states() + " states"
                     + (explorer.isComplete() ? ", complete" : "") + ", a contender acts in "
@@ -53,30 +53,30 @@
 
     @Test
     void twoContendersNeverActAtOnceWithARepeatedMessage() throws Exception {
-        assertTrue(assertSafe(false, new Bounds(0, 2, 1, 0, ALL_STATES), NONE_CUT).isComplete());
+        assertTrue(assertSafe(false, new Bounds(0, 2, 1, 0, ALL_STATES), NO_CUT_LINKS).isComplete());
     }
 
     @Test
     void twoContendersNeverActAtOnceWhileAcceptorsCrash() throws Exception {
-        assertTrue(assertSafe(false, new Bounds(0, 2, 1, 2, ALL_STATES), ONE_CUT_EACH).isComplete());
-        assertTrue(assertSafe(false, new Bounds(0, 3, 0, 1, ALL_STATES), ONE_CUT_EACH).isComplete());
+        assertTrue(assertSafe(false, new Bounds(0, 2, 1, 2, ALL_STATES), ONE_CUT_LINK_EACH).isComplete());
+        assertTrue(assertSafe(false, new Bounds(0, 3, 0, 1, ALL_STATES), ONE_CUT_LINK_EACH).isComplete());
     }
 
     @Test
     void aTakeoverNeverOverlapsARenewal() throws Exception {
-        assertSafe(true, new Bounds(4, 4, 0, 0, MAX_STATES), NONE_CUT);
-        assertSafe(true, new Bounds(6, 6, 0, 0, MAX_STATES), NONE_CUT);
-        InterleavingExplorer takeover = assertSafe(true, new Bounds(6, 3, 0, 0, MAX_STATES), NONE_CUT);
+        assertSafe(true, new Bounds(4, 4, 0, 0, MAX_STATES), NO_CUT_LINKS);
+        assertSafe(true, new Bounds(6, 6, 0, 0, MAX_STATES), NO_CUT_LINKS);
+        InterleavingExplorer takeover = assertSafe(true, new Bounds(6, 3, 0, 0, MAX_STATES), NO_CUT_LINKS);
         assertEquals(2, takeover.highestToken(), "without a renewal the lease is taken over");
     }
 
     @Test
-    void anAnswerBeforeTheSyncIsFound() throws Exception {
-        assertFound(false, new Bounds(0, 2, 0, 1, ALL_STATES), Bug.NO_SYNC, ONE_CUT_EACH);
+    void aReplyBeforeTheSyncIsDetected() throws Exception {
+        assertBugFound(false, new Bounds(0, 2, 0, 1, ALL_STATES), Bug.NO_SYNC, ONE_CUT_LINK_EACH);
     }
 
     @Test
-    void aTakeoverDelayWithoutDriftIsFound() throws Exception {
-        assertFound(true, new Bounds(4, 4, 0, 0, 2 * ALL_STATES), Bug.NO_DRIFT, NONE_CUT);
+    void aTakeoverDelayWithoutDriftIsDetected() throws Exception {
+        assertBugFound(true, new Bounds(4, 4, 0, 0, 2 * ALL_STATES), Bug.NO_DRIFT, NO_CUT_LINKS);
     }
 }
--- a/src/test/java/rampshift/leases/LeaseManagerTest.java
+++ b/src/test/java/rampshift/leases/LeaseManagerTest.java
@@ -30,17 +30,17 @@
     private static final LeaseEvent LOST = LeaseEvent.ofAcceptor(EventType.ACCEPTOR_STATE, "LOST");
     private static final LeaseEvent VOTING = LeaseEvent.ofAcceptor(EventType.ACCEPTOR_STATE, "VOTING");
     /** Prefix of the encoded acceptor set after the first reconfiguration is complete. */
-    private static final String RECONFIGURED_SET = "3|";
+    private static final String THIRD_EPOCH = "3|";
     private static final int MAX_REGISTERS = 4096;
 
-    private static LeaseSimulation five() {
+    private static LeaseSimulation fiveDispatchers() {
         LeaseSimulation simulation = new LeaseSimulation(1, 5, 3, 1).startAll();
         assertActsWithin(5, simulation);
         return simulation;
     }
 
     private static double assertActsWithin(double seconds, LeaseSimulation simulation) {
-        double elapsed = simulation.until(seconds, () -> simulation.actor(LEASE) != null);
+        double elapsed = simulation.runUntil(seconds, () -> simulation.actor(LEASE) != null);
         assertTrue(elapsed >= 0, "a dispatcher acquires the lease");
         return elapsed;
     }
@@ -71,7 +71,7 @@
 
     @Test
     void oneDispatcherAcquiresALeaseAndKeepsIt() {
-        LeaseSimulation simulation = five();
+        LeaseSimulation simulation = fiveDispatchers();
         String first = simulation.actor(LEASE);
         simulation.run(30);
         assertEquals(first, simulation.actor(LEASE));
@@ -79,8 +79,8 @@
     }
 
     @Test
-    void anotherHoldsALeaseWithinTwoTermsOfItsHoldersDeath() {
-        LeaseSimulation simulation = five();
+    void anotherDispatcherAcquiresALeaseWithinTwoTermsOfItsHoldersCrash() {
+        LeaseSimulation simulation = fiveDispatchers();
         holder(simulation).kill();
         double seconds = assertActsWithin(3, simulation);
         assertTrue(seconds > 0.7 && seconds < 2, seconds + " s");
@@ -88,8 +88,8 @@
     }
 
     @Test
-    void aGracefulShutdownReleasesALeaseSoThatTheNextIsQuick() {
-        LeaseSimulation simulation = five();
+    void aGracefulShutdownReleasesALeaseForAPromptTakeover() {
+        LeaseSimulation simulation = fiveDispatchers();
         Dispatcher first = holder(simulation);
         first.manager.shutDown(first.clock());
         double seconds = assertActsWithin(3, simulation);
@@ -98,11 +98,11 @@
     }
 
     @Test
-    void aHolderThatIsCutOffStopsByItselfBeforeAnotherActs() {
-        LeaseSimulation simulation = five();
+    void aPartitionedHolderStopsActingBeforeAnotherDispatcherActs() {
+        LeaseSimulation simulation = fiveDispatchers();
         Dispatcher first = holder(simulation);
         first.cutOff = true;
-        double stopped = simulation.until(3, () -> !first.mayAct(LEASE));
+        double stopped = simulation.runUntil(3, () -> !first.mayAct(LEASE));
         assertTrue(stopped <= 0.9, stopped + " s");
         assertTrue(assertActsWithin(3, simulation) > 0);
         assertTrue(first.hasReported(EventType.EXPIRED, ""), "the former holder reports the expiry");
@@ -110,7 +110,7 @@
 
     @Test
     void aHolderThatWasPausedDoesNotActAfterwards() {
-        LeaseSimulation simulation = five();
+        LeaseSimulation simulation = fiveDispatchers();
         Dispatcher first = holder(simulation);
         first.setPaused(true);
         simulation.run(3);
@@ -122,8 +122,8 @@
     }
 
     @Test
-    void nobodyActsWithoutAMajorityOfAcceptorsAndOneDoesWithItAgain() {
-        LeaseSimulation simulation = five();
+    void noDispatcherActsWithoutAMajorityOfAcceptorsUntilItReturns() {
+        LeaseSimulation simulation = fiveDispatchers();
         simulation.dispatcher(1).kill();
         simulation.dispatcher(2).kill();
         simulation.run(3600);
@@ -136,8 +136,8 @@
     }
 
     @Test
-    void acceptorsThatAreAllKilledAtOnceStartAgainWithWhatTheyKnew() {
-        LeaseSimulation simulation = five();
+    void acceptorsThatCrashTogetherRecoverTheirStateFromDisk() {
+        LeaseSimulation simulation = fiveDispatchers();
         long before = simulation.highestToken(LEASE);
         simulation.dispatchers.values().forEach(Dispatcher::kill);
         simulation.run(1);
@@ -147,8 +147,8 @@
     }
 
     @Test
-    void anAcceptorWithALostDiskDoesNotVoteBeforeAReconfigurationTakesItIn() {
-        LeaseSimulation simulation = five();
+    void anAcceptorWithALostDiskDoesNotVoteBeforeAReconfigurationAddsIt() {
+        LeaseSimulation simulation = fiveDispatchers();
         Dispatcher lost = simulation.dispatcher(1);
         new DiskCopy(new TreeMap<>(), 0).restore(lost);
         simulation.run(3);
@@ -162,9 +162,9 @@
         assertEquals(ReconfigurationStart.BEGUN,
                 any.manager.reconfigure(any.clock(), List.of("d1", "d2", "d3")));
         assertTrue(
-                simulation.until(10,
+                simulation.runUntil(10,
                         () -> lost.events.contains(VOTING)
-                                && lost.hasReported(EventType.ACCEPTOR_SET, RECONFIGURED_SET)) >= 0,
+                                && lost.hasReported(EventType.ACCEPTOR_SET, THIRD_EPOCH)) >= 0,
                 lost.events.toString());
         simulation.dispatcher(2).kill();
         simulation.run(5);
@@ -173,7 +173,7 @@
 
     @Test
     void anAcceptorWithAnOldCopyOfItsDiskDoesNotVote() {
-        LeaseSimulation simulation = five();
+        LeaseSimulation simulation = fiveDispatchers();
         Dispatcher old = simulation.dispatcher(1);
         DiskCopy copy = DiskCopy.takeBeforeRestart(simulation, old);
         copy.restore(old);
@@ -201,8 +201,8 @@
     }
 
     @Test
-    void aDispatcherWithoutADirectoryIsNoWitnessOfAnOldCopy() {
-        LeaseSimulation simulation = five();
+    void aDispatcherWithoutADirectoryDoesNotWitnessAnOldCopy() {
+        LeaseSimulation simulation = fiveDispatchers();
         Dispatcher old = simulation.dispatcher(1);
         DiskCopy copy = DiskCopy.takeBeforeRestart(simulation, old);
         simulation.dispatcher(3).kill();
@@ -213,8 +213,8 @@
     }
 
     @Test
-    void acceptorsAreReplacedByFiveWhileOneOfThemDies() {
-        LeaseSimulation simulation = five();
+    void threeAcceptorsAreReplacedByFiveWhileOneCrashes() {
+        LeaseSimulation simulation = fiveDispatchers();
         for (int number : new int[]{4, 5}) {
             Dispatcher joining = simulation.dispatcher(number);
             joining.kill();
@@ -227,7 +227,7 @@
                 any.manager.reconfigure(any.clock(), List.of("d1", "d2", "d3", "d4", "d5")));
         simulation.run(0.02);
         simulation.dispatcher(1).kill();
-        assertTrue(simulation.until(20, () -> any.hasReported(EventType.ACCEPTOR_SET, RECONFIGURED_SET)) >= 0,
+        assertTrue(simulation.runUntil(20, () -> any.hasReported(EventType.ACCEPTOR_SET, THIRD_EPOCH)) >= 0,
                 any.events.toString());
         simulation.dispatcher(2).kill();
         simulation.run(5);
@@ -239,24 +239,24 @@
 
     @Test
     void aLeaseIsHandedOverToTheNamedDispatcherAndIsFreeWhileItIsBlocked() {
-        LeaseSimulation simulation = five();
+        LeaseSimulation simulation = fiveDispatchers();
         Dispatcher first = holder(simulation);
         Dispatcher other = simulation.dispatchers.values().stream().filter(each -> each != first).findFirst()
                 .orElseThrow();
         Dispatcher fifth = simulation.dispatcher(5);
         assertTrue(fifth.manager.handOver(fifth.clock(), LEASE, other.name));
-        assertTrue(simulation.until(2, () -> other.mayAct(LEASE)) >= 0);
+        assertTrue(simulation.runUntil(2, () -> other.mayAct(LEASE)) >= 0);
         Dispatcher fourth = simulation.dispatcher(4);
         assertTrue(fourth.manager.block(fourth.clock(), LEASE, Span.ofMillis(20_000)));
-        assertTrue(simulation.until(2, () -> simulation.actor(LEASE) == null) >= 0);
+        assertTrue(simulation.runUntil(2, () -> simulation.actor(LEASE) == null) >= 0);
         simulation.run(19);
         assertNull(simulation.actor(LEASE));
         assertActsWithin(10, simulation);
     }
 
     @Test
-    void aNoteIsThereForTheNextHolder() {
-        LeaseSimulation simulation = five();
+    void theNextHolderReadsTheNoteOfACrashedHolder() {
+        LeaseSimulation simulation = fiveDispatchers();
         Dispatcher first = holder(simulation);
         first.manager.writeNote(first.clock(), LEASE, "17 of 40");
         simulation.run(0.2);
@@ -266,9 +266,9 @@
     }
 
     @Test
-    void manyLeasesAreSpreadAndDoNotMoveWhenADispatcherComesBack() {
+    void manyLeasesAreBalancedAndDoNotMoveWhenADispatcherReturns() {
         LeaseSimulation simulation = new LeaseSimulation(3, 10, 3, 100).startAll();
-        assertTrue(simulation.until(30,
+        assertTrue(simulation.runUntil(30,
                 () -> simulation.leases.stream().allMatch(lease -> simulation.actor(lease) != null)) >= 0);
         for (Dispatcher dispatcher : simulation.dispatchers.values()) {
             long held = simulation.leases.stream().filter(dispatcher::mayAct).count();
@@ -284,7 +284,7 @@
     }
 
     @Test
-    void contendersOfTheSameInstantNeverBothActOverAThousandRounds() {
+    void simultaneousContendersNeverBothActInAThousandRounds() {
         LeaseSimulation simulation = new LeaseSimulation(5, 5, 3, 1).startAll();
         for (int round = 0; round < 1000; round++) {
             if (simulation.actor(LEASE) != null) {
@@ -300,7 +300,7 @@
     }
 
     @Test
-    void aDiskThatTakesAFifthOfATermMovesNoLease() {
+    void aSyncOfAFifthOfATermMovesNoLease() {
         for (long seed = 0; seed < 20; seed++) {
             LeaseSimulation simulation = new LeaseSimulation(seed, 5, 3, 1).startAll();
             assertActsWithin(5, simulation);
@@ -313,8 +313,8 @@
     }
 
     @Test
-    void aHistoryThatIsNoRegistersIsFound() {
-        LeaseSimulation simulation = five();
+    void aHistoryThatIsNotLinearizableIsDetected() {
+        LeaseSimulation simulation = fiveDispatchers();
         simulation.run(5);
         assertTrue(simulation.checkHistories() > 5);
         List<Dispatcher> acceptors =
@@ -334,14 +334,14 @@
     }
 
     @Test
-    void malformedAndStrangeMessagesChangeNoLease() {
-        LeaseSimulation simulation = five();
+    void malformedMessagesAndUnknownRegistersDoNotPreventALease() {
+        LeaseSimulation simulation = fiveDispatchers();
         SplittableRandom random = new SplittableRandom(7);
-        byte[] real = Codec.encode(new Message.Accept(1, 1, LEASE, new Ballot(9, 9),
+        byte[] valid = Codec.encode(new Message.Accept(1, 1, LEASE, new Ballot(9, 9),
                 new LeaseRecord(3, 3, "d9", 9, 9, 9, "", 0, "note")));
         Dispatcher acceptor = simulation.dispatcher(1);
         for (int i = 0; i < 50_000; i++) {
-            byte[] bytes = i % 2 == 0 ? new byte[random.nextInt(300)] : real.clone();
+            byte[] bytes = i % 2 == 0 ? new byte[random.nextInt(300)] : valid.clone();
             if (i % 2 == 0) {
                 random.nextBytes(bytes);
             } else {
@@ -350,8 +350,8 @@
             acceptor.manager.onMessage(acceptor.clock(), "nobody", bytes);
         }
         for (int i = 0; i < 6000; i++) {
-            byte[] strange = Codec.encode(new Message.Prepare(i, 1, "strange" + i, new Ballot(1, 1)));
-            acceptor.manager.onMessage(acceptor.clock(), "nobody", strange);
+            byte[] unknownRegister = Codec.encode(new Message.Prepare(i, 1, "strange" + i, new Ballot(1, 1)));
+            acceptor.manager.onMessage(acceptor.clock(), "nobody", unknownRegister);
         }
         simulation.run(5);
         assertNotNull(simulation.actor(LEASE));
@@ -361,13 +361,13 @@
 
     /** Runs {@code leases.seeds} seeds, the first of which is {@code leases.from}. */
     @Test
-    void noTwoActAtOnceUnderRandomFaults() {
+    void noTwoDispatchersActAtOnceUnderRandomFaults() {
         long from = Long.getLong("leases.from", 0);
         long seeds = Long.getLong("leases.seeds", 60);
         AtomicLong takeovers = new AtomicLong();
         AtomicLong reconfigurations = new AtomicLong();
         LongStream.range(from, from + seeds).parallel().forEach(seed -> {
-            LeaseSimulation simulation = play(seed);
+            LeaseSimulation simulation = runWithFaults(seed);
             takeovers.addAndGet(simulation.takeovers);
             assertTrue(simulation.checkHistories() > 2);
             reconfigurations.addAndGet(
@@ -379,11 +379,11 @@
         assertTrue(takeovers.get() > 2 * seeds);
     }
 
-    private static LeaseSimulation play(long seed) {
+    private static LeaseSimulation runWithFaults(long seed) {
         RandomFaultRun run = new RandomFaultRun(seed);
         try {
-            LeaseSimulation simulation = run.play();
-            boolean healed = simulation.until(40,
+            LeaseSimulation simulation = run.run();
+            boolean healed = simulation.runUntil(40,
                     () -> simulation.actor("l0") != null && simulation.actor("l1") != null) >= 0;
             Dispatcher first = simulation.dispatcher(1);
             assertTrue(healed, () -> "once all faults have ended a dispatcher acts under each lease: "
--- a/src/test/java/rampshift/leases/LeaseSimulation.java
+++ b/src/test/java/rampshift/leases/LeaseSimulation.java
@@ -260,7 +260,7 @@
     }
 
     /** Runs until the condition holds; returns the elapsed seconds, or -1 on a timeout. */
-    double until(double maxSeconds, BooleanSupplier condition) {
+    double runUntil(double maxSeconds, BooleanSupplier condition) {
         return advanceUntil(maxSeconds, CHECK_INTERVAL_SECONDS, condition);
     }
 
--- a/src/test/java/rampshift/leases/RandomFaultRun.java
+++ b/src/test/java/rampshift/leases/RandomFaultRun.java
@@ -35,7 +35,7 @@
     }
 
     /** Runs the simulation with faults, and ends all faults afterwards. */
-    LeaseSimulation play() {
+    LeaseSimulation run() {
         simulation.startAll();
         simulation.run(3);
         for (int i = 0; i < FAULTS; i++) {
--- a/src/test/java/rampshift/leases/RecordLogTest.java
+++ b/src/test/java/rampshift/leases/RecordLogTest.java
@@ -41,7 +41,7 @@
     }
 
     @Test
-    void theLastRecordOfEachKeyIsReadAgain() throws IOException {
+    void theLastRecordOfEachKeyIsReadBack() throws IOException {
         write(7);
         try (RecordLog log = new RecordLog(folder)) {
             assertEquals(7, log.recordCount());
@@ -97,7 +97,7 @@
     }
 
     @Test
-    void theFileStaysSmallAndTheRecordCountRises() throws IOException {
+    void theFileIsCompactedAndTheRecordCountIncreases() throws IOException {
         byte[] large = new byte[20_000];
         try (RecordLog log = new RecordLog(folder)) {
             for (int i = 0; i < 400; i++) {
--- a/src/test/java/rampshift/leases/StateCopier.java
+++ b/src/test/java/rampshift/leases/StateCopier.java
@@ -26,14 +26,14 @@
         return copyOnce(original, new IdentityHashMap<>(shared));
     }
 
-    private static boolean isPlain(Object value) {
+    private static boolean isImmutable(Object value) {
         return value == null || value instanceof String || value instanceof Number || value instanceof Boolean
                 || value instanceof Enum || value instanceof Record || value instanceof Class;
     }
 
     @SuppressWarnings("unchecked")
     private static <T> T copyOnce(T original, IdentityHashMap<Object, Object> copies) {
-        if (isPlain(original) || original.getClass().isArray()) {
+        if (isImmutable(original) || original.getClass().isArray()) {
             return original; // records and arrays here are never modified
         }
         Object known = copies.get(original);
@@ -159,7 +159,7 @@
     static void print(Object value, StringBuilder text, IdentityHashMap<Object, Object> shared) {
         if (value != null && shared.containsKey(value)) {
             text.append('^');
-        } else if (isPlain(value)) {
+        } else if (isImmutable(value)) {
             text.append(value).append(';');
         } else if (value instanceof Map<?, ?> map) {
             printMap(map, text, shared);
--- a/src/test/java/rampshift/leases/StoredFormatTest.java
+++ b/src/test/java/rampshift/leases/StoredFormatTest.java
@@ -53,7 +53,7 @@
     }
 
     @Test
-    void acceptorDirectoriesAreReadAndTheirLeasesGoOn() throws IOException {
+    void leasesContinueFromStoredAcceptorDirectories() throws IOException {
         LeaseSimulation simulation = new LeaseSimulation(1, 3, 3, 2);
         for (LeaseSimulation.Dispatcher dispatcher : simulation.dispatchers.values()) {
             try (RecordLog log = new RecordLog(directory(dispatcher.name))) {
@@ -64,7 +64,7 @@
         }
         simulation.startAll();
         for (String lease : simulation.leases) {
-            assertTrue(simulation.until(5, () -> simulation.actor(lease) != null) >= 0, lease);
+            assertTrue(simulation.runUntil(5, () -> simulation.actor(lease) != null) >= 0, lease);
             LeaseSimulation.Dispatcher holder = simulation.dispatchers.get(simulation.actor(lease));
             assertEquals(3, holder.manager.token(lease), "the token follows the stored one");
             assertEquals("7:0:20:on", holder.manager.note(lease));
@@ -73,7 +73,7 @@
     }
 
     @Test
-    void anAcceptorDirectoryHoldsWhatWasAccepted() throws IOException {
+    void anAcceptorDirectoryContainsTheAcceptedValues() throws IOException {
         try (RecordLog log = new RecordLog(directory("d1"))) {
             Map<String, byte[]> records = log.records();
             assertEquals(List.of("keepers", "r l0", "r l1", "self", "w 1002", "w 1003"),
@@ -89,7 +89,7 @@
     }
 
     @Test
-    void aFileOfRecordsIsWrittenByteForByteAlike() throws IOException {
+    void aRecordFileIsWrittenByteForByteAlike() throws IOException {
         try (RecordLog log = new RecordLog(folder)) {
             for (int i = 0; i < 5; i++) {
                 log.add("key" + i % 2, new byte[]{(byte) i, 1, 2});
@@ -131,7 +131,7 @@
     }
 
     @Test
-    void eventWordsAreThoseOfTheEventLog() {
+    void eventWordsMatchTheEventLog() {
         List<String> words = List.of(EventType.values()).stream().map(EventType::word).toList();
         assertEquals(List.of("holds", "gives", "lapsed", "taken", "seen", "keeper", "keepers", "changed",
                 "unchanged", "given up"), words);
--- a/src/test/java/rampshift/leases/host/HostPartsTest.java
+++ b/src/test/java/rampshift/leases/host/HostPartsTest.java
@@ -27,7 +27,7 @@
     private Path folder;
 
     @Test
-    void theClockCountsAnHourOfSuspension() throws Exception {
+    void theClockIncludesAnHourOfSuspension() throws Exception {
         Path uptime = Files.writeString(folder.resolve("uptime"), "1000.00 0.00\n");
         BootTimeClock clock = new BootTimeClock(uptime);
         Moment before = clock.now();
