--- a/src/main/java/rampshift/leases/Acceptor.java
+++ b/src/main/java/rampshift/leases/Acceptor.java
@@ -64,11 +64,11 @@
     private AcceptorSet acceptors = AcceptorSet.UNKNOWN;
     private State state = State.NEW;
     private long directoryId;
-    private long starts;
-    private long startsOnDisk;
-    private long recordsOnDisk;
+    private long startCount;
+    private long startCountOnDisk;
+    private long recordCountOnDisk;
     private boolean announcingStart;
-    private Moment helloAt;
+    private Moment nextHelloAt;
 
     /**
      * Creates an acceptor that has not started.
@@ -88,8 +88,8 @@
 
     /** Starts with the records of its directory. An empty directory gets the new id. */
     void start(Moment now, Map<String, byte[]> records, long recordCount, long newDirectoryId) {
-        recordsOnDisk = recordCount;
-        helloAt = now;
+        recordCountOnDisk = recordCount;
+        nextHelloAt = now;
         byte[] identity = records.get(IDENTITY_KEY);
         if (identity == null) {
             directoryId = newDirectoryId;
@@ -97,9 +97,9 @@
         } else {
             ByteBuffer buffer = ByteBuffer.wrap(identity);
             directoryId = buffer.getLong();
-            startsOnDisk = buffer.getLong();
+            startCountOnDisk = buffer.getLong();
         }
-        starts = startsOnDisk;
+        startCount = startCountOnDisk;
         records.forEach(registers::load);
         records.forEach(witness::load);
         byte[] storedSet = records.get(ACCEPTORS_KEY);
@@ -125,22 +125,23 @@
 
     /** Records how many records have been written to the directory so far; all of them are on disk. */
     void onSynced(long recordCount) {
-        recordsOnDisk = recordCount;
+        recordCountOnDisk = recordCount;
     }
 
     /** Returns when {@link #onTimer} is to be called. */
     Moment dueAt() {
-        return helloAt;
+        return nextHelloAt;
     }
 
     /** Sends {@link Message.Hello} to the other acceptors if it is due. */
     void onTimer(Moment now) {
-        if (now.before(helloAt)) {
+        if (now.before(nextHelloAt)) {
             return;
         }
-        helloAt = now.plus(helloInterval);
+        nextHelloAt = now.plus(helloInterval);
         Message hello =
-                new Message.Hello(0, acceptors, directoryId, new DirectoryVersion(starts, recordsOnDisk));
+                new Message.Hello(0, acceptors, directoryId,
+                        new DirectoryVersion(startCount, recordCountOnDisk));
         for (String other : acceptors.isKnown() ? acceptors.names() : new TreeSet<>(initialNames)) {
             if (!other.equals(name)) {
                 out.send(other, hello);
@@ -158,8 +159,8 @@
 
     /** Advances the start by one step, or by several if this acceptor forms a quorum by itself. */
     private void advanceStart() {
-        boolean first = !initialNames.isEmpty() && initialNames.get(0).equals(name);
-        if (state == State.NEW && !acceptors.isKnown() && first) {
+        boolean isFirstMember = !initialNames.isEmpty() && initialNames.get(0).equals(name);
+        if (state == State.NEW && !acceptors.isKnown() && isFirstMember) {
             formFirstSet();
         }
         while (state == State.ASKING && hasQuorumWithItself()) {
@@ -170,9 +171,9 @@
                 // A quorum witnesses this start before the acceptor votes, so that an older copy of the
                 // directory is recognised.
                 announcingStart = true;
-                starts = startsOnDisk + 1;
-                out.persist(IDENTITY_KEY, Codec.encode(directoryId, starts));
-                helloAt = new Moment(0);
+                startCount = startCountOnDisk + 1;
+                out.persist(IDENTITY_KEY, Codec.encode(directoryId, startCount));
+                nextHelloAt = new Moment(0);
             }
         }
     }
@@ -241,7 +242,7 @@
             out.send(from, new Message.StaleEpoch(vote.number(), acceptors));
         } else if (isVoting && vote.epoch() > acceptors.epoch()) {
             out.send(from, new Message.AcceptorBehind(vote.number(), acceptors));
-        } else if (!isVoting || !registers.hasRoomFor(vote.register())) {
+        } else if (!isVoting || !registers.hasCapacityFor(vote.register())) {
             out.send(from, new Message.NotVoting(vote.number(), vote.epoch(), vote.register()));
         } else if (vote instanceof Message.Prepare prepare) {
             registers.prepare(from, prepare);
@@ -260,7 +261,8 @@
     private void onHello(String from, Message.Hello hello) {
         DirectoryVersion known = witness.witness(hello.directoryId(), hello.directory());
         long ownId = state == State.OLD ? 0 : directoryId;
-        out.sendAfterSync(from, new Message.HelloReply(hello.directory().starts(), acceptors, ownId, known));
+        out.sendAfterSync(from,
+                new Message.HelloReply(hello.directory().startCount(), acceptors, ownId, known));
     }
 
     /** Handles the reply to a {@link Message.Hello}. */
@@ -271,8 +273,8 @@
         } else {
             newDirectories.remove(from);
         }
-        if (state == State.ASKING && reply.number() == starts) {
-            DirectoryVersion own = new DirectoryVersion(starts, recordsOnDisk);
+        if (state == State.ASKING && reply.number() == startCount) {
+            DirectoryVersion own = new DirectoryVersion(startCount, recordCountOnDisk);
             if (reply.witnessed().isNewerThan(own) && !announcingStart) {
                 enter(State.OLD);
             } else if (acceptors.contains(from, reply.directoryId())) {
--- a/src/main/java/rampshift/leases/ChangeFunction.java
+++ b/src/main/java/rampshift/leases/ChangeFunction.java
@@ -12,8 +12,8 @@
      */
     LeaseRecord applyTo(LeaseRecord current);
 
-    private static boolean isResult(LeaseRecord current, long processId, long stamp) {
-        return current.isHeldBy(processId) && current.stamp() == stamp;
+    private static boolean isResult(LeaseRecord current, long processId, long changeNumber) {
+        return current.isHeldBy(processId) && current.changeNumber() == changeNumber;
     }
 
     /**
@@ -22,21 +22,21 @@
      * @param expected the observed value; no other value is replaced
      * @param holder name of the acquiring dispatcher
      * @param processId id of its process
-     * @param stamp number never used before by this process for this register
+     * @param changeNumber number never used before by this process for this register
      * @param termMicros term of the lease
      */
-    record Acquire(LeaseRecord expected, String holder, long processId, long stamp,
+    record Acquire(LeaseRecord expected, String holder, long processId, long changeNumber,
             long termMicros) implements ChangeFunction {
         @Override
         public LeaseRecord applyTo(LeaseRecord current) {
-            if (isResult(current, processId, stamp)) {
+            if (isResult(current, processId, changeNumber)) {
                 return current;
             }
             if (!current.equals(expected)) {
                 return null;
             }
-            return new LeaseRecord(current.version() + 1, current.token() + 1, holder, processId, stamp,
-                    termMicros, "", 0, current.note());
+            return new LeaseRecord(current.version() + 1, current.token() + 1, holder, processId,
+                    changeNumber, termMicros, "", 0, current.note());
         }
     }
 
@@ -46,21 +46,21 @@
      * @param holder name of the holding dispatcher
      * @param processId id of its process
      * @param token the token under which it holds the lease
-     * @param stamp number never used before by this process for this register
+     * @param changeNumber number never used before by this process for this register
      * @param termMicros term of the lease
      * @param note the new note; null to leave the note unchanged
      */
-    record Renew(String holder, long processId, long token, long stamp, long termMicros,
+    record Renew(String holder, long processId, long token, long changeNumber, long termMicros,
             String note) implements ChangeFunction {
         @Override
         public LeaseRecord applyTo(LeaseRecord current) {
-            if (isResult(current, processId, stamp)) {
+            if (isResult(current, processId, changeNumber)) {
                 return current;
             }
             if (!current.isHeldBy(processId) || current.token() != token) {
                 return null;
             }
-            return new LeaseRecord(current.version() + 1, token, holder, processId, stamp, termMicros,
+            return new LeaseRecord(current.version() + 1, token, holder, processId, changeNumber, termMicros,
                     current.nextHolder(), current.blockMicros(), note == null ? current.note() : note);
         }
     }
@@ -71,16 +71,16 @@
      *
      * @param processId id of the holding process
      * @param token the token under which it holds the lease
-     * @param stamp number never used before by this process for this register
+     * @param changeNumber number never used before by this process for this register
      */
-    record Release(long processId, long token, long stamp) implements ChangeFunction {
+    record Release(long processId, long token, long changeNumber) implements ChangeFunction {
         @Override
         public LeaseRecord applyTo(LeaseRecord current) {
             if (!current.isHeldBy(processId) || current.token() != token) {
                 return null;
             }
-            return new LeaseRecord(current.version() + 1, token, "", 0, stamp, reservationMicros(current),
-                    current.nextHolder(), 0, current.note());
+            return new LeaseRecord(current.version() + 1, token, "", 0, changeNumber,
+                    reservationMicros(current), current.nextHolder(), 0, current.note());
         }
 
         private static long reservationMicros(LeaseRecord current) {
@@ -88,7 +88,7 @@
                 return current.blockMicros();
             }
             String next = current.nextHolder();
-            return next.isEmpty() || next.equals(HandOver.ANYBODY) ? 0 : current.termMicros();
+            return next.isEmpty() || next.equals(HandOver.ANY_DISPATCHER) ? 0 : current.termMicros();
         }
     }
 
@@ -106,7 +106,8 @@
                         current.note());
             }
             return new LeaseRecord(current.version() + 1, current.token(), current.holder(),
-                    current.processId(), current.stamp(), current.termMicros(), "", micros, current.note());
+                    current.processId(), current.changeNumber(), current.termMicros(), "", micros,
+                    current.note());
         }
     }
 
@@ -114,13 +115,13 @@
      * A request of an operator, or of the balancing of leases, to move the lease to another dispatcher.
      *
      * @param requestNumber distinguishes requests that are otherwise equal
-     * @param nextHolder name of that dispatcher, or {@link #ANYBODY}
+     * @param nextHolder name of that dispatcher, or {@link #ANY_DISPATCHER}
      * @param reservationMicros how long a free lease is reserved for that dispatcher, in microseconds
      */
     record HandOver(long requestNumber, String nextHolder, long reservationMicros) implements ChangeFunction {
 
         /** In place of a name: whichever dispatcher acquires the lease first. */
-        static final String ANYBODY = "*";
+        static final String ANY_DISPATCHER = "*";
 
         @Override
         public LeaseRecord applyTo(LeaseRecord current) {
@@ -129,7 +130,7 @@
                         nextHolder, 0, current.note());
             }
             return new LeaseRecord(current.version() + 1, current.token(), current.holder(),
-                    current.processId(), current.stamp(), current.termMicros(), nextHolder,
+                    current.processId(), current.changeNumber(), current.termMicros(), nextHolder,
                     current.blockMicros(), current.note());
         }
     }
--- a/src/main/java/rampshift/leases/Codec.java
+++ b/src/main/java/rampshift/leases/Codec.java
@@ -57,8 +57,8 @@
             }
             out.writeUTF(wire.acceptors());
             out.writeLong(wire.directoryId());
-            out.writeLong(wire.directory().starts());
-            out.writeLong(wire.directory().records());
+            out.writeLong(wire.directory().startCount());
+            out.writeLong(wire.directory().recordCount());
         });
     }
 
@@ -98,13 +98,13 @@
 
     /** Returns how many leading names and values fit into one message; at least one. */
     static int countThatFits(List<String> names, List<LeaseRecord> values) {
-        int room = MAX_MESSAGE_BYTES - MESSAGE_OVERHEAD_BYTES;
+        int remainingBytes = MAX_MESSAGE_BYTES - MESSAGE_OVERHEAD_BYTES;
         int count = 0;
         while (count < values.size() && count < MAX_COUNT) {
             LeaseRecord value = values.get(count);
-            room -= VALUE_OVERHEAD_BYTES + names.get(count).length() + value.holder().length()
+            remainingBytes -= VALUE_OVERHEAD_BYTES + names.get(count).length() + value.holder().length()
                     + value.nextHolder().length() + value.note().length();
-            if (room < 0 && count > 0) {
+            if (remainingBytes < 0 && count > 0) {
                 break;
             }
             count++;
@@ -166,7 +166,7 @@
         return text;
     }
 
-    private static long readNotNegative(DataInputStream in) throws IOException {
+    private static long readNonNegative(DataInputStream in) throws IOException {
         long number = in.readLong();
         if (number < 0) {
             throw new IOException("negative number");
@@ -180,7 +180,7 @@
     }
 
     private static Ballot readBallot(DataInputStream in) throws IOException {
-        return new Ballot(readNotNegative(in), in.readLong());
+        return new Ballot(readNonNegative(in), in.readLong());
     }
 
     private static void writeRecord(DataOutputStream out, LeaseRecord value) throws IOException {
@@ -188,7 +188,7 @@
         out.writeLong(value.token());
         out.writeUTF(value.holder());
         out.writeLong(value.processId());
-        out.writeLong(value.stamp());
+        out.writeLong(value.changeNumber());
         out.writeLong(value.termMicros());
         out.writeUTF(value.nextHolder());
         out.writeLong(value.blockMicros());
@@ -196,7 +196,7 @@
     }
 
     private static LeaseRecord readRecord(DataInputStream in) throws IOException {
-        return new LeaseRecord(readNotNegative(in), readNotNegative(in), readText(in), in.readLong(),
-                in.readLong(), readNotNegative(in), readText(in), readNotNegative(in), readText(in));
+        return new LeaseRecord(readNonNegative(in), readNonNegative(in), readText(in), in.readLong(),
+                in.readLong(), readNonNegative(in), readText(in), readNonNegative(in), readText(in));
     }
 }
--- a/src/main/java/rampshift/leases/DirectoryWitness.java
+++ b/src/main/java/rampshift/leases/DirectoryWitness.java
@@ -39,14 +39,15 @@
     /** Records the version of a directory, unless its id is 0. Returns the version known before. */
     DirectoryVersion witness(long directoryId, DirectoryVersion version) {
         DirectoryVersion known = witnessed.getOrDefault(directoryId, DirectoryVersion.NONE);
-        boolean hasRoom = witnessed.size() < MAX_DIRECTORIES || witnessed.containsKey(directoryId);
-        if (directoryId != 0 && version.isNewerThan(known) && hasRoom) {
+        boolean hasCapacity = witnessed.size() < MAX_DIRECTORIES || witnessed.containsKey(directoryId);
+        if (directoryId != 0 && version.isNewerThan(known) && hasCapacity) {
             witnessed.put(directoryId, version);
             DirectoryVersion last = stored.getOrDefault(directoryId, DirectoryVersion.NONE);
-            if (version.starts() > last.starts() || version.records() >= last.records() + MAX_RECORDS_AHEAD) {
+            if (version.startCount() > last.startCount()
+                    || version.recordCount() >= last.recordCount() + MAX_RECORDS_AHEAD) {
                 stored.put(directoryId, version);
                 out.persist(KEY_PREFIX + Long.toHexString(directoryId),
-                        Codec.encode(version.starts(), version.records()));
+                        Codec.encode(version.startCount(), version.recordCount()));
             }
         }
         return known;
--- a/src/main/java/rampshift/leases/LeaseClient.java
+++ b/src/main/java/rampshift/leases/LeaseClient.java
@@ -45,8 +45,8 @@
     /** Time until which this dispatcher does not acquire the lease, so that others can; null for no limit. */
     private Moment notBefore;
     private boolean shuttingDown;
-    private ChangeFunction operatorRequest;
-    private Moment operatorRequestDeadline;
+    private ChangeFunction requestedChange;
+    private Moment requestedChangeDeadline;
 
     LeaseClient(String name, String self, long processId, LeaseTimings timings, Context context) {
         this.name = name;
@@ -101,8 +101,8 @@
 
     /** Requests an operator's change, which is retried for one term. */
     void request(Moment now, ChangeFunction change) {
-        operatorRequest = change;
-        operatorRequestDeadline = now.plus(timings.term());
+        requestedChange = change;
+        requestedChangeDeadline = now.plus(timings.term());
         if (!writer.isBusy()) {
             writer.begin(now, change);
         }
@@ -144,11 +144,11 @@
     void onTimer(Moment now) {
         stopActingIfExpired(now);
         handle(now, writer.onTimer(now));
-        if (!writer.isBusy() && operatorRequest != null) {
-            if (operatorRequestDeadline.before(now)) {
-                operatorRequest = null;
+        if (!writer.isBusy() && requestedChange != null) {
+            if (requestedChangeDeadline.before(now)) {
+                requestedChange = null;
             } else {
-                writer.begin(now, operatorRequest);
+                writer.begin(now, requestedChange);
             }
         }
         if (!writer.isBusy()) {
@@ -236,8 +236,8 @@
             hold(now, chosen);
         } else if (change instanceof ChangeFunction.Acquire) {
             hold(now, chosen);
-        } else if (change.equals(operatorRequest)) {
-            operatorRequest = null;
+        } else if (change.equals(requestedChange)) {
+            requestedChange = null;
         }
         if (holding && (shuttingDown || isToBeReleased(value))) {
             release(now);
@@ -281,8 +281,8 @@
     }
 
     private void setCurrent(Moment now, LeaseRecord value) {
-        boolean acquired = observer.setCurrent(now, value);
-        if (acquired && !value.isHeldBy(processId)) {
+        boolean holderChanged = observer.setCurrent(now, value);
+        if (holderChanged && !value.isHeldBy(processId)) {
             context.emit(name, EventType.HOLDER_OBSERVED, value);
         }
     }
--- a/src/main/java/rampshift/leases/LeaseClients.java
+++ b/src/main/java/rampshift/leases/LeaseClients.java
@@ -66,18 +66,18 @@
 
     /** Calls the clients that are due, and polls the registers of those that need it. */
     void onTimer(Moment now) {
-        List<String> toRead = new ArrayList<>();
+        List<String> leasesToPoll = new ArrayList<>();
         for (String lease = schedule.pollDue(now); lease != null; lease = schedule.pollDue(now)) {
             LeaseClient client = clients.get(lease);
             if (client.needsPoll(now)) {
-                toRead.add(lease);
+                leasesToPoll.add(lease);
             }
             client.onTimer(now);
             reschedule(now, client);
         }
-        for (int from = 0; from < toRead.size(); from += MAX_READS_PER_MESSAGE) {
-            int to = Math.min(toRead.size(), from + MAX_READS_PER_MESSAGE);
-            Message read = new Message.Read(0, List.copyOf(toRead.subList(from, to)));
+        for (int from = 0; from < leasesToPoll.size(); from += MAX_READS_PER_MESSAGE) {
+            int to = Math.min(leasesToPoll.size(), from + MAX_READS_PER_MESSAGE);
+            Message read = new Message.Read(0, List.copyOf(leasesToPoll.subList(from, to)));
             process.acceptors().names().forEach(name -> process.send(name, read));
         }
     }
--- a/src/main/java/rampshift/leases/LeaseDistribution.java
+++ b/src/main/java/rampshift/leases/LeaseDistribution.java
@@ -16,7 +16,7 @@
     private static final int MIN_IMBALANCE = 2;
 
     private final String self;
-    private final Map<String, LeaseRecord> counted = new TreeMap<>();
+    private final Map<String, LeaseRecord> countedValues = new TreeMap<>();
     private final Map<String, Integer> heldByDispatcher = new TreeMap<>();
     private Set<String> alive = new TreeSet<>();
 
@@ -37,11 +37,11 @@
 
     /** Counts the value of a lease that is most likely the current one; null while none is known. */
     void update(String lease, LeaseRecord value) {
-        LeaseRecord before = counted.get(lease);
+        LeaseRecord before = countedValues.get(lease);
         if (value == null || value.equals(before)) {
             return;
         }
-        counted.put(lease, value);
+        countedValues.put(lease, value);
         if (before != null && !before.isFree()) {
             heldByDispatcher.merge(before.holder(), -1, Integer::sum);
         }
@@ -50,7 +50,7 @@
         }
     }
 
-    private int held(String dispatcher) {
+    private int leasesHeldBy(String dispatcher) {
         return heldByDispatcher.getOrDefault(dispatcher, 0);
     }
 
@@ -61,16 +61,16 @@
     int contendersBefore(String lease) {
         int before = 0;
         for (String other : alive) {
-            if (!other.equals(self) && isBefore(lease, other)) {
+            if (!other.equals(self) && contendsBefore(lease, other)) {
                 before++;
             }
         }
         return before;
     }
 
-    private boolean isBefore(String lease, String other) {
-        if (held(other) != held(self)) {
-            return held(other) < held(self);
+    private boolean contendsBefore(String lease, String other) {
+        if (leasesHeldBy(other) != leasesHeldBy(self)) {
+            return leasesHeldBy(other) < leasesHeldBy(self);
         }
         return SeededDraws.checksum(lease + " " + other) < SeededDraws.checksum(lease + " " + self);
     }
@@ -80,12 +80,12 @@
      * difference to this dispatcher is below {@link #MIN_IMBALANCE}.
      */
     String handoverTarget() {
-        String least = null;
+        String target = null;
         for (String other : alive) {
-            if (least == null || held(other) < held(least)) {
-                least = other;
+            if (target == null || leasesHeldBy(other) < leasesHeldBy(target)) {
+                target = other;
             }
         }
-        return held(self) - held(least) >= MIN_IMBALANCE ? least : null;
+        return leasesHeldBy(self) - leasesHeldBy(target) >= MIN_IMBALANCE ? target : null;
     }
 }
--- a/src/main/java/rampshift/leases/LeaseManager.java
+++ b/src/main/java/rampshift/leases/LeaseManager.java
@@ -131,7 +131,7 @@
             acceptor.onRequest(from, request);
             learn(acceptor.acceptors());
         } else if (request instanceof Message.Hello hello) {
-            process.send(from, new Message.HelloReply(hello.directory().starts(), process.acceptors(), 0,
+            process.send(from, new Message.HelloReply(hello.directory().startCount(), process.acceptors(), 0,
                     DirectoryVersion.NONE));
         }
     }
@@ -300,8 +300,8 @@
         }
         process.setAcceptors(newer);
         if (newer.isChanging() && reconfiguration == null && newer.names().contains(settings.name())) {
-            reconfiguration = Reconfiguration.begunElsewhere(settings.name(), settings.processId(), timings,
-                    newer, now, new ReconfigurationContext());
+            reconfiguration = Reconfiguration.begunByAnotherProcess(settings.name(), settings.processId(),
+                    timings, newer, now, new ReconfigurationContext());
         }
     }
 
--- a/src/main/java/rampshift/leases/LeaseRecord.java
+++ b/src/main/java/rampshift/leases/LeaseRecord.java
@@ -7,8 +7,8 @@
  * @param token the fencing token; increases by one with each acquisition and never decreases
  * @param holder name of the dispatcher that holds the lease; empty while the lease is free
  * @param processId the holder's process; 0 while the lease is free
- * @param stamp number of the last acquisition, renewal or release, by which the process that requested that
- *         change recognises it as made
+ * @param changeNumber number of the last acquisition, renewal or release, by which the process that requested
+ *         that change recognises it as made
  * @param termMicros how long the lease belongs to its holder, in microseconds from before the request; for a
  *         free lease, how long it is reserved for {@code nextHolder}, or unavailable to all if that is empty
  * @param nextHolder the dispatcher that is to hold the lease next; empty for no preference
@@ -16,7 +16,7 @@
  *         microseconds
  * @param note progress of the work that is done under the lease
  */
-public record LeaseRecord(long version, long token, String holder, long processId, long stamp,
+public record LeaseRecord(long version, long token, String holder, long processId, long changeNumber,
         long termMicros, String nextHolder, long blockMicros, String note) {
 
     /** Maximum length of a note in characters, so that a record fits into one datagram. */
--- a/src/main/java/rampshift/leases/LeaseStatusPage.java
+++ b/src/main/java/rampshift/leases/LeaseStatusPage.java
@@ -26,11 +26,11 @@
     String render(AcceptorSet acceptors, List<String> initialNames, Acceptor acceptor,
             Collection<LeaseClient> leases) {
         StringBuilder text = new StringBuilder();
-        String set = acceptors.isKnown() ? acceptors.encode().replace('|', ' ').trim()
+        String acceptorSet = acceptors.isKnown() ? acceptors.encode().replace('|', ' ').trim()
                 : "not known yet: " + String.join(",", initialNames) + " are asked";
-        String own =
+        String ownState =
                 acceptor == null ? "" : ", this is one: " + acceptor.state().name().toLowerCase(Locale.ROOT);
-        text.append(String.format("keepers %s%s%n", set, own));
+        text.append(String.format("keepers %s%s%n", acceptorSet, ownState));
         leases.forEach(lease -> text.append(line(lease)));
         return text.toString();
     }
--- a/src/main/java/rampshift/leases/Reconfiguration.java
+++ b/src/main/java/rampshift/leases/Reconfiguration.java
@@ -70,15 +70,15 @@
     }
 
     /** Creates one that another process began; this dispatcher continues it if it does not finish in time. */
-    static Reconfiguration begunElsewhere(String self, long processId, LeaseTimings timings,
+    static Reconfiguration begunByAnotherProcess(String self, long processId, LeaseTimings timings,
             AcceptorSet joint, Moment now, Context context) {
         List<String> wanted = joint.joining().stream().map(AcceptorSet.Member::name).toList();
-        Reconfiguration found = new Reconfiguration(processId, timings, wanted, context);
-        int place = new ArrayList<>(joint.names()).indexOf(self);
-        found.step = Step.INSTALLING;
-        found.acceptors = joint;
-        found.nextAt = now.plus(timings.term().times(ADOPTION_TERMS * (1 + place)));
-        return found;
+        Reconfiguration adopted = new Reconfiguration(processId, timings, wanted, context);
+        int position = new ArrayList<>(joint.names()).indexOf(self);
+        adopted.step = Step.INSTALLING;
+        adopted.acceptors = joint;
+        adopted.nextAt = now.plus(timings.term().times(ADOPTION_TERMS * (1 + position)));
+        return adopted;
     }
 
     boolean isFinished() {
--- a/src/main/java/rampshift/leases/RegisterListing.java
+++ b/src/main/java/rampshift/leases/RegisterListing.java
@@ -10,8 +10,8 @@
 /** Collects the names of all registers from a majority of the current acceptors. */
 final class RegisterListing {
     private final Proposer.Transport transport;
-    private final Map<String, String> lastNameOf = new HashMap<>();
-    private final Set<String> completed = new HashSet<>();
+    private final Map<String, String> lastNameByAcceptor = new HashMap<>();
+    private final Set<String> completedAcceptors = new HashSet<>();
     private final TreeSet<String> registers = new TreeSet<>();
 
     RegisterListing(Proposer.Transport transport) {
@@ -21,7 +21,7 @@
     /** Requests names from all current acceptors that have not sent their whole list yet. */
     void requestMissing(AcceptorSet acceptors) {
         for (AcceptorSet.Member member : acceptors.current()) {
-            if (!completed.contains(member.name())) {
+            if (!completedAcceptors.contains(member.name())) {
                 request(acceptors, member.name());
             }
         }
@@ -29,7 +29,7 @@
 
     private void request(AcceptorSet acceptors, String from) {
         transport.send(from,
-                new Message.ListRegisters(0, acceptors.epoch(), lastNameOf.getOrDefault(from, "")));
+                new Message.ListRegisters(0, acceptors.epoch(), lastNameByAcceptor.getOrDefault(from, "")));
     }
 
     /**
@@ -37,19 +37,20 @@
      * its whole list, so that all registers are known.
      */
     boolean onList(AcceptorSet acceptors, String from, List<String> names) {
-        if (completed.contains(from)) {
+        if (completedAcceptors.contains(from)) {
             return false;
         }
         if (names.isEmpty()) {
-            completed.add(from);
+            completedAcceptors.add(from);
         } else {
             registers.addAll(names);
-            lastNameOf.put(from, names.get(names.size() - 1));
+            lastNameByAcceptor.put(from, names.get(names.size() - 1));
         }
-        if (new AcceptorSet(acceptors.epoch(), acceptors.current(), List.of()).hasQuorum(completed)) {
+        if (new AcceptorSet(acceptors.epoch(), acceptors.current(), List.of())
+                .hasQuorum(completedAcceptors)) {
             return true;
         }
-        if (!completed.contains(from)) {
+        if (!completedAcceptors.contains(from)) {
             request(acceptors, from);
         }
         return false;
--- a/src/main/java/rampshift/leases/RegisterObserver.java
+++ b/src/main/java/rampshift/leases/RegisterObserver.java
@@ -33,7 +33,7 @@
      */
     boolean observe(Moment now, LeaseRecord value) {
         lastContactAt = now;
-        remember(now, value);
+        recordObservation(now, value);
         return current == null || value.version() > current.version();
     }
 
@@ -43,18 +43,18 @@
      */
     boolean setCurrent(Moment now, LeaseRecord value) {
         lastContactAt = now;
-        remember(now, value);
-        boolean acquired = current == null || current.token() != value.token()
+        recordObservation(now, value);
+        boolean holderChanged = current == null || current.token() != value.token()
                 || !current.holder().equals(value.holder());
         current = value;
-        return acquired;
+        return holderChanged;
     }
 
     /**
      * Records when a value was first observed. A contender counts its takeover delay from then: the holder
      * requested the value earlier, so that the holder's acting time ends first.
      */
-    private void remember(Moment now, LeaseRecord value) {
+    private void recordObservation(Moment now, LeaseRecord value) {
         if (firstObservedAt.putIfAbsent(value, now) == null && firstObservedAt.size() > MAX_OBSERVATIONS) {
             firstObservedAt.keySet().stream().filter(known -> !known.equals(current) && !known.equals(value))
                     .findFirst().ifPresent(firstObservedAt::remove);
--- a/src/main/java/rampshift/leases/RegisterTable.java
+++ b/src/main/java/rampshift/leases/RegisterTable.java
@@ -25,7 +25,7 @@
         }
     }
 
-    boolean hasRoomFor(String register) {
+    boolean hasCapacityFor(String register) {
         return states.size() < MAX_REGISTERS || states.containsKey(register);
     }
 
@@ -82,13 +82,13 @@
      */
     void list(String from, Message.ListRegisters request) {
         List<String> names = new ArrayList<>();
-        int room = Codec.MAX_MESSAGE_BYTES / 2;
+        int remainingBytes = Codec.MAX_MESSAGE_BYTES / 2;
         for (String name : states.tailMap(request.after(), false).keySet()) {
             if (name.equals(AcceptorSet.REGISTER)) {
                 continue;
             }
-            room -= name.length() + NAME_OVERHEAD_BYTES;
-            if (room < 0) {
+            remainingBytes -= name.length() + NAME_OVERHEAD_BYTES;
+            if (remainingBytes < 0) {
                 break;
             }
             names.add(name);
--- a/src/main/java/rampshift/leases/SeededDraws.java
+++ b/src/main/java/rampshift/leases/SeededDraws.java
@@ -5,7 +5,7 @@
 
 /** Random draws from a seed and a counter; the same seed gives the same draws. */
 final class SeededDraws {
-    private static final double CRC_VALUES = 1L << 32;
+    private static final double CRC_VALUE_COUNT = 1L << 32;
 
     private final long seed;
     private long counter;
@@ -17,7 +17,7 @@
     /** Returns the next draw, from 0 inclusive to 1 exclusive. */
     double next() {
         counter++;
-        return checksum(seed + " " + counter) / CRC_VALUES;
+        return checksum(seed + " " + counter) / CRC_VALUE_COUNT;
     }
 
     /** Returns the CRC32 of a text, which gives the same order in all processes. */
--- a/src/main/java/rampshift/leases/WireMessage.java
+++ b/src/main/java/rampshift/leases/WireMessage.java
@@ -86,13 +86,13 @@
             return this;
         }
 
-        Builder ballot(Ballot attempt) {
-            ballot = attempt;
+        Builder ballot(Ballot attemptBallot) {
+            ballot = attemptBallot;
             return this;
         }
 
-        Builder accepted(Ballot under) {
-            accepted = under;
+        Builder accepted(Ballot acceptedBallot) {
+            accepted = acceptedBallot;
             return this;
         }
 
@@ -111,8 +111,8 @@
             return this;
         }
 
-        Builder directory(long ofId, DirectoryVersion version) {
-            directoryId = ofId;
+        Builder directory(long id, DirectoryVersion version) {
+            directoryId = id;
             directory = version;
             return this;
         }
--- a/src/main/java/rampshift/leases/host/BootTimeClock.java
+++ b/src/main/java/rampshift/leases/host/BootTimeClock.java
@@ -40,14 +40,14 @@
      */
     Moment now() {
         long uptimeMicros = uptimeMicros();
-        long runMicros = (System.nanoTime() - startNanos) / NANOS_PER_MICRO;
+        long elapsedMicros = (System.nanoTime() - startNanos) / NANOS_PER_MICRO;
         if (uptimeMicros != UNKNOWN && startUptimeMicros != UNKNOWN) {
-            long missedMicros = uptimeMicros - startUptimeMicros - runMicros;
-            if (missedMicros > suspendedMicros + TOLERANCE_MICROS) {
-                suspendedMicros = missedMicros;
+            long differenceMicros = uptimeMicros - startUptimeMicros - elapsedMicros;
+            if (differenceMicros > suspendedMicros + TOLERANCE_MICROS) {
+                suspendedMicros = differenceMicros;
             }
         }
-        return new Moment(runMicros + suspendedMicros);
+        return new Moment(elapsedMicros + suspendedMicros);
     }
 
     private long uptimeMicros() {
--- a/src/main/java/rampshift/leases/host/LeaseHost.java
+++ b/src/main/java/rampshift/leases/host/LeaseHost.java
@@ -35,7 +35,7 @@
     private RecordWriter writer;
     private LeaseManager leases;
     private LeaseQueries queries;
-    private XnioExecutor.Key wake;
+    private XnioExecutor.Key timerKey;
     private boolean stopped;
 
     /**
@@ -147,8 +147,8 @@
     @Override
     public void end() {
         stopped = true;
-        if (wake != null) {
-            wake.remove();
+        if (timerKey != null) {
+            timerKey.remove();
         }
         if (writer != null) {
             writer.close();
@@ -182,11 +182,11 @@
 
         @Override
         public void wakeAt(Moment time) {
-            if (wake != null) {
-                wake.remove();
+            if (timerKey != null) {
+                timerKey.remove();
             }
             long delayMicros = Math.max(0, time.since(clock.now()).micros() + MICROS_PER_MILLI - 1);
-            wake = stopped ? null
+            timerKey = stopped ? null
                     : channel.thread().executeAfter(() -> leases.onTimer(clock.now()),
                             delayMicros / MICROS_PER_MILLI, TimeUnit.MILLISECONDS);
         }
--- a/src/main/java/rampshift/leases/host/LeaseQueries.java
+++ b/src/main/java/rampshift/leases/host/LeaseQueries.java
@@ -11,7 +11,7 @@
 final class LeaseQueries {
     private static final Pattern QUESTION =
             Pattern.compile("\\?leases( give [!-~]+( [!-~]+)?| hold [!-~]+ \\d{1,16}| keepers [!-~]+)?");
-    private static final String ANYBODY = "*";
+    private static final String ANY_DISPATCHER = "*";
     private static final int COMMAND = 1;
     private static final int LEASE = 2;
     private static final int ARGUMENT = 3;
@@ -33,12 +33,12 @@
         }
         return switch (words[COMMAND]) {
             case "give" -> {
-                String to = words.length > ARGUMENT ? words[ARGUMENT] : ANYBODY;
-                yield told(leases.handOver(now, words[LEASE], to), words[LEASE]);
+                String to = words.length > ARGUMENT ? words[ARGUMENT] : ANY_DISPATCHER;
+                yield confirmation(leases.handOver(now, words[LEASE], to), words[LEASE]);
             }
             case "hold" -> {
                 Span length = new Span(Long.parseLong(words[ARGUMENT]));
-                yield told(leases.block(now, words[LEASE], length), words[LEASE]);
+                yield confirmation(leases.block(now, words[LEASE], length), words[LEASE]);
             }
             default -> reconfigure(now, words[LEASE]);
         };
@@ -50,7 +50,7 @@
                 : "not begun: " + start.reason() + "\n";
     }
 
-    private static String told(boolean exists, String lease) {
+    private static String confirmation(boolean exists, String lease) {
         return exists ? "told; \"rampshift leases\" shows the result\n"
                 : "there is no lease " + lease + "\n";
     }
--- a/src/main/java/rampshift/leases/host/RecordWriter.java
+++ b/src/main/java/rampshift/leases/host/RecordWriter.java
@@ -42,7 +42,7 @@
     private final RecordLog records;
     private final Executor ioThread;
     private final Runnable onFailure;
-    private Batch waiting = new Batch();
+    private Batch pendingBatch = new Batch();
     private boolean closed;
     private boolean failed;
 
@@ -63,14 +63,14 @@
 
     synchronized void write(String key, byte[] value) {
         if (!failed) {
-            waiting.records.add(new PendingRecord(key, value));
+            pendingBatch.records.add(new PendingRecord(key, value));
             notifyAll();
         }
     }
 
     synchronized void afterSync(SyncListener listener) {
         if (!failed) {
-            waiting.listeners.add(listener);
+            pendingBatch.listeners.add(listener);
             notifyAll();
         }
     }
@@ -83,16 +83,16 @@
 
     private synchronized void fail() {
         failed = true;
-        waiting = new Batch();
+        pendingBatch = new Batch();
     }
 
     /** Waits for the next batch; returns an empty one once the writer is closed and nothing is pending. */
     private synchronized Batch next() throws InterruptedException {
-        while (waiting.isEmpty() && !closed) {
+        while (pendingBatch.isEmpty() && !closed) {
             wait();
         }
-        Batch batch = waiting;
-        waiting = new Batch();
+        Batch batch = pendingBatch;
+        pendingBatch = new Batch();
         return batch;
     }
 
--- a/src/main/java/rampshift/leases/store/DirectoryLock.java
+++ b/src/main/java/rampshift/leases/store/DirectoryLock.java
@@ -10,7 +10,7 @@
 
 /** An exclusive lock on a directory, held until it is closed. */
 final class DirectoryLock implements Closeable {
-    private static final String FILE = "lock";
+    private static final String FILE_NAME = "lock";
 
     private final FileChannel channel;
 
@@ -20,7 +20,7 @@
      * @throws IOException if it is held already, or the lock file cannot be opened
      */
     DirectoryLock(Path directory) throws IOException {
-        channel = FileChannel.open(directory.resolve(FILE), StandardOpenOption.CREATE,
+        channel = FileChannel.open(directory.resolve(FILE_NAME), StandardOpenOption.CREATE,
                 StandardOpenOption.WRITE);
         try {
             if (lock(channel) == null) {
--- a/src/main/java/rampshift/leases/store/RecordFormat.java
+++ b/src/main/java/rampshift/leases/store/RecordFormat.java
@@ -65,8 +65,8 @@
             return false;
         }
         int body = offset + FRAME_HEADER_BYTES;
-        boolean rises = lastNumber == 0 || file.getLong(body) > lastNumber;
-        return rises && checksum(file, body, length) == file.getInt(offset + CHECKSUM_OFFSET);
+        boolean isIncreasing = lastNumber == 0 || file.getLong(body) > lastNumber;
+        return isIncreasing && checksum(file, body, length) == file.getInt(offset + CHECKSUM_OFFSET);
     }
 
     /** Reads the frame at the buffer's position, which must be undamaged. */
--- a/src/main/java/rampshift/leases/store/RecordLog.java
+++ b/src/main/java/rampshift/leases/store/RecordLog.java
@@ -18,8 +18,8 @@
  * record would be lost. Not thread-safe.
  */
 public final class RecordLog implements Closeable {
-    private static final String FILE = "records";
-    private static final String NEW_FILE = "records.new";
+    private static final String FILE_NAME = "records";
+    private static final String NEW_FILE_NAME = "records.new";
     /** Size that a file must exceed before it is compacted. */
     private static final long MIN_COMPACTION_BYTES = 1 << 20;
     /** Ratio of the file's size to that of the live records above which it is compacted. */
@@ -33,7 +33,7 @@
     private long recordCount;
     private long fileBytes;
     private long liveBytes;
-    private boolean broken;
+    private boolean writeFailed;
 
     /**
      * Opens the directory, or creates it.
@@ -45,8 +45,8 @@
         Files.createDirectories(directory);
         lock = new DirectoryLock(directory);
         try {
-            Files.deleteIfExists(directory.resolve(NEW_FILE));
-            Path path = directory.resolve(FILE);
+            Files.deleteIfExists(directory.resolve(NEW_FILE_NAME));
+            Path path = directory.resolve(FILE_NAME);
             if (Files.exists(path)) {
                 load(path);
             } else {
@@ -66,7 +66,7 @@
         while (RecordFormat.isFrameAt(content, content.position(), recordCount)) {
             RecordFormat.StoredRecord stored = RecordFormat.read(content);
             recordCount = stored.number();
-            keep(stored.key(), stored.value());
+            putRecord(stored.key(), stored.value());
         }
         int end = content.position();
         requireTornEnd(path, content, end);
@@ -89,13 +89,13 @@
         }
     }
 
-    private void keep(String key, byte[] value) {
-        byte[] before = records.put(key, value);
-        if (before == null) {
+    private void putRecord(String key, byte[] value) {
+        byte[] previous = records.put(key, value);
+        if (previous == null) {
             liveBytes += RecordFormat.FRAME_HEADER_BYTES + RecordFormat.MIN_BODY_BYTES + key.length()
                     + value.length;
         } else {
-            liveBytes += value.length - before.length;
+            liveBytes += value.length - previous.length;
         }
     }
 
@@ -125,7 +125,7 @@
         }
         recordCount++;
         RecordFormat.write(pending, recordCount, keyBytes, value);
-        keep(key, value);
+        putRecord(key, value);
     }
 
     /**
@@ -134,16 +134,16 @@
      * @throws IOException if the disk fails; all later calls fail too, since the end of the file is unknown
      */
     public void sync() throws IOException {
-        if (broken) {
+        if (writeFailed) {
             throw new IOException(directory + ": an earlier write failed");
         }
-        broken = true;
+        writeFailed = true;
         writePending();
         file.force(false);
         if (fileBytes > MIN_COMPACTION_BYTES && fileBytes > COMPACTION_FACTOR * liveBytes) {
             compact();
         }
-        broken = false;
+        writeFailed = false;
     }
 
     private void writePending() throws IOException {
@@ -156,7 +156,7 @@
 
     /** Atomically replaces the file by a new one that contains only the live records. */
     private void compact() throws IOException {
-        Path path = directory.resolve(NEW_FILE);
+        Path path = directory.resolve(NEW_FILE_NAME);
         FileChannel old = file;
         file = FileChannel.open(path, StandardOpenOption.CREATE, StandardOpenOption.TRUNCATE_EXISTING,
                 StandardOpenOption.WRITE);
@@ -166,7 +166,7 @@
         }
         writePending();
         file.force(true);
-        Files.move(path, directory.resolve(FILE), StandardCopyOption.ATOMIC_MOVE,
+        Files.move(path, directory.resolve(FILE_NAME), StandardCopyOption.ATOMIC_MOVE,
                 StandardCopyOption.REPLACE_EXISTING);
         try (FileChannel parent = FileChannel.open(directory)) {
             parent.force(true);
