--- a/src/main/java/rampshift/eventlog/EventLog.java
+++ b/src/main/java/rampshift/eventlog/EventLog.java
@@ -68,14 +68,14 @@
 
     private void writeUntilClosed() {
         try {
-            boolean last = false;
-            while (!last) {
+            boolean isLast = false;
+            while (!isLast) {
                 StringBuilder lines;
                 synchronized (this) {
                     if (!closed) {
                         wait(WRITE_INTERVAL_MS);
                     }
-                    last = closed;
+                    isLast = closed;
                     lines = buffer;
                     buffer = new StringBuilder(INITIAL_BUFFER_CHARS);
                 }
--- a/src/main/java/rampshift/jobs/PeriodicJob.java
+++ b/src/main/java/rampshift/jobs/PeriodicJob.java
@@ -57,8 +57,8 @@
     /** Objects whose tasks are in flight or wait for a retry. */
     private final TreeSet<Integer> unsettled = new TreeSet<>();
     private long token;
-    private JobProgress written = JobProgress.NONE;
-    private JobProgress current = JobProgress.NONE;
+    private JobProgress writtenProgress = JobProgress.NONE;
+    private JobProgress currentProgress = JobProgress.NONE;
     private int nextObject;
     private Moment submitAt;
     private boolean holding;
@@ -90,17 +90,17 @@
             holding = false;
             return;
         }
-        current = JobProgress.parse(note);
+        currentProgress = JobProgress.parse(note);
         if (!holding || token != heldToken) {
             takeOver(now, heldToken);
         }
-        if (current.complete() && written.equals(current)) {
+        if (currentProgress.complete() && writtenProgress.equals(currentProgress)) {
             startRun(dueRun);
         }
-        if (!current.equals(written)) {
+        if (!currentProgress.equals(writtenProgress)) {
             return; // submit nothing before a quorum has stored that it may be submitted
         }
-        if (!current.complete()) {
+        if (!currentProgress.complete()) {
             submitTasks(now);
             writeProgress();
         }
@@ -114,24 +114,25 @@
         attempts.clear();
         unsettled.clear();
         submitAt = now;
-        written = current;
-        nextObject = current.submittableBelow();
-        for (int object = current.settledBelow(); object < current.submittableBelow(); object++) {
+        writtenProgress = currentProgress;
+        nextObject = currentProgress.submittableBelow();
+        for (int object = currentProgress.settledBelow(); object < currentProgress
+                .submittableBelow(); object++) {
             if (settings.idempotent()) {
                 unsettled.add(object);
                 retryAt.put(object, now);
             } else {
-                out.emit(JobEvent.TASK_UNSURE, current.run(), object);
+                out.emit(JobEvent.TASK_UNSURE, currentProgress.run(), object);
             }
         }
     }
 
     private void startRun(long dueRun) {
-        long run = Math.max(current.run() + 1, dueRun - settings.maxCatchUpRuns());
+        long run = Math.max(currentProgress.run() + 1, dueRun - settings.maxCatchUpRuns());
         if (run > dueRun) {
             return;
         }
-        for (long missed = current.run() + 1; current.run() > 0 && missed < run; missed++) {
+        for (long missed = currentProgress.run() + 1; currentProgress.run() > 0 && missed < run; missed++) {
             out.emit(JobEvent.RUN_MISSED, missed, 0);
         }
         nextObject = 0;
@@ -140,33 +141,33 @@
     }
 
     private void write(JobProgress progress) {
-        written = progress;
+        writtenProgress = progress;
         out.writeNote(progress.encode());
     }
 
     private void submitTasks(Moment now) {
         Span interval = Span.ofMillis(MILLIS_PER_SECOND / settings.tasksPerSecond());
         while (!now.before(submitAt)) {
-            Integer object = nextToSubmit(now);
+            Integer object = nextObjectToSubmit(now);
             if (object == null) {
                 submitAt = now;
                 return;
             }
             submitAt = submitAt.plus(interval);
             int attempt = attempts.merge(object, 1, Integer::sum);
-            String id = settings.name() + "-" + current.run() + "-" + object;
+            String id = settings.name() + "-" + currentProgress.run() + "-" + object;
             out.submit(object, id, id + "." + token + "." + attempt);
         }
     }
 
     /** Returns the next object, retries first; null if nothing may be submitted now. */
-    private Integer nextToSubmit(Moment now) {
+    private Integer nextObjectToSubmit(Moment now) {
         Integer retry = firstDueRetry(now);
         if (retry != null) {
             retryAt.remove(retry);
             return retry;
         }
-        if (nextObject >= current.submittableBelow()) {
+        if (nextObject >= currentProgress.submittableBelow()) {
             return null;
         }
         unsettled.add(nextObject);
@@ -206,19 +207,20 @@
 
     private void settle(int object, JobEvent event) {
         unsettled.remove(object);
-        out.emit(event, current.run(), object);
+        out.emit(event, currentProgress.run(), object);
     }
 
     /** Writes the progress once half of the window, or the whole run, is newly settled. */
     private void writeProgress() {
         int settled = unsettled.isEmpty() ? nextObject : Math.min(nextObject, unsettled.first());
         int submittable = Math.min(settings.objectCount(), settled + window);
-        int newlySettled = settled - current.settledBelow();
+        int newlySettled = settled - currentProgress.settledBelow();
         if (settled >= settings.objectCount()) {
-            out.emit(JobEvent.RUN_COMPLETED, current.run(), 0);
-            write(new JobProgress(current.run(), settled, settled, true));
-        } else if (newlySettled >= Math.max(1, window / 2) && submittable > current.submittableBelow()) {
-            write(new JobProgress(current.run(), settled, submittable, false));
+            out.emit(JobEvent.RUN_COMPLETED, currentProgress.run(), 0);
+            write(new JobProgress(currentProgress.run(), settled, settled, true));
+        } else if (newlySettled >= Math.max(1, window / 2)
+                && submittable > currentProgress.submittableBelow()) {
+            write(new JobProgress(currentProgress.run(), settled, submittable, false));
         }
     }
 }
--- a/src/main/java/rampshift/jobs/host/PeriodicJobHost.java
+++ b/src/main/java/rampshift/jobs/host/PeriodicJobHost.java
@@ -38,9 +38,9 @@
         this.clock = clock;
         client = new TaskClient(thread, address);
         names = settings.stream().map(PeriodicJobSettings::name).toList();
-        for (PeriodicJobSettings each : settings) {
-            JobOutput output = new JobOutput(each.name());
-            output.job = new PeriodicJob(each, leases.term(), output);
+        for (PeriodicJobSettings jobSettings : settings) {
+            JobOutput output = new JobOutput(jobSettings.name());
+            output.job = new PeriodicJob(jobSettings, leases.term(), output);
             jobs.add(output.job);
         }
         onTimer();
--- a/src/main/java/rampshift/jobs/host/TaskExchange.java
+++ b/src/main/java/rampshift/jobs/host/TaskExchange.java
@@ -22,7 +22,7 @@
     }
 
     /** Fraction of the lease's remaining time that a task may take. */
-    private static final double REMAINING_SHARE = 0.8;
+    private static final double MAX_SHARE_OF_REMAINING = 0.8;
     private static final Span DEFAULT_RETRY_AFTER = Span.ofMillis(200);
     private static final Pattern RETRY_AFTER_SECONDS = Pattern.compile("\\d{1,6}(\\.\\d{1,6})?");
     private static final double MILLIS_PER_SECOND = 1000;
@@ -39,7 +39,7 @@
     private HttpConnection connection;
     private int status;
     private Span retryAfter = DEFAULT_RETRY_AFTER;
-    private boolean written;
+    private boolean firstByteWritten;
 
     TaskExchange(TaskRequest request, LeaseHost leases, TaskClient client, Listener listener) {
         this.request = request;
@@ -53,14 +53,14 @@
     }
 
     @Override
-    public void onConnected(HttpConnection made) {
-        connection = made;
-        Span remaining = leases.remaining(lease()).times(REMAINING_SHARE);
+    public void onConnected(HttpConnection established) {
+        connection = established;
+        Span remaining = leases.remaining(lease()).times(MAX_SHARE_OF_REMAINING);
         connection.exchange(this, request.encode(remaining.orShorter(request.settings().taskTimeout())));
     }
 
     @Override
-    public void onUnreachable(String why) {
+    public void onUnreachable(String reason) {
         end(TaskOutcome.NEVER_RAN);
     }
 
@@ -69,12 +69,13 @@
      */
     @Override
     public boolean mayWriteFirstByte() {
-        written = leases.remaining(lease()).longerThan(Span.ZERO) && leases.token(lease()) == request.token();
-        if (!written) {
+        firstByteWritten = leases.remaining(lease()).longerThan(Span.ZERO)
+                && leases.token(lease()) == request.token();
+        if (!firstByteWritten) {
             connection.close();
             client.execute(() -> end(TaskOutcome.NEVER_RAN));
         }
-        return written;
+        return firstByteWritten;
     }
 
     @Override
@@ -101,8 +102,8 @@
     }
 
     @Override
-    public void onFailure(String why) {
-        end(written ? TaskOutcome.MAY_HAVE_RUN : TaskOutcome.NEVER_RAN);
+    public void onFailure(String reason) {
+        end(firstByteWritten ? TaskOutcome.MAY_HAVE_RUN : TaskOutcome.NEVER_RAN);
     }
 
     private void end(TaskOutcome outcome) {
