--- a/src/main/java/rampshift/leases/LeaseClient.java
+++ b/src/main/java/rampshift/leases/LeaseClient.java
@@ -99,7 +99,7 @@
         }
     }
 
-    /** Requests an operator's change, which is retried for one term. */
+    /** Requests a change for an operator or for balance, which is retried for one term. */
     void request(Moment now, ChangeFunction change) {
         requestedChange = change;
         requestedChangeDeadline = now.plus(timings.term());
@@ -170,7 +170,7 @@
         }
         LeaseRecord current = observer.current();
         if (current.isHeldBy(processId)) {
-            // A quorum accepted a change of this process after it had timed out: renew it without waiting.
+            // A change of this process was accepted after it had timed out: renew it without waiting.
             writer.begin(now, renewal(current.token(), null));
         } else {
             writer.begin(now, new ChangeFunction.Acquire(current, self, processId, context.nextNumber(),
--- a/src/main/java/rampshift/leases/LeaseClients.java
+++ b/src/main/java/rampshift/leases/LeaseClients.java
@@ -117,7 +117,7 @@
         reschedule(now, client);
     }
 
-    /** Requests an operator's change. Returns whether the lease exists. */
+    /** Requests a change for an operator or for balance. Returns whether the lease exists. */
     boolean request(Moment now, String lease, ChangeFunction change) {
         LeaseClient client = clients.get(lease);
         if (client == null) {
--- a/src/main/java/rampshift/leases/Proposer.java
+++ b/src/main/java/rampshift/leases/Proposer.java
@@ -16,7 +16,7 @@
         PENDING,
         /** A quorum has accepted the result. */
         CHOSEN,
-        /** The change does not apply to the current value. */
+        /** The change does not apply to the value that was found. */
         INAPPLICABLE
     }
 
@@ -54,9 +54,7 @@
         this.highestRound = highestRound;
     }
 
-    /**
-     * Begins an attempt with both phases. This process must not have used the attempt number before.
-     */
+    /** Begins an attempt with both phases. This process must not have used the attempt number before. */
     void attempt(AcceptorSet set, long attemptNumber, Moment attemptDeadline, Transport transport) {
         acceptors = set;
         attempt = attemptNumber;
--- a/src/main/java/rampshift/leases/RegisterWriter.java
+++ b/src/main/java/rampshift/leases/RegisterWriter.java
@@ -17,13 +17,13 @@
          */
         record Chosen(ChangeFunction change, LeaseRecord value, Moment requestedAt) implements Outcome {}
 
-        /** The change does not apply to the current value. */
+        /** The change does not apply to the value that was found, which a quorum may not have accepted. */
         record Inapplicable(ChangeFunction change, LeaseRecord current) implements Outcome {}
 
         /** Another contender is acquiring the lease; this one waits for the backoff. */
         record Yielded(Span backoff) implements Outcome {}
 
-        /** The change took too long. If a quorum accepts its result later, that alone permits no acting. */
+        /** The change took too long. A quorum may still accept its result, which does not permit acting. */
         record TimedOut() implements Outcome {}
     }
 
--- a/src/test/java/rampshift/leases/InterleavingExplorer.java
+++ b/src/test/java/rampshift/leases/InterleavingExplorer.java
@@ -186,11 +186,11 @@
             actingStates.incrementAndGet();
             highestToken.accumulateAndGet(highest, Math::max);
             if (highest < state.highestToken) {
-                return "a token fell from " + state.highestToken + " to " + highest;
+                return "the token decreased from " + state.highestToken + " to " + highest;
             }
             state.highestToken = highest;
         }
-        return acting > 1 ? "two act at once" : null;
+        return acting > 1 ? "two contenders act at once" : null;
     }
 
     private List<Supplier<ExplorerState>> steps(ExplorerState state) {
--- a/src/test/java/rampshift/leases/InterleavingExplorerTest.java
+++ b/src/test/java/rampshift/leases/InterleavingExplorerTest.java
@@ -18,7 +18,7 @@
     private static final long MAX_STATES = Long.getLong("explorer.states", 80_000);
     private static final long ALL_STATES = 1_000_000;
     private static final int MIN_ACTING_STATES = 100;
-    private static final String TWO_ACT_AT_ONCE = "two act at once";
+    private static final String TWO_ACT_AT_ONCE = "two contenders act at once";
     private static final String[] NO_CUT_LINKS = {};
     /** Each contender reaches a different pair of the three acceptors. */
     private static final String[] ONE_CUT_LINK_EACH = {"a>k3", "b>k2"};
