--- a/src/main/java/rampshift/jobs/PeriodicJob.java
+++ b/src/main/java/rampshift/jobs/PeriodicJob.java
@@ -8,59 +8,62 @@
 import rampshift.time.Span;
 
 /**
- * One periodic job, at the dispatcher that holds its lease. Before a task is submitted the register says that
- * it may be, so that the next holder knows which tasks may have run. It has no clock, socket or thread.
+ * A periodic job at the dispatcher that holds its lease. The register of the lease records which tasks may be
+ * submitted before they are, so that the next holder knows which tasks may have run. A deterministic state
+ * machine: it has no clock, socket or thread.
  */
 public final class PeriodicJob {
-    /** Carries out what is decided. */
+    /** Submits, stores and reports what the job requests. */
     public interface Output {
         /**
-         * Submits a task; how it ends is told to {@link PeriodicJob#onTaskEnded}.
+         * Submits a task, whose outcome is reported to {@link PeriodicJob#onTaskEnded}.
          *
          * @param object index of its object
-         * @param id idempotency key: the same for all attempts of the task
-         * @param transactionId different for each attempt
+         * @param id idempotency key, the same for all attempts of the task
+         * @param transactionId unique id of the attempt
          */
         void submit(int object, String id, String transactionId);
 
         /** Writes the note of the job's lease. */
         void writeNote(String note);
 
-        /** Reports an event of a run; the object is 0 where it is about the whole run. */
+        /** Reports an event of a run; the object is 0 if the event concerns the whole run. */
         void emit(JobEvent event, long run, int object);
     }
 
-    /** How a task ended. */
+    /** The outcome of an attempt at a task. */
     public enum TaskOutcome {
-        /** It was completed. */
+        /** The task was completed. */
         COMPLETED,
-        /** It certainly had no effect. */
+        /** The task certainly had no effect. */
         NEVER_RAN,
-        /** It may have had its effect. */
+        /** The task may have taken effect. */
         MAY_HAVE_RUN
     }
 
     private static final int MAX_IN_FLIGHT = 200;
-    /** Attempts at a task that never runs, before it is reported as failed. */
+    /** Attempts at a task before it is reported as failed or unsure. */
     private static final int MAX_ATTEMPTS = 20;
     private static final double MILLIS_PER_SECOND = 1000;
 
     private final PeriodicJobSettings settings;
     private final Output out;
-    /** Tasks that may be in flight at once: as many as are submitted in half a term. */
+    /**
+     * Maximum number of tasks in flight: those submitted in half a term, from 1 to {@link #MAX_IN_FLIGHT}.
+     */
     private final int window;
     private final TreeMap<Integer, Moment> retryAt = new TreeMap<>();
     private final Map<Integer, Integer> attempts = new HashMap<>();
-    /** Objects that were submitted, or wait for a retry. */
+    /** Objects whose tasks are in flight or wait for a retry. */
     private final TreeSet<Integer> unsettled = new TreeSet<>();
     private long token;
-    private JobProgress written = JobProgress.NONE;
-    private JobProgress current = JobProgress.NONE;
+    private JobProgress writtenProgress = JobProgress.NONE;
+    private JobProgress currentProgress = JobProgress.NONE;
     private int nextObject;
     private Moment submitAt;
     private boolean holding;
 
-    /** A job whose lease is not held; the term is that of the lease. */
+    /** Creates a job whose lease is not held yet; the term is that of the lease. */
     public PeriodicJob(PeriodicJobSettings settings, Span term, Output out) {
         this.settings = settings;
         this.out = out;
@@ -68,42 +71,42 @@
         window = (int) Math.max(1, Math.min(MAX_IN_FLIGHT, tasksInHalfATerm));
     }
 
-    /** Its settings. */
+    /** Returns the settings of the job. */
     public PeriodicJobSettings settings() {
         return settings;
     }
 
     /**
-     * Does what is due. To be called at short intervals.
+     * Performs the actions that are due. To be called at short intervals.
      *
-     * @param now on any clock that only advances
-     * @param dueRun number of the run that is due: it decides when a run starts, never whether two
-     *         dispatchers act
+     * @param now time of a monotonic clock
+     * @param dueRun number of the run that is due; it may come from an inaccurate clock, since only the start
+     *         of a run depends on it, not the exclusion of other dispatchers
      * @param heldToken the fencing token; 0 while the lease is not held
-     * @param note the note of the lease, as far as is known
+     * @param note the last observed note of the lease
      */
     public void onTimer(Moment now, long dueRun, long heldToken, String note) {
         if (heldToken == 0) {
             holding = false;
             return;
         }
-        current = JobProgress.parse(note);
+        currentProgress = JobProgress.parse(note);
         if (!holding || token != heldToken) {
             takeOver(now, heldToken);
         }
-        if (current.complete() && written.equals(current)) {
+        if (currentProgress.complete() && writtenProgress.equals(currentProgress)) {
             startRun(dueRun);
         }
-        if (!current.equals(written)) {
-            return; // nothing is submitted before a quorum knows that it may be
+        if (!currentProgress.equals(writtenProgress)) {
+            return; // submit nothing before a quorum has stored that it may be submitted
         }
-        if (!current.complete()) {
+        if (!currentProgress.complete()) {
             submitTasks(now);
             writeProgress();
         }
     }
 
-    /** What the former holder may have submitted is submitted again only where that is harmless. */
+    /** Retries the tasks that the previous holder may have submitted if idempotent; else reports them. */
     private void takeOver(Moment now, long heldToken) {
         holding = true;
         token = heldToken;
@@ -111,24 +114,25 @@
         attempts.clear();
         unsettled.clear();
         submitAt = now;
-        written = current;
-        nextObject = current.submittableBelow();
-        for (int object = current.settledBelow(); object < current.submittableBelow(); object++) {
+        writtenProgress = currentProgress;
+        nextObject = currentProgress.submittableBelow();
+        for (int object = currentProgress.settledBelow(); object < currentProgress
+                .submittableBelow(); object++) {
             if (settings.idempotent()) {
                 unsettled.add(object);
                 retryAt.put(object, now);
             } else {
-                out.emit(JobEvent.TASK_UNSURE, current.run(), object);
+                out.emit(JobEvent.TASK_UNSURE, currentProgress.run(), object);
             }
         }
     }
 
     private void startRun(long dueRun) {
-        long run = Math.max(current.run() + 1, dueRun - settings.maxCatchUpRuns());
+        long run = Math.max(currentProgress.run() + 1, dueRun - settings.maxCatchUpRuns());
         if (run > dueRun) {
             return;
         }
-        for (long missed = current.run() + 1; current.run() > 0 && missed < run; missed++) {
+        for (long missed = currentProgress.run() + 1; currentProgress.run() > 0 && missed < run; missed++) {
             out.emit(JobEvent.RUN_MISSED, missed, 0);
         }
         nextObject = 0;
@@ -137,33 +141,33 @@
     }
 
     private void write(JobProgress progress) {
-        written = progress;
+        writtenProgress = progress;
         out.writeNote(progress.encode());
     }
 
     private void submitTasks(Moment now) {
         Span interval = Span.ofMillis(MILLIS_PER_SECOND / settings.tasksPerSecond());
         while (!now.before(submitAt)) {
-            Integer object = nextToSubmit(now);
+            Integer object = nextObjectToSubmit(now);
             if (object == null) {
                 submitAt = now;
                 return;
             }
             submitAt = submitAt.plus(interval);
             int attempt = attempts.merge(object, 1, Integer::sum);
-            String id = settings.name() + "-" + current.run() + "-" + object;
+            String id = settings.name() + "-" + currentProgress.run() + "-" + object;
             out.submit(object, id, id + "." + token + "." + attempt);
         }
     }
 
-    /** Retries come first; null where nothing may be submitted now. */
-    private Integer nextToSubmit(Moment now) {
+    /** Returns the next object, retries first; null if nothing may be submitted now. */
+    private Integer nextObjectToSubmit(Moment now) {
         Integer retry = firstDueRetry(now);
         if (retry != null) {
             retryAt.remove(retry);
             return retry;
         }
-        if (nextObject >= current.submittableBelow()) {
+        if (nextObject >= currentProgress.submittableBelow()) {
             return null;
         }
         unsettled.add(nextObject);
@@ -176,10 +180,10 @@
     }
 
     /**
-     * Takes how a task ended.
+     * Handles the outcome of a task.
      *
-     * @param taskToken the token under which it was submitted; one of another token no longer counts
-     * @param retryAfter how long it is not submitted again, where it is
+     * @param taskToken the token under which the task was submitted; outcomes of another token are ignored
+     * @param retryAfter minimum delay of a retry
      */
     public void onTaskEnded(Moment now, long taskToken, int object, TaskOutcome outcome, Span retryAfter) {
         if (taskToken != token || !unsettled.contains(object)) {
@@ -203,19 +207,20 @@
 
     private void settle(int object, JobEvent event) {
         unsettled.remove(object);
-        out.emit(event, current.run(), object);
+        out.emit(event, currentProgress.run(), object);
     }
 
-    /** Writes the progress once half of the window is settled, or all. */
+    /** Writes the progress once half of the window, or the whole run, is newly settled. */
     private void writeProgress() {
         int settled = unsettled.isEmpty() ? nextObject : Math.min(nextObject, unsettled.first());
         int submittable = Math.min(settings.objectCount(), settled + window);
-        int newlySettled = settled - current.settledBelow();
+        int newlySettled = settled - currentProgress.settledBelow();
         if (settled >= settings.objectCount()) {
-            out.emit(JobEvent.RUN_COMPLETED, current.run(), 0);
-            write(new JobProgress(current.run(), settled, settled, true));
-        } else if (newlySettled >= Math.max(1, window / 2) && submittable > current.submittableBelow()) {
-            write(new JobProgress(current.run(), settled, submittable, false));
+            out.emit(JobEvent.RUN_COMPLETED, currentProgress.run(), 0);
+            write(new JobProgress(currentProgress.run(), settled, settled, true));
+        } else if (newlySettled >= Math.max(1, window / 2)
+                && submittable > currentProgress.submittableBelow()) {
+            write(new JobProgress(currentProgress.run(), settled, submittable, false));
         }
     }
 }
--- a/src/main/java/rampshift/jobs/host/TaskExchange.java
+++ b/src/main/java/rampshift/jobs/host/TaskExchange.java
@@ -10,18 +10,19 @@
 import rampshift.time.Span;
 
 /**
- * The exchange of one task with the dispatcher. The lease is asked for as the first byte is written, which is
- * the last moment; the token goes with the task, and the task may not outlast the lease.
+ * The exchange of one task with the dispatcher. It checks the lease immediately before the first byte is
+ * written. The task carries the fencing token, and its remaining time is limited so that it ends before the
+ * lease does.
  */
 final class TaskExchange implements ExchangeListener, Dialer.DialListener {
-    /** Takes how the task ended. */
+    /** Receives the outcome of the task. */
     interface Listener {
-        /** The span is how long the task is not to be submitted again. */
+        /** Reports the outcome, and the minimum delay of a retry. */
         void onEnded(TaskOutcome outcome, Span retryAfter);
     }
 
-    /** The part of the lease's remaining time that a task may take. */
-    private static final double REMAINING_SHARE = 0.8;
+    /** Fraction of the lease's remaining time that a task may take. */
+    private static final double MAX_SHARE_OF_REMAINING = 0.8;
     private static final Span DEFAULT_RETRY_AFTER = Span.ofMillis(200);
     private static final Pattern RETRY_AFTER_SECONDS = Pattern.compile("\\d{1,6}(\\.\\d{1,6})?");
     private static final double MILLIS_PER_SECOND = 1000;
@@ -38,7 +39,7 @@
     private HttpConnection connection;
     private int status;
     private Span retryAfter = DEFAULT_RETRY_AFTER;
-    private boolean written;
+    private boolean firstByteWritten;
 
     TaskExchange(TaskRequest request, LeaseHost leases, TaskClient client, Listener listener) {
         this.request = request;
@@ -52,26 +53,29 @@
     }
 
     @Override
-    public void onConnected(HttpConnection made) {
-        connection = made;
-        Span remaining = leases.remaining(lease()).times(REMAINING_SHARE);
+    public void onConnected(HttpConnection established) {
+        connection = established;
+        Span remaining = leases.remaining(lease()).times(MAX_SHARE_OF_REMAINING);
         connection.exchange(this, request.encode(remaining.orShorter(request.settings().taskTimeout())));
     }
 
     @Override
-    public void onUnreachable(String why) {
+    public void onUnreachable(String reason) {
         end(TaskOutcome.NEVER_RAN);
     }
 
-    /** A dispatcher that was stopped since the task was submitted may not hold the lease any more. */
+    /**
+     * Checks the lease again, which may have expired since submission, as when this process was suspended.
+     */
     @Override
     public boolean mayWriteFirstByte() {
-        written = leases.remaining(lease()).longerThan(Span.ZERO) && leases.token(lease()) == request.token();
-        if (!written) {
+        firstByteWritten = leases.remaining(lease()).longerThan(Span.ZERO)
+                && leases.token(lease()) == request.token();
+        if (!firstByteWritten) {
             connection.close();
             client.execute(() -> end(TaskOutcome.NEVER_RAN));
         }
-        return written;
+        return firstByteWritten;
     }
 
     @Override
@@ -98,8 +102,8 @@
     }
 
     @Override
-    public void onFailure(String why) {
-        end(written ? TaskOutcome.MAY_HAVE_RUN : TaskOutcome.NEVER_RAN);
+    public void onFailure(String reason) {
+        end(firstByteWritten ? TaskOutcome.MAY_HAVE_RUN : TaskOutcome.NEVER_RAN);
     }
 
     private void end(TaskOutcome outcome) {
--- a/src/main/java/rampshift/leases/Codec.java
+++ b/src/main/java/rampshift/leases/Codec.java
@@ -9,17 +9,22 @@
 import java.util.ArrayList;
 import java.util.List;
 
-/** Messages and stored records as bytes. Checksums are the carrier's; bounds are checked here. */
+/**
+ * Encodes and decodes messages and stored records. Decoding checks bounds; checksums are left to the
+ * transport and the record log.
+ */
 final class Codec {
-    /** Most bytes of a message. */
+    /** Maximum size of a message in bytes. */
     static final int MAX_MESSAGE_BYTES = 1300;
 
     private static final int MAX_COUNT = 200;
     private static final int MAX_TEXT_LENGTH = 600;
     private static final int INITIAL_BUFFER_BYTES = 128;
-    /** Left free in a read reply for what is neither a name nor a value. */
+    /** Bytes of a read reply that are reserved for the fields other than names and values. */
     private static final int MESSAGE_OVERHEAD_BYTES = 200;
-    /** A value without its texts, with the lengths of all texts. */
+    /**
+     * Bytes of a value in a read reply besides its name and texts, including the length fields of all texts.
+     */
     private static final int VALUE_OVERHEAD_BYTES = 60;
 
     private Codec() {}
@@ -52,12 +57,12 @@
             }
             out.writeUTF(wire.acceptors());
             out.writeLong(wire.directoryId());
-            out.writeLong(wire.directory().starts());
-            out.writeLong(wire.directory().records());
+            out.writeLong(wire.directory().startCount());
+            out.writeLong(wire.directory().recordCount());
         });
     }
 
-    /** The message in these bytes; null where they are malformed or longer than the message. */
+    /** Decodes a message; returns null if the bytes are malformed or have a trailing rest. */
     static Message decodeMessage(byte[] bytes) {
         WireMessage wire = decode(bytes, Codec::readMessage);
         return wire == null ? null : wire.toMessage();
@@ -66,7 +71,7 @@
     private static WireMessage readMessage(DataInputStream in) throws IOException {
         MessageType type = MessageType.ofCode(in.readUnsignedByte());
         if (type == null) {
-            throw new IOException("an unknown type of message");
+            throw new IOException("unknown message type");
         }
         return new WireMessage(type, in.readLong(), in.readLong(), readText(in), readBallot(in),
                 readBallot(in), readRecord(in), readNames(in), readRecords(in), readText(in), in.readLong(),
@@ -81,25 +86,25 @@
         });
     }
 
-    /** The state in these bytes; null where they are malformed or longer than the state. */
+    /** Decodes a state; returns null if the bytes are malformed or have a trailing rest. */
     static AcceptorState decodeState(byte[] bytes) {
         return decode(bytes, in -> new AcceptorState(readBallot(in), readBallot(in), readRecord(in)));
     }
 
-    /** Two numbers as a stored record. */
+    /** Encodes two numbers as a stored record. */
     static byte[] encode(long first, long second) {
         return ByteBuffer.allocate(2 * Long.BYTES).putLong(first).putLong(second).array();
     }
 
-    /** How many of these, from the first on, fit into one message; at least one. */
+    /** Returns how many leading names and values fit into one message; at least one. */
     static int countThatFits(List<String> names, List<LeaseRecord> values) {
-        int room = MAX_MESSAGE_BYTES - MESSAGE_OVERHEAD_BYTES;
+        int remainingBytes = MAX_MESSAGE_BYTES - MESSAGE_OVERHEAD_BYTES;
         int count = 0;
         while (count < values.size() && count < MAX_COUNT) {
             LeaseRecord value = values.get(count);
-            room -= VALUE_OVERHEAD_BYTES + names.get(count).length() + value.holder().length()
+            remainingBytes -= VALUE_OVERHEAD_BYTES + names.get(count).length() + value.holder().length()
                     + value.nextHolder().length() + value.note().length();
-            if (room < 0 && count > 0) {
+            if (remainingBytes < 0 && count > 0) {
                 break;
             }
             count++;
@@ -112,7 +117,7 @@
         try {
             encoder.write(new DataOutputStream(bytes));
         } catch (IOException e) {
-            throw new IllegalArgumentException("text of over 64 KB", e);
+            throw new IllegalArgumentException("text exceeds 64 KB in UTF-8", e);
         }
         return bytes.toByteArray();
     }
@@ -148,7 +153,7 @@
     private static int readCount(DataInputStream in) throws IOException {
         int count = in.readUnsignedShort();
         if (count > MAX_COUNT) {
-            throw new IOException("a count out of bounds");
+            throw new IOException("element count exceeds its limit");
         }
         return count;
     }
@@ -156,15 +161,15 @@
     private static String readText(DataInputStream in) throws IOException {
         String text = in.readUTF();
         if (text.length() > MAX_TEXT_LENGTH) {
-            throw new IOException("text out of bounds");
+            throw new IOException("text exceeds its length limit");
         }
         return text;
     }
 
-    private static long readNotNegative(DataInputStream in) throws IOException {
+    private static long readNonNegative(DataInputStream in) throws IOException {
         long number = in.readLong();
         if (number < 0) {
-            throw new IOException("a number below 0");
+            throw new IOException("negative number");
         }
         return number;
     }
@@ -175,7 +180,7 @@
     }
 
     private static Ballot readBallot(DataInputStream in) throws IOException {
-        return new Ballot(readNotNegative(in), in.readLong());
+        return new Ballot(readNonNegative(in), in.readLong());
     }
 
     private static void writeRecord(DataOutputStream out, LeaseRecord value) throws IOException {
@@ -183,7 +188,7 @@
         out.writeLong(value.token());
         out.writeUTF(value.holder());
         out.writeLong(value.processId());
-        out.writeLong(value.stamp());
+        out.writeLong(value.changeNumber());
         out.writeLong(value.termMicros());
         out.writeUTF(value.nextHolder());
         out.writeLong(value.blockMicros());
@@ -191,7 +196,7 @@
     }
 
     private static LeaseRecord readRecord(DataInputStream in) throws IOException {
-        return new LeaseRecord(readNotNegative(in), readNotNegative(in), readText(in), in.readLong(),
-                in.readLong(), readNotNegative(in), readText(in), readNotNegative(in), readText(in));
+        return new LeaseRecord(readNonNegative(in), readNonNegative(in), readText(in), in.readLong(),
+                in.readLong(), readNonNegative(in), readText(in), readNonNegative(in), readText(in));
     }
 }
--- a/src/main/java/rampshift/leases/LeaseDistribution.java
+++ b/src/main/java/rampshift/leases/LeaseDistribution.java
@@ -7,14 +7,16 @@
 import java.util.TreeSet;
 
 /**
- * How many leases each dispatcher holds, as observed here, and which dispatchers are alive. These are hints:
- * they decide who contends first for a lease and who hands one over, never who may hold it.
+ * How many leases each dispatcher holds, as observed by this one, and which dispatchers are alive. These are
+ * hints: they decide which dispatcher contends first for a lease and which hands one over, never which may
+ * hold it.
  */
 final class LeaseDistribution {
+    /** Difference in held leases from which on a dispatcher hands a lease over. */
     private static final int MIN_IMBALANCE = 2;
 
     private final String self;
-    private final Map<String, LeaseRecord> counted = new TreeMap<>();
+    private final Map<String, LeaseRecord> countedValues = new TreeMap<>();
     private final Map<String, Integer> heldByDispatcher = new TreeMap<>();
     private Set<String> alive = new TreeSet<>();
 
@@ -23,7 +25,7 @@
         alive.add(self);
     }
 
-    /** Takes the names of the dispatchers that are alive; this one always is. */
+    /** Sets the names of the dispatchers that are alive; this dispatcher is added to them. */
     void setAlive(Collection<String> names) {
         alive = new TreeSet<>(names);
         alive.add(self);
@@ -33,13 +35,13 @@
         return alive;
     }
 
-    /** Takes the value of a lease that most likely stands; null while none is known. */
+    /** Counts the value of a lease that is most likely the current one; null while none is known. */
     void update(String lease, LeaseRecord value) {
-        LeaseRecord before = counted.get(lease);
+        LeaseRecord before = countedValues.get(lease);
         if (value == null || value.equals(before)) {
             return;
         }
-        counted.put(lease, value);
+        countedValues.put(lease, value);
         if (before != null && !before.isFree()) {
             heldByDispatcher.merge(before.holder(), -1, Integer::sum);
         }
@@ -48,41 +50,42 @@
         }
     }
 
-    private int held(String dispatcher) {
+    private int leasesHeldBy(String dispatcher) {
         return heldByDispatcher.getOrDefault(dispatcher, 0);
     }
 
     /**
-     * How many contenders come before this dispatcher: those with fewer leases, then by an order of each
-     * lease.
+     * Returns how many contenders come before this dispatcher: those that hold fewer leases, and among equals
+     * those that come first in an order that differs from lease to lease.
      */
     int contendersBefore(String lease) {
         int before = 0;
         for (String other : alive) {
-            if (!other.equals(self) && isBefore(lease, other)) {
+            if (!other.equals(self) && contendsBefore(lease, other)) {
                 before++;
             }
         }
         return before;
     }
 
-    private boolean isBefore(String lease, String other) {
-        if (held(other) != held(self)) {
-            return held(other) < held(self);
+    private boolean contendsBefore(String lease, String other) {
+        if (leasesHeldBy(other) != leasesHeldBy(self)) {
+            return leasesHeldBy(other) < leasesHeldBy(self);
         }
         return SeededDraws.checksum(lease + " " + other) < SeededDraws.checksum(lease + " " + self);
     }
 
     /**
-     * The dispatcher that is to get a lease of this one; null while this one does not hold that many more.
+     * Returns the dispatcher to hand a lease over to: the one with the fewest leases, or null while the
+     * difference to this dispatcher is below {@link #MIN_IMBALANCE}.
      */
     String handoverTarget() {
-        String least = null;
+        String target = null;
         for (String other : alive) {
-            if (least == null || held(other) < held(least)) {
-                least = other;
+            if (target == null || leasesHeldBy(other) < leasesHeldBy(target)) {
+                target = other;
             }
         }
-        return held(self) - held(least) >= MIN_IMBALANCE ? least : null;
+        return leasesHeldBy(self) - leasesHeldBy(target) >= MIN_IMBALANCE ? target : null;
     }
 }
--- a/src/main/java/rampshift/leases/LeaseStatusPage.java
+++ b/src/main/java/rampshift/leases/LeaseStatusPage.java
@@ -6,7 +6,7 @@
 import rampshift.time.Moment;
 import rampshift.time.Span;
 
-/** The leases and acceptors as text for operators. */
+/** Renders the leases and acceptors as text for operators. */
 final class LeaseStatusPage {
     private final Moment now;
     private final Span term;
@@ -17,20 +17,20 @@
     }
 
     /**
-     * The page.
+     * Renders the page.
      *
      * @param acceptors the set that is in force
      * @param initialNames the members of the first set
-     * @param acceptor this dispatcher's; null where it has none
+     * @param acceptor this dispatcher's acceptor; null if it has none
      */
     String render(AcceptorSet acceptors, List<String> initialNames, Acceptor acceptor,
             Collection<LeaseClient> leases) {
         StringBuilder text = new StringBuilder();
-        String set = acceptors.isKnown() ? acceptors.encode().replace('|', ' ').trim()
+        String acceptorSet = acceptors.isKnown() ? acceptors.encode().replace('|', ' ').trim()
                 : "not known yet: " + String.join(",", initialNames) + " are asked";
-        String own =
+        String ownState =
                 acceptor == null ? "" : ", this is one: " + acceptor.state().name().toLowerCase(Locale.ROOT);
-        text.append(String.format("keepers %s%s%n", set, own));
+        text.append(String.format("keepers %s%s%n", acceptorSet, ownState));
         leases.forEach(lease -> text.append(line(lease)));
         return text.toString();
     }
--- a/src/main/java/rampshift/leases/RegisterListing.java
+++ b/src/main/java/rampshift/leases/RegisterListing.java
@@ -7,21 +7,21 @@
 import java.util.Set;
 import java.util.TreeSet;
 
-/** Finds the names of all registers, from a majority of the current acceptors. */
+/** Collects the names of all registers from a majority of the current acceptors. */
 final class RegisterListing {
     private final Proposer.Transport transport;
-    private final Map<String, String> lastNameOf = new HashMap<>();
-    private final Set<String> completed = new HashSet<>();
+    private final Map<String, String> lastNameByAcceptor = new HashMap<>();
+    private final Set<String> completedAcceptors = new HashSet<>();
     private final TreeSet<String> registers = new TreeSet<>();
 
     RegisterListing(Proposer.Transport transport) {
         this.transport = transport;
     }
 
-    /** Asks all current acceptors that have not told all their names yet. */
+    /** Requests names from all current acceptors that have not sent their whole list yet. */
     void requestMissing(AcceptorSet acceptors) {
         for (AcceptorSet.Member member : acceptors.current()) {
-            if (!completed.contains(member.name())) {
+            if (!completedAcceptors.contains(member.name())) {
                 request(acceptors, member.name());
             }
         }
@@ -29,33 +29,34 @@
 
     private void request(AcceptorSet acceptors, String from) {
         transport.send(from,
-                new Message.ListRegisters(0, acceptors.epoch(), lastNameOf.getOrDefault(from, "")));
+                new Message.ListRegisters(0, acceptors.epoch(), lastNameByAcceptor.getOrDefault(from, "")));
     }
 
     /**
-     * Takes a part of an acceptor's names, and asks it for the next. Returns whether all registers are known
-     * by now.
+     * Handles a part of an acceptor's list and requests the next part. Returns whether a majority has sent
+     * its whole list, so that all registers are known.
      */
     boolean onList(AcceptorSet acceptors, String from, List<String> names) {
-        if (completed.contains(from)) {
+        if (completedAcceptors.contains(from)) {
             return false;
         }
         if (names.isEmpty()) {
-            completed.add(from);
+            completedAcceptors.add(from);
         } else {
             registers.addAll(names);
-            lastNameOf.put(from, names.get(names.size() - 1));
+            lastNameByAcceptor.put(from, names.get(names.size() - 1));
         }
-        if (new AcceptorSet(acceptors.epoch(), acceptors.current(), List.of()).hasQuorum(completed)) {
+        if (new AcceptorSet(acceptors.epoch(), acceptors.current(), List.of())
+                .hasQuorum(completedAcceptors)) {
             return true;
         }
-        if (!completed.contains(from)) {
+        if (!completedAcceptors.contains(from)) {
             request(acceptors, from);
         }
         return false;
     }
 
-    /** Removes the next register; null where there are none left. */
+    /** Removes and returns the next register; null if none is left. */
     String pollRegister() {
         return registers.pollFirst();
     }
--- a/src/main/java/rampshift/leases/host/LeaseQueries.java
+++ b/src/main/java/rampshift/leases/host/LeaseQueries.java
@@ -7,11 +7,11 @@
 import rampshift.time.Moment;
 import rampshift.time.Span;
 
-/** Answers what operators ask and request by the command {@code leases}. */
+/** Answers the queries and requests that operators send with the command {@code leases}. */
 final class LeaseQueries {
     private static final Pattern QUESTION =
             Pattern.compile("\\?leases( give [!-~]+( [!-~]+)?| hold [!-~]+ \\d{1,16}| keepers [!-~]+)?");
-    private static final String ANYBODY = "*";
+    private static final String ANY_DISPATCHER = "*";
     private static final int COMMAND = 1;
     private static final int LEASE = 2;
     private static final int ARGUMENT = 3;
@@ -22,7 +22,7 @@
         this.leases = leases;
     }
 
-    /** The answer; null where the question is not about leases. */
+    /** Returns the answer; null if the question is not about leases. */
     String answer(String question, Moment now) {
         if (!QUESTION.matcher(question).matches()) {
             return null;
@@ -33,12 +33,12 @@
         }
         return switch (words[COMMAND]) {
             case "give" -> {
-                String to = words.length > ARGUMENT ? words[ARGUMENT] : ANYBODY;
-                yield told(leases.handOver(now, words[LEASE], to), words[LEASE]);
+                String to = words.length > ARGUMENT ? words[ARGUMENT] : ANY_DISPATCHER;
+                yield confirmation(leases.handOver(now, words[LEASE], to), words[LEASE]);
             }
             case "hold" -> {
                 Span length = new Span(Long.parseLong(words[ARGUMENT]));
-                yield told(leases.block(now, words[LEASE], length), words[LEASE]);
+                yield confirmation(leases.block(now, words[LEASE], length), words[LEASE]);
             }
             default -> reconfigure(now, words[LEASE]);
         };
@@ -46,12 +46,12 @@
 
     private String reconfigure(Moment now, String names) {
         ReconfigurationStart start = leases.reconfigure(now, List.of(names.split(",", 0)));
-        return start == ReconfigurationStart.BEGUN ? "begun; \"rampshift leases\" tells how it stands\n"
+        return start == ReconfigurationStart.BEGUN ? "begun; \"rampshift leases\" shows the progress\n"
                 : "not begun: " + start.reason() + "\n";
     }
 
-    private static String told(boolean exists, String lease) {
-        return exists ? "told; \"rampshift leases\" tells what came of it\n"
+    private static String confirmation(boolean exists, String lease) {
+        return exists ? "told; \"rampshift leases\" shows the result\n"
                 : "there is no lease " + lease + "\n";
     }
 }
--- a/src/test/java/rampshift/jobs/JobSimulation.java
+++ b/src/test/java/rampshift/jobs/JobSimulation.java
@@ -10,9 +10,9 @@
 import rampshift.time.Span;
 
 /**
- * The register of a periodic job's lease, and whoever holds the lease. Time goes in steps of 10 ms; the
- * register is written after 30 ms; tasks are rejected, fail after they took effect, or are completed by
- * random draws.
+ * Simulates the register of a periodic job's lease and the holder of the lease. Time advances in steps of
+ * 10 ms; a write of the register takes 30 ms; random draws decide whether a task is rejected, fails after it
+ * took effect, or is completed.
  */
 final class JobSimulation implements PeriodicJob.Output {
     private static final long START_MILLIS = 5000;
@@ -29,7 +29,7 @@
     private final SplittableRandom random;
     private final Map<String, Integer> effects = new TreeMap<>();
     private final List<Event> events = new ArrayList<>();
-    private final List<Event> reported = new ArrayList<>();
+    private final List<Event> allEvents = new ArrayList<>();
     private final List<Runnable> scheduled = new ArrayList<>();
     private final Map<Runnable, Long> scheduledMillis = new HashMap<>();
     private String register = "";
@@ -62,37 +62,37 @@
         return nowMillis * MICROS_PER_MILLI;
     }
 
-    /** What was reported since the list was cleared. */
+    /** Returns the events reported since the list was last cleared. */
     List<Event> events() {
         return events;
     }
 
-    /** The runs of which such an event was reported. */
+    /** Returns the runs for which an event of this type was reported. */
     List<Long> runs(JobEvent type) {
-        return reported.stream().filter(event -> event.type == type).map(Event::run).toList();
+        return allEvents.stream().filter(event -> event.type == type).map(Event::run).toList();
     }
 
     boolean isReportedUnsure(long run, int object) {
-        return reported.contains(new Event(JobEvent.TASK_UNSURE, run, object));
+        return allEvents.contains(new Event(JobEvent.TASK_UNSURE, run, object));
     }
 
     boolean hasNoEffects() {
         return effects.isEmpty();
     }
 
-    /** How often a task took effect. */
+    /** Returns how often a task took effect. */
     int effects(long run, int object) {
         return effects.getOrDefault(settings.name() + "-" + run + "-" + object, 0);
     }
 
-    /** Another dispatcher acquires the lease. */
+    /** Lets another dispatcher acquire the lease. */
     void takeOver() {
         holder = new PeriodicJob(settings, Span.ofMillis(1000), this);
         token++;
     }
 
-    /** The holder dies with what it has in flight. */
-    void kill() {
+    /** Crashes the holder. Its tasks in flight still take effect, but its pending writes are lost. */
+    void crash() {
         holder = null;
     }
 
@@ -124,8 +124,8 @@
         PeriodicJob submitter = holder;
         long taskToken = token;
         long millis = random.nextInt(MAX_TASK_MILLIS);
-        int fate = random.nextInt(10);
-        PeriodicJob.TaskOutcome outcome = switch (fate) {
+        int draw = random.nextInt(10);
+        PeriodicJob.TaskOutcome outcome = switch (draw) {
             case 0, 1 -> PeriodicJob.TaskOutcome.NEVER_RAN;
             case 2 -> PeriodicJob.TaskOutcome.MAY_HAVE_RUN;
             default -> PeriodicJob.TaskOutcome.COMPLETED;
@@ -147,6 +147,6 @@
     @Override
     public void emit(JobEvent type, long run, int object) {
         events.add(new Event(type, run, object));
-        reported.add(new Event(type, run, object));
+        allEvents.add(new Event(type, run, object));
     }
 }
--- a/src/test/java/rampshift/jobs/PeriodicJobTest.java
+++ b/src/test/java/rampshift/jobs/PeriodicJobTest.java
@@ -13,11 +13,11 @@
 import rampshift.time.Moment;
 import rampshift.time.Span;
 
-/** A periodic job over changes of the holder of its lease. */
+/** Tests a periodic job across changes of the holder of its lease. */
 class PeriodicJobTest {
     private static final int OBJECTS = 40;
     private static final int SEEDS = 200;
-    private static final int CHANGES = 6;
+    private static final int HOLDER_CHANGES = 6;
 
     private static PeriodicJobSettings settings(boolean idempotent, int maxCatchUpRuns) {
         List<String> objects = IntStream.range(0, OBJECTS).mapToObj(String::valueOf).toList();
@@ -25,13 +25,13 @@
                 "/{object}", "", idempotent, Span.ofMillis(500));
     }
 
-    /** Holders that die with what they have in flight, then one that completes what is left. */
-    private static JobSimulation playChanges(long seed, boolean idempotent) {
+    /** Simulates holders that crash with tasks in flight, then one that completes the rest. */
+    private static JobSimulation simulateHolderChanges(long seed, boolean idempotent) {
         JobSimulation simulation = new JobSimulation(seed, settings(idempotent, 1));
-        for (int change = 0; change < CHANGES; change++) {
+        for (int change = 0; change < HOLDER_CHANGES; change++) {
             simulation.takeOver();
             simulation.run(100 + simulation.random().nextInt(700));
-            simulation.kill();
+            simulation.crash();
             simulation.run(simulation.random().nextInt(300));
         }
         simulation.takeOver();
@@ -41,18 +41,18 @@
 
     @ParameterizedTest
     @ValueSource(booleans = {true, false})
-    void overChangesOfHolderEachTaskRunsOrIsReportedAndNoNonIdempotentOneRunsTwice(boolean idempotent) {
+    void eachTaskRunsOrIsReportedAcrossHolderChangesAndNonIdempotentTasksRunAtMostOnce(boolean idempotent) {
         long once = 0;
         long moreOften = 0;
         long never = 0;
         for (long seed = 0; seed < SEEDS; seed++) {
-            JobSimulation simulation = playChanges(seed, idempotent);
+            JobSimulation simulation = simulateHolderChanges(seed, idempotent);
             for (long run : simulation.runs(JobEvent.RUN_COMPLETED)) {
                 for (int object = 0; object < OBJECTS; object++) {
                     int effects = simulation.effects(run, object);
                     String task = "seed " + seed + ": task " + object + " of run " + run;
                     assertTrue(effects > 0 || simulation.isReportedUnsure(run, object),
-                            task + " was left out, and nobody was told");
+                            task + " neither ran nor was reported");
                     assertTrue(effects <= 1 || idempotent, task + " took effect " + effects + " times");
                     once += effects == 1 ? 1 : 0;
                     moreOften += effects > 1 ? 1 : 0;
@@ -60,14 +60,14 @@
                 }
             }
         }
-        System.out.println((idempotent ? "idempotent" : "others") + ": once " + once + ", more " + moreOften
-                + ", never, and told so " + never);
+        System.out.println((idempotent ? "idempotent" : "not idempotent") + ": once " + once
+                + ", more often " + moreOften + ", never but reported " + never);
         assertEquals(idempotent, never == 0);
         assertTrue(once > 20_000);
     }
 
     @Test
-    void noTaskIsSubmittedBeforeTheRegisterSaysThatItMayBe() {
+    void noTaskIsSubmittedBeforeTheRegisterContainsTheProgress() {
         JobSimulation simulation = new JobSimulation(1, settings(false, 1));
         simulation.takeOver();
         simulation.run(20);
@@ -77,13 +77,13 @@
     }
 
     @Test
-    void onlyTheStatedNumberOfMissedRunsIsMadeUpFor() {
+    void missedRunsAreCaughtUpOnlyToTheConfiguredNumber() {
         JobSimulation simulation = new JobSimulation(2, settings(true, 2));
         simulation.takeOver();
         while (!simulation.register().startsWith("5:") || !simulation.register().endsWith("over")) {
             simulation.run(10);
         }
-        simulation.kill();
+        simulation.crash();
         simulation.runUntil(11_900);
         simulation.events().clear();
         simulation.takeOver();
@@ -104,12 +104,13 @@
         assertEquals(10, daily.dueRun(10 * 24 * hour + 3 * hour, JobProgress.NONE));
         PeriodicJobSettings following =
                 new PeriodicJobSettings("b", "t", day, 0, "a", List.of("0"), 1, 0, "/", "", true, Span.ZERO);
-        assertEquals(9, following.dueRun(0, new JobProgress(10, 3, 7, false)), "that one is in progress");
+        assertEquals(9, following.dueRun(0, new JobProgress(10, 3, 7, false)),
+                "run 10 of the predecessor is in progress");
         assertEquals(10, following.dueRun(0, new JobProgress(10, 7, 7, true)));
     }
 
     @Test
-    void aClockThatGoesBackStartsNoRunTwice() {
+    void aClockThatGoesBackDoesNotRestartARun() {
         JobSimulation simulation = new JobSimulation(3, settings(true, 0));
         simulation.takeOver();
         simulation.run(990);
@@ -120,7 +121,7 @@
     }
 
     @Test
-    void eventWordsAreThoseOfTheEventLog() {
+    void eventWordsMatchTheEventLog() {
         List<String> words = List.of(JobEvent.values()).stream().map(JobEvent::word).toList();
         assertEquals(List.of("begins", "missed", "over", "done", "unsure", "given-up"), words);
     }
--- a/src/test/java/rampshift/leases/ExplorerNode.java
+++ b/src/test/java/rampshift/leases/ExplorerNode.java
@@ -9,9 +9,9 @@
 import rampshift.time.Moment;
 import rampshift.time.Span;
 
-/** An acceptor or a contender of an explored world. */
+/** An acceptor or a contender of the explored system. */
 final class ExplorerNode implements Acceptor.Output, LeaseClient.Context {
-    /** The three acceptors of the world. */
+    /** The three acceptors of the system. */
     static final AcceptorSet ACCEPTORS = new AcceptorSet(1, List.of(new AcceptorSet.Member("k1", 1),
             new AcceptorSet.Member("k2", 2), new AcceptorSet.Member("k3", 3)), List.of());
 
@@ -19,15 +19,15 @@
     private static final long START_MICROS = 1_000_000;
     private static final Span NEVER = new Span(1L << 40);
 
-    /** What all nodes of all states share. */
-    static final class World {
-        /** The state in which nodes act; each thread works on one at a time. */
+    /** The environment that all nodes of all states share. */
+    static final class Environment {
+        /** The state that this thread currently expands. */
         private static final ThreadLocal<ExplorerState> STATE = new ThreadLocal<>();
 
         final Set<String> cutLinks;
         final boolean sendsBeforeSync;
 
-        World(Set<String> cutLinks, boolean sendsBeforeSync) {
+        Environment(Set<String> cutLinks, boolean sendsBeforeSync) {
             this.cutLinks = cutLinks;
             this.sendsBeforeSync = sendsBeforeSync;
         }
@@ -36,14 +36,14 @@
             return STATE.get();
         }
 
-        /** The state in which nodes act from now on, on this thread. */
+        /** Sets the state that this thread expands. */
         void enter(ExplorerState entered) {
             STATE.set(entered);
         }
     }
 
     final String name;
-    private final World world;
+    private final Environment environment;
     private final double clockRate;
     private final TreeMap<String, byte[]> disk = new TreeMap<>();
     private final List<PendingOutput> pending = new ArrayList<>();
@@ -52,15 +52,15 @@
     private long numbers;
     private long fingerprint;
 
-    private ExplorerNode(World world, String name, double clockRate) {
-        this.world = world;
+    private ExplorerNode(Environment environment, String name, double clockRate) {
+        this.environment = environment;
         this.name = name;
         this.clockRate = clockRate;
     }
 
-    /** An acceptor that votes at once: how it starts is not explored. */
-    static ExplorerNode acceptor(World world, long id) {
-        ExplorerNode node = new ExplorerNode(world, "k" + id, 1);
+    /** Creates an acceptor that votes immediately; its start is not explored. */
+    static ExplorerNode acceptor(Environment environment, long id) {
+        ExplorerNode node = new ExplorerNode(environment, "k" + id, 1);
         node.disk.put("keepers", ACCEPTORS.encode().getBytes(StandardCharsets.US_ASCII));
         node.disk.put("self", Codec.encode(id, 0));
         node.startAcceptor();
@@ -68,9 +68,9 @@
         return node;
     }
 
-    static ExplorerNode contender(World world, String name, long processId, double clockRate,
+    static ExplorerNode contender(Environment environment, String name, long processId, double clockRate,
             LeaseTimings timings) {
-        ExplorerNode node = new ExplorerNode(world, name, clockRate);
+        ExplorerNode node = new ExplorerNode(environment, name, clockRate);
         node.lease = new LeaseClient(LEASE, name, processId, timings, node);
         return node;
     }
@@ -81,8 +81,8 @@
         StateCopier.set(acceptor, "state", Acceptor.State.VOTING);
     }
 
-    World world() {
-        return world;
+    Environment environment() {
+        return environment;
     }
 
     boolean isContender() {
@@ -93,7 +93,7 @@
         return lease;
     }
 
-    /** How many numbers a contender has given to changes and attempts. */
+    /** Returns how many numbers a contender has assigned to changes and attempts. */
     long numbers() {
         return numbers;
     }
@@ -104,7 +104,7 @@
 
     Moment now() {
         return new Moment(START_MICROS
-                + Math.round(world.state().ticks * InterleavingExplorer.TICK_MICROS * clockRate));
+                + Math.round(environment.state().ticks * InterleavingExplorer.TICK_MICROS * clockRate));
     }
 
     void onMessage(String from, Message message) {
@@ -115,7 +115,7 @@
         }
     }
 
-    /** Everything that waits is on disk and sent. */
+    /** Writes and sends all pending output. */
     void sync() {
         for (PendingOutput each : pending) {
             if (each instanceof PendingOutput.Write write) {
@@ -127,7 +127,7 @@
         pending.clear();
     }
 
-    /** The acceptor starts again with what is on its disk. */
+    /** Restarts the acceptor with the records on its disk; pending output is lost. */
     void crash() {
         pending.clear();
         startAcceptor();
@@ -140,7 +140,7 @@
 
     @Override
     public void sendAfterSync(String to, Message message) {
-        if (world.sendsBeforeSync) {
+        if (environment.sendsBeforeSync) {
             send(to, message);
         } else {
             pending.add(new PendingOutput.Send<>(to, message));
@@ -149,9 +149,9 @@
 
     @Override
     public void send(String to, Message message) {
-        if (!world.cutLinks.contains(name + ">" + to)) {
+        if (!environment.cutLinks.contains(name + ">" + to)) {
             long hash = ExplorerState.hash(contenderName(name) + contenderName(to) + message);
-            world.state().inFlight.add(new ExplorerState.InFlight(name, to, message, hash));
+            environment.state().inFlight.add(new ExplorerState.InFlight(name, to, message, hash));
         }
     }
 
@@ -194,12 +194,13 @@
         return 1;
     }
 
-    void forgetFingerprint() {
+    void invalidateFingerprint() {
         fingerprint = 0;
     }
 
     /**
-     * Equal for equal nodes. It leaves out which acceptors have replied: states count that for each of them.
+     * Returns a hash that is equal for equal nodes. It excludes which acceptors have replied, which
+     * {@link ExplorerState#fingerprint} includes per acceptor.
      */
     long fingerprint() {
         if (fingerprint == 0) {
@@ -217,7 +218,7 @@
         return fingerprint;
     }
 
-    /** Which acceptors have replied in the present phase of the contender's attempt. */
+    /** Returns the acceptors that have replied in the current phase of the contender's attempt. */
     @SuppressWarnings("unchecked")
     Set<String> replied() {
         Proposer proposer = lease == null ? null : lease.writer().proposer();
--- a/src/test/java/rampshift/leases/InterleavingExplorer.java
+++ b/src/test/java/rampshift/leases/InterleavingExplorer.java
@@ -13,43 +13,44 @@
 import rampshift.time.Span;
 
 /**
- * Walks the interleavings of a small world over the real state machines of acceptors and leases. At each step
- * any message under way may arrive, in any order; any may be lost, which is to arrive never; one may come
- * twice; acceptors may crash with what they have not synced; time goes on in steps whether a contender is
- * called or not, so each may stand still at any point. What is asserted holds in each state.
+ * A model checker that explores the interleavings of a small system of the real state machines of acceptors
+ * and leases. At each step any message in flight may be delivered, in any order; a lost message is one that
+ * is never delivered; a message may be delivered twice; an acceptor may crash and lose what it has not
+ * synced; time advances in ticks whether or not a contender's timer is called, so that a contender may pause
+ * at any point. The assertions are checked in each state.
  */
 final class InterleavingExplorer {
-    /** Microseconds of a step of time; a term is four of them. */
+    /** Duration of a tick; a term is four ticks. */
     static final long TICK_MICROS = 1000;
     static final LeaseTimings TIMINGS = new LeaseTimings(new Span(4 * TICK_MICROS), 0.2, new Span(1L << 40));
 
     private static final List<String> ACCEPTOR_NAMES = List.of("k1", "k2", "k3");
 
     /**
-     * What a walk may use up.
+     * Bounds of an exploration.
      *
-     * @param ticks steps of time, from where it begins
-     * @param numbers that each contender gives: each change takes one, each attempt at it another
-     * @param repeats messages that come twice
-     * @param crashes of acceptors
-     * @param maxStates states, then it ends
+     * @param ticks maximum number of ticks from the first state
+     * @param numbers maximum number of numbers per contender: each change takes one, and each attempt another
+     * @param repeats maximum number of messages that are delivered twice
+     * @param crashes maximum number of crashes of acceptors
+     * @param maxStates number of states after which the exploration ends
      */
     record Bounds(int ticks, int numbers, int repeats, int crashes, long maxStates) {}
 
-    /** What is broken on purpose. */
+    /** A deliberate bug, which the exploration has to find. */
     enum Bug {
         NONE,
-        /** Acceptors answer before it is on disk. */
+        /** Acceptors reply before their records are on disk. */
         NO_SYNC,
-        /** Contenders leave out that clocks drift. */
+        /** Contenders ignore the drift of clocks. */
         NO_DRIFT
     }
 
     private final Bounds bounds;
     private final Bug bug;
-    private final ExplorerNode.World world;
-    private final Set<Long> known = ConcurrentHashMap.newKeySet();
-    private final ConcurrentLinkedDeque<ExplorerState> open = new ConcurrentLinkedDeque<>();
+    private final ExplorerNode.Environment environment;
+    private final Set<Long> visited = ConcurrentHashMap.newKeySet();
+    private final ConcurrentLinkedDeque<ExplorerState> frontier = new ConcurrentLinkedDeque<>();
     private final AtomicInteger busyThreads = new AtomicInteger();
     private final AtomicLong states = new AtomicLong();
     private final AtomicLong actingStates = new AtomicLong();
@@ -57,47 +58,47 @@
     private volatile String violation;
     private boolean complete;
 
-    /** The cut links, as "a&gt;k3", carry nothing. */
+    /** Creates an explorer; the cut links, such as "a&gt;k3", deliver no messages. */
     InterleavingExplorer(Bounds bounds, Bug bug, Set<String> cutLinks) {
         this.bounds = bounds;
         this.bug = bug;
-        world = new ExplorerNode.World(cutLinks, bug == Bug.NO_SYNC);
+        environment = new ExplorerNode.Environment(cutLinks, bug == Bug.NO_SYNC);
     }
 
-    /** States that were found. */
+    /** Returns how many states were found. */
     long states() {
         return states.get();
     }
 
-    /** How often a state was met in which somebody may act. */
+    /** Returns how often a state was reached in which a contender may act. */
     long actingStates() {
         return actingStates.get();
     }
 
-    /** The highest token under which anybody acted. */
+    /** Returns the highest token under which a contender acted. */
     long highestToken() {
         return highestToken.get();
     }
 
-    /** Whether all states within the bounds were walked. */
+    /** Returns whether all states within the bounds were explored. */
     boolean isComplete() {
         return complete;
     }
 
-    /** Three acceptors that vote, and two contenders for a lease that was never held. */
+    /** Returns a state with three voting acceptors and two contenders for a lease that was never held. */
     ExplorerState initialState() {
         ExplorerState state = new ExplorerState();
-        world.enter(state);
+        environment.enter(state);
         for (int id = 1; id <= ACCEPTOR_NAMES.size(); id++) {
-            ExplorerNode acceptor = ExplorerNode.acceptor(world, id);
+            ExplorerNode acceptor = ExplorerNode.acceptor(environment, id);
             state.nodes.put(acceptor.name, acceptor);
         }
         state.inFlight.clear();
         LeaseTimings timings =
                 bug == Bug.NO_DRIFT ? new LeaseTimings(TIMINGS.term(), 0, TIMINGS.balanceInterval())
                         : TIMINGS;
-        ExplorerNode slow = ExplorerNode.contender(world, "a", 101, 1 - TIMINGS.drift(), timings);
-        ExplorerNode fast = ExplorerNode.contender(world, "b", 102, 1 + TIMINGS.drift(), timings);
+        ExplorerNode slow = ExplorerNode.contender(environment, "a", 101, 1 - TIMINGS.drift(), timings);
+        ExplorerNode fast = ExplorerNode.contender(environment, "b", 102, 1 + TIMINGS.drift(), timings);
         for (ExplorerNode contender : List.of(slow, fast)) {
             state.nodes.put(contender.name, contender);
             contender.lease().onRead(contender.now(), LeaseRecord.INITIAL);
@@ -105,7 +106,7 @@
         return state;
     }
 
-    /** The same once the slow contender holds the lease and the fast one has observed that. */
+    /** Returns the state after the slow contender acquired the lease and the fast one observed that. */
     ExplorerState heldState() {
         ExplorerState state = change(initialState(), "a", "wakes", node -> node.lease().onTimer(node.now()));
         while (!state.inFlight.isEmpty()) {
@@ -119,33 +120,33 @@
     }
 
     /**
-     * Walks depth first on several threads, until all states within the bounds are walked or enough are
-     * known. Returns what is violated; null for nothing.
+     * Explores depth first on several threads, until all states within the bounds are explored or the maximum
+     * number is reached. Returns a violated assertion; null for none.
      */
-    String walk(ExplorerState first, int threadCount) throws InterruptedException {
-        known.add(first.fingerprint());
-        open.push(first);
+    String explore(ExplorerState first, int threadCount) throws InterruptedException {
+        visited.add(first.fingerprint());
+        frontier.push(first);
         List<Thread> threads = new ArrayList<>();
         for (int i = 0; i < threadCount; i++) {
-            threads.add(new Thread(this::work));
+            threads.add(new Thread(this::runWorker));
         }
         threads.forEach(Thread::start);
         for (Thread thread : threads) {
             thread.join();
         }
-        complete = violation == null && open.isEmpty();
+        complete = violation == null && frontier.isEmpty();
         return violation;
     }
 
-    private void work() {
+    private void runWorker() {
         try {
             while (violation == null && states.get() < bounds.maxStates) {
                 busyThreads.incrementAndGet();
-                ExplorerState state = open.pollFirst();
+                ExplorerState state = frontier.pollFirst();
                 if (state != null) {
                     expand(state);
                 }
-                if (busyThreads.decrementAndGet() == 0 && open.isEmpty()) {
+                if (busyThreads.decrementAndGet() == 0 && frontier.isEmpty()) {
                     return;
                 }
             }
@@ -164,15 +165,15 @@
             }
             boolean isWithinBounds =
                     next.nodes.values().stream().allMatch(node -> node.numbers() <= bounds.numbers);
-            if (isWithinBounds && known.add(next.fingerprint())) {
-                open.push(next);
+            if (isWithinBounds && visited.add(next.fingerprint())) {
+                frontier.push(next);
                 states.incrementAndGet();
             }
         }
     }
 
     private String violationIn(ExplorerState state) {
-        world.enter(state);
+        environment.enter(state);
         int acting = 0;
         long highest = 0;
         for (ExplorerNode node : state.nodes.values()) {
@@ -185,23 +186,24 @@
             actingStates.incrementAndGet();
             highestToken.accumulateAndGet(highest, Math::max);
             if (highest < state.highestToken) {
-                return "a token fell from " + state.highestToken + " to " + highest;
+                return "the token decreased from " + state.highestToken + " to " + highest;
             }
             state.highestToken = highest;
         }
-        return acting > 1 ? "two act at once" : null;
+        return acting > 1 ? "two contenders act at once" : null;
     }
 
     private List<Supplier<ExplorerState>> steps(ExplorerState state) {
         List<Supplier<ExplorerState>> steps = new ArrayList<>();
         addDeliveries(state, steps);
-        world.enter(state);
+        environment.enter(state);
         for (ExplorerNode node : state.nodes.values()) {
             if (!node.isContender() && node.hasPendingOutput()) {
                 steps.add(() -> change(state, node.name, "syncs", ExplorerNode::sync));
             }
             if (node.isContender() && !node.now().before(node.lease().dueAt())) {
-                steps.add(() -> change(state, node.name, "wakes", own -> own.lease().onTimer(own.now())));
+                steps.add(() -> change(state, node.name, "wakes",
+                        contender -> contender.lease().onTimer(contender.now())));
             }
         }
         addCrashes(state, steps);
@@ -243,8 +245,8 @@
     private ExplorerState change(ExplorerState state, String name, String what,
             Consumer<ExplorerNode> change) {
         ExplorerState next = new ExplorerState(state, name + " " + what);
-        world.enter(next);
-        change.accept(next.ownNode(name));
+        environment.enter(next);
+        change.accept(next.copyNode(name));
         dropStaleReplies(next);
         return next;
     }
@@ -259,17 +261,17 @@
         } else {
             next.inFlight.remove(index);
         }
-        world.enter(next);
-        ExplorerNode node = next.ownNode(delivered.to());
+        environment.enter(next);
+        ExplorerNode node = next.copyNode(delivered.to());
         node.onMessage(delivered.from(), message);
         if (!node.isContender() && bounds.crashes == 0) {
-            node.sync(); // when that happens makes no difference unless it is lost
+            node.sync(); // without crashes the time of the sync makes no difference
         }
         dropStaleReplies(next);
         return next;
     }
 
-    /** A reply to an attempt that is over changes nothing: it is as good as lost. */
+    /** Removes replies to attempts that have ended, which change nothing. */
     private static void dropStaleReplies(ExplorerState state) {
         state.inFlight.removeIf(each -> {
             ExplorerNode node = state.nodes.get(each.to());
