--- a/src/bench/java/rampshift/policy/DecisionBench.java
+++ b/src/bench/java/rampshift/policy/DecisionBench.java
@@ -98,7 +98,7 @@
             policy.onAttemptStarted(o.task(), 0);
             pull();
             policy.onLoadReport(o.worker(), SLOTS - 1, 0, Double.NaN, Double.NaN);
-            policy.onAttemptFinished(o.task(), 0, AttemptOutcome.FINISHED, true);
+            policy.onAttemptEnded(o.task(), 0, AttemptOutcome.FINISHED, true);
             pull();
         }
     }
@@ -116,7 +116,7 @@
     public void change() {
         long worker = 1 + turn / 2 % workers;
         policy.setNow(now);
-        policy.onEndpointListBegin(EndpointListKind.CHANGES);
+        policy.onEndpointListBegin(EndpointListKind.DELTA);
         policy.onEndpoint(new ListedWorker(worker, 0, (int) (worker + 1) / 2, 0,
                 turn++ % 2 == 1 ? EndpointState.READY : EndpointState.DRAINING, new Moment(0),
                 SLOTS));
@@ -128,7 +128,7 @@
     @Benchmark
     public void whole() {
         policy.setNow(now);
-        policy.onEndpointListBegin(EndpointListKind.WHOLE);
+        policy.onEndpointListBegin(EndpointListKind.FULL);
         for (int w = 1; w <= workers; w++) {
             policy.onEndpoint(
                     new ListedWorker(w, 0, (w + 1) / 2, 0, EndpointState.READY, new Moment(0), SLOTS));
@@ -146,7 +146,7 @@
 
     @Override
     public void cancel(long task, int assignment) {
-        policy.onAttemptFinished(task, assignment, AttemptOutcome.CALLED_OFF, true);
+        policy.onAttemptEnded(task, assignment, AttemptOutcome.CALLED_OFF, true);
     }
 
     @Override
--- a/src/main/java/rampshift/pipeline/PolicyHost.java
+++ b/src/main/java/rampshift/pipeline/PolicyHost.java
@@ -103,7 +103,7 @@
         if (cached) {
             return EndpointListKind.CACHED;
         }
-        return complete ? EndpointListKind.WHOLE : EndpointListKind.CHANGES;
+        return complete ? EndpointListKind.FULL : EndpointListKind.DELTA;
     }
 
     /**
@@ -125,7 +125,7 @@
     void onTask(InFlightTask task) {
         task.request().onDisconnect(() -> onEvent(() -> {
             responder.clientLeft(task);
-            policy.onClientGone(task.id());
+            policy.onClientDisconnected(task.id());
             registry.removeIfCompleted(task);
         }));
         TaskDescription description = task.description();
@@ -159,7 +159,7 @@
             responder.finished(task, result);
         }
         onEvent(() -> {
-            policy.onAttemptFinished(task.id(), number, outcome, task.isAnswered());
+            policy.onAttemptEnded(task.id(), number, outcome, task.isAnswered());
             registry.removeIfCompleted(task);
         });
     }
--- a/src/main/java/rampshift/policy/DispatchPolicy.java
+++ b/src/main/java/rampshift/policy/DispatchPolicy.java
@@ -70,7 +70,7 @@
     /** An endpoint list begins, or is known not to come. Its entries follow, then its end. */
     public void onEndpointListBegin(EndpointListKind kind) {
         list.onListBegin(kind);
-        if (kind == EndpointListKind.WHOLE || kind == EndpointListKind.CACHED) {
+        if (kind == EndpointListKind.FULL || kind == EndpointListKind.CACHED) {
             context.workers.beginWhole();
         }
     }
@@ -144,7 +144,7 @@
     }
 
     /** An attempt has ended; {@code terminal}: its task has its final answer with it. */
-    public void onAttemptFinished(long id, int number, AttemptOutcome outcome, boolean terminal) {
+    public void onAttemptEnded(long id, int number, AttemptOutcome outcome, boolean terminal) {
         Attempt attempt = tasks.find(id, number);
         if (attempt == null || attempt.ended) {
             return;
@@ -156,9 +156,9 @@
         if (outcome == AttemptOutcome.NOT_SENT) {
             budget.onAttemptNotSent(attempt);
         }
-        context.history.onAttemptFinished(outcome, context.now());
-        observer.onAttemptFinished(attempt, outcome);
-        ejection.onAttemptFinished(attempt, outcome);
+        context.history.onAttemptEnded(outcome, context.now());
+        observer.onAttemptEnded(attempt, outcome);
+        ejection.onAttemptEnded(attempt, outcome);
         if (outcome.isConnectionFailure()) {
             eligibility.onConnectionFailure(attempt.worker);
         }
@@ -182,7 +182,7 @@
     }
 
     /** The task's client has left: no answer is owed any longer. */
-    public void onClientGone(long id) {
+    public void onClientDisconnected(long id) {
         Task task = tasks.find(id);
         if (task != null) {
             close(task);
--- a/src/main/java/rampshift/policy/EndpointListKind.java
+++ b/src/main/java/rampshift/policy/EndpointListKind.java
@@ -5,9 +5,9 @@
     /** There is none: the list service could not be reached, or the subscription was lost. */
     FAILED,
     /** Only the workers that changed are named. */
-    CHANGES,
+    DELTA,
     /** All workers are named; the others are removed. */
-    WHOLE,
+    FULL,
     /** All workers as they were known before a restart. */
     CACHED
 }
--- a/src/main/java/rampshift/policy/OutlierEjection.java
+++ b/src/main/java/rampshift/policy/OutlierEjection.java
@@ -28,7 +28,7 @@
         this.estimates = estimates;
     }
 
-    void onAttemptFinished(Attempt attempt, AttemptOutcome outcome) {
+    void onAttemptEnded(Attempt attempt, AttemptOutcome outcome) {
         boolean finished = outcome == AttemptOutcome.FINISHED;
         if (!context.isOwnZone(attempt.worker) && (finished || outcome == AttemptOutcome.NO_CONNECTION)) {
             // Two in a row elsewhere without a connection: the zone is cut off, its workers are not at fault.
--- a/src/main/java/rampshift/policy/Task.java
+++ b/src/main/java/rampshift/policy/Task.java
@@ -54,7 +54,7 @@
         this.runHint = request.runHint();
         this.slots = Math.max(request.slots(), 1);
         this.memory = request.memory();
-        this.deadline = now.plus(request.patience());
+        this.deadline = now.plus(request.remainingTime());
         this.firstAskedAt = deadline.minus(type.timeout()).orEarlier(now);
     }
 
--- a/src/main/java/rampshift/policy/TaskHistory.java
+++ b/src/main/java/rampshift/policy/TaskHistory.java
@@ -23,7 +23,7 @@
         dueMs.put(task.type.latencyObjective().millis());
     }
 
-    void onAttemptFinished(AttemptOutcome outcome, Moment now) {
+    void onAttemptEnded(AttemptOutcome outcome, Moment now) {
         if (outcome.reachedWorker()) {
             accepted.put(now, outcome == AttemptOutcome.FULL ? 0 : 1);
         }
--- a/src/main/java/rampshift/policy/TaskRequest.java
+++ b/src/main/java/rampshift/policy/TaskRequest.java
@@ -10,6 +10,7 @@
  * @param runHint what it should run on a standard core; zero where that is not known
  * @param slots that it takes at a worker; less than 1 counts as 1
  * @param memory that it takes at a worker, in the unit of load reports
- * @param patience how long the client still waits
+ * @param remainingTime how long the client still waits
  */
-public record TaskRequest(int type, int tenant, Span runHint, double slots, double memory, Span patience) {}
+public record TaskRequest(int type, int tenant, Span runHint, double slots, double memory,
+        Span remainingTime) {}
--- a/src/main/java/rampshift/policy/WorkerObserver.java
+++ b/src/main/java/rampshift/policy/WorkerObserver.java
@@ -35,7 +35,7 @@
         attempt.progressAt = context.now();
     }
 
-    void onAttemptFinished(Attempt attempt, AttemptOutcome outcome) {
+    void onAttemptEnded(Attempt attempt, AttemptOutcome outcome) {
         if (outcome == AttemptOutcome.FINISHED) {
             onRun(attempt);
         } else if (outcome == AttemptOutcome.FULL) {
--- a/src/main/java/rampshift/simulator/PolicyInstance.java
+++ b/src/main/java/rampshift/simulator/PolicyInstance.java
@@ -88,11 +88,11 @@
             }
             case "Ended" -> {
                 reportLoad(fields);
-                policy.onAttemptFinished(fields.whole("Ref"), (int) fields.whole("Try"),
+                policy.onAttemptEnded(fields.whole("Ref"), (int) fields.whole("Try"),
                         outcome(fields.text("Disposition")),
                         fields.flag("Terminal"));
             }
-            case "Hangup" -> policy.onClientGone(fields.whole("Ref"));
+            case "Hangup" -> policy.onClientDisconnected(fields.whole("Ref"));
             case "Echo" -> {
                 reportLoad(fields);
                 policy.onProbeResult(fields.whole("Worker"), fields.text("Disposition").equals("S"));
@@ -108,8 +108,8 @@
         String how = fields.text("How");
         policy.onEndpointListBegin(switch (how) {
             case "failed" -> EndpointListKind.FAILED;
-            case "delta" -> EndpointListKind.CHANGES;
-            case "full" -> EndpointListKind.WHOLE;
+            case "delta" -> EndpointListKind.DELTA;
+            case "full" -> EndpointListKind.FULL;
             case "cached" -> EndpointListKind.CACHED;
             default -> throw new InvalidInputException("Fleet: unknown How " + how);
         });
--- a/src/test/java/rampshift/policy/DispatchPolicyTest.java
+++ b/src/test/java/rampshift/policy/DispatchPolicyTest.java
@@ -32,7 +32,7 @@
         FakeHost host = new FakeHost().fleet(2);
         long id = host.task(IDEMPOTENT);
         int sent = host.count("forward");
-        host.policy().onClientGone(id);
+        host.policy().onClientDisconnected(id);
         host.decide().finished(id, 0, AttemptOutcome.ERRED).after(6000);
         assertEquals(sent, host.count("forward"));
         assertEquals(0, host.count("reject") + host.count("fail"));
--- a/src/test/java/rampshift/policy/EligibilityTest.java
+++ b/src/test/java/rampshift/policy/EligibilityTest.java
@@ -83,7 +83,7 @@
         for (int i = 0; i < 20; i++) {
             assertNotEquals(2, host.worker(host.task(NON_IDEMPOTENT), 0));
         }
-        host.policy().onEndpointListBegin(EndpointListKind.WHOLE);
+        host.policy().onEndpointListBegin(EndpointListKind.FULL);
         host.policy().onEndpoint(new ListedWorker(3, 0, 2, 0, EndpointState.READY, host.longAgo(), 1));
         host.policy().onEndpointListEnd();
         long id = host.task(NON_IDEMPOTENT);
--- a/src/test/java/rampshift/policy/EndpointListPolicyTest.java
+++ b/src/test/java/rampshift/policy/EndpointListPolicyTest.java
@@ -79,7 +79,7 @@
         host.policy().onEndpointListAwaited(true);
         host.finished(id, 0, AttemptOutcome.FULL);
         assertEquals(1, host.count("forward"), "the next one waits for the list");
-        host.policy().onClientGone(id);
+        host.policy().onClientDisconnected(id);
         host.decide().change(1, true, 0);
         assertEquals(1, host.count("forward"));
     }
--- a/src/test/java/rampshift/policy/FakeHost.java
+++ b/src/test/java/rampshift/policy/FakeHost.java
@@ -82,7 +82,7 @@
 
     /** A change of one worker. */
     FakeHost place(long id, int zone, int cell, int kind, EndpointState state, double startedMs) {
-        policy().onEndpointListBegin(EndpointListKind.CHANGES);
+        policy().onEndpointListBegin(EndpointListKind.DELTA);
         policy.onEndpoint(new ListedWorker(id, zone, cell, kind, state, Moment.ofMillis(startedMs), 1));
         policy.onEndpointListEnd();
         return decide();
@@ -131,7 +131,7 @@
     }
 
     FakeHost finished(long task, int number, AttemptOutcome outcome) {
-        policy().onAttemptFinished(task, number, outcome, outcome == AttemptOutcome.FINISHED);
+        policy().onAttemptEnded(task, number, outcome, outcome == AttemptOutcome.FINISHED);
         return decide();
     }
 
--- a/src/test/java/rampshift/policy/OutlierEjectionTest.java
+++ b/src/test/java/rampshift/policy/OutlierEjectionTest.java
@@ -66,7 +66,7 @@
         host.decide().train(NON_IDEMPOTENT, 20, 50);
         long lost = host.task(NON_IDEMPOTENT);
         host.finished(lost, 0, AttemptOutcome.NO_CONNECTION).finished(lost, 1, AttemptOutcome.NO_CONNECTION);
-        host.policy().onEndpointListBegin(EndpointListKind.CHANGES);
+        host.policy().onEndpointListBegin(EndpointListKind.DELTA);
         host.policy().onEndpoint(new ListedWorker(13, 0, 13, 0, EndpointState.READY, host.longAgo(), 1));
         host.policy().onEndpointListEnd();
         for (int i = 0; i < 3; i++) {
--- a/src/test/java/rampshift/policy/SimulatedDispatcher.java
+++ b/src/test/java/rampshift/policy/SimulatedDispatcher.java
@@ -146,7 +146,7 @@
         attempt.ended = true;
         report(() -> {
             policy.onLoadReport(worker.id, worker.freeSlots(), worker.queued(), worker.running(), Double.NaN);
-            policy.onAttemptFinished(attempt.task, attempt.number, AttemptOutcome.FINISHED, true);
+            policy.onAttemptEnded(attempt.task, attempt.number, AttemptOutcome.FINISHED, true);
         });
     }
 
@@ -154,7 +154,7 @@
     public void cancel(long task, int number) {
         attempts.get(task).get(number).ended = true;
         simulation.after(0, () -> report(
-                () -> policy.onAttemptFinished(task, number, AttemptOutcome.CALLED_OFF, false)));
+                () -> policy.onAttemptEnded(task, number, AttemptOutcome.CALLED_OFF, false)));
     }
 
     @Override
--- a/src/test/java/rampshift/policy/SlowStartFleetTest.java
+++ b/src/test/java/rampshift/policy/SlowStartFleetTest.java
@@ -124,7 +124,7 @@
         }
         List<SimulatedWorker> restarted = List.copyOf(simulation.workers.subList(0, count));
         for (SimulatedDispatcher dispatcher : dispatchers) {
-            dispatcher.receiveList(EndpointListKind.CHANGES, restarted);
+            dispatcher.receiveList(EndpointListKind.DELTA, restarted);
         }
     }
 }
--- a/src/test/java/rampshift/policy/UnreportedLoadTest.java
+++ b/src/test/java/rampshift/policy/UnreportedLoadTest.java
@@ -98,7 +98,7 @@
     @Test
     void idleCandidatesAreDrawnInProportionToTheirListedSize() {
         FakeHost host = unreported(0);
-        host.policy().onEndpointListBegin(EndpointListKind.WHOLE);
+        host.policy().onEndpointListBegin(EndpointListKind.FULL);
         for (int id = 1; id <= 4; id++) {
             host.policy().onEndpoint(new ListedWorker(id, 0, id, id, EndpointState.READY, host.longAgo(),
                     id == 1 ? 6 : 2));
--- a/src/test/java/rampshift/policy/WorkerEstimatesTest.java
+++ b/src/test/java/rampshift/policy/WorkerEstimatesTest.java
@@ -77,7 +77,7 @@
         host.settings.liveWeights = true;
         host.fleet(4).free(1, 4).free(2, 4);
         for (int round = 0; round < 4; round++) {
-            host.policy().onEndpointListBegin(EndpointListKind.CHANGES);
+            host.policy().onEndpointListBegin(EndpointListKind.DELTA);
             for (int id = 1; id <= 4; id++) {
                 host.policy().onEndpoint(new ListedWorker(id, 0, 1, 0, EndpointState.READY, host.longAgo(),
                         id == 3 ? 8 : 2));
