--- a/src/bench/java/rampshift/policy/DecisionBench.java
+++ b/src/bench/java/rampshift/policy/DecisionBench.java
@@ -30,76 +30,76 @@
 @Measurement(iterations = 3, time = 1)
 @Fork(value = 1, jvmArgs = {"-XX:+UseSerialGC", "-XX:TieredStopAtLevel=1", "-Xmx512m"})
 public class DecisionBench implements Decisions {
-    private static final int IN_HAND = 40;
+    private static final int MAX_IN_FLIGHT = 40;
     private static final int SLOTS = 64;
 
     @Param({"10", "100", "1000", "10000"})
     public int workers;
 
-    private record Out(long task, long worker) {}
+    private record SentAttempt(long task, long worker) {}
 
-    private final ArrayDeque<Out> out = new ArrayDeque<>();
+    private final ArrayDeque<SentAttempt> inFlight = new ArrayDeque<>();
     private DispatchPolicy policy;
     private Moment now = Moment.ofMillis(1_000_000);
     private Moment wake;
     private long tasks;
-    private long turn;
+    private long sequence;
 
     @Setup
-    public void fill() {
-        Settings s = new Settings();
-        s.seed = 7;
-        s.maxAttempts = 5;
-        s.mayCancel = true;
-        s.mayHedge = true;
-        s.reportsStart = true;
-        s.mayProbe = false;
-        s.types.add(new TrafficType(1, 0, Span.ofMillis(200), 3, Span.ofMillis(5000),
+    public void setUp() {
+        Settings settings = new Settings();
+        settings.seed = 7;
+        settings.maxAttempts = 5;
+        settings.mayCancel = true;
+        settings.mayHedge = true;
+        settings.reportsStart = true;
+        settings.mayProbe = false;
+        settings.types.add(new TrafficType(1, 0, Span.ofMillis(200), 3, Span.ofMillis(5000),
                 TrafficType.Effect.IDEMPOTENT,
                 TrafficType.DeduplicationScope.ALL, Span.ofMillis(5000), null, null));
-        policy = new DispatchPolicy(s, now);
+        policy = new DispatchPolicy(settings, now);
         policy.setNow(now);
         policy.onEndpointListBegin(EndpointListKind.CACHED);
-        for (int w = 1; w <= workers; w++) {
+        for (int id = 1; id <= workers; id++) {
             policy.onEndpoint(
-                    new ListedWorker(w, 0, (w + 1) / 2, 0, EndpointState.READY, new Moment(0), SLOTS));
+                    new ListedWorker(id, 0, (id + 1) / 2, 0, EndpointState.READY, new Moment(0), SLOTS));
         }
         policy.onEndpointListEnd();
-        pull();
+        runDecisions();
         for (int i = 0; i < 2000; i++) {
             task();
         }
     }
 
-    private void pull() {
+    private void runDecisions() {
         while (policy.decideNext(this)) {
             continue;
         }
     }
 
-    private void tick() {
+    private void advanceClock() {
         now = now.plus(Span.ofMillis(1));
         policy.setNow(now);
         if (wake != null && !now.before(wake)) {
             wake = null;
             policy.onTimer();
-            pull();
+            runDecisions();
         }
     }
 
     /** One task from its arrival to its end, with the timers that fall due meanwhile. */
     @Benchmark
     public void task() {
-        tick();
+        advanceClock();
         policy.onTaskArrived(++tasks, new TaskRequest(0, 0, Span.ZERO, 1, 0, Span.ofMillis(5000)));
-        pull();
-        while (out.size() > IN_HAND) {
-            Out o = out.poll();
-            policy.onAttemptStarted(o.task(), 0);
-            pull();
-            policy.onLoadReport(o.worker(), SLOTS - 1, 0, Double.NaN, Double.NaN);
-            policy.onAttemptEnded(o.task(), 0, AttemptOutcome.FINISHED, true);
-            pull();
+        runDecisions();
+        while (inFlight.size() > MAX_IN_FLIGHT) {
+            SentAttempt attempt = inFlight.poll();
+            policy.onAttemptStarted(attempt.task(), 0);
+            runDecisions();
+            policy.onLoadReport(attempt.worker(), SLOTS - 1, 0, Double.NaN, Double.NaN);
+            policy.onAttemptEnded(attempt.task(), 0, AttemptOutcome.FINISHED, true);
+            runDecisions();
         }
     }
 
@@ -107,21 +107,21 @@
     @Benchmark
     public void report() {
         policy.setNow(now);
-        policy.onLoadReport(1 + turn++ % workers, SLOTS - turn % 3, 0, Double.NaN, Double.NaN);
-        pull();
+        policy.onLoadReport(1 + sequence++ % workers, SLOTS - sequence % 3, 0, Double.NaN, Double.NaN);
+        runDecisions();
     }
 
     /** A change of the list: one worker drains, or is back. */
     @Benchmark
     public void change() {
-        long worker = 1 + turn / 2 % workers;
+        long worker = 1 + sequence / 2 % workers;
         policy.setNow(now);
         policy.onEndpointListBegin(EndpointListKind.DELTA);
         policy.onEndpoint(new ListedWorker(worker, 0, (int) (worker + 1) / 2, 0,
-                turn++ % 2 == 1 ? EndpointState.READY : EndpointState.DRAINING, new Moment(0),
+                sequence++ % 2 == 1 ? EndpointState.READY : EndpointState.DRAINING, new Moment(0),
                 SLOTS));
         policy.onEndpointListEnd();
-        pull();
+        runDecisions();
     }
 
     /** The whole list anew, nothing changed. */
@@ -129,28 +129,28 @@
     public void whole() {
         policy.setNow(now);
         policy.onEndpointListBegin(EndpointListKind.FULL);
-        for (int w = 1; w <= workers; w++) {
+        for (int id = 1; id <= workers; id++) {
             policy.onEndpoint(
-                    new ListedWorker(w, 0, (w + 1) / 2, 0, EndpointState.READY, new Moment(0), SLOTS));
+                    new ListedWorker(id, 0, (id + 1) / 2, 0, EndpointState.READY, new Moment(0), SLOTS));
         }
         policy.onEndpointListEnd();
-        pull();
+        runDecisions();
     }
 
     // ---- what is decided
 
     @Override
     public void forward(long task, long worker, Span timeout) {
-        out.add(new Out(task, worker));
+        inFlight.add(new SentAttempt(task, worker));
     }
 
     @Override
-    public void cancel(long task, int assignment) {
-        policy.onAttemptEnded(task, assignment, AttemptOutcome.CALLED_OFF, true);
+    public void cancel(long task, int attempt) {
+        policy.onAttemptEnded(task, attempt, AttemptOutcome.CALLED_OFF, true);
     }
 
     @Override
-    public void reject(long task, Span comeBackAfter) {
+    public void reject(long task, Span retryAfter) {
         throw new IllegalStateException("nothing is to be bounced here");
     }
 
--- a/src/main/java/rampshift/policy/Attempt.java
+++ b/src/main/java/rampshift/policy/Attempt.java
@@ -11,18 +11,18 @@
     final Moment sentAt;
     final Span predictedWait;
     /** The wait and the run. */
-    final Span predictedSpan;
+    final Span predictedDuration;
     /** Null until its start is told. */
     Moment startedAt;
     Moment progressAt;
     /** The share of its work that is done, 0 to 1. */
     double progress;
     /** Reports said that it would start at once, and it is not known yet whether they held. */
-    boolean promisedIdle;
+    boolean sentOnIdleReport;
     /** Its progress messages have ended without an answer. */
     boolean lost;
     /** What it earned for cold workers as it was sent, in mean runs. */
-    double costInMeanRuns;
+    double creditedCostMeanRuns;
     boolean ended;
     boolean neverRan;
     boolean cancelled;
@@ -33,11 +33,11 @@
         this.worker = worker;
         this.sentAt = sentAt;
         this.predictedWait = predictedWait;
-        predictedSpan = predictedWait.plus(predictedRun);
+        predictedDuration = predictedWait.plus(predictedRun);
     }
 
     /** It is sent. */
-    void begin() {
+    void markSent() {
         task.attempts.add(this);
         task.openAttempts++;
         worker.attempts.add(this);
@@ -56,12 +56,12 @@
     }
 
     /** When it began to run, or where starts are not told should have; null where its was not told. */
-    Moment startedAt(boolean startsAreTold) {
-        return startedAt != null || startsAreTold ? startedAt : sentAt.plus(predictedWait);
+    Moment observedOrPredictedStart(boolean startsReported) {
+        return startedAt != null || startsReported ? startedAt : sentAt.plus(predictedWait);
     }
 
     /** When its worker last told of it, or else when it was sent. */
-    Moment lastToldAt() {
+    Moment lastHeardOfAt() {
         if (progress > 0) {
             return progressAt;
         }
@@ -74,7 +74,7 @@
     }
 
     /** As one of its worker's attempts, it counts as work that the worker has. */
-    boolean loadsWorker() {
+    boolean countsAsLoad() {
         return !cancelled && !lost;
     }
 }
--- a/src/main/java/rampshift/policy/DecayingSamples.java
+++ b/src/main/java/rampshift/policy/DecayingSamples.java
@@ -6,23 +6,23 @@
 /** The last few values of one measurement and when each was taken; a value loses its weight as it ages. */
 final class DecayingSamples {
     private final SampleWindow values;
-    private final SampleWindow when;
+    private final SampleWindow timesMs;
     /** The last mean and what it was asked for: a task's candidates ask for the same one in turn. */
-    private double mean = Double.NaN;
-    private long meanNowMicros;
-    private long meanFadeMicros;
-    private double meanPrior;
-    private double meanPriorWeight;
+    private double cachedMean = Double.NaN;
+    private long cachedNowMicros;
+    private long cachedDecayMicros;
+    private double cachedPrior;
+    private double cachedPriorWeight;
 
     DecayingSamples(int capacity) {
         values = new SampleWindow(capacity);
-        when = new SampleWindow(capacity);
+        timesMs = new SampleWindow(capacity);
     }
 
     void put(Moment now, double value) {
-        mean = Double.NaN;
+        cachedMean = Double.NaN;
         values.put(value);
-        when.put(now.millis());
+        timesMs.put(now.millis());
     }
 
     int count() {
@@ -34,38 +34,39 @@
     }
 
     /** How much the value counts by its age, 0 to 1: a third after one fade, a seventh after two. */
-    double weight(int index, Moment now, Span fade) {
-        return Math.exp((when.get(index) - now.millis()) / fade.millis());
+    double weight(int index, Moment now, Span decayTime) {
+        return Math.exp((timesMs.get(index) - now.millis()) / decayTime.millis());
     }
 
     /** The mean by these weights, with a prior value of the stated weight. */
-    double mean(Moment now, Span fade, double prior, double priorWeight) {
-        if (isLastMeanOf(now, fade, prior, priorWeight)) {
-            return mean;
+    double mean(Moment now, Span decayTime, double prior, double priorWeight) {
+        if (isCachedMean(now, decayTime, prior, priorWeight)) {
+            return cachedMean;
         }
         double sum = prior * priorWeight;
         double weights = priorWeight;
         for (int i = 0; i < values.count(); i++) {
-            double weight = weight(i, now, fade);
+            double weight = weight(i, now, decayTime);
             weights += weight;
             sum += weight * values.get(i);
         }
-        meanNowMicros = now.micros();
-        meanFadeMicros = fade.micros();
-        meanPrior = prior;
-        meanPriorWeight = priorWeight;
-        mean = sum / weights;
-        return mean;
+        cachedNowMicros = now.micros();
+        cachedDecayMicros = decayTime.micros();
+        cachedPrior = prior;
+        cachedPriorWeight = priorWeight;
+        cachedMean = sum / weights;
+        return cachedMean;
     }
 
-    private boolean isLastMeanOf(Moment now, Span fade, double prior, double priorWeight) {
-        return !Double.isNaN(mean) && now.micros() == meanNowMicros && fade.micros() == meanFadeMicros
-                && prior == meanPrior && priorWeight == meanPriorWeight;
+    private boolean isCachedMean(Moment now, Span decayTime, double prior, double priorWeight) {
+        return !Double.isNaN(cachedMean) && now.micros() == cachedNowMicros
+                && decayTime.micros() == cachedDecayMicros
+                && prior == cachedPrior && priorWeight == cachedPriorWeight;
     }
 
     void clear() {
-        mean = Double.NaN;
+        cachedMean = Double.NaN;
         values.clear();
-        when.clear();
+        timesMs.clear();
     }
 }
--- a/src/main/java/rampshift/policy/DispatchPolicy.java
+++ b/src/main/java/rampshift/policy/DispatchPolicy.java
@@ -16,7 +16,7 @@
     private final TaskQueue tasks;
     private final RetryBudget budget;
     private final TenantQuotas quotas;
-    private final EndpointListPolicy list;
+    private final EndpointListPolicy endpointListPolicy;
     private final SlowStart slowStart;
     private final Eligibility eligibility;
     private final WorkerEstimates estimates;
@@ -24,8 +24,8 @@
     private final ExpectedValue value;
     private final OutlierEjection ejection;
     private final Admission admission;
-    private final RedundantToIdleQueue draw;
-    private final TaskPolicy policy;
+    private final RedundantToIdleQueue redundantToIdle;
+    private final TaskPolicy taskPolicy;
     /** When the host was asked to call {@link #onTimer}; null where it was not. */
     private Moment wakeAt;
     /** Up to when timers are due; later ones wait for {@link #onTimer}. */
@@ -38,7 +38,7 @@
         tasks = context.tasks;
         budget = new RetryBudget(settings);
         quotas = new TenantQuotas(settings);
-        list = new EndpointListPolicy(context);
+        endpointListPolicy = new EndpointListPolicy(context);
         slowStart = new SlowStart(context);
         eligibility = new Eligibility(context, budget, slowStart);
         estimates = new WorkerEstimates(context, slowStart);
@@ -51,8 +51,10 @@
         FleetSweep sweep = new FleetSweep(context, slowStart, ejection);
         CandidateSampler sampler =
                 new CandidateSampler(context, sweep, slowStart, eligibility, ejection, admission);
-        draw = new RedundantToIdleQueue(context, sampler, estimates, eligibility, value, admission, retries);
-        policy = new TaskPolicy(context, eligibility, list, value, ejection, retries, draw);
+        redundantToIdle =
+                new RedundantToIdleQueue(context, sampler, estimates, eligibility, value, admission, retries);
+        taskPolicy = new TaskPolicy(context, eligibility, endpointListPolicy, value, ejection, retries,
+                redundantToIdle);
     }
 
     // ---- inputs: what is known
@@ -63,15 +65,15 @@
     }
 
     /** The endpoint list is asked for anew; {@code longSince}: it may have had news for long. */
-    public void onEndpointListAwaited(boolean longSince) {
-        list.onListAwaited(longSince);
+    public void onEndpointListAwaited(boolean mayBeOutdated) {
+        endpointListPolicy.onListAwaited(mayBeOutdated);
     }
 
     /** An endpoint list begins, or is known not to come. Its entries follow, then its end. */
     public void onEndpointListBegin(EndpointListKind kind) {
-        list.onListBegin(kind);
+        endpointListPolicy.onListBegin(kind);
         if (kind == EndpointListKind.FULL || kind == EndpointListKind.CACHED) {
-            context.workers.beginWhole();
+            context.workers.beginFullList();
         }
     }
 
@@ -108,15 +110,15 @@
             onContact(attempt.worker);
             observer.onAttemptStarted(attempt);
             value.onAttemptStarted(attempt);
-            draw.cancelRest(attempt.task); // what still queues elsewhere is not needed
+            redundantToIdle.cancelRest(attempt.task); // what still queues elsewhere is not needed
         }
     }
 
     /** A worker has told what share of the attempt's work is done, 0 to 1. */
-    public void onAttemptProgress(long id, int number, double share) {
+    public void onAttemptProgress(long id, int number, double completedShare) {
         Attempt attempt = tasks.find(id, number);
         if (attempt != null) {
-            observer.onAttemptProgress(attempt, share);
+            observer.onAttemptProgress(attempt, completedShare);
             onContact(attempt.worker);
         }
     }
@@ -139,7 +141,7 @@
         if (answered) {
             onContact(worker);
         }
-        worker.awaitingProbe.stream().filter(Task::endProbe).forEach(tasks::enqueue);
+        worker.awaitingProbe.stream().filter(Task::onProbeDone).forEach(tasks::enqueue);
         worker.awaitingProbe.clear();
     }
 
@@ -151,7 +153,7 @@
         }
         attempt.end(outcome.neverRan);
         if (outcome.neverRan) {
-            slowStart.earn(-attempt.costInMeanRuns);
+            slowStart.earnCredit(-attempt.creditedCostMeanRuns);
         }
         if (outcome == AttemptOutcome.NOT_SENT) {
             budget.onAttemptNotSent(attempt);
@@ -176,7 +178,7 @@
         if (terminal || task.closed) {
             close(task);
         } else if (task.openAttempts == 0) {
-            task.newDraw();
+            task.resetSampling();
             tasks.enqueue(task);
         }
     }
@@ -216,20 +218,20 @@
     // ---- decisions
 
     /** Makes one call on the decisions where one is due; false once there is none for now. */
-    public boolean decideNext(Decisions out) {
+    public boolean decideNext(Decisions decisions) {
         Attempt cancelled = tasks.pollCancel();
         if (cancelled != null) {
-            out.cancel(cancelled.task.id, cancelled.number);
+            decisions.cancel(cancelled.task.id, cancelled.number);
             return true;
         }
         tasks.enqueueDue(dueUntil);
         for (Task task = tasks.poll(); task != null; task = tasks.poll()) {
-            if (carryOut(policy.next(task), task, out)) {
+            if (carryOut(taskPolicy.next(task), task, decisions)) {
                 return true;
             }
         }
-        if (list.pollSubscription()) {
-            out.subscribe();
+        if (endpointListPolicy.pollSubscription()) {
+            decisions.subscribe();
             return true;
         }
         Moment next = tasks.nextTimer();
@@ -237,41 +239,41 @@
             return false;
         }
         wakeAt = next;
-        out.wakeAt(next);
+        decisions.wakeAt(next);
         return true;
     }
 
     /** False where there was nothing to do. */
-    private boolean carryOut(TaskAction action, Task task, Decisions out) {
+    private boolean carryOut(TaskAction action, Task task, Decisions decisions) {
         if (action instanceof TaskAction.Forward forward) {
-            send(task, forward.worker(), out);
+            send(task, forward.worker(), decisions);
         } else if (action instanceof TaskAction.Probe probe) {
             probe.worker().probedAt = context.now();
             tasks.enqueueFirst(task);
-            out.probe(probe.worker().id);
-        } else if (action instanceof TaskAction.GiveUp answer) {
-            if (answer.nobodyPermitted()) {
-                slowStart.earn(context.runs.costInMeanRuns(task)); // a fleet all cold would get nothing
+            decisions.probe(probe.worker().id);
+        } else if (action instanceof TaskAction.GiveUp giveUp) {
+            if (giveUp.noWorkerPermitted()) {
+                slowStart.earnCredit(context.runs.costInMeanRuns(task)); // a fleet all cold would get nothing
             }
-            giveUp(task, out);
+            giveUp(task, decisions);
         } else {
             return false;
         }
         return true;
     }
 
-    private void send(Task task, Worker worker, Decisions out) {
+    private void send(Task task, Worker worker, Decisions decisions) {
         Attempt attempt = new Attempt(task, worker, context.now(), estimates.wait(worker, task.slots),
                 estimates.run(worker, task));
-        attempt.promisedIdle = estimates.promisesIdle(worker, task);
+        attempt.sentOnIdleReport = estimates.hasFreshIdleReport(worker, task);
         double cost = context.runs.costInMeanRuns(task);
         if (task.openAttempts == 0) {
-            attempt.costInMeanRuns = cost;
-            slowStart.earn(cost);
+            attempt.creditedCostMeanRuns = cost;
+            slowStart.earnCredit(cost);
         }
         budget.onAttemptSent(attempt);
         context.runs.onSent(task, context.now());
-        attempt.begin();
+        attempt.markSent();
         worker.idleConnections.pollLast();
         slowStart.onAttemptSent(worker, cost);
         if (task.hedgeTargets.isEmpty()) {
@@ -280,18 +282,18 @@
         } else {
             tasks.enqueueFirst(task);
         }
-        out.forward(task.id, worker.id, Span.ZERO);
+        decisions.forward(task.id, worker.id, Span.ZERO);
     }
 
     /** The one place of final answers from here: rejected where that is lawful, else failed. */
-    private void giveUp(Task task, Decisions out) {
+    private void giveUp(Task task, Decisions decisions) {
         boolean mayReject = eligibility.mayReject(task);
         context.history.onTaskGivenUp(task);
         close(task);
         if (mayReject) {
-            out.reject(task.id, admission.retryAfter());
+            decisions.reject(task.id, admission.retryAfter());
         } else {
-            out.fail(task.id);
+            decisions.fail(task.id);
         }
     }
 
@@ -299,7 +301,7 @@
     private void close(Task task) {
         task.closed = true;
         task.hedgeTargets.clear();
-        draw.cancelRest(task);
+        redundantToIdle.cancelRest(task);
         if (task.openAttempts == 0) {
             tasks.remove(task);
         }
--- a/src/main/java/rampshift/policy/Eligibility.java
+++ b/src/main/java/rampshift/policy/Eligibility.java
@@ -10,9 +10,9 @@
 
     /** Every rule that an attempt must keep; asked again right before each is sent. */
     boolean permits(Task task, Worker worker) {
-        return !task.closed && worker.ready && hasAttemptsLeft(task) && !isOver(task)
+        return !task.closed && worker.ready && hasAttemptsLeft(task) && !isDeadlineReached(task)
                 && (task.openAttempts == 0 || context.settings.mayHedge) && slowStart.permits(worker)
-                && allowsRepeat(task, worker) && (task.attempts.isEmpty() || isWithinBudget(task));
+                && allowsAttempt(task, worker) && (task.attempts.isEmpty() || isWithinRetryBudget(task));
     }
 
     private boolean hasAttemptsLeft(Task task) {
@@ -20,7 +20,7 @@
     }
 
     /** Its deadline is so near that only the final answer is left. */
-    boolean isOver(Task task) {
+    boolean isDeadlineReached(Task task) {
         return !context.now().before(finalAnswerAt(task));
     }
 
@@ -33,15 +33,16 @@
      * own: no flood of one uses up what the next needs. Two types may have equal rows.
      */
     @SuppressWarnings("ReferenceEquality")
-    private boolean isWithinBudget(Task task) {
-        double left = budget.left(context.now());
-        boolean hadOne = budget.isUsedBy(task.type);
+    private boolean isWithinRetryBudget(Task task) {
+        double remaining = budget.remaining(context.now());
+        boolean usedByOwnType = budget.isUsedBy(task.type);
         for (TrafficType other : context.settings.types) {
-            boolean goesFirst =
-                    other != task.type && (hadOne || other.priorityWeight() > task.type.priorityWeight());
-            left -= goesFirst && !budget.isUsedBy(other) ? 1 : 0;
+            boolean hasPrecedence =
+                    other != task.type
+                            && (usedByOwnType || other.priorityWeight() > task.type.priorityWeight());
+            remaining -= hasPrecedence && !budget.isUsedBy(other) ? 1 : 0;
         }
-        return !budget.isStated() || left >= 1;
+        return !budget.isEnabled() || remaining >= 1;
     }
 
     /** Placement: where a traffic type may run at all. The draw goes by it, and each attempt asks again. */
@@ -51,7 +52,7 @@
     }
 
     /** What the traffic type allows at this worker, after the attempts so far. */
-    boolean allowsRepeat(Task task, Worker worker) {
+    boolean allowsAttempt(Task task, Worker worker) {
         if (!allowsPlacement(task.type, worker)) {
             return false;
         }
@@ -59,20 +60,21 @@
             if (attempt.neverRan) {
                 continue;
             }
-            boolean runsThere = !attempt.ended && attempt.worker == worker;
-            if (runsThere || !task.type.mayRepeat()) {
+            boolean inFlightThere = !attempt.ended && attempt.worker == worker;
+            if (inFlightThere || !task.type.mayRepeat()) {
                 return false;
             }
-            boolean isDropped =
-                    attempt.worker.sharesScope(worker, task.type.deduplicationScope()) && isInWindow(attempt);
-            if (!task.type.isIdempotent() && !isDropped) {
+            boolean isDeduplicated =
+                    attempt.worker.sharesDeduplicationScope(worker, task.type.deduplicationScope())
+                            && isInDeduplicationWindow(attempt);
+            if (!task.type.isIdempotent() && !isDeduplicated) {
                 return false;
             }
         }
         return true;
     }
 
-    private boolean isInWindow(Attempt attempt) {
+    private boolean isInDeduplicationWindow(Attempt attempt) {
         Span margin = context.settings.tick.times(MARGIN_TICKS);
         return context.now()
                 .before(attempt.sentAt.plus(attempt.task.type.deduplicationWindow()).minus(margin));
@@ -88,14 +90,15 @@
     }
 
     /** One of its attempts may have run, and it may go further only where a repeat is dropped. */
-    boolean staysInGroup(Task task) {
+    boolean mustStayInDeduplicationScope(Task task) {
         return task.type.mayRepeat() && !task.type.mayRepeatAnywhere() && task.mayHaveRun();
     }
 
     /** Whether any further attempt could be lawful, at whichever worker. */
     boolean mayRetry(Task task) {
         return mayHedge(task) && hasAttemptsLeft(task) && (task.type.isIdempotent()
-                || task.attempts.stream().allMatch(attempt -> attempt.neverRan || isInWindow(attempt)));
+                || task.attempts.stream()
+                        .allMatch(attempt -> attempt.neverRan || isInDeduplicationWindow(attempt)));
     }
 
     /** Whether a rejection, after which the client may come again, is lawful. */
--- a/src/main/java/rampshift/policy/EndpointListPolicy.java
+++ b/src/main/java/rampshift/policy/EndpointListPolicy.java
@@ -5,7 +5,7 @@
 
 /** Owns when the endpoint list is subscribed to, and when tasks wait for it as the known one is too old. */
 final class EndpointListPolicy {
-    private static final double RESUBSCRIBE_ASK_SPANS = 0.2; // give or take half
+    private static final double RESUBSCRIBE_DELAY_SHARE = 0.2; // give or take half
 
     private final PolicyContext context;
     private Moment subscribeAt;
@@ -23,16 +23,16 @@
      * by the old list until the next, or until it is known that none comes. Met when a whole fleet restarts;
      * covers any change of the list's source. Drawback: a silent source delays all tasks.
      */
-    void onListAwaited(boolean longSince) {
-        awaitedFrom = longSince ? context.now() : context.after(context.settings.drainGrace);
+    void onListAwaited(boolean mayBeOutdated) {
+        awaitedFrom = mayBeOutdated ? context.now() : context.after(context.settings.drainGrace);
     }
 
     void onListBegin(EndpointListKind kind) {
         awaitedFrom = null;
         if (kind == EndpointListKind.FAILED) {
             // Scattered, so that a restart of all dispatchers does not overload the list service.
-            double spans = RESUBSCRIBE_ASK_SPANS * (0.5 + context.random.next());
-            subscribeAfter(context.settings.maxSubscribeDelay.times(spans));
+            double share = RESUBSCRIBE_DELAY_SHARE * (0.5 + context.random.next());
+            subscribeAfter(context.settings.maxSubscribeDelay.times(share));
         }
     }
 
--- a/src/main/java/rampshift/policy/FleetLoad.java
+++ b/src/main/java/rampshift/policy/FleetLoad.java
@@ -4,12 +4,12 @@
 final class FleetLoad {
     private final SampleWindow ownZone = new SampleWindow(64);
     private final SampleWindow otherZones = new SampleWindow(64);
-    private final SampleWindow whereBoundTypesRun = new SampleWindow(64);
-    private final SampleWindow elsewhere = new SampleWindow(64);
+    private final SampleWindow constrainedTypeWorkers = new SampleWindow(64);
+    private final SampleWindow otherWorkers = new SampleWindow(64);
 
     void put(Worker worker, boolean isOwnZone, double loadPerSlot) {
         (isOwnZone ? ownZone : otherZones).put(loadPerSlot);
-        (worker.servesBoundTypes ? whereBoundTypesRun : elsewhere).put(loadPerSlot);
+        (worker.servesConstrainedTypes ? constrainedTypeWorkers : otherWorkers).put(loadPerSlot);
     }
 
     /** The mean load of the own zone, or of all others. */
@@ -18,8 +18,8 @@
     }
 
     /** How much fuller workers are where bound types run, over the rest; 1 is alike. */
-    double boundTypesRatio() {
-        double bound = whereBoundTypesRun.mean(0);
-        return (1 + bound) / (1 + elsewhere.mean(bound));
+    double constrainedLoadRatio() {
+        double isPlacementConstrained = constrainedTypeWorkers.mean(0);
+        return (1 + isPlacementConstrained) / (1 + otherWorkers.mean(isPlacementConstrained));
     }
 }
--- a/src/main/java/rampshift/policy/FleetSweep.java
+++ b/src/main/java/rampshift/policy/FleetSweep.java
@@ -17,19 +17,19 @@
             return;
         }
         int ready = 0;
-        int bad = 0;
-        double size = 0;
-        double coldSize = 0;
+        int unhealthy = 0;
+        double totalWeight = 0;
+        double coldWeight = 0;
         for (Worker worker : context.workers.all) {
             if (worker.ready) {
-                double warmth = slowStart.warmth(worker);
+                double warmUpFactor = slowStart.warmUpFactor(worker);
                 ready++;
-                bad += ejection.looksBad(worker) ? 1 : 0;
-                size += worker.listedSize();
-                coldSize += warmth < 1 ? worker.listedSize() * warmth : 0;
+                unhealthy += ejection.isEjectedOrSilent(worker) ? 1 : 0;
+                totalWeight += worker.kindWeight();
+                coldWeight += warmUpFactor < 1 ? worker.kindWeight() * warmUpFactor : 0;
             }
         }
-        ejection.onSweep(ready, bad);
-        slowStart.onSweep(coldSize == 0 ? 0 : coldSize / size);
+        ejection.onSweep(ready, unhealthy);
+        slowStart.onSweep(coldWeight == 0 ? 0 : coldWeight / totalWeight);
     }
 }
--- a/src/main/java/rampshift/policy/IdleConnections.java
+++ b/src/main/java/rampshift/policy/IdleConnections.java
@@ -7,7 +7,7 @@
 /** The workers to which a connection is idle, the longest first; kept up only where new ones have a price. */
 final class IdleConnections {
     private final Settings settings;
-    private final ArrayDeque<Worker> order = new ArrayDeque<>();
+    private final ArrayDeque<Worker> longestIdleFirst = new ArrayDeque<>();
 
     IdleConnections(Settings settings) {
         this.settings = settings;
@@ -17,16 +17,18 @@
     void onIdle(Worker worker, Moment now) {
         worker.idleConnections.add(now);
         if (settings.handshakeCost > 0) {
-            order.remove(worker);
-            order.add(worker);
+            longestIdleFirst.remove(worker);
+            longestIdleFirst.add(worker);
         }
     }
 
     /** The workers to which one can be used again. */
     Stream<Worker> workers(Moment now) {
-        while (!order.isEmpty() && !order.peek().keepsConnection(now, settings.connectionIdleTimeout)) {
-            order.poll();
+        while (!longestIdleFirst.isEmpty()
+                && !longestIdleFirst.peek().hasIdleConnection(now, settings.connectionIdleTimeout)) {
+            longestIdleFirst.poll();
         }
-        return order.stream().filter(worker -> worker.keepsConnection(now, settings.connectionIdleTimeout));
+        return longestIdleFirst.stream()
+                .filter(worker -> worker.hasIdleConnection(now, settings.connectionIdleTimeout));
     }
 }
--- a/src/main/java/rampshift/policy/RedundantToIdleQueue.java
+++ b/src/main/java/rampshift/policy/RedundantToIdleQueue.java
@@ -11,107 +11,108 @@
 record RedundantToIdleQueue(PolicyContext context, CandidateSampler sampler, WorkerEstimates estimates,
         Eligibility eligibility, ExpectedValue value, Admission admission, RetryPolicy retries) {
 
-    private static final int TESTED_AT_ONCE = 2;
-    private static final int MAX_DRAWS = 3; // in a large fleet a few busy candidates tell little
-    private static final double CONTACT_FRESH_MEAN_RUNS = 1; // that it counts as a health check's answer
-    private static final double PROBE_WAIT_MEAN_RUNS = 0.1;
-    private static final double VALUE_EXPONENT = 6; // of a candidate's share of the value, in its odds
+    private static final int IDLENESS_TESTS_AT_ONCE = 2;
+    private static final int MAX_SAMPLES = 3; // in a large fleet a few busy candidates tell little
+    private static final double FRESH_CONTACT_MEAN_RUNS = 1; // that it counts as a health check's answer
+    private static final double PROBE_TIMEOUT_MEAN_RUNS = 0.1;
+    private static final double VALUE_SHARE_EXPONENT = 6; // of a candidate's share of the value, in its odds
 
     /** The next step of a task that is nowhere in flight. */
     TaskAction place(Task task) {
-        if (admission.isOutbid(task)) {
+        if (admission.opportunityCostExceedsValue(task)) {
             return TaskAction.GIVE_UP;
         }
         while (true) {
-            testNext(task);
-            if (!task.toProbe.isEmpty()) {
-                return new TaskAction.Probe(task.toProbe.poll());
+            sampleAndTest(task);
+            if (!task.probeTargets.isEmpty()) {
+                return new TaskAction.Probe(task.probeTargets.poll());
             }
-            if (task.probesPending > 0 && context.now().before(task.probeUntil)) {
+            if (task.pendingProbes > 0 && context.now().before(task.probeDeadline)) {
                 return TaskAction.WAIT;
             }
-            Candidate best = bestTested(task);
-            if (task.hasUntested() && !isIdleAndGood(task, best)) {
-                task.testing = false;
+            Candidate best = bestTestedCandidate(task);
+            if (task.hasUntestedCandidates() && !isIdleAndGood(task, best)) {
+                task.testInProgress = false;
                 continue;
             }
-            Worker chosen = choose(task, best);
-            boolean isLastDraw = task.draws >= MAX_DRAWS;
-            if (chosen != null && !admission.rejects(task, chosen, best.score(), isLastDraw)) {
-                hedge(task, chosen);
+            Worker chosen = chooseWorker(task, best);
+            boolean isLastSample = task.sampleCount >= MAX_SAMPLES;
+            if (chosen != null && !admission.rejects(task, chosen, best.score(), isLastSample)) {
+                addHedgedCopies(task, chosen);
                 return new TaskAction.Forward(chosen);
             }
-            if (isLastDraw) {
-                return chosen == null ? TaskAction.NOBODY_PERMITTED : TaskAction.GIVE_UP;
+            if (isLastSample) {
+                return chosen == null ? TaskAction.NO_WORKER_PERMITTED : TaskAction.GIVE_UP;
             }
-            task.testing = false;
+            task.testInProgress = false;
         }
     }
 
     /** Samples candidates where all are tested, and tests the next of them for idleness. */
-    private void testNext(Task task) {
-        if (!task.testing) {
-            task.testing = true;
-            if (!task.hasUntested()) {
+    private void sampleAndTest(Task task) {
+        if (!task.testInProgress) {
+            task.testInProgress = true;
+            if (!task.hasUntestedCandidates()) {
                 sampler.sample(task);
             }
-            probeNext(task);
+            startIdlenessTests(task);
         }
     }
 
     /** Probes the next candidates whose last contact is no longer fresh, and sets the short wait. */
-    private void probeNext(Task task) {
-        int from = task.tested;
+    private void startIdlenessTests(Task task) {
+        int from = task.testedCount;
         // Live weights of the list tell as much, and cost nothing. So does an attempt, where the task may go
         // on to the next worker and no report would come with the answer.
         boolean probes = context.settings.mayProbe && !context.settings.liveWeights
                 && (context.settings.reportsLoad || !eligibility.mayHedge(task));
-        int all = task.candidates.size();
-        task.tested = probes ? Math.min(from + TESTED_AT_ONCE, all) : all;
+        int candidateCount = task.candidates.size();
+        task.testedCount = probes ? Math.min(from + IDLENESS_TESTS_AT_ONCE, candidateCount) : candidateCount;
         if (!probes) {
             return;
         }
-        Span fresh = context.runs.mean().times(CONTACT_FRESH_MEAN_RUNS);
-        Span wait = context.runs.mean().times(PROBE_WAIT_MEAN_RUNS);
-        for (Worker worker : task.candidates.subList(from, task.tested)) {
+        Span fresh = context.runs.mean().times(FRESH_CONTACT_MEAN_RUNS);
+        Span wait = context.runs.mean().times(PROBE_TIMEOUT_MEAN_RUNS);
+        for (Worker worker : task.candidates.subList(from, task.testedCount)) {
             boolean pending = worker.probedAt != null && wait.longerThan(context.since(worker.probedAt))
                     && !worker.awaitingProbe.isEmpty();
             boolean stale = worker.lastContact == null || context.since(worker.lastContact).longerThan(fresh);
-            if ((pending || stale) && task.randomDraw <= estimates.trust(worker)) {
+            if ((pending || stale) && task.randomDraw <= estimates.reportTrust(worker)) {
                 task.awaitProbe(worker, !pending);
             }
         }
-        if (task.probesPending > 0) {
-            task.probeUntil = context.after(wait);
-            context.tasks.decideAt(task.probeUntil, task);
+        if (task.pendingProbes > 0) {
+            task.probeDeadline = context.after(wait);
+            context.tasks.decideAt(task.probeDeadline, task);
         }
     }
 
     /** Idle candidates that are good come first, then those of the most value. */
-    private Candidate bestTested(Task task) {
-        task.endProbes();
-        estimates.readReportsFrom(task.randomDraw);
+    private Candidate bestTestedCandidate(Task task) {
+        task.endPendingProbes();
+        estimates.setTrustThreshold(task.randomDraw);
         Worker best = null;
-        double most = 0;
+        double bestScore = 0;
         for (Worker worker : task.testedCandidates()) {
             if (eligibility.permits(task, worker)) {
-                double worth = value.ofAttempt(task, worker);
-                worth += value.isGood(task, worth) && estimates.isIdle(worker, task) ? value.ofTask(task) : 0;
-                if (best == null || worth > most) {
+                double score = value.ofAttempt(task, worker);
+                score += value.isGood(task, score) && estimates.isIdle(worker, task) ? value.ofTask(task) : 0;
+                if (best == null || score > bestScore) {
                     best = worker;
-                    most = worth;
+                    bestScore = score;
                 }
             }
         }
-        return new Candidate(best, most);
+        return new Candidate(best, bestScore);
     }
 
     private boolean isIdleAndGood(Task task, Candidate best) {
-        return best.worker() != null && !(best.score() < (1 + ExpectedValue.GOOD_SHARE) * value.ofTask(task));
+        return best.worker() != null
+                && !(best.score() < (1 + ExpectedValue.GOOD_VALUE_SHARE) * value.ofTask(task));
     }
 
     /** Where no report tells the idle ones apart: one of them at random, in proportion to what it can do. */
-    private Worker choose(Task task, Candidate best) {
+    private Worker chooseWorker(Task task, Candidate best) {
         boolean anyIdle = best.score() > value.ofTask(task);
         if (context.settings.reportsLoad || !eligibility.mayHedge(task) || !anyIdle) {
             return best.worker();
@@ -119,19 +120,19 @@
         List<Worker> idle = new ArrayList<>();
         List<Double> weights = new ArrayList<>();
         for (Worker worker : task.testedCandidates()) {
-            double worth = eligibility.permits(task, worker) ? value.ofAttempt(task, worker) : 0;
-            double share = worth / value.ofTask(task);
-            if (share >= ExpectedValue.GOOD_SHARE && estimates.isIdle(worker, task)) {
+            double attemptValue = eligibility.permits(task, worker) ? value.ofAttempt(task, worker) : 0;
+            double share = attemptValue / value.ofTask(task);
+            if (share >= ExpectedValue.GOOD_VALUE_SHARE && estimates.isIdle(worker, task)) {
                 idle.add(worker);
-                weights.add(worker.listedSize() * Math.pow(share, VALUE_EXPONENT));
+                weights.add(worker.kindWeight() * Math.pow(share, VALUE_SHARE_EXPONENT));
             }
         }
         return idle.get(context.random.nextIndex(weights));
     }
 
-    private void hedge(Task task, Worker first) {
+    private void addHedgedCopies(Task task, Worker first) {
         for (Worker worker : task.testedCandidates()) {
-            if (worker != first && retries.hedgePays(task, worker)) {
+            if (worker != first && retries.shouldHedge(task, worker)) {
                 task.hedgeTargets.add(worker);
             }
         }
@@ -139,16 +140,16 @@
     }
 
     /** For a task in flight: the worker of a new draw at which a further attempt is worth most, or null. */
-    Worker sampleAgain(Task task) {
-        task.newDraw();
+    Worker sampleForRetry(Task task) {
+        task.resetSampling();
         sampler.sample(task);
         Worker best = null;
-        double most = 0;
+        double bestValue = 0;
         for (Worker worker : task.candidates) {
-            double worth = eligibility.permits(task, worker) ? value.ofAttempt(task, worker) : 0;
-            if (worth > most) {
+            double attemptValue = eligibility.permits(task, worker) ? value.ofAttempt(task, worker) : 0;
+            if (attemptValue > bestValue) {
                 best = worker;
-                most = worth;
+                bestValue = attemptValue;
             }
         }
         return best;
--- a/src/main/java/rampshift/policy/RetryPolicy.java
+++ b/src/main/java/rampshift/policy/RetryPolicy.java
@@ -4,14 +4,15 @@
 
 /** Owns when a task in flight is retried or hedged, and the tokens that pay for such attempts. */
 final class RetryPolicy {
-    private static final double TOKENS_PER_TASK = 0.2; // hedges and retries, per first attempt
+    private static final double TOKENS_PER_FIRST_ATTEMPT = 0.2; // hedges and retries, per first attempt
     private static final double MAX_TOKENS = 10;
     private static final double RETRY_RESERVE_TOKENS = 2; // that hedges leave to retries
-    private static final double CHEAP_WASTE_PRICE = 0.05; // at a higher price a hedge counts as several
-    private static final double QUEUE_PLACE_TOKENS = 0.1; // for a place in a queue that nobody reports
-    private static final double HEDGE_MAX_CROSSING_PRICE = 0.1;
-    private static final double LOST_PROGRESS_INTERVALS = 1.5;
-    private static final double REVIEW_MEAN_RUNS = 0.5; // between two reviews of a task that runs
+    // at a higher price a hedge counts as several
+    private static final double WASTED_WORK_COST_PER_TOKEN = 0.05;
+    private static final double UNSTARTED_RETRY_TOKENS = 0.1; // for a place in a queue that nobody reports
+    private static final double HEDGE_MAX_CROSS_ZONE_COST = 0.1;
+    private static final double LOSS_PROGRESS_INTERVALS = 1.5;
+    private static final double REVIEW_INTERVAL_MEAN_RUNS = 0.5; // between two reviews of a task that runs
 
     private final PolicyContext context;
     private final WorkerEstimates estimates;
@@ -32,21 +33,21 @@
         this.ejection = ejection;
         this.observer = observer;
         this.admission = admission;
-        hedgeTokens = Math.max(1, context.settings.wastedWorkCost / CHEAP_WASTE_PRICE);
+        hedgeTokens = Math.max(1, context.settings.wastedWorkCost / WASTED_WORK_COST_PER_TOKEN);
     }
 
     void onFirstAttempt() {
-        tokens = Math.min(MAX_TOKENS, tokens + TOKENS_PER_TASK);
+        tokens = Math.min(MAX_TOKENS, tokens + TOKENS_PER_FIRST_ATTEMPT);
     }
 
     /** Whether a hedge to the drawn worker is worth its price. */
-    boolean hedgePays(Task task, Worker worker) {
-        boolean costsMuch = context.settings.crossZoneCost > HEDGE_MAX_CROSSING_PRICE;
-        if (!eligibility.mayHedge(task) || (costsMuch && !context.isOwnZone(worker))) {
+    boolean shouldHedge(Task task, Worker worker) {
+        boolean crossingIsCostly = context.settings.crossZoneCost > HEDGE_MAX_CROSS_ZONE_COST;
+        if (!eligibility.mayHedge(task) || (crossingIsCostly && !context.isOwnZone(worker))) {
             return false;
         }
-        boolean probesEjected = worker.recoveryLimit > 0 && worker.attempts.isEmpty();
-        return probesEjected
+        boolean testsEjectedWorker = worker.recoveryLimit > 0 && worker.attempts.isEmpty();
+        return testsEjectedWorker
                 || (estimates.isIdle(worker, task) && value.isGood(task, value.ofAttempt(task, worker)));
     }
 
@@ -70,46 +71,49 @@
 
     /** Is a task in flight lost or late where it is, and would another worker still be in time? */
     Review review(Task task) {
-        boolean stuck = true;
-        boolean hopeless = true; // no answer is counted on any more
+        boolean allStuck = true;
+        boolean noAnswerExpected = true; // no answer is counted on any more
         Attempt last = null;
         for (Attempt attempt : task.attempts) {
             if (!attempt.ended && !attempt.cancelled) {
                 last = attempt;
-                noteLoss(attempt);
-                hopeless &= attempt.lost && (attempt.startedAt != null || ejection.isSilent(attempt.worker));
-                stuck &= isStuck(attempt);
+                detectLoss(attempt);
+                noAnswerExpected &=
+                        attempt.lost && (attempt.startedAt != null || ejection.isSilent(attempt.worker));
+                allStuck &= isStuck(attempt);
             }
         }
         if (last == null) {
             return Review.KEEP;
         }
-        Span toReview = last.startedAt == null ? estimates.startLimit(last)
-                : context.runs.mean().times(REVIEW_MEAN_RUNS);
-        context.tasks.reviewAt(context.after(toReview).plus(context.settings.tick), context.now(), task);
-        if (admission.isLateForNothing(task, last.worker) || (hopeless && !eligibility.mayRetry(task))) {
+        Span untilReview = last.startedAt == null ? estimates.startLimit(last)
+                : context.runs.mean().times(REVIEW_INTERVAL_MEAN_RUNS);
+        context.tasks.reviewAt(context.after(untilReview).plus(context.settings.tick), context.now(), task);
+        if (admission.holdsSlotsWithoutValue(task, last.worker)
+                || (noAnswerExpected && !eligibility.mayRetry(task))) {
             return Review.GIVE_UP; // held to its deadline, its client could not come back in time
         }
-        boolean retries = stuck && eligibility.mayRetry(task) && tokens >= retryTokens(last);
-        return retries ? Review.RETRY : Review.KEEP;
+        boolean shouldRetry = allStuck && eligibility.mayRetry(task) && tokens >= retryTokens(last);
+        return shouldRetry ? Review.RETRY : Review.KEEP;
     }
 
     /** No answer will come: such counted as slow runs and full workers, and half of all was rejected. */
-    private void noteLoss(Attempt attempt) {
-        Span every = context.settings.progressInterval;
-        if (every.micros() > 0 && !attempt.lost
-                && context.since(attempt.lastToldAt()).longerThan(every.times(LOST_PROGRESS_INTERVALS))) {
+    private void detectLoss(Attempt attempt) {
+        Span interval = context.settings.progressInterval;
+        if (interval.micros() > 0 && !attempt.lost
+                && context.since(attempt.lastHeardOfAt())
+                        .longerThan(interval.times(LOSS_PROGRESS_INTERVALS))) {
             attempt.lost = true;
             context.zoneOf(attempt.worker).reached.put(context.now(), 0);
             if (attempt.startedAt == null && !ejection.isSilent(attempt.worker)) {
-                attempt.worker.lostTypes.put(attempt.task.typeIndex, context.now());
+                attempt.worker.typesLostAt.put(attempt.task.typeIndex, context.now());
             }
         }
     }
 
     private boolean isStuck(Attempt attempt) {
         if (estimates.isStartOverdue(attempt)) {
-            observer.onPromise(attempt, false);
+            observer.onIdleReportChecked(attempt, false);
             return true;
         }
         boolean isSlow = attempt.startedAt != null
@@ -118,7 +122,8 @@
     }
 
     private double retryTokens(Attempt last) {
-        return last.startedAt != null ? hedgeTokens : context.settings.reportsStart ? QUEUE_PLACE_TOKENS : 1;
+        return last.startedAt != null ? hedgeTokens
+                : context.settings.reportsStart ? UNSTARTED_RETRY_TOKENS : 1;
     }
 
     /** An attempt more is sent of a task in flight. */
--- a/src/main/java/rampshift/policy/RunTimes.java
+++ b/src/main/java/rampshift/policy/RunTimes.java
@@ -9,20 +9,20 @@
 /** The running times of the last tasks, hinted at or measured, and what a task is expected to run by them. */
 final class RunTimes {
     /** Share of its time that a task of a type that never ran is taken to run: the rest is for waits. */
-    private static final double UNKNOWN_RUN_SHARE = 0.5;
+    private static final double DEFAULT_RUN_SHARE = 0.5;
 
-    private final SampleWindow all = new SampleWindow(64); // in milliseconds
+    private final SampleWindow recentRunsMs = new SampleWindow(64); // in milliseconds
     private final SampleWindow[] byType;
     /** By traffic type, what one is taken to run that never ran. */
-    private final Span[] guesses;
+    private final Span[] defaultRuns;
     /** By traffic type, when an attempt at a task of it was last sent; null where none was. */
     private final Moment[] lastSentAt;
     /** Null where not known since the last change: it is asked for many times a decision. */
     private Span mean;
 
     RunTimes(List<TrafficType> types) {
-        byType = SampleWindow.rows(types.size(), 32);
-        guesses = guesses(types);
+        byType = SampleWindow.createAll(types.size(), 32);
+        defaultRuns = defaultRuns(types);
         lastSentAt = new Moment[types.size()];
     }
 
@@ -39,7 +39,7 @@
     }
 
     /** Whether nothing of the task's type was sent for so long. */
-    boolean isUnsentFor(Task task, Span span, Moment now) {
+    boolean isUnsentWithin(Task task, Span span, Moment now) {
         Moment last = lastSentAt[task.typeIndex];
         return last == null || now.since(last).longerThan(span);
     }
@@ -53,25 +53,25 @@
     }
 
     private void put(Span run) {
-        all.put(run.millis());
+        recentRunsMs.put(run.millis());
         mean = null;
     }
 
     /** The mean of all; until one is known, the shortest guess for any type. */
     Span mean() {
         if (mean == null) {
-            mean = Span.ofMillis(all.mean(Collections.min(Arrays.asList(guesses)).millis()));
+            mean = Span.ofMillis(recentRunsMs.mean(Collections.min(Arrays.asList(defaultRuns)).millis()));
         }
         return mean;
     }
 
-    private static Span[] guesses(List<TrafficType> types) {
-        return types.stream().map(RunTimes::guess).toArray(Span[]::new);
+    private static Span[] defaultRuns(List<TrafficType> types) {
+        return types.stream().map(RunTimes::defaultRun).toArray(Span[]::new);
     }
 
     /** A running time that takes the stated share of the time up to its due time, at most the objective. */
-    private static Span guess(TrafficType type) {
-        double dueShareLeft = 1 / UNKNOWN_RUN_SHARE - type.latencySlackFactor();
+    private static Span defaultRun(TrafficType type) {
+        double dueShareLeft = 1 / DEFAULT_RUN_SHARE - type.latencySlackFactor();
         return type.latencyObjective().times(1 / Math.max(1, dueShareLeft));
     }
 
@@ -86,7 +86,7 @@
     /** What the task is expected to run on a middling worker; see {@link #isKnown}. */
     Span expected(Task task) {
         return task.runHint.micros() > 0 ? task.runHint
-                : Span.ofMillis(byType[task.typeIndex].mean(guesses[task.typeIndex].millis()));
+                : Span.ofMillis(byType[task.typeIndex].mean(defaultRuns[task.typeIndex].millis()));
     }
 
     /** The last running times of the task's type, in milliseconds. */
@@ -97,7 +97,7 @@
     /** The slots and time that the task is expected to take, in mean runs of one slot. */
     double costInMeanRuns(Task task) {
         // Of two guesses no ratio: the shortest for the mean, a fresh process rejected longer types.
-        double meanRuns = all.count() == 0 && !isKnown(task) ? 1 : expected(task).over(mean());
+        double meanRuns = recentRunsMs.count() == 0 && !isKnown(task) ? 1 : expected(task).over(mean());
         return meanRuns * task.slots;
     }
 
--- a/src/main/java/rampshift/policy/SampleWindow.java
+++ b/src/main/java/rampshift/policy/SampleWindow.java
@@ -13,12 +13,12 @@
     }
 
     /** So many windows. */
-    static SampleWindow[] rows(int count, int capacity) {
-        SampleWindow[] rows = new SampleWindow[count];
+    static SampleWindow[] createAll(int count, int capacity) {
+        SampleWindow[] windows = new SampleWindow[count];
         for (int i = 0; i < count; i++) {
-            rows[i] = new SampleWindow(capacity);
+            windows[i] = new SampleWindow(capacity);
         }
-        return rows;
+        return windows;
     }
 
     /** Adds a value; the oldest goes where the window is full. */
--- a/src/main/java/rampshift/policy/SeededRandom.java
+++ b/src/main/java/rampshift/policy/SeededRandom.java
@@ -5,7 +5,7 @@
 
 /** Random numbers from the instance's seed and a counter: the same input gives the same numbers. */
 final class SeededRandom {
-    private static final double VALUES = 4294967296.0; // of a CRC-32
+    private static final double CRC32_VALUES = 4294967296.0; // of a CRC-32
     private final long seed;
     private long counter;
 
@@ -21,7 +21,7 @@
             crc.update((int) (counter >>> shift));
         }
         counter++;
-        return crc.getValue() / VALUES;
+        return crc.getValue() / CRC32_VALUES;
     }
 
     /** An index into the weights, in proportion to them. */
--- a/src/main/java/rampshift/policy/Task.java
+++ b/src/main/java/rampshift/policy/Task.java
@@ -16,30 +16,30 @@
     final double slots;
     final double memory;
     /** When the client first asked, as far as the time it has left tells. */
-    Moment firstAskedAt;
+    Moment firstRequestedAt;
     Moment deadline;
     /** All of them, in the order of their numbers. */
     final ArrayList<Attempt> attempts = new ArrayList<>();
     int openAttempts;
     /** The workers drawn for it. */
     final ArrayList<Worker> candidates = new ArrayList<>();
-    final ArrayDeque<Worker> toProbe = new ArrayDeque<>();
+    final ArrayDeque<Worker> probeTargets = new ArrayDeque<>();
     final ArrayDeque<Worker> hedgeTargets = new ArrayDeque<>();
     /** It came too late to end in time, by the time it had left. */
     boolean arrivedLate;
     /** The part of its value, 0 to 1, that its tenant's traffic beyond the quota takes off. */
     double quotaDiscount;
-    int draws;
+    int sampleCount;
     /** How many of the candidates were tested for idleness, or are being tested. */
-    int tested;
+    int testedCount;
     /** 0 to 1; decides whether candidates never heard from count as idle, and which reports are read. */
     double randomDraw;
     /** When it is reviewed next, once it was sent; not after now where no review is to come. */
-    Moment nextReview;
+    Moment nextReviewAt;
     /** Some candidates are being tested. */
-    boolean testing;
-    int probesPending;
-    Moment probeUntil;
+    boolean testInProgress;
+    int pendingProbes;
+    Moment probeDeadline;
     /** The worker that it last failed at with an error. */
     Worker lastErrorWorker;
     /** It has its final answer, or none is owed any longer. */
@@ -55,43 +55,43 @@
         this.slots = Math.max(request.slots(), 1);
         this.memory = request.memory();
         this.deadline = now.plus(request.remainingTime());
-        this.firstAskedAt = deadline.minus(type.timeout()).orEarlier(now);
+        this.firstRequestedAt = deadline.minus(type.timeout()).orEarlier(now);
     }
 
     /** Forgets the candidates of the last draw. */
-    void newDraw() {
+    void resetSampling() {
         candidates.clear();
-        draws = 0;
-        tested = 0;
-        testing = false;
+        sampleCount = 0;
+        testedCount = 0;
+        testInProgress = false;
     }
 
-    boolean hasUntested() {
-        return tested < candidates.size();
+    boolean hasUntestedCandidates() {
+        return testedCount < candidates.size();
     }
 
     List<Worker> testedCandidates() {
-        return candidates.subList(0, tested);
+        return candidates.subList(0, testedCount);
     }
 
     /** The worker's answer to a probe is awaited, to one that is out or to one to be sent. */
     void awaitProbe(Worker worker, boolean send) {
         if (send) {
-            toProbe.add(worker);
+            probeTargets.add(worker);
         }
         worker.awaitingProbe.add(this);
-        probesPending++;
+        pendingProbes++;
     }
 
     /** A worker has answered, or its probe failed; true once none is awaited any more. */
-    boolean endProbe() {
-        return --probesPending == 0;
+    boolean onProbeDone() {
+        return --pendingProbes == 0;
     }
 
     /** Workers that were silent until now count as busy. */
-    void endProbes() {
+    void endPendingProbes() {
         candidates.forEach(worker -> worker.probeUnanswered |= worker.awaitingProbe.remove(this));
-        probesPending = 0;
+        pendingProbes = 0;
     }
 
     /** Whether any attempt may have run. */
--- a/src/main/java/rampshift/policy/TaskAction.java
+++ b/src/main/java/rampshift/policy/TaskAction.java
@@ -7,13 +7,13 @@
     /** It gets its final answer: rejected where that is lawful, else failed. All rejections come by this. */
     TaskAction GIVE_UP = new GiveUp(false);
     /** The same, where none of the workers drawn may be sent to. */
-    TaskAction NOBODY_PERMITTED = new GiveUp(true);
+    TaskAction NO_WORKER_PERMITTED = new GiveUp(true);
 
     /** See {@link #WAIT}. */
     record Wait() implements TaskAction {}
 
-    /** See {@link #GIVE_UP} and {@link #NOBODY_PERMITTED}. */
-    record GiveUp(boolean nobodyPermitted) implements TaskAction {}
+    /** See {@link #GIVE_UP} and {@link #NO_WORKER_PERMITTED}. */
+    record GiveUp(boolean noWorkerPermitted) implements TaskAction {}
 
     /** Check the worker's health; the task is decided again afterwards. */
     record Probe(Worker worker) implements TaskAction {}
--- a/src/main/java/rampshift/policy/TaskHistory.java
+++ b/src/main/java/rampshift/policy/TaskHistory.java
@@ -7,7 +7,7 @@
     /** What they would have earned in time. */
     final SampleWindow values = new SampleWindow(64);
     /** Their latency objectives, their own running time left out, in milliseconds. */
-    final SampleWindow dueMs = new SampleWindow(64);
+    final SampleWindow latencyObjectivesMs = new SampleWindow(64);
     /** From a task's first attempt to its start, in milliseconds; as old as the queue that it tells of. */
     final DecayingSamples startDelaysMs = new DecayingSamples(32);
     /** Of the attempts that reached a worker: 1 for each taken, 0 for each rejected as full. */
@@ -20,7 +20,7 @@
     /** A task came that may earn so much. */
     void onTaskArrived(Task task, double value) {
         values.put(value);
-        dueMs.put(task.type.latencyObjective().millis());
+        latencyObjectivesMs.put(task.type.latencyObjective().millis());
     }
 
     void onAttemptEnded(AttemptOutcome outcome, Moment now) {
--- a/src/main/java/rampshift/policy/TaskPolicy.java
+++ b/src/main/java/rampshift/policy/TaskPolicy.java
@@ -3,24 +3,25 @@
 import rampshift.time.Span;
 
 /** Owns the order in which the parts are asked what becomes of a task. */
-record TaskPolicy(PolicyContext context, Eligibility eligibility, EndpointListPolicy list,
-        ExpectedValue value, OutlierEjection ejection, RetryPolicy retries, RedundantToIdleQueue draw) {
+record TaskPolicy(PolicyContext context, Eligibility eligibility, EndpointListPolicy endpointListPolicy,
+        ExpectedValue value, OutlierEjection ejection, RetryPolicy retries,
+        RedundantToIdleQueue redundantToIdle) {
 
     TaskAction next(Task task) {
-        if (eligibility.isOver(task)) {
+        if (eligibility.isDeadlineReached(task)) {
             return TaskAction.GIVE_UP;
         }
-        if (list.isAwaited()) {
+        if (endpointListPolicy.isAwaited()) {
             return awaitList(task);
         }
-        if (task.openAttempts == 0 && ejection.failsAnywhere(task)) {
+        if (task.openAttempts == 0 && ejection.likelyFailsAnywhere(task)) {
             return TaskAction.GIVE_UP;
         }
         Worker hedge = retries.pollHedge(task);
         if (hedge != null) {
             return new TaskAction.Forward(hedge);
         }
-        return task.openAttempts == 0 ? draw.place(task) : review(task);
+        return task.openAttempts == 0 ? redundantToIdle.place(task) : review(task);
     }
 
     /** The task is parked until the list comes, and given up where it would be late by then. */
@@ -38,7 +39,7 @@
 
     private TaskAction review(Task task) {
         Review review = retries.review(task);
-        Worker worker = review == Review.RETRY ? draw.sampleAgain(task) : null;
+        Worker worker = review == Review.RETRY ? redundantToIdle.sampleForRetry(task) : null;
         if (worker == null) {
             return review == Review.GIVE_UP ? TaskAction.GIVE_UP : TaskAction.WAIT;
         }
--- a/src/main/java/rampshift/policy/TaskQueue.java
+++ b/src/main/java/rampshift/policy/TaskQueue.java
@@ -94,10 +94,10 @@
      * timer for each request had a task reviewed ever more often, the longer it was in flight.
      */
     void reviewAt(Moment at, Moment now, Task task) {
-        boolean isSooner = task.nextReview != null && now.before(task.nextReview)
-                && !at.before(task.nextReview);
+        boolean isSooner = task.nextReviewAt != null && now.before(task.nextReviewAt)
+                && !at.before(task.nextReviewAt);
         if (!isSooner) {
-            task.nextReview = at;
+            task.nextReviewAt = at;
             timers.set(at, task);
         }
     }
--- a/src/main/java/rampshift/policy/TenantQuotas.java
+++ b/src/main/java/rampshift/policy/TenantQuotas.java
@@ -4,13 +4,13 @@
 
 /** When the last tasks of each tenant arrivals, and what that tells of its share of the quotas. */
 final class TenantQuotas {
-    private static final int MIN_TASKS = 8; // of a tenant: fewer tell nothing yet
+    private static final int MIN_ARRIVALS = 8; // of a tenant: fewer tell nothing yet
     private final Settings settings;
     private final SampleWindow[] arrivals;
 
     TenantQuotas(Settings settings) {
         this.settings = settings;
-        arrivals = SampleWindow.rows(settings.tenantQuotas.size(), 32);
+        arrivals = SampleWindow.createAll(settings.tenantQuotas.size(), 32);
     }
 
     /** A task arrived; the result is the part of its value, 0 to 1, that its tenant's traffic takes off. */
@@ -19,22 +19,23 @@
             return 0;
         }
         arrivals[tenant].put(now.millis());
-        return arrivals[tenant].count() < MIN_TASKS ? 0 : excess(tenant, now);
+        return arrivals[tenant].count() < MIN_ARRIVALS ? 0 : overQuotaDiscount(tenant, now);
     }
 
     /** The part of its tasks that lies beyond its share, by its part of the tasks here. */
-    private double excess(int tenant, Moment now) {
+    private double overQuotaDiscount(int tenant, Moment now) {
         // Their parts of what comes here tell, not the rate: a few of many dispatchers carry most traffic.
-        double here = 0;
-        double quotas = 0;
+        double totalRate = 0;
+        double totalQuota = 0;
         for (int i = 0; i < arrivals.length; i++) {
-            quotas += settings.tenantQuotas.get(i);
-            here += rate(i, now);
+            totalQuota += settings.tenantQuotas.get(i);
+            totalRate += rate(i, now);
         }
         // No quota for anybody: there is no share to go beyond, and nothing to divide by.
-        double over =
-                quotas <= 0 ? 0 : 1 - settings.tenantQuotas.get(tenant) / quotas * here / rate(tenant, now);
-        return Math.max(0, over) * (1 - settings.overQuotaValueShare);
+        double excessShare =
+                totalQuota <= 0 ? 0
+                        : 1 - settings.tenantQuotas.get(tenant) / totalQuota * totalRate / rate(tenant, now);
+        return Math.max(0, excessShare) * (1 - settings.overQuotaValueShare);
     }
 
     private double rate(int tenant, Moment now) {
--- a/src/main/java/rampshift/policy/TimerQueue.java
+++ b/src/main/java/rampshift/policy/TimerQueue.java
@@ -8,26 +8,26 @@
 final class TimerQueue {
     private record Timer(Moment at, long order, Task task) {}
 
-    private final PriorityQueue<Timer> waiting =
+    private final PriorityQueue<Timer> timers =
             new PriorityQueue<>(Comparator.comparing(Timer::at).thenComparingLong(Timer::order));
     private long order;
 
     /** The task may be null: then it is only the host that is to wake up. */
     void set(Moment at, Task task) {
-        waiting.add(new Timer(at, order++, task));
+        timers.add(new Timer(at, order++, task));
     }
 
     /** Whether one is due; then {@link #poll} gives its task. */
     boolean due(Moment now) {
-        return !waiting.isEmpty() && !now.before(waiting.peek().at());
+        return !timers.isEmpty() && !now.before(timers.peek().at());
     }
 
     Task poll() {
-        return waiting.poll().task();
+        return timers.poll().task();
     }
 
     /** When the next one is due; null where none waits. */
     Moment next() {
-        return waiting.isEmpty() ? null : waiting.peek().at();
+        return timers.isEmpty() ? null : timers.peek().at();
     }
 }
--- a/src/main/java/rampshift/policy/TrafficType.java
+++ b/src/main/java/rampshift/policy/TrafficType.java
@@ -30,7 +30,7 @@
         Set<Integer> allowedKinds) {
 
     /** It may not go to every worker. */
-    boolean bound() {
+    boolean isPlacementConstrained() {
         return allowedZones != null || allowedKinds != null;
     }
 
--- a/src/main/java/rampshift/policy/Worker.java
+++ b/src/main/java/rampshift/policy/Worker.java
@@ -15,7 +15,7 @@
     int kind;
     KindStatistics kindStatistics;
     /** A traffic type that may not go everywhere may go here. */
-    boolean servesBoundTypes;
+    boolean servesConstrainedTypes;
     boolean ready;
     /** Listed as draining, and not as ready since. */
     boolean draining;
@@ -25,33 +25,33 @@
     /** Attempts still in flight, those cancelled included until their end is observed. */
     final ArrayList<Attempt> attempts = new ArrayList<>();
     /** Of the last finished attempts: what a middling worker would have run, and what they ran, in ms. */
-    final SampleWindow expectedRuns = new SampleWindow(20);
-    final SampleWindow actualRuns = new SampleWindow(20);
+    final SampleWindow expectedRunsMs = new SampleWindow(20);
+    final SampleWindow actualRunsMs = new SampleWindow(20);
     /** 1 for each of the last outcomes that was bad. */
-    final SampleWindow badOutcomes = new SampleWindow(8);
+    final SampleWindow failureScores = new SampleWindow(8);
     /** Slots that other dispatchers held, by the last reports. */
-    final DecayingSamples othersSlots = new DecayingSamples(8);
+    final DecayingSamples otherDispatchersSlots = new DecayingSamples(8);
     Moment loadReportedAt;
     /** 1 for each of the last attempts that its reports promised an idle slot, and that had one. */
-    final DecayingSamples promisesKept = new DecayingSamples(4);
+    final DecayingSamples idleReportAccuracy = new DecayingSamples(4);
     /** Slots in all, by the last reports. */
     final SampleWindow capacities = new SampleWindow(12);
     /** From send to start of the last attempts, in milliseconds. */
-    final DecayingSamples startDelays = new DecayingSamples(8);
+    final DecayingSamples startDelaysMs = new DecayingSamples(8);
     double freeMemory = Double.NaN;
     /** Reports tell both free and taken slots. */
     boolean capacityReported;
-    boolean reported;
+    boolean hasReported;
     /** When it last rejected an attempt as full. */
-    Moment rejectedAt;
+    Moment rejectedAsFullAt;
     boolean probeUnanswered;
     Moment lastContact;
     Moment probedAt;
     /** 0: not ejected; else how many attempts at once it is trusted with, from a moment on. */
     int recoveryLimit;
-    Moment recoversFrom;
+    Moment recoveryStartsAt;
     /** By traffic type, when it last left a task unstarted for good, if it has finished none since. */
-    final Map<Integer, Moment> lostTypes = new HashMap<>();
+    final Map<Integer, Moment> typesLostAt = new HashMap<>();
     /** Since when each of the connections to it that are idle has been so, the latest last. */
     final ArrayDeque<Moment> idleConnections = new ArrayDeque<>();
     /** Tasks that wait for its answer to a probe. */
@@ -62,21 +62,21 @@
     }
 
     /** It restarted: what was learnt of its former process no longer holds. */
-    void forget() {
-        expectedRuns.clear();
-        actualRuns.clear();
-        badOutcomes.clear();
-        othersSlots.clear();
-        startDelays.clear();
-        lostTypes.clear();
+    void resetStatistics() {
+        expectedRunsMs.clear();
+        actualRunsMs.clear();
+        failureScores.clear();
+        otherDispatchersSlots.clear();
+        startDelaysMs.clear();
+        typesLostAt.clear();
         recoveryLimit = 0;
-        reported = false;
+        hasReported = false;
         lastContact = null;
     }
 
     /** A load report came, in slots and units of memory; what it does not tell is NaN. */
-    void reported(double free, double running, double memory) {
-        reported = true;
+    void onLoadReport(double free, double running, double memory) {
+        hasReported = true;
         freeMemory = memory;
         capacityReported |= !Double.isNaN(free) && !Double.isNaN(running);
         if (capacityReported ? free > 0.5 : !Double.isNaN(free)) {
@@ -87,18 +87,18 @@
     }
 
     /** A task ran there; {@code warm}: the worker was, so that the run tells of its kind, too. */
-    void sawRun(double expectedMs, double ranMs, boolean warm) {
-        expectedRuns.put(expectedMs);
-        actualRuns.put(ranMs);
+    void recordRun(double expectedMs, double ranMs, boolean warm) {
+        expectedRunsMs.put(expectedMs);
+        actualRunsMs.put(ranMs);
         if (warm) {
-            kindStatistics.expectedRuns.put(expectedMs);
-            kindStatistics.actualRuns.put(ranMs);
+            kindStatistics.expectedRunsMs.put(expectedMs);
+            kindStatistics.actualRunsMs.put(ranMs);
         }
     }
 
-    void sawOthers(Moment now, double slots) {
+    void recordOtherDispatchersSlots(Moment now, double slots) {
         loadReportedAt = now;
-        othersSlots.put(now, slots);
+        otherDispatchersSlots.put(now, slots);
     }
 
     /** It was heard from. */
@@ -108,19 +108,19 @@
     }
 
     /** Whether a connection to it is idle that was in use within that span. */
-    boolean keepsConnection(Moment now, Span idle) {
-        while (!idleConnections.isEmpty() && !idle.longerThan(now.since(idleConnections.peek()))) {
+    boolean hasIdleConnection(Moment now, Span idleTimeout) {
+        while (!idleConnections.isEmpty() && !idleTimeout.longerThan(now.since(idleConnections.peek()))) {
             idleConnections.poll();
         }
         return !idleConnections.isEmpty();
     }
 
-    boolean wasHeard() {
-        return reported || lastContact != null;
+    boolean wasHeardFrom() {
+        return hasReported || lastContact != null;
     }
 
     /** Both drop a repeat of what the other has seen. */
-    boolean sharesScope(Worker other, TrafficType.DeduplicationScope scope) {
+    boolean sharesDeduplicationScope(Worker other, TrafficType.DeduplicationScope scope) {
         return switch (scope) {
             case ALL -> true;
             case ZONE -> zone == other.zone;
@@ -129,15 +129,15 @@
     }
 
     /** The weight in the list of the largest of its kind; 1 where none is listed. */
-    double listedSize() {
-        return kindStatistics.listedSize > 0 ? kindStatistics.listedSize : 1;
+    double kindWeight() {
+        return kindStatistics.maxListedWeight > 0 ? kindStatistics.maxListedWeight : 1;
     }
 
     /** Slots that this dispatcher's own attempts take or wait for. */
     double ownSlots() {
         double sum = 0;
         for (Attempt attempt : attempts) {
-            sum += attempt.loadsWorker() ? attempt.task.slots : 0;
+            sum += attempt.countsAsLoad() ? attempt.task.slots : 0;
         }
         return sum;
     }
@@ -146,7 +146,7 @@
     double startedSlots() {
         double sum = 0;
         for (Attempt attempt : attempts) {
-            sum += attempt.startedAt != null && attempt.loadsWorker() ? attempt.task.slots : 0;
+            sum += attempt.startedAt != null && attempt.countsAsLoad() ? attempt.task.slots : 0;
         }
         return sum;
     }
--- a/src/main/java/rampshift/policy/WorkerObserver.java
+++ b/src/main/java/rampshift/policy/WorkerObserver.java
@@ -16,7 +16,7 @@
     }
 
     void onAttemptStarted(Attempt attempt) {
-        onPromise(attempt, true);
+        onIdleReportChecked(attempt, true);
         context.zoneOf(attempt.worker).reached.put(context.now(), 1);
         if (!context.settings.reportsLoad) {
             // The start tells of the queue there, and of what runs beside it.
@@ -26,12 +26,12 @@
     }
 
     /** {@code share}: of its work that is done, 0 to 1. */
-    void onAttemptProgress(Attempt attempt, double share) {
+    void onAttemptProgress(Attempt attempt, double completedShare) {
         if (attempt.startedAt == null) { // its start was not told: the first message comes so long after it
             Moment from = context.now().minus(context.settings.progressInterval);
             attempt.startedAt = from.before(attempt.sentAt) ? attempt.sentAt : from;
         }
-        attempt.progress = share;
+        attempt.progress = completedShare;
         attempt.progressAt = context.now();
     }
 
@@ -39,31 +39,32 @@
         if (outcome == AttemptOutcome.FINISHED) {
             onRun(attempt);
         } else if (outcome == AttemptOutcome.FULL) {
-            attempt.worker.rejectedAt = context.now();
-            onPromise(attempt, false);
+            attempt.worker.rejectedAsFullAt = context.now();
+            onIdleReportChecked(attempt, false);
             onStartDelay(attempt, estimates.rejectedWait());
         }
     }
 
     private void onRun(Attempt attempt) {
         Worker worker = attempt.worker;
-        Moment startedAt = attempt.startedAt(context.settings.reportsStart);
+        Moment startedAt = attempt.observedOrPredictedStart(context.settings.reportsStart);
         Span ran = context.since(startedAt != null ? startedAt : attempt.sentAt);
         if (startedAt != null) {
             // First, so that a type's first task does not make its worker look many times as fast or slow.
             context.runs.onRun(attempt.task, ran);
         }
-        double ranMs = notBelowHalfATick(ran);
+        double ranMs = atLeastHalfATickMs(ran);
         if (context.runs.isKnown(attempt.task)) { // a guess over a run says nothing of the worker
-            double expectedMs = notBelowHalfATick(context.runs.expected(attempt.task));
-            worker.sawRun(expectedMs, ranMs, slowStart.warmth(worker) >= 1);
+            double expectedMs = atLeastHalfATickMs(context.runs.expected(attempt.task));
+            worker.recordRun(expectedMs, ranMs, slowStart.warmUpFactor(worker) >= 1);
         }
-        worker.lostTypes.remove(attempt.task.typeIndex);
-        onPromise(attempt, true); // it was not late meanwhile; where starts are not told nothing else tells
+        worker.typesLostAt.remove(attempt.task.typeIndex);
+        // it was not late meanwhile; where starts are not told nothing else tells
+        onIdleReportChecked(attempt, true);
     }
 
     /** In milliseconds, for both of a ratio: the clock tells no less, and very short runs would look slow. */
-    private double notBelowHalfATick(Span span) {
+    private double atLeastHalfATickMs(Span span) {
         return Math.max(span.millis(), context.settings.tick.millis() / 2);
     }
 
@@ -76,23 +77,23 @@
 
     private void onStartDelay(Attempt attempt, Span delay) {
         if (!context.settings.reportsLoad) {
-            attempt.worker.startDelays.put(context.now(), delay.millis());
-            attempt.worker.kindStatistics.startDelays.put(context.now(), delay.millis());
+            attempt.worker.startDelaysMs.put(context.now(), delay.millis());
+            attempt.worker.kindStatistics.startDelaysMs.put(context.now(), delay.millis());
         }
     }
 
     /** An idle slot was promised by reports, and was there or not: they are late, or many rush to it. */
-    void onPromise(Attempt attempt, boolean kept) {
-        if (attempt.promisedIdle) {
-            attempt.promisedIdle = false;
-            attempt.worker.promisesKept.put(context.now(), kept ? 1 : 0);
-            context.zoneOf(attempt.worker).promisesKept.put(context.now(), kept ? 1 : 0);
+    void onIdleReportChecked(Attempt attempt, boolean accurate) {
+        if (attempt.sentOnIdleReport) {
+            attempt.sentOnIdleReport = false;
+            attempt.worker.idleReportAccuracy.put(context.now(), accurate ? 1 : 0);
+            context.zoneOf(attempt.worker).idleReportAccuracy.put(context.now(), accurate ? 1 : 0);
         }
     }
 
     /** In slots and units of memory; what the worker does not tell is NaN. */
     void onLoadReport(Worker worker, double free, double queued, double running, double freeMemory) {
-        worker.reported(free, running, freeMemory);
+        worker.onLoadReport(free, running, freeMemory);
         double queue = Double.isNaN(queued) ? 0 : queued;
         if (!Double.isNaN(running)) {
             onLoad(worker, running);
@@ -104,14 +105,14 @@
     /** Live weights are the size over 1 + the load per core: a report of every worker, the same for all. */
     void onListedWeight(Worker worker, double weight) {
         if (context.settings.liveWeights && weight > 0 && worker.kindStatistics.capacities.count() > 0) {
-            onLoad(worker, (worker.kindStatistics.listedSize / weight - 1) * estimates.capacity(worker));
+            onLoad(worker, (worker.kindStatistics.maxListedWeight / weight - 1) * estimates.capacity(worker));
         }
     }
 
     private void onLoad(Worker worker, double slots) {
-        if (estimates.expectsReport(worker)) {
+        if (estimates.isReportDue(worker)) {
             double others = Math.max(0, slots - worker.ownSlots());
-            worker.sawOthers(context.now(), others);
+            worker.recordOtherDispatchersSlots(context.now(), others);
             context.load.put(worker, context.isOwnZone(worker), others / estimates.capacity(worker));
         }
     }
--- a/src/main/java/rampshift/policy/WorkerTable.java
+++ b/src/main/java/rampshift/policy/WorkerTable.java
@@ -12,7 +12,7 @@
     /** All of them, in the order of their ids. */
     final List<Worker> all = new ArrayList<>();
     /** The ready ones. */
-    private final List<List<Worker>> ready = sides();
+    private final List<List<Worker>> ready = localAndRemote();
     /** By traffic type those that it may go to; types that may go to all of them share these. */
     private final List<List<List<Worker>>> byType = new ArrayList<>();
     private final List<TrafficType> types;
@@ -26,15 +26,15 @@
         this.ownZone = ownZone;
         this.allowsPlacement = allowsPlacement;
         this.types = types;
-        types.forEach(type -> byType.add(type.bound() ? sides() : ready));
+        types.forEach(type -> byType.add(type.isPlacementConstrained() ? localAndRemote() : ready));
     }
 
-    private static List<List<Worker>> sides() {
+    private static List<List<Worker>> localAndRemote() {
         return List.of(new ArrayList<>(), new ArrayList<>());
     }
 
     /** The ready ones that the type may go to: those of the own zone, and those elsewhere. In any order. */
-    List<List<Worker>> sides(int typeIndex) {
+    List<List<Worker>> localAndRemote(int typeIndex) {
         return byType.get(typeIndex);
     }
 
@@ -44,7 +44,7 @@
     }
 
     ZoneStatistics zone(int number) {
-        return zones.computeIfAbsent(number, n -> new ZoneStatistics());
+        return zones.computeIfAbsent(number, key -> new ZoneStatistics());
     }
 
     int readyCount() {
@@ -52,7 +52,7 @@
     }
 
     /** A whole list follows: what it does not name is removed. */
-    void beginWhole() {
+    void beginFullList() {
         for (Worker worker : all) {
             worker.ready = false;
             worker.removed = !worker.draining;
@@ -65,35 +65,37 @@
         if (worker == null) {
             worker = add(entry.id());
         } else if (entry.startedAt().micros() > 0 && !entry.startedAt().equals(worker.startedAt)) {
-            worker.forget();
+            worker.resetStatistics();
         }
         worker.zone = entry.zone();
         worker.cell = entry.cell();
         worker.kind = entry.kind();
         worker.kindStatistics = kinds.computeIfAbsent(entry.kind(), kind -> new KindStatistics());
-        worker.kindStatistics.listedSize = Math.max(worker.kindStatistics.listedSize, entry.weight());
+        worker.kindStatistics.maxListedWeight =
+                Math.max(worker.kindStatistics.maxListedWeight, entry.weight());
         worker.ready = entry.state() == EndpointState.READY;
         boolean isRemoved = entry.state() == EndpointState.REMOVED;
         worker.draining = entry.state() == EndpointState.DRAINING || (isRemoved && worker.draining);
         worker.removed = isRemoved && !worker.draining;
         worker.startedAt = entry.startedAt();
-        worker.servesBoundTypes = servesBoundTypes(worker);
+        worker.servesConstrainedTypes = servesConstrainedTypes(worker);
         return worker;
     }
 
     private Worker add(long id) {
         Worker worker = new Worker(id);
         byId.put(id, worker);
-        int place = 0;
-        while (place < all.size() && all.get(place).id < id) {
-            place++;
+        int index = 0;
+        while (index < all.size() && all.get(index).id < id) {
+            index++;
         }
-        all.add(place, worker);
+        all.add(index, worker);
         return worker;
     }
 
-    private boolean servesBoundTypes(Worker worker) {
-        return types.stream().anyMatch(type -> type.bound() && allowsPlacement.test(type, worker));
+    private boolean servesConstrainedTypes(Worker worker) {
+        return types.stream()
+                .anyMatch(type -> type.isPlacementConstrained() && allowsPlacement.test(type, worker));
     }
 
     /** It is up or not, whatever the last list said. */
@@ -107,17 +109,17 @@
         fill(ready, worker -> true);
         for (int i = 0; i < types.size(); i++) {
             TrafficType type = types.get(i);
-            if (type.bound()) {
+            if (type.isPlacementConstrained()) {
                 fill(byType.get(i), worker -> allowsPlacement.test(type, worker));
             }
         }
     }
 
-    private void fill(List<List<Worker>> sides, Predicate<Worker> taken) {
-        sides.forEach(List::clear);
+    private void fill(List<List<Worker>> localAndRemote, Predicate<Worker> filter) {
+        localAndRemote.forEach(List::clear);
         for (Worker worker : all) {
-            if (worker.ready && taken.test(worker)) {
-                sides.get(worker.zone == ownZone ? 0 : 1).add(worker);
+            if (worker.ready && filter.test(worker)) {
+                localAndRemote.get(worker.zone == ownZone ? 0 : 1).add(worker);
             }
         }
     }
--- a/src/test/java/rampshift/policy/AdmissionTest.java
+++ b/src/test/java/rampshift/policy/AdmissionTest.java
@@ -16,7 +16,7 @@
 /** Which tasks are rejected. */
 class AdmissionTest {
     @Test
-    void withoutWorkersATaskIsRejectedAtOnceWithATimeToRetry() {
+    void withoutWorkersATaskIsRejectedAtOnceWithARetryAfterHint() {
         FakeHost host = new FakeHost().fleet(0);
         long id = host.task(NON_IDEMPOTENT);
         assertEquals(1, host.count("reject " + id + " later"));
@@ -24,8 +24,8 @@
 
     @Test
     void aTaskThatWouldBeLateInTheQueueIsRejected() {
-        FakeHost host = new FakeHost().fleet(1).train(NON_IDEMPOTENT, 30, 100);
-        host.free(1, 1);
+        FakeHost host = new FakeHost().fleet(1).runTasks(NON_IDEMPOTENT, 30, 100);
+        host.reportFreeSlots(1, 1);
         for (int i = 0; i < 30; i++) {
             host.task(IDEMPOTENT);
         }
@@ -35,12 +35,12 @@
 
     @ParameterizedTest
     @CsvSource({"0,0", "0.2,1"})
-    void whereTheTailCountsWhatIsLikelyLateIsRejected(double tail, int bounces) {
+    void whereLateTasksWeighInTheGoalATaskThatIsLikelyLateIsRejected(double lateShareWeight, int rejections) {
         FakeHost host = new FakeHost();
-        host.settings.lateShareWeight = tail;
-        host.fleet(1).train(NON_IDEMPOTENT, 40, 100);
+        host.settings.lateShareWeight = lateShareWeight;
+        host.fleet(1).runTasks(NON_IDEMPOTENT, 40, 100);
         host.task(NON_IDEMPOTENT, 0, 5000 - 312);     // 88 ms are left for a run of 100
-        assertEquals(bounces, host.count("reject"), "about a third in time");
+        assertEquals(rejections, host.count("reject"), "about a third in time");
     }
 
     /**
@@ -49,21 +49,21 @@
      */
     @ParameterizedTest
     @CsvSource({"0,0", "10,0", "10,1"})
-    void aTaskWorthLessThanItsCapacityIsRejectedWhereCapacityIsShort(int full, int dear) {
+    void aTaskBelowItsOpportunityCostIsRejectedWhereCapacityIsShort(int fullRejections, int highValue) {
         FakeHost host = new FakeHost();
         host.settings.types.add(new TrafficType(8, 0, Span.ofMillis(100), 3, Span.ofMillis(5000),
                 TrafficType.Effect.NON_IDEMPOTENT, TrafficType.DeduplicationScope.ALL, Span.ofMillis(1000),
                 null, null));
-        host.fleet(6).train(4, 30, 50).train(NON_IDEMPOTENT, 30, 50);
-        for (int i = 0; i < full; i++) {
+        host.fleet(6).runTasks(4, 30, 50).runTasks(NON_IDEMPOTENT, 30, 50);
+        for (int i = 0; i < fullRejections; i++) {
             long id = host.task(4);
             for (int n = 0; host.worker(id, n) > 0; n++) {
                 host.finished(id, n, AttemptOutcome.FULL);
             }
         }
         host.decisions.clear();
-        long id = host.task(dear == 1 ? 4 : NON_IDEMPOTENT);
-        assertEquals(full > 0 && dear == 0 ? 1 : 0, host.count("reject " + id + " "));
+        long id = host.task(highValue == 1 ? 4 : NON_IDEMPOTENT);
+        assertEquals(fullRejections > 0 && highValue == 0 ? 1 : 0, host.count("reject " + id + " "));
         host.after(3000);
         long later = host.task(NON_IDEMPOTENT);
         assertTrue(host.worker(later, 0) > 0, "it fades");
@@ -77,40 +77,40 @@
     @Test
     void aTypeWhoseOnlyRunWasTooSlowIsTriedAgain() {
         FakeHost host = new FakeHost();
-        int type = host.bound(TrafficType.Effect.NON_IDEMPOTENT, TrafficType.DeduplicationScope.ALL, 0);
-        host.fleet(4).train(type, 1, 150);
-        int taken = 0;
+        int type = host.addType(TrafficType.Effect.NON_IDEMPOTENT, TrafficType.DeduplicationScope.ALL, 0);
+        host.fleet(4).runTasks(type, 1, 150);
+        int sent = 0;
         for (int i = 0; i < 600; i++) {
             long id = host.after(100).task(type);
             if (host.worker(id, 0) > 0) {
                 host.started(id, 0).after(5).finished(id, 0, AttemptOutcome.FINISHED);
-                taken++;
+                sent++;
             }
         }
-        assertTrue(taken >= 550, "taken: " + taken + " of 600");
+        assertTrue(sent >= 550, "taken: " + sent + " of 600");
     }
 
     /** A fleet that is too slow for the type for a long time costs a trial now and then, and no more. */
     @Test
-    void aTypeThatIsAlwaysLateIsTriedSeldom() {
+    void aTypeThatIsAlwaysLateIsTriedRarely() {
         FakeHost host = new FakeHost();
-        int type = host.bound(TrafficType.Effect.NON_IDEMPOTENT, TrafficType.DeduplicationScope.ALL, 0);
-        host.fleet(4).train(type, 10, 150);
-        int taken = 0;
+        int type = host.addType(TrafficType.Effect.NON_IDEMPOTENT, TrafficType.DeduplicationScope.ALL, 0);
+        host.fleet(4).runTasks(type, 10, 150);
+        int sent = 0;
         for (int i = 0; i < 600; i++) {
             long id = host.after(100).task(type);
             if (host.worker(id, 0) > 0) {
                 host.started(id, 0).after(150).finished(id, 0, AttemptOutcome.FINISHED);
-                taken++;
+                sent++;
             }
         }
-        assertTrue(taken <= 60, "taken: " + taken + " of 600");
+        assertTrue(sent <= 60, "taken: " + sent + " of 600");
     }
 
     /** The first type of the settings stood for all until something ran: its objective, here of a minute. */
     @ParameterizedTest
     @ValueSource(booleans = {false, true})
-    void theOrderOfTypesDoesNotTellWhenARejectedClientMayRetry(boolean longFirst) {
+    void theOrderOfTypesDoesNotAffectTheRetryAfterHint(boolean longFirst) {
         FakeHost host = new FakeHost();
         TrafficType shortType = host.settings.types.get(NON_IDEMPOTENT);
         TrafficType longType = new TrafficType(1, 0, Span.ofMillis(60_000), 0, Span.ofMillis(120_000),
@@ -124,18 +124,18 @@
 
     /** Met on a day on which most clients waited a third as long as usual: all their tasks were rejected. */
     @Test
-    void tasksOfImpatientClientsAreTakenAndRetriesThatComeTooLateAreNot() {
-        FakeHost host = new FakeHost().fleet(6).train(NON_IDEMPOTENT, 40, 50);
-        int turnedAway = 0;
+    void tasksOfClientsWithShortTimeoutsAreAcceptedAndLateRetriesAreNot() {
+        FakeHost host = new FakeHost().fleet(6).runTasks(NON_IDEMPOTENT, 40, 50);
+        int rejections = 0;
         for (int i = 0; i < 20; i++) {
             long id = host.task(NON_IDEMPOTENT, 0, 1500);
-            turnedAway += host.count("reject " + id + " ");
+            rejections += host.count("reject " + id + " ");
             host.started(id, 0).after(50).finished(id, 0, AttemptOutcome.FINISHED);
         }
-        assertTrue(turnedAway <= 1, "rejectd: " + turnedAway);
+        assertTrue(rejections <= 1, "rejectd: " + rejections);
         assertEquals(1, host.count("reject " + host.task(NON_IDEMPOTENT, 0, 20) + " "),
                 "nobody can be that fast");
-        FakeHost busy = new FakeHost().fleet(1).train(NON_IDEMPOTENT, 40, 50).free(1, 0);
+        FakeHost busy = new FakeHost().fleet(1).runTasks(NON_IDEMPOTENT, 40, 50).reportFreeSlots(1, 0);
         for (int i = 0; i < 40; i++) {
             busy.task(NON_IDEMPOTENT);
         }
@@ -148,25 +148,25 @@
      * unlike.
      */
     @Test
-    void ofTwoTasksOfATypeTheOneThatHintsAtMoreThanTheTimeItHasIsRejected() {
-        FakeHost host = new FakeHost().fleet(2).train(IDEMPOTENT, 20, 50);
-        long light = host.hinted(IDEMPOTENT, 20, 5000);
-        host.started(light, 0).after(20).finished(light, 0, AttemptOutcome.FINISHED);
-        long heavy = host.hinted(IDEMPOTENT, 15_000, 5000);
-        assertTrue(host.count("forward " + light + " ") > 0);
-        assertEquals(0, host.count("forward " + heavy + " "));
-        assertEquals(1, host.count("reject " + heavy + " "));
+    void aTaskWhoseHintExceedsItsRemainingTimeIsRejected() {
+        FakeHost host = new FakeHost().fleet(2).runTasks(IDEMPOTENT, 20, 50);
+        long shortTask = host.hintedTask(IDEMPOTENT, 20, 5000);
+        host.started(shortTask, 0).after(20).finished(shortTask, 0, AttemptOutcome.FINISHED);
+        long longTask = host.hintedTask(IDEMPOTENT, 15_000, 5000);
+        assertTrue(host.count("forward " + shortTask + " ") > 0);
+        assertEquals(0, host.count("forward " + longTask + " "));
+        assertEquals(1, host.count("reject " + longTask + " "));
     }
 
     /** A fleet short of room did a quarter of its work for answers that came late. */
     @ParameterizedTest
     @CsvSource({"0,true,1", "0,false,0", "2,true,0"})
-    void aTaskLateForNothingIsCancelledWhereOthersWaitForItsSlots(int type, boolean full, int rejected) {
-        FakeHost host = new FakeHost().fleet(1).train(NON_IDEMPOTENT, 20, 50).free(1, 1);
-        long id = host.hinted(type, 50, 5000);
+    void aLateTaskWithoutValueIsCancelledWhereOthersWaitForItsSlots(int type, boolean isFull, int rejected) {
+        FakeHost host = new FakeHost().fleet(1).runTasks(NON_IDEMPOTENT, 20, 50).reportFreeSlots(1, 1);
+        long id = host.hintedTask(type, 50, 5000);
         host.started(id, 0);
         for (int i = 0; i < 20; i++) {
-            host.policy().onLoadReport(1, full ? 0 : 3, full ? 3 : 0, 1, Double.NaN);
+            host.policy().onLoadReport(1, isFull ? 0 : 3, isFull ? 3 : 0, 1, Double.NaN);
             host.after(30);
         }
         assertEquals(rejected, host.count("reject " + id + " later"));
--- a/src/test/java/rampshift/policy/CandidateSamplerTest.java
+++ b/src/test/java/rampshift/policy/CandidateSamplerTest.java
@@ -10,25 +10,25 @@
 
 /** Which workers are drawn. */
 class CandidateSamplerTest {
-    private static final TrafficType.Effect SAFE = TrafficType.Effect.IDEMPOTENT;
-    private static final int[] HERE = {0, 1, 0};
-    private static final int[] OTHER_KIND = {0, 1, 1};
+    private static final TrafficType.Effect IDEMPOTENT_EFFECT = TrafficType.Effect.IDEMPOTENT;
+    private static final int[] OWN_ZONE = {0, 1, 0};
+    private static final int[] OWN_ZONE_OTHER_KIND = {0, 1, 1};
 
-    private static int workersUsed(double price, double idleMs) {
+    private static int workersUsed(double handshakeCost, double idleMs) {
         FakeHost host = new FakeHost();
-        host.settings.handshakeCost = price;
+        host.settings.handshakeCost = handshakeCost;
         host.settings.connectionIdleTimeout = Span.ofMillis(idleMs);
         host.fleet(40);
-        for (int w = 1; w <= 40; w++) {
-            host.free(w, 4);
+        for (int worker = 1; worker <= 40; worker++) {
+            host.reportFreeSlots(worker, 4);
         }
-        Set<Long> used = new HashSet<>();
+        Set<Long> usedWorkers = new HashSet<>();
         for (int i = 0; i < 60; i++) {
             long id = host.after(30).task(NON_IDEMPOTENT);
-            used.add(host.worker(id, 0));
+            usedWorkers.add(host.worker(id, 0));
             host.started(id, 0).after(20).finished(id, 0, AttemptOutcome.FINISHED);
         }
-        return used.size();
+        return usedWorkers.size();
     }
 
     /**
@@ -36,7 +36,7 @@
      * them.
      */
     @Test
-    void amongIdleWorkersOneWithAnIdleConnectionIsTaken() {
+    void amongIdleWorkersOneWithAnIdleConnectionIsPreferred() {
         assertTrue(workersUsed(0.03, 5000) <= 5);
         assertTrue(workersUsed(0, 5000) > 15, "where new ones cost nothing all are drawn");
         assertTrue(workersUsed(0.03, 25) > 15, "a connection idle for longer is closed");
@@ -47,17 +47,18 @@
      * it may go to.
      */
     @Test
-    void tasksThatMayRunAnywhereSpareFullerWorkersOfBoundTypes() {
-        int[] leant = new int[2];
+    void unconstrainedTasksAvoidLoadedWorkersOfConstrainedTypes() {
+        int[] probes = new int[2];
         for (int full = 0; full < 2; full++) {
             FakeHost host = new FakeHost();
             host.settings.mayProbe = true;
-            host.bound(SAFE, TrafficType.DeduplicationScope.ALL, null, Set.of(1));
-            host.places(HERE, OTHER_KIND, HERE, OTHER_KIND, HERE, OTHER_KIND, HERE, OTHER_KIND);
+            host.addType(IDEMPOTENT_EFFECT, TrafficType.DeduplicationScope.ALL, null, Set.of(1));
+            host.listWorkers(OWN_ZONE, OWN_ZONE_OTHER_KIND, OWN_ZONE, OWN_ZONE_OTHER_KIND, OWN_ZONE,
+                    OWN_ZONE_OTHER_KIND, OWN_ZONE, OWN_ZONE_OTHER_KIND);
             for (int round = 0; round < 8; round++) {
                 for (long id = 1; id <= 8; id++) {
-                    double held = id % 2 == 0 && full == 1 ? 2 : 0;
-                    host.policy().onLoadReport(id, 4 - held, Double.NaN, held, Double.NaN);
+                    double running = id % 2 == 0 && full == 1 ? 2 : 0;
+                    host.policy().onLoadReport(id, 4 - running, Double.NaN, running, Double.NaN);
                 }
                 host.after(200);
             }
@@ -66,9 +67,10 @@
                 host.task(NON_IDEMPOTENT);
                 host.after(2000);
             }
-            leant[full] = (int) host.decisions.stream().filter(s -> s.matches("probe [2468]")).count();
+            probes[full] = (int) host.decisions.stream().filter(decision -> decision.matches("probe [2468]"))
+                    .count();
         }
-        assertTrue(leant[1] > 0 && leant[1] * 2 < leant[0],
-                "less, and not none: " + leant[0] + ", " + leant[1]);
+        assertTrue(probes[1] > 0 && probes[1] * 2 < probes[0],
+                "less, and not none: " + probes[0] + ", " + probes[1]);
     }
 }
--- a/src/test/java/rampshift/policy/DispatchPolicyTest.java
+++ b/src/test/java/rampshift/policy/DispatchPolicyTest.java
@@ -10,12 +10,12 @@
 class DispatchPolicyTest {
     @Test
     void theSameInputGivesTheSameOutput() {
-        assertEquals(new FakeHost().fleet(5).train(IDEMPOTENT, 50, 30).decisions,
-                new FakeHost().fleet(5).train(IDEMPOTENT, 50, 30).decisions);
+        assertEquals(new FakeHost().fleet(5).runTasks(IDEMPOTENT, 50, 30).decisions,
+                new FakeHost().fleet(5).runTasks(IDEMPOTENT, 50, 30).decisions);
     }
 
     @Test
-    void aTaskThatNobodyAnswersFailsBeforeItsDeadline() {
+    void aTaskWithoutAnAnswerFailsBeforeItsDeadline() {
         FakeHost host = new FakeHost().fleet(1);
         long id = host.task(NON_IDEMPOTENT);
         host.after(4990);
@@ -28,7 +28,7 @@
     }
 
     @Test
-    void nothingIsSentAfterTheClientLeft() {
+    void nothingIsSentAfterTheClientDisconnects() {
         FakeHost host = new FakeHost().fleet(2);
         long id = host.task(IDEMPOTENT);
         int sent = host.count("forward");
@@ -53,19 +53,19 @@
 
     /** Met by reading the stop: all that was in hand was abandoned, also what had never been sent. */
     @Test
-    void atShutdownATaskIsRejectedWhereThatIsLawful() {
+    void atShutdownATaskIsRejectedWhereThatIsAllowed() {
         FakeHost host = new FakeHost().fleet(2);
-        long runs = host.task(NON_IDEMPOTENT);
+        long running = host.task(NON_IDEMPOTENT);
         long repeatable = host.task(IDEMPOTENT);
         host.policy().onEndpointListAwaited(true);
-        long waits = host.task(NON_IDEMPOTENT);
-        for (long id : new long[]{runs, repeatable, waits}) {
+        long waiting = host.task(NON_IDEMPOTENT);
+        for (long id : new long[]{running, repeatable, waiting}) {
             host.policy().onShutdown(id);
         }
         host.decide();
-        assertEquals(1, host.count("fail " + runs));
+        assertEquals(1, host.count("fail " + running));
         assertEquals(1, host.count("reject " + repeatable + " "));
-        assertEquals(1, host.count("reject " + waits + " "));
-        assertEquals(1, host.count("cancel " + runs + " 0"));
+        assertEquals(1, host.count("reject " + waiting + " "));
+        assertEquals(1, host.count("cancel " + running + " 0"));
     }
 }
--- a/src/test/java/rampshift/policy/EligibilityTest.java
+++ b/src/test/java/rampshift/policy/EligibilityTest.java
@@ -25,10 +25,10 @@
 
 /** Effect, idempotency window, drain, placement and retry budget. */
 class EligibilityTest {
-    private static final TrafficType.Effect SAFE = TrafficType.Effect.IDEMPOTENT;
-    private static final int[] HERE = {0, 1, 0};
-    private static final int[] THERE = {1, 2, 0};
-    private static final int[] OTHER_KIND = {0, 1, 1};
+    private static final TrafficType.Effect IDEMPOTENT_EFFECT = TrafficType.Effect.IDEMPOTENT;
+    private static final int[] OWN_ZONE = {0, 1, 0};
+    private static final int[] OTHER_ZONE = {1, 2, 0};
+    private static final int[] OWN_ZONE_OTHER_KIND = {0, 1, 1};
 
     @ParameterizedTest
     @EnumSource(value = AttemptOutcome.class, mode = EnumSource.Mode.EXCLUDE, names = {"FINISHED",
@@ -43,7 +43,7 @@
     }
 
     @Test
-    void aKeyedTaskStaysInItsGroup() {
+    void aKeyedTaskStaysInItsDeduplicationScope() {
         FakeHost host = new FakeHost().fleet(8);
         long id = host.task(KEYED);
         host.finished(id, 0, AttemptOutcome.ERRED);
@@ -51,7 +51,7 @@
     }
 
     @Test
-    void aKeyedTaskIsNotRetriedAfterItsWindow() {
+    void aKeyedTaskIsNotRetriedAfterItsDeduplicationWindow() {
         FakeHost host = new FakeHost().fleet(8);
         long id = host.task(KEYED);
         host.started(id, 0);
@@ -78,13 +78,13 @@
     }
 
     @Test
-    void nothingNewGoesToAWorkerThatDrainsOrLeftTheList() {
-        FakeHost host = new FakeHost().fleet(3).change(2, false, 0);
+    void noAttemptGoesToADrainingOrRemovedWorker() {
+        FakeHost host = new FakeHost().fleet(3).relist(2, false, 0);
         for (int i = 0; i < 20; i++) {
             assertNotEquals(2, host.worker(host.task(NON_IDEMPOTENT), 0));
         }
         host.policy().onEndpointListBegin(EndpointListKind.FULL);
-        host.policy().onEndpoint(new ListedWorker(3, 0, 2, 0, EndpointState.READY, host.longAgo(), 1));
+        host.policy().onEndpoint(new ListedWorker(3, 0, 2, 0, EndpointState.READY, host.warmStart(), 1));
         host.policy().onEndpointListEnd();
         long id = host.task(NON_IDEMPOTENT);
         assertTrue(host.worker(id, 0) == 3 || host.worker(id, 0) == -1);
@@ -92,12 +92,12 @@
 
     @ParameterizedTest
     @CsvSource({"REMOVED,true,true", "REMOVED,false,false", "DRAINING,true,false"})
-    void aRemovedWorkerThatIsHeardFromIsSentToWhereOnlyDrainingBinds(EndpointState state, boolean only,
+    void aRemovedWorkerThatIsHeardFromIsSentToWhereRemovalIsAdvisory(EndpointState state, boolean advisory,
             boolean sent) {
         FakeHost host = new FakeHost();
-        host.settings.removalIsAdvisory = only;
+        host.settings.removalIsAdvisory = advisory;
         long id = host.fleet(1).task(NON_IDEMPOTENT);
-        host.change(1, state, 0).task(NON_IDEMPOTENT);
+        host.relist(1, state, 0).task(NON_IDEMPOTENT);
         assertEquals(1, host.count("forward"), "nothing was heard of it since");
         host.started(id, 0).task(NON_IDEMPOTENT);
         assertEquals(sent ? 2 : 1, host.count("forward"));
@@ -108,13 +108,13 @@
         FakeHost host = new FakeHost();
         host.settings.removalIsAdvisory = true;
         long id = host.fleet(1).task(NON_IDEMPOTENT);
-        host.change(1, EndpointState.DRAINING, 0).change(1, EndpointState.REMOVED, 0)
+        host.relist(1, EndpointState.DRAINING, 0).relist(1, EndpointState.REMOVED, 0)
                 .started(id, 0)
                 .task(NON_IDEMPOTENT);
         assertEquals(1, host.count("forward"));
     }
 
-    private static FakeHost budgeted() {
+    private static FakeHost withRetryBudget() {
         FakeHost host = new FakeHost();
         host.settings.retryBudgetMinimum = 2;
         host.settings.retryBudgetRatio = 0.1;
@@ -137,60 +137,60 @@
     @ValueSource(ints = {1, 2, 3, 4, 5, 6})
     void furtherAttemptsStayWithinTheBudgetOfAnyWindow(int seed) {
         Random random = new Random(seed);
-        FakeHost host = budgeted().fleet(12);
-        List<Double> taken = new ArrayList<>();
-        Map<String, Double> further = new LinkedHashMap<>();    // "task number" to when it was sent
+        FakeHost host = withRetryBudget().fleet(12);
+        List<Double> arrivals = new ArrayList<>();
+        Map<String, Double> furtherAttempts = new LinkedHashMap<>();    // "task number" to when it was sent
         Map<Long, Integer> sent = new HashMap<>();
-        List<long[]> out = new ArrayList<>();
-        int seen = 0;
-        int most = 0;
+        List<long[]> inFlight = new ArrayList<>();
+        int decisionsRead = 0;
+        int maxUsed = 0;
         for (int i = 0; i < 4000; i++) {
             host.after(random.nextDouble() < 0.02 ? 3000 * random.nextDouble() : 20 * random.nextDouble());
-            if (random.nextDouble() < 0.3 || out.isEmpty()) {
-                taken.add(host.now());
+            if (random.nextDouble() < 0.3 || inFlight.isEmpty()) {
+                arrivals.add(host.now());
                 host.task(random.nextInt(4));
             } else {
-                long[] attempt = out.remove(random.nextInt(out.size()));
+                long[] attempt = inFlight.remove(random.nextInt(inFlight.size()));
                 AttemptOutcome outcome =
                         AttemptOutcome.values()[random.nextInt(AttemptOutcome.values().length)];
                 if (outcome == AttemptOutcome.NOT_SENT) {
-                    further.remove(attempt[0] + " " + attempt[1]);
+                    furtherAttempts.remove(attempt[0] + " " + attempt[1]);
                 }
                 host.finished(attempt[0], (int) attempt[1], outcome);
             }
-            for (; seen < host.decisions.size(); seen++) {
-                for (long[] attempt : forwarded(host.decisions.get(seen), sent)) {
-                    out.add(attempt);
+            for (; decisionsRead < host.decisions.size(); decisionsRead++) {
+                for (long[] attempt : forwarded(host.decisions.get(decisionsRead), sent)) {
+                    inFlight.add(attempt);
                     if (attempt[1] > 0) {
-                        further.put(attempt[0] + " " + attempt[1], host.now());
+                        furtherAttempts.put(attempt[0] + " " + attempt[1], host.now());
                     }
                 }
             }
             double from = host.now() - 5000;
-            long used = further.values().stream().filter(at -> at > from).count();
-            double allowed = 2 + 0.1 * taken.stream().filter(at -> at > from).count();
-            boolean justNow = further.containsValue(host.now());
+            long used = furtherAttempts.values().stream().filter(at -> at > from).count();
+            double allowed = 2 + 0.1 * arrivals.stream().filter(at -> at > from).count();
+            boolean justNow = furtherAttempts.containsValue(host.now());
             assertTrue(!justNow || used <= allowed, used + " of " + allowed + " at step " + i);
-            most = Math.max(most, (int) used);
+            maxUsed = Math.max(maxUsed, (int) used);
         }
-        assertTrue(most >= 3, "it is made use of: " + most);
+        assertTrue(maxUsed >= 3, "it is made use of: " + maxUsed);
     }
 
     @Test
-    void aFloodOfOneTypesRetriesLeavesBudgetForAnotherType() {
-        FakeHost host = budgeted().fleet(12);
+    void aBurstOfOneTypesRetriesLeavesBudgetForAnotherType() {
+        FakeHost host = withRetryBudget().fleet(12);
         for (int i = 0; i < 30; i++) {
             long id = host.after(50).task(IDEMPOTENT);
             host.finished(id, 0, AttemptOutcome.FULL).finished(id, 1, AttemptOutcome.FINISHED);
         }
-        long mark = host.after(50).task(KEYED);
-        host.finished(mark, 0, AttemptOutcome.FULL);
-        assertTrue(host.worker(mark, 1) > 0, "it goes again");
+        long keyed = host.after(50).task(KEYED);
+        host.finished(keyed, 0, AttemptOutcome.FULL);
+        assertTrue(host.worker(keyed, 1) > 0, "it goes again");
     }
 
     @Test
     void aTaskBeyondTheBudgetIsAnsweredAtOnce() {
-        FakeHost host = budgeted().fleet(12);
+        FakeHost host = withRetryBudget().fleet(12);
         for (int i = 0; i < 6; i++) {
             long id = host.task(IDEMPOTENT);
             host.finished(id, 0, AttemptOutcome.FULL).finished(id, 1, AttemptOutcome.FULL).finished(id, 2,
@@ -200,12 +200,12 @@
     }
 
     /** What the list says of worker 4 from now on, in the stories that change it. */
-    private static void relist(FakeHost host, String story) {
-        switch (story) {
-            case "drains" -> host.place(4, 1, 2, 0, EndpointState.DRAINING, 0);
-            case "gone" -> host.place(4, 1, 2, 0, EndpointState.REMOVED, 0);
-            case "is listed elsewhere" -> host.place(4, 0, 2, 0, EndpointState.READY, 0);
-            case "is listed as another kind" -> host.place(4, 1, 2, 1, EndpointState.READY, 0);
+    private static void applyListChange(FakeHost host, String change) {
+        switch (change) {
+            case "drains" -> host.listWorker(4, 1, 2, 0, EndpointState.DRAINING, 0);
+            case "gone" -> host.listWorker(4, 1, 2, 0, EndpointState.REMOVED, 0);
+            case "is listed elsewhere" -> host.listWorker(4, 0, 2, 0, EndpointState.READY, 0);
+            case "is listed as another kind" -> host.listWorker(4, 1, 2, 1, EndpointState.READY, 0);
             default -> {
             }
         }
@@ -218,21 +218,22 @@
     @ParameterizedTest
     @CsvSource({"drains", "gone", "is cold", "is full", "is silent", "errs", "is listed elsewhere",
             "is listed as another kind"})
-    void aBoundTaskGoesNowhereElseWhateverHappensToTheOnlyWorkerThatItMayGoTo(String what) {
+    void aConstrainedTaskIsSentOnlyToItsAllowedWorkerWhateverHappensThere(String event) {
         FakeHost host = new FakeHost();
         host.settings.slowStartInitialShare = 0.1;
         host.settings.slowStartDuration = Span.ofMillis(60_000);
-        int type = host.bound(SAFE, TrafficType.DeduplicationScope.ALL, Set.of(1), Set.of(0));
-        host.places(HERE, HERE, OTHER_KIND, THERE, new int[]{1, 2, 1}).train(IDEMPOTENT, 20, 50);
-        if (what.equals("is cold")) {
-            host.place(4, 1, 2, 0, EndpointState.READY, host.now());
+        int type = host.addType(IDEMPOTENT_EFFECT, TrafficType.DeduplicationScope.ALL, Set.of(1), Set.of(0));
+        host.listWorkers(OWN_ZONE, OWN_ZONE, OWN_ZONE_OTHER_KIND, OTHER_ZONE, new int[]{1, 2, 1})
+                .runTasks(IDEMPOTENT, 20, 50);
+        if (event.equals("is cold")) {
+            host.listWorker(4, 1, 2, 0, EndpointState.READY, host.now());
         }
         for (int i = 0; i < 12; i++) {
             long id = host.task(type);
             if (i == 3) {
-                relist(host, what);
+                applyListChange(host, event);
             }
-            switch (what) {
+            switch (event) {
                 case "is full" -> host.finished(id, 0, AttemptOutcome.FULL);
                 case "errs" -> host.finished(id, 0, AttemptOutcome.ERRED);
                 case "is silent" -> host.after(400);
@@ -240,28 +241,31 @@
             }
         }
         host.after(5000);
-        List<String> bound = host.decisions.stream()
-                .filter(s -> s.startsWith("forward ") && Long.parseLong(s.split(" ")[1]) > 20).toList();
-        assertEquals(List.of(), bound.stream().filter(s -> !s.endsWith(" 4")).toList());
-        assertTrue(what.equals("is cold") || !bound.isEmpty(), "it is sent there at first");
+        List<String> constrained = host.decisions.stream()
+                .filter(decision -> decision.startsWith("forward ")
+                        && Long.parseLong(decision.split(" ")[1]) > 20)
+                .toList();
+        assertEquals(List.of(), constrained.stream().filter(decision -> !decision.endsWith(" 4")).toList());
+        assertTrue(event.equals("is cold") || !constrained.isEmpty(), "it is sent there at first");
         long after = host.task(type);
-        if ((what.endsWith("s") && !what.equals("errs")) || what.equals("gone")
-                || what.startsWith("is listed")) {
+        if ((event.endsWith("s") && !event.equals("errs")) || event.equals("gone")
+                || event.startsWith("is listed")) {
             assertEquals(1, host.count("reject " + after + " later"),
                     "given up at once, with a time to return");
         }
     }
 
     @Test
-    void hedgesKeepToThePlacement() {
+    void hedgesObeyThePlacement() {
         FakeHost host = new FakeHost();
-        int type = host.bound(SAFE, TrafficType.DeduplicationScope.ALL, null, Set.of(1));
-        host.places(HERE, HERE, HERE, OTHER_KIND, HERE, OTHER_KIND).train(NON_IDEMPOTENT, 40, 50);
+        int type = host.addType(IDEMPOTENT_EFFECT, TrafficType.DeduplicationScope.ALL, null, Set.of(1));
+        host.listWorkers(OWN_ZONE, OWN_ZONE, OWN_ZONE, OWN_ZONE_OTHER_KIND, OWN_ZONE, OWN_ZONE_OTHER_KIND)
+                .runTasks(NON_IDEMPOTENT, 40, 50);
         Set<Long> used = new HashSet<>();
-        int most = 0;
+        int maxUsed = 0;
         for (int i = 0; i < 10; i++) {
             long id = host.task(type);
-            most = Math.max(most, host.count("forward " + id + " "));
+            maxUsed = Math.max(maxUsed, host.count("forward " + id + " "));
             host.started(id, 0);
             for (int n = 0; host.worker(id, n) > 0; n++) {
                 used.add(host.worker(id, n));
@@ -270,18 +274,18 @@
                     AttemptOutcome.CALLED_OFF);
         }
         assertEquals(Set.of(4L, 6L), used);
-        assertEquals(2, most, "hedges are sent");
+        assertEquals(2, maxUsed, "hedges are sent");
     }
 
     @Test
-    void aBoundTaskThatMayHaveRunFailsWhereNoAllowedWorkerIsLeft() {
+    void aConstrainedTaskThatMayHaveRunFailsWhereNoAllowedWorkerIsLeft() {
         FakeHost host = new FakeHost();
-        int type = host.bound(TrafficType.Effect.NON_IDEMPOTENT, TrafficType.DeduplicationScope.ALL,
+        int type = host.addType(TrafficType.Effect.NON_IDEMPOTENT, TrafficType.DeduplicationScope.ALL,
                 Set.of(1), null);
-        host.places(HERE, HERE, HERE, THERE);
+        host.listWorkers(OWN_ZONE, OWN_ZONE, OWN_ZONE, OTHER_ZONE);
         long id = host.task(type);
         assertEquals(4, host.worker(id, 0));
-        host.place(4, 1, 2, 0, EndpointState.DRAINING, 0).finished(id, 0, AttemptOutcome.BROKEN)
+        host.listWorker(4, 1, 2, 0, EndpointState.DRAINING, 0).finished(id, 0, AttemptOutcome.BROKEN)
                 .after(5000);
         assertEquals(1, host.count("forward " + id + " "));
         assertEquals(0, host.count("reject " + id + " "));
@@ -293,10 +297,12 @@
      * run only the same is left.
      */
     @Test
-    void aKeyedTaskIsRetriedNeitherOutsideItsGroupNorItsPlacement() {
+    void aKeyedTaskIsRetriedNeitherOutsideItsDeduplicationScopeNorItsPlacement() {
         FakeHost host = new FakeHost();
-        int type = host.bound(TrafficType.Effect.KEYED, TrafficType.DeduplicationScope.CELL, null, Set.of(1));
-        host.places(HERE, OTHER_KIND, new int[]{0, 2, 1}, new int[]{0, 3, 1}).train(NON_IDEMPOTENT, 20, 50);
+        int type =
+                host.addType(TrafficType.Effect.KEYED, TrafficType.DeduplicationScope.CELL, null, Set.of(1));
+        host.listWorkers(OWN_ZONE, OWN_ZONE_OTHER_KIND, new int[]{0, 2, 1}, new int[]{0, 3, 1})
+                .runTasks(NON_IDEMPOTENT, 20, 50);
         for (int i = 0; i < 10; i++) {
             long id = host.task(type);
             host.finished(id, 0, AttemptOutcome.BROKEN).after(200);
@@ -309,21 +315,21 @@
 
     /** It was drawn and probed, and is of another kind before the answer comes. */
     @Test
-    void aWorkerRelistedAsAnotherKindAfterTheDrawGetsNoBoundTask() {
+    void aWorkerRelistedAsAnotherKindAfterSamplingGetsNoConstrainedTask() {
         FakeHost host = new FakeHost();
         host.settings.mayProbe = true;
-        int type = host.bound(SAFE, TrafficType.DeduplicationScope.ALL, null, Set.of(1));
-        host.places(HERE, OTHER_KIND);
+        int type = host.addType(IDEMPOTENT_EFFECT, TrafficType.DeduplicationScope.ALL, null, Set.of(1));
+        host.listWorkers(OWN_ZONE, OWN_ZONE_OTHER_KIND);
         long id = host.task(type);
         assertEquals(1, host.count("probe 2"));
-        host.place(2, 0, 1, 0, EndpointState.READY, 0);
+        host.listWorker(2, 0, 1, 0, EndpointState.READY, 0);
         host.policy().onProbeResult(2, true);
         host.decide().after(100);
         assertEquals(0, host.count("forward " + id + " "));
     }
 
     @Test
-    void placementGoesByZoneAndKind() {
+    void placementChecksZoneAndKind() {
         TrafficType type = new TrafficType(1, 0, Span.ofMillis(100), 3, Span.ofMillis(5000),
                 TrafficType.Effect.IDEMPOTENT, TrafficType.DeduplicationScope.ALL, Span.ZERO, Set.of(1),
                 Set.of(0, 2));
--- a/src/test/java/rampshift/policy/EndpointListPolicyTest.java
+++ b/src/test/java/rampshift/policy/EndpointListPolicyTest.java
@@ -10,7 +10,7 @@
 /** Subscriptions, and tasks that wait for a list. */
 class EndpointListPolicyTest {
     @Test
-    void aLostSubscriptionIsRenewedSpacedOutAndInTime() {
+    void aLostSubscriptionIsRenewedWithJitterAndInTime() {
         FakeHost host = new FakeHost();
         host.settings.endpointListOnRequest = true;
         host.settings.maxSubscribeDelay = Span.ofMillis(10_000);
@@ -31,7 +31,7 @@
         host.policy().onEndpointListAwaited(true);
         long id = host.task(IDEMPOTENT);
         assertEquals(0, host.count("forward"));
-        host.change(1, false, 0);
+        host.relist(1, false, 0);
         assertEquals(2, host.worker(id, 0));
     }
 
@@ -55,12 +55,12 @@
         assertEquals(0, host.count("reject"), "due after 100 ms and 3 times its run");
         host.after(60);
         assertEquals(1, host.count("reject " + id + " "));
-        host.change(1, true, 0);
+        host.relist(1, true, 0);
         assertEquals(0, host.count("forward"));
     }
 
     @Test
-    void whereTheListsSourceChangesTheOldListHoldsForTheGrace() {
+    void afterAChangeOfTheListsSourceTheKnownListHoldsForTheDrainGrace() {
         FakeHost host = new FakeHost();
         host.settings.drainGrace = Span.ofMillis(250);
         host.fleet(2).policy().onEndpointListAwaited(false);
@@ -68,19 +68,19 @@
         assertEquals(1, host.count("forward"));
         host.after(20).task(NON_IDEMPOTENT);
         assertEquals(1, host.count("forward"), "what the new source has may bind by now");
-        host.change(1, true, 0);
+        host.relist(1, true, 0);
         assertEquals(2, host.count("forward"));
     }
 
     @Test
-    void aTaskWhoseClientLeftBetweenTwoAttemptsIsNotRetried() {
+    void aTaskWhoseClientDisconnectsBetweenTwoAttemptsIsNotRetried() {
         FakeHost host = new FakeHost().fleet(2);
         long id = host.task(NON_IDEMPOTENT);
         host.policy().onEndpointListAwaited(true);
         host.finished(id, 0, AttemptOutcome.FULL);
         assertEquals(1, host.count("forward"), "the next one waits for the list");
         host.policy().onClientDisconnected(id);
-        host.decide().change(1, true, 0);
+        host.decide().relist(1, true, 0);
         assertEquals(1, host.count("forward"));
     }
 }
--- a/src/test/java/rampshift/policy/ExpectedValueTest.java
+++ b/src/test/java/rampshift/policy/ExpectedValueTest.java
@@ -15,7 +15,7 @@
 
 /** What an attempt is worth: quotas, crossings, queues, lost types. */
 class ExpectedValueTest {
-    private static final int[] THERE = {1, 2, 0};
+    private static final int[] OTHER_ZONE = {1, 2, 0};
 
     @Test
     void aTenantBeyondItsQuotaQueuesLess() {
@@ -25,7 +25,7 @@
             host.settings.overQuotaValueShare = 0.1;
             host.settings.tenantQuotas.add(1000.0);
             host.settings.tenantQuotas.add(1.0);
-            host.fleet(1).train(NON_IDEMPOTENT, 30, 100).free(1, 2);
+            host.fleet(1).runTasks(NON_IDEMPOTENT, 30, 100).reportFreeSlots(1, 2);
             for (int i = 0; i < 10; i++) {
                 long id = host.task(NON_IDEMPOTENT, tenant);
                 host.started(id, 0).after(100).finished(id, 0, AttemptOutcome.FINISHED);
@@ -40,20 +40,22 @@
     }
 
     @Test
-    void aCostlyCrossingIsMadeOnlyWhenTheOwnZoneWouldBeLate() {
+    void aCostlyZoneIsUsedOnlyWhenTheOwnZoneWouldBeLate() {
         FakeHost host = new FakeHost();
         host.settings.crossZoneCost = 0.2;
         host.policy().onEndpointListBegin(EndpointListKind.CACHED);
-        host.policy().onEndpoint(new ListedWorker(1, 0, 1, 0, EndpointState.READY, host.longAgo(), 1));
-        host.policy().onEndpoint(new ListedWorker(2, 1, 2, 0, EndpointState.READY, host.longAgo(), 1));
+        host.policy().onEndpoint(new ListedWorker(1, 0, 1, 0, EndpointState.READY, host.warmStart(), 1));
+        host.policy().onEndpoint(new ListedWorker(2, 1, 2, 0, EndpointState.READY, host.warmStart(), 1));
         host.policy().onEndpointListEnd();
-        host.decide().free(1, 2).free(2, 2);
+        host.decide().reportFreeSlots(1, 2).reportFreeSlots(2, 2);
         assertEquals(1, host.worker(host.task(NON_IDEMPOTENT), 0));
         long last = 0;
         for (int i = 0; i < 8; i++) {
             last = host.task(NON_IDEMPOTENT);
         }
-        assertFalse(host.decisions.stream().noneMatch(s -> s.startsWith("forward") && s.endsWith(" 2")),
+        assertFalse(
+                host.decisions.stream()
+                        .noneMatch(decision -> decision.startsWith("forward") && decision.endsWith(" 2")),
                 "task " + last);
     }
 
@@ -65,12 +67,12 @@
         FakeHost host = new FakeHost();
         host.settings.tenantQuotas.add(0.0);
         host.settings.overQuotaValueShare = 0;
-        host.fleet(6).train(NON_IDEMPOTENT, 40, 50);
+        host.fleet(6).runTasks(NON_IDEMPOTENT, 40, 50);
         for (int i = 0; i < 10; i++) {
-            for (int w = 1; w <= 5; w++) {
-                host.policy().onLoadReport(w, 0, 30, Double.NaN, Double.NaN);
+            for (int worker = 1; worker <= 5; worker++) {
+                host.policy().onLoadReport(worker, 0, 30, Double.NaN, Double.NaN);
             }
-            host.free(6, 4);
+            host.reportFreeSlots(6, 4);
             long id = host.task(NON_IDEMPOTENT);
             assertEquals(6, host.worker(id, 0));
             host.started(id, 0).after(50).finished(id, 0, AttemptOutcome.FINISHED);
@@ -97,13 +99,13 @@
         host.settings.types.add(new TrafficType(1, 0, Span.ofMillis(4000), 3, Span.ofMillis(20_000),
                 TrafficType.Effect.NON_IDEMPOTENT, TrafficType.DeduplicationScope.ALL, Span.ZERO, null,
                 null));
-        host.fleet(1).train(NON_IDEMPOTENT, 30, 50).train(4, 3, 1000).free(1, 2);
+        host.fleet(1).runTasks(NON_IDEMPOTENT, 30, 50).runTasks(4, 3, 1000).reportFreeSlots(1, 2);
         host.task(NON_IDEMPOTENT);
         host.task(NON_IDEMPOTENT);
-        long lengthy = host.task(4);
-        long brief = host.task(NON_IDEMPOTENT);
-        assertEquals(1, host.count("reject " + lengthy + " "), "all behind it would be late");
-        assertEquals(1, host.count("forward " + brief + " "));
+        long longTask = host.task(4);
+        long shortTask = host.task(NON_IDEMPOTENT);
+        assertEquals(1, host.count("reject " + longTask + " "), "all behind it would be late");
+        assertEquals(1, host.count("forward " + shortTask + " "));
     }
 
     /**
@@ -111,26 +113,26 @@
      * too.
      */
     @Test
-    void aTypeThatAWorkerLosesGoesElsewhereAndOnlyThat() {
+    void onlyTheTypeThatAWorkerLosesGoesElsewhere() {
         FakeHost host = new FakeHost();
         host.settings.progressInterval = Span.ofMillis(1000);
-        host.fleet(2).train(NON_IDEMPOTENT, 40, 50).train(IDEMPOTENT, 40, 50);
-        long lost = host.worker(host.task(NON_IDEMPOTENT), 0);
+        host.fleet(2).runTasks(NON_IDEMPOTENT, 40, 50).runTasks(IDEMPOTENT, 40, 50);
+        long losingWorker = host.worker(host.task(NON_IDEMPOTENT), 0);
         for (int i = 0; i < 40; i++) {
-            host.train(IDEMPOTENT, 1, 50).policy().onProbeResult(lost, true);
+            host.runTasks(IDEMPOTENT, 1, 50).policy().onProbeResult(losingWorker, true);
         }
-        Set<Long> there = new HashSet<>();
+        Set<Long> workersUsed = new HashSet<>();
         for (int i = 0; i < 12; i++) {
             long id = host.task(NON_IDEMPOTENT);
-            there.add(host.worker(id, 0));
+            workersUsed.add(host.worker(id, 0));
             host.started(id, 0).after(10).finished(id, 0, AttemptOutcome.FINISHED);
         }
-        assertEquals(Set.of(3 - lost), there, "none of its type goes there for now");
-        there.clear();
+        assertEquals(Set.of(3 - losingWorker), workersUsed, "none of its type goes there for now");
+        workersUsed.clear();
         for (int i = 0; i < 6; i++) {
-            there.add(host.worker(host.task(IDEMPOTENT), 0));
+            workersUsed.add(host.worker(host.task(IDEMPOTENT), 0));
         }
-        assertTrue(there.contains(lost), "other types do");
+        assertTrue(workersUsed.contains(losingWorker), "other types do");
     }
 
     /**
@@ -139,18 +141,18 @@
      */
     @ParameterizedTest
     @CsvSource({"false,1", "true,0"})
-    void whereValueGoesByWorkALightTaskIsWorthLessThanAHeavyOne(boolean byWork, int light) {
+    void whereValueScalesWithWorkAShortTaskIsWorthLessThanALongOne(boolean byWork, int shortTasksSent) {
         FakeHost host = new FakeHost();
         host.settings.valueScalesWithWork = byWork;
         host.settings.crossZoneCost = 0.05;
-        host.places(THERE, THERE);
+        host.listWorkers(OTHER_ZONE, OTHER_ZONE);
         for (int i = 0; i < 20; i++) {
-            long id = host.hinted(IDEMPOTENT, 100, 5000);
+            long id = host.hintedTask(IDEMPOTENT, 100, 5000);
             host.started(id, 0).after(100).finished(id, 0, AttemptOutcome.FINISHED);
         }
-        assertEquals(1, host.count("forward " + host.hinted(NON_IDEMPOTENT, 100, 5000) + " "));
+        assertEquals(1, host.count("forward " + host.hintedTask(NON_IDEMPOTENT, 100, 5000) + " "));
         host.after(300);
-        assertEquals(light, host.count("forward " + host.hinted(NON_IDEMPOTENT, 2, 5000) + " "));
+        assertEquals(shortTasksSent, host.count("forward " + host.hintedTask(NON_IDEMPOTENT, 2, 5000) + " "));
     }
 
     /**
@@ -158,7 +160,7 @@
      * tasks run far less than that.
      */
     @Test
-    void aTaskWithLittleTimeIsComparedToTheLastRunsOfItsType() {
+    void aTaskWithLittleTimeIsComparedWithTheLastRunsOfItsType() {
         FakeHost host = new FakeHost().fleet(2);
         for (int i = 0; i < 16; i++) {
             long id = host.task(IDEMPOTENT);
--- a/src/test/java/rampshift/policy/FakeHost.java
+++ b/src/test/java/rampshift/policy/FakeHost.java
@@ -29,14 +29,14 @@
         settings.reportsStart = true;
         settings.retryAfterHints = true;
         settings.maxRetryAfter = Span.ofMillis(2000);
-        bound(TrafficType.Effect.IDEMPOTENT, TrafficType.DeduplicationScope.ALL, null, null);
-        bound(TrafficType.Effect.KEYED, TrafficType.DeduplicationScope.CELL, null, null);
-        bound(TrafficType.Effect.NON_IDEMPOTENT, TrafficType.DeduplicationScope.ALL, null, null);
-        bound(TrafficType.Effect.KEYED, TrafficType.DeduplicationScope.ALL, null, null);
+        addType(TrafficType.Effect.IDEMPOTENT, TrafficType.DeduplicationScope.ALL, null, null);
+        addType(TrafficType.Effect.KEYED, TrafficType.DeduplicationScope.CELL, null, null);
+        addType(TrafficType.Effect.NON_IDEMPOTENT, TrafficType.DeduplicationScope.ALL, null, null);
+        addType(TrafficType.Effect.KEYED, TrafficType.DeduplicationScope.ALL, null, null);
     }
 
     /** Adds a type that may go only to these zones and kinds; null: any. The result is its number. */
-    int bound(TrafficType.Effect effect, TrafficType.DeduplicationScope scope, Set<Integer> zones,
+    int addType(TrafficType.Effect effect, TrafficType.DeduplicationScope scope, Set<Integer> zones,
             Set<Integer> kinds) {
         settings.types.add(new TrafficType(1, 0, Span.ofMillis(100), 3, Span.ofMillis(5000), effect, scope,
                 Span.ofMillis(1000), zones, kinds));
@@ -44,7 +44,7 @@
     }
 
     /** Adds a type whose latency objective grows by so many of its running times. Returns its number. */
-    int bound(TrafficType.Effect effect, TrafficType.DeduplicationScope scope, double slackFactor) {
+    int addType(TrafficType.Effect effect, TrafficType.DeduplicationScope scope, double slackFactor) {
         settings.types.add(new TrafficType(1, 0, Span.ofMillis(100), slackFactor, Span.ofMillis(5000), effect,
                 scope, Span.ofMillis(1000), null, null));
         return settings.types.size() - 1;
@@ -66,34 +66,34 @@
         for (int i = 0; i < count; i++) {
             rows[i] = new int[]{0, (i + 2) / 2, 0};
         }
-        return places(rows);
+        return listWorkers(rows);
     }
 
     /** Workers 1 to n, warm, each in a zone, cell and of a kind as told by its row. */
-    FakeHost places(int[]... rows) {
+    FakeHost listWorkers(int[]... rows) {
         policy().onEndpointListBegin(EndpointListKind.CACHED);
         for (int i = 0; i < rows.length; i++) {
             policy.onEndpoint(new ListedWorker(i + 1, rows[i][0], rows[i][1], rows[i][2], EndpointState.READY,
-                    longAgo(), 1));
+                    warmStart(), 1));
         }
         policy.onEndpointListEnd();
         return decide();
     }
 
     /** A change of one worker. */
-    FakeHost place(long id, int zone, int cell, int kind, EndpointState state, double startedMs) {
+    FakeHost listWorker(long id, int zone, int cell, int kind, EndpointState state, double startedMs) {
         policy().onEndpointListBegin(EndpointListKind.DELTA);
         policy.onEndpoint(new ListedWorker(id, zone, cell, kind, state, Moment.ofMillis(startedMs), 1));
         policy.onEndpointListEnd();
         return decide();
     }
 
-    FakeHost change(long id, boolean ready, double startedMs) {
-        return change(id, ready ? EndpointState.READY : EndpointState.DRAINING, startedMs);
+    FakeHost relist(long id, boolean ready, double startedMs) {
+        return relist(id, ready ? EndpointState.READY : EndpointState.DRAINING, startedMs);
     }
 
-    FakeHost change(long id, EndpointState state, double startedMs) {
-        return place(id, 0, (int) (id + 1) / 2, 0, state, startedMs);
+    FakeHost relist(long id, EndpointState state, double startedMs) {
+        return listWorker(id, 0, (int) (id + 1) / 2, 0, state, startedMs);
     }
 
     long task(int type) {
@@ -105,17 +105,17 @@
     }
 
     /** A task whose client waits for so long. */
-    long task(int type, int tenant, double patienceMs) {
-        return arrive(new TaskRequest(type, tenant, Span.ZERO, 1, 0, Span.ofMillis(patienceMs)));
+    long task(int type, int tenant, double remainingMs) {
+        return arrive(new TaskRequest(type, tenant, Span.ZERO, 1, 0, Span.ofMillis(remainingMs)));
     }
 
     /** A task that hints at what it should run. */
-    long hinted(int type, double hintMs, double patienceMs) {
-        return arrive(new TaskRequest(type, 0, Span.ofMillis(hintMs), 1, 0, Span.ofMillis(patienceMs)));
+    long hintedTask(int type, double hintMs, double remainingMs) {
+        return arrive(new TaskRequest(type, 0, Span.ofMillis(hintMs), 1, 0, Span.ofMillis(remainingMs)));
     }
 
     /** A task that takes so many slots. */
-    long wide(int type, double slots) {
+    long wideTask(int type, double slots) {
         return arrive(new TaskRequest(type, 0, Span.ZERO, slots, 0, Span.ofMillis(5000)));
     }
 
@@ -136,7 +136,7 @@
     }
 
     /** A free slot count, as a report in an answer tells it. */
-    FakeHost free(long worker, double slots) {
+    FakeHost reportFreeSlots(long worker, double slots) {
         policy().onLoadReport(worker, slots, Double.NaN, Double.NaN, Double.NaN);
         return this;
     }
@@ -148,7 +148,7 @@
     }
 
     /** Time passes in which the host reads nothing, and does not come to its timers. */
-    FakeHost heldUpFor(double elapsedMs) {
+    FakeHost advanceWithoutTimer(double elapsedMs) {
         clockMs += elapsedMs;
         return this;
     }
@@ -158,7 +158,7 @@
     }
 
     /** A start time of workers that are warm. */
-    Moment longAgo() {
+    Moment warmStart() {
         return new Moment(0);
     }
 
@@ -175,7 +175,7 @@
     }
 
     /** Plays tasks of the type one after the other, each finished after this long where it is. */
-    FakeHost train(int type, int count, double runMs) {
+    FakeHost runTasks(int type, int count, double runMs) {
         for (int i = 0; i < count; i++) {
             long id = task(type);
             started(id, 0);
@@ -194,13 +194,14 @@
         return lastRetryAfter;
     }
 
-    int count(String start) {
-        return (int) decisions.stream().filter(s -> (s + " ").startsWith(start)).count();
+    int count(String prefix) {
+        return (int) decisions.stream().filter(decision -> (decision + " ").startsWith(prefix)).count();
     }
 
     /** The worker of an attempt of the task, or -1. */
     long worker(long task, int number) {
-        List<String> sent = decisions.stream().filter(s -> s.startsWith("forward " + task + " ")).toList();
+        List<String> sent =
+                decisions.stream().filter(decision -> decision.startsWith("forward " + task + " ")).toList();
         return number < sent.size() ? Long.parseLong(sent.get(number).split(" ")[2]) : -1;
     }
 
--- a/src/test/java/rampshift/policy/OutlierEjectionTest.java
+++ b/src/test/java/rampshift/policy/OutlierEjectionTest.java
@@ -17,7 +17,7 @@
 class OutlierEjectionTest {
     @Test
     void aFastFailingWorkerIsEjectedAndComesBackThroughARecoveryRamp() {
-        FakeHost host = new FakeHost().fleet(3).train(IDEMPOTENT, 40, 50);
+        FakeHost host = new FakeHost().fleet(3).runTasks(IDEMPOTENT, 40, 50);
         for (int i = 0; i < 60; i++) {
             long id = host.task(IDEMPOTENT);
             for (int n = 0; host.worker(id, n) >= 0; n++) {
@@ -33,41 +33,44 @@
         for (int i = 0; i < 20; i++) {
             host.finished(host.taskCount() - i, 0, AttemptOutcome.FINISHED);
         }
-        host.after(2000).train(IDEMPOTENT, 200, 50);
+        host.after(2000).runTasks(IDEMPOTENT, 200, 50);
         assertTrue(host.decisions.subList(before, host.decisions.size()).stream()
-                .anyMatch(s -> s.startsWith("forward") && s.endsWith(" 1")), "tried again");
+                .anyMatch(decision -> decision.startsWith("forward") && decision.endsWith(" 1")),
+                "tried again");
     }
 
     @Test
     void aSilentWorkerIsNotUsed() {
-        FakeHost host = new FakeHost().fleet(4).train(NON_IDEMPOTENT, 40, 50);
+        FakeHost host = new FakeHost().fleet(4).runTasks(NON_IDEMPOTENT, 40, 50);
         for (int i = 0; i < 4; i++) {
-            host.free(i + 1, 2);
+            host.reportFreeSlots(i + 1, 2);
         }
-        long side = host.task(NON_IDEMPOTENT);
-        long hung = host.worker(side, 0);
+        long unanswered = host.task(NON_IDEMPOTENT);
+        long silentWorker = host.worker(unanswered, 0);
         host.after(900);
         for (int i = 0; i < 20; i++) {
             long id = host.task(NON_IDEMPOTENT);
-            assertNotEquals(hung, host.worker(id, 0));
+            assertNotEquals(silentWorker, host.worker(id, 0));
             host.started(id, 0).after(50).finished(id, 0, AttemptOutcome.FINISHED);
         }
-        assertEquals(1, host.count("forward " + side + " "), "may have run: never sent again");
+        assertEquals(1, host.count("forward " + unanswered + " "), "may have run: never sent again");
     }
 
     @Test
-    void aZoneThatIsCutOffIsLeftAloneAndTriedAgainLater() {
+    void anUnreachableZoneIsAvoidedAndTriedAgainLater() {
         FakeHost host = new FakeHost();
         host.policy().onEndpointListBegin(EndpointListKind.CACHED);
         for (int id = 1; id <= 12; id++) {
-            host.policy().onEndpoint(new ListedWorker(id, 1, id, 0, EndpointState.READY, host.longAgo(), 1));
+            host.policy()
+                    .onEndpoint(new ListedWorker(id, 1, id, 0, EndpointState.READY, host.warmStart(), 1));
         }
         host.policy().onEndpointListEnd();
-        host.decide().train(NON_IDEMPOTENT, 20, 50);
-        long lost = host.task(NON_IDEMPOTENT);
-        host.finished(lost, 0, AttemptOutcome.NO_CONNECTION).finished(lost, 1, AttemptOutcome.NO_CONNECTION);
+        host.decide().runTasks(NON_IDEMPOTENT, 20, 50);
+        long failed = host.task(NON_IDEMPOTENT);
+        host.finished(failed, 0, AttemptOutcome.NO_CONNECTION).finished(failed, 1,
+                AttemptOutcome.NO_CONNECTION);
         host.policy().onEndpointListBegin(EndpointListKind.DELTA);
-        host.policy().onEndpoint(new ListedWorker(13, 0, 13, 0, EndpointState.READY, host.longAgo(), 1));
+        host.policy().onEndpoint(new ListedWorker(13, 0, 13, 0, EndpointState.READY, host.warmStart(), 1));
         host.policy().onEndpointListEnd();
         for (int i = 0; i < 3; i++) {
             assertEquals(13, host.worker(host.task(NON_IDEMPOTENT), 0), "only the own zone is reached");
@@ -80,7 +83,7 @@
         assertTrue(used.size() > 1, "tried again");
     }
 
-    private static FakeHost failing(FakeHost host, int tasks) {
+    private static FakeHost runFailingTasks(FakeHost host, int tasks) {
         for (int i = 0; i < tasks; i++) {
             long id = host.after(1).task(IDEMPOTENT);
             for (int n = 0; host.worker(id, n) > 0; n++) {
@@ -95,22 +98,22 @@
      * error.
      */
     @Test
-    void tasksThatFailAnywhereCostOneAttemptOnceThatIsKnown() {
+    void tasksLikelyToFailAnywhereGetOneAttempt() {
         FakeHost host = new FakeHost();
         host.settings.mayHedge = false;
-        failing(host.fleet(12), 3);
-        int known = host.count("forward");
-        failing(host, 10);
-        assertEquals(known + 10, host.count("forward"));
+        runFailingTasks(host.fleet(12), 3);
+        int attemptsBefore = host.count("forward");
+        runFailingTasks(host, 10);
+        assertEquals(attemptsBefore + 10, host.count("forward"));
         assertEquals(13, host.count("reject"), "each is answered at once");
     }
 
     @Test
     void workersOfTasksThatFailAnywhereAreNotEjected() {
-        FakeHost host = failing(new FakeHost().fleet(3), 40);
+        FakeHost host = runFailingTasks(new FakeHost().fleet(3), 40);
         Set<Long> used = new HashSet<>();
-        for (int w = 1; w <= 3; w++) {
-            host.free(w, 1);
+        for (int worker = 1; worker <= 3; worker++) {
+            host.reportFreeSlots(worker, 1);
         }
         for (int i = 0; i < 3; i++) {
             used.add(host.worker(host.task(NON_IDEMPOTENT), 0));
@@ -119,8 +122,8 @@
     }
 
     @Test
-    void aSoundTaskThatFailedIsRetriedAgainSoonAfterwards() {
-        FakeHost host = failing(new FakeHost().fleet(6).train(NON_IDEMPOTENT, 20, 50), 10);
+    void aTaskWithAnErrorIsRetriedAgainOnceEarlierErrorsDecay() {
+        FakeHost host = runFailingTasks(new FakeHost().fleet(6).runTasks(NON_IDEMPOTENT, 20, 50), 10);
         host.after(2000);
         long id = host.task(IDEMPOTENT);
         host.finished(id, 0, AttemptOutcome.ERRED);
@@ -131,16 +134,17 @@
     @Test
     void aWorkerThatFailsAloneIsStillEjected() {
         FakeHost host = new FakeHost().fleet(6);
-        int there = 0;
+        int attemptsAtFailingWorker = 0;
         for (int i = 0; i < 120; i++) {
             long id = host.after(5).task(IDEMPOTENT);
             for (int n = 0; host.worker(id, n) > 0; n++) {
-                there += host.worker(id, n) == 1 && i >= 60 ? 1 : 0;
+                attemptsAtFailingWorker += host.worker(id, n) == 1 && i >= 60 ? 1 : 0;
                 host.finished(id, n,
                         host.worker(id, n) == 1 ? AttemptOutcome.ERRED : AttemptOutcome.FINISHED);
             }
         }
-        assertTrue(there < 8, "one in six tasks went there before: " + there);
+        assertTrue(attemptsAtFailingWorker < 8,
+                "one in six tasks went there before: " + attemptsAtFailingWorker);
     }
 
     @Test
@@ -154,7 +158,7 @@
         Worker worker = new Worker(1);
         Task task = new Task(1, settings.types.get(0),
                 new TaskRequest(0, 0, Span.ZERO, 1, 0, Span.ofMillis(5000)), context.now());
-        new Attempt(task, worker, context.now(), Span.ZERO, Span.ofMillis(50)).begin();
+        new Attempt(task, worker, context.now(), Span.ZERO, Span.ofMillis(50)).markSent();
         context.setNow(Moment.ofMillis(1200));
         assertFalse(ejection.isSilent(worker));
         context.setNow(Moment.ofMillis(1201));
--- a/src/test/java/rampshift/policy/RedundantToIdleQueueTest.java
+++ b/src/test/java/rampshift/policy/RedundantToIdleQueueTest.java
@@ -13,7 +13,7 @@
 class RedundantToIdleQueueTest {
     @Test
     void hedgesGoToIdleCandidatesAndTheFirstFinishCancelsTheRest() {
-        FakeHost host = new FakeHost().fleet(4).train(NON_IDEMPOTENT, 40, 50);
+        FakeHost host = new FakeHost().fleet(4).runTasks(NON_IDEMPOTENT, 40, 50);
         long id = host.task(IDEMPOTENT);
         assertTrue(host.count("forward " + id + " ") >= 2, "tokens are saved up: more than one hedge");
         host.started(id, 0).after(50).finished(id, 0, AttemptOutcome.FINISHED);
@@ -22,7 +22,8 @@
 
     @Test
     void anIdleCandidateIsPreferredToABusyOne() {
-        FakeHost host = new FakeHost().fleet(3).free(1, 4).free(2, 4).free(3, 4);
+        FakeHost host =
+                new FakeHost().fleet(3).reportFreeSlots(1, 4).reportFreeSlots(2, 4).reportFreeSlots(3, 4);
         Set<Long> used = new HashSet<>();
         for (int i = 0; i < 9; i++) {
             used.add(host.worker(host.task(NON_IDEMPOTENT), 0));
@@ -31,7 +32,7 @@
     }
 
     @Test
-    void aWorkerThatDoesNotAnswerItsProbeIsBusy() {
+    void aWorkerThatDoesNotAnswerItsProbeCountsAsBusy() {
         FakeHost host = new FakeHost();
         host.settings.mayProbe = true;
         host.fleet(2);
@@ -45,12 +46,12 @@
     }
 
     @Test
-    void aLargeFleetIsDrawnFromAgainBeforeARejection() {
+    void aLargeFleetIsSampledAgainBeforeARejection() {
         FakeHost host = new FakeHost().fleet(18);
         for (int id = 1; id <= 16; id++) {
             host.policy().onLoadReport(id, 0, 30, Double.NaN, Double.NaN);
         }
-        host.free(17, 2).free(18, 2);
+        host.reportFreeSlots(17, 2).reportFreeSlots(18, 2);
         for (int i = 0; i < 10; i++) {
             host.task(NON_IDEMPOTENT);
         }
--- a/src/test/java/rampshift/policy/RetryPolicyTest.java
+++ b/src/test/java/rampshift/policy/RetryPolicyTest.java
@@ -13,17 +13,17 @@
 /** Hedges and retries, and the tokens that pay for them. */
 class RetryPolicyTest {
     @Test
-    void hedgesStayUnderTheTokens() {
-        FakeHost host = new FakeHost().fleet(6).train(IDEMPOTENT, 200, 50);
+    void hedgesStayWithinTheTokens() {
+        FakeHost host = new FakeHost().fleet(6).runTasks(IDEMPOTENT, 200, 50);
         assertTrue(host.count("forward") > 200, "hedges are sent");
         assertTrue(host.count("forward") <= 200 + 200 / 5 + 1, "no more than a fifth of first attempts");
     }
 
     @Test
-    void costlyWasteLimitsHedgesButNotPlacesInQueues() {
+    void costlyWasteLimitsHedgesButNotRetriesOfQueuedTasks() {
         FakeHost host = new FakeHost();
         host.settings.wastedWorkCost = 0.5;
-        host.fleet(6).train(IDEMPOTENT, 200, 50);
+        host.fleet(6).runTasks(IDEMPOTENT, 200, 50);
         assertTrue(host.count("forward") <= 200 + 200 / 5 / 5, "a tenth of the fifth");
         long id = host.task(IDEMPOTENT);
         host.after(40);
@@ -32,17 +32,17 @@
 
     @ParameterizedTest
     @CsvSource({"false,true", "true,false"})
-    void noHedgesWhereCancelsOrHedgesAreNotAllowed(boolean cancel, boolean copies) {
+    void noHedgesWhereCancelsOrHedgesAreNotAllowed(boolean cancel, boolean hedge) {
         FakeHost host = new FakeHost();
         host.settings.mayCancel = cancel;
-        host.settings.mayHedge = copies;
-        host.fleet(6).train(IDEMPOTENT, 50, 50);
+        host.settings.mayHedge = hedge;
+        host.fleet(6).runTasks(IDEMPOTENT, 50, 50);
         assertEquals(50, host.count("forward"));
     }
 
     @Test
     void anUnstartedIdempotentTaskQueuesElsewhereTooAndTheFirstStartCancelsTheRest() {
-        FakeHost host = new FakeHost().fleet(12).train(IDEMPOTENT, 100, 50);
+        FakeHost host = new FakeHost().fleet(12).runTasks(IDEMPOTENT, 100, 50);
         long id = host.task(IDEMPOTENT);
         int first = host.count("forward " + id + " ");
         host.after(40).after(40);
@@ -58,11 +58,11 @@
      */
     @Test
     void aStartThatIsReadLateButBeforeTheTimerKeepsTheAttemptFromBeingRepeated() {
-        FakeHost host = new FakeHost().fleet(12).train(IDEMPOTENT, 100, 50);
+        FakeHost host = new FakeHost().fleet(12).runTasks(IDEMPOTENT, 100, 50);
         long id = host.task(IDEMPOTENT);
         int first = host.count("forward " + id + " ");
-        host.heldUpFor(40).task(NON_IDEMPOTENT);
-        host.heldUpFor(40).task(NON_IDEMPOTENT);
+        host.advanceWithoutTimer(40).task(NON_IDEMPOTENT);
+        host.advanceWithoutTimer(40).task(NON_IDEMPOTENT);
         assertEquals(first, host.count("forward " + id + " "), "not decided by another task's arrival");
         host.started(id, 0).after(0);
         assertEquals(first, host.count("forward " + id + " "), "its start came before the timer");
@@ -70,26 +70,26 @@
 
     /** A lost task was held until its expiry, so that its client could not come back in time. */
     @Test
-    void aTaskWhoseAnswerIsLostIsGivenUpAtOnceWhereNoRetryIsLawful() {
+    void aTaskWhoseAnswerIsLostIsGivenUpAtOnceWhereNoRetryIsAllowed() {
         FakeHost host = new FakeHost();
         host.settings.progressInterval = Span.ofMillis(1000);
         host.settings.maxAttempts = 1;
         host.fleet(3);
-        long sale = host.task(NON_IDEMPOTENT);
-        long look = host.task(IDEMPOTENT);
-        host.started(sale, 0).started(look, 0);
+        long nonIdempotent = host.task(NON_IDEMPOTENT);
+        long idempotent = host.task(IDEMPOTENT);
+        host.started(nonIdempotent, 0).started(idempotent, 0);
         host.after(1000).after(300);
         assertEquals(0, host.count("fail") + host.count("reject"), "a note may still be on its way");
         for (int i = 0; i < 10; i++) {
             host.after(100);
         }
-        assertEquals(1, host.count("fail " + sale), "it may have run");
-        assertEquals(1, host.count("reject " + look + " "), "its client may come again");
+        assertEquals(1, host.count("fail " + nonIdempotent), "it may have run");
+        assertEquals(1, host.count("reject " + idempotent + " "), "its client may come again");
     }
 
     @ParameterizedTest
     @CsvSource({"1,fail", "3,reject"})
-    void aLostKeyedTaskIsGivenUpWhenItsWindowIsOver(int type, String answer) {
+    void aLostKeyedTaskIsGivenUpAfterItsDeduplicationWindow(int type, String answer) {
         FakeHost host = new FakeHost();
         host.settings.progressInterval = Span.ofMillis(500);
         host.fleet(1);
@@ -110,14 +110,14 @@
         FakeHost host = new FakeHost();
         host.settings.progressInterval = Span.ofMillis(500);
         host.fleet(1);
-        long runs = host.task(NON_IDEMPOTENT);
-        host.started(runs, 0);
-        long queues = host.task(NON_IDEMPOTENT);
+        long running = host.task(NON_IDEMPOTENT);
+        host.started(running, 0);
+        long queued = host.task(NON_IDEMPOTENT);
         for (int i = 1; i < 30; i++) {
-            host.policy().onAttemptProgress(runs, 0, i / 40.0);
+            host.policy().onAttemptProgress(running, 0, i / 40.0);
             host.after(100);
         }
-        assertEquals(1, host.count("forward " + queues + " "), "it waits there");
+        assertEquals(1, host.count("forward " + queued + " "), "it waits there");
         assertEquals(0, host.count("fail"));
     }
 
@@ -126,10 +126,10 @@
      * what they earn.
      */
     @Test
-    void aStuckTaskIsRetriedAtAnyWorkerThatIsWorthItsCost() {
+    void anOverdueTaskIsRetriedAtAnyWorkerWhoseValueExceedsItsCost() {
         FakeHost host = new FakeHost();
         host.settings.handshakeCost = 0.6;
-        host.fleet(4).train(NON_IDEMPOTENT, 20, 50);
+        host.fleet(4).runTasks(NON_IDEMPOTENT, 20, 50);
         long id = host.task(IDEMPOTENT);
         host.after(40);
         assertEquals(2, host.count("forward " + id + " "), "it has not begun where it is");
--- a/src/test/java/rampshift/policy/SampleWindowTest.java
+++ b/src/test/java/rampshift/policy/SampleWindowTest.java
@@ -24,10 +24,10 @@
     void aValueLosesItsWeightAsItAges() {
         DecayingSamples samples = new DecayingSamples(4);
         samples.put(Moment.ofMillis(1000), 1);
-        Span fade = Span.ofMillis(100);
-        assertEquals(0.5, samples.mean(Moment.ofMillis(1000), fade, 0, 1), 1e-9);
+        Span decayTime = Span.ofMillis(100);
+        assertEquals(0.5, samples.mean(Moment.ofMillis(1000), decayTime, 0, 1), 1e-9);
         double weight = Math.exp(-1);
-        assertEquals(weight / (1 + weight), samples.mean(Moment.ofMillis(1100), fade, 0, 1), 1e-9);
+        assertEquals(weight / (1 + weight), samples.mean(Moment.ofMillis(1100), decayTime, 0, 1), 1e-9);
         samples.clear();
         assertEquals(0, samples.count());
     }
--- a/src/test/java/rampshift/policy/SimulatedDispatcher.java
+++ b/src/test/java/rampshift/policy/SimulatedDispatcher.java
@@ -22,14 +22,14 @@
     private static final int TASKS_PER_NON_IDEMPOTENT = 4;
 
     /** An attempt on its way to a worker, in its queue, or running. */
-    private static final class Transit {
+    private static final class SimulatedAttempt {
         private final long task;
         private final int number;
         private final SimulatedWorker worker;
         /** It was cancelled or has finished. */
         private boolean ended;
 
-        Transit(long task, int number, SimulatedWorker worker) {
+        SimulatedAttempt(long task, int number, SimulatedWorker worker) {
             this.task = task;
             this.number = number;
             this.worker = worker;
@@ -39,7 +39,7 @@
     private final FleetSimulation simulation;
     private final DispatchPolicy policy;
     /** The attempts of each task, by their number. */
-    private final Map<Long, List<Transit>> attempts = new HashMap<>();
+    private final Map<Long, List<SimulatedAttempt>> attempts = new HashMap<>();
     private long tasks;
     private double wakeAtMillis = Double.MAX_VALUE;
 
@@ -120,13 +120,14 @@
 
     @Override
     public void forward(long task, long worker, Span timeout) {
-        List<Transit> earlier = attempts.computeIfAbsent(task, key -> new ArrayList<>());
-        Transit attempt = new Transit(task, earlier.size(), simulation.workers.get((int) worker - 1));
+        List<SimulatedAttempt> earlier = attempts.computeIfAbsent(task, key -> new ArrayList<>());
+        SimulatedAttempt attempt =
+                new SimulatedAttempt(task, earlier.size(), simulation.workers.get((int) worker - 1));
         earlier.add(attempt);
         simulation.after(NETWORK_DELAY_MILLIS, () -> attempt.worker.enqueue(() -> start(attempt)));
     }
 
-    private void start(Transit attempt) {
+    private void start(SimulatedAttempt attempt) {
         if (attempt.ended) {
             attempt.worker.release();
             return;
@@ -136,7 +137,7 @@
         simulation.after(warmRunMillis / attempt.worker.speed(), () -> finish(attempt));
     }
 
-    private void finish(Transit attempt) {
+    private void finish(SimulatedAttempt attempt) {
         SimulatedWorker worker = attempt.worker;
         worker.release();
         worker.startQueued();
--- a/src/test/java/rampshift/policy/SimulatedWorker.java
+++ b/src/test/java/rampshift/policy/SimulatedWorker.java
@@ -17,7 +17,7 @@
     static final double WINDOW_MILLIS = 1500;
     /** A cold worker may be sent this many times what it can run in the window. */
     static final double MAX_CAPACITY_MULTIPLE = 4;
-    private static final double WARM_SINCE_EVER = 0;
+    private static final double LONG_WARM = 0;
 
     final long id;
     /** When it was started; 0 for one that has long been warm. */
@@ -37,7 +37,7 @@
 
     /** A worker that was started long ago. */
     static SimulatedWorker warm(FleetSimulation simulation, long id) {
-        return new SimulatedWorker(simulation, id, WARM_SINCE_EVER);
+        return new SimulatedWorker(simulation, id, LONG_WARM);
     }
 
     /** A worker that is started now. */
@@ -47,7 +47,7 @@
 
     /** Its present speed as a share of that of a warm worker, up to 1. */
     double speed() {
-        if (startedAt == WARM_SINCE_EVER) {
+        if (startedAt == LONG_WARM) {
             return 1;
         }
         double age = simulation.now() - startedAt;
--- a/src/test/java/rampshift/policy/SlowStartFleetTest.java
+++ b/src/test/java/rampshift/policy/SlowStartFleetTest.java
@@ -41,7 +41,7 @@
     /** A third of the fleet is restarted cold at once, as a burst of half as much traffic again begins. */
     @ParameterizedTest
     @CsvSource({"3, 12, 0.7, 0", "20, 12, 0.6, 0", "30, 12, 0.7, 0.7", "120, 30, 0.8, 0"})
-    void noColdWorkerIsSentMoreThanItsPartByAllTogether(int dispatchers, int workers, double load,
+    void allDispatchersTogetherKeepToTheBoundOfEachColdWorker(int dispatchers, int workers, double load,
             double firstShare) {
         Scenario scenario = new Scenario(dispatchers, workers, workers / 3, firstShare, load, 1.5, 0);
         double worst = worstRatio(scenario, MEAN_RUN_MILLIS);
@@ -54,7 +54,7 @@
      */
     @ParameterizedTest
     @CsvSource({"120, 50, 3000", "120, 400, 6000", "30, 400, 6000"})
-    void whatAllHaveSavedUpDoesNotRushTheOneThatIsCold(int dispatchers,
+    void savedUpCreditsDoNotOverloadTheOnlyColdWorker(int dispatchers,
             double meanRunMillis, double burstDelayMillis) {
         Scenario scenario = new Scenario(dispatchers, 12, 1, 0, 0.2, 6, burstDelayMillis);
         double worst = worstRatio(scenario, meanRunMillis);
--- a/src/test/java/rampshift/policy/SlowStartTest.java
+++ b/src/test/java/rampshift/policy/SlowStartTest.java
@@ -16,14 +16,14 @@
 /** What cold workers are sent. */
 class SlowStartTest {
     @Test
-    void aFleetThatIsColdAsAWholeGetsWhatItCanDoNow() {
+    void aFleetOfColdWorkersGetsItsPresentCapacity() {
         FakeHost host = new FakeHost();
         host.settings.slowStartInitialShare = 0.5;
         host.settings.slowStartDuration = Span.ofMillis(1_000_000);
         host.settings.slowStartMaxLoadMultiple = 2;
         host.settings.reportsLoad = false;
-        host.fleet(0).change(1, true, host.now() - 1).change(2, true, host.now() - 1);
-        host.train(IDEMPOTENT, 100, 50);
+        host.fleet(0).relist(1, true, host.now() - 1).relist(2, true, host.now() - 1);
+        host.runTasks(IDEMPOTENT, 100, 50);
         // Half of 2 x 0.5 of the tasks, each counted as it is sent.
         assertTrue(host.count("forward") >= 40 && host.count("forward") <= 51,
                 "sent " + host.count("forward"));
@@ -31,23 +31,24 @@
 
     @ParameterizedTest
     @ValueSource(ints = {20, 300})
-    void aColdWorkerGetsItsPartOfWhatThisDispatcherSendsHoweverManyOthersThereAre(int tasks) {
+    void aColdWorkerGetsItsShareOfWhatTheDispatcherSends(int tasks) {
         FakeHost host = new FakeHost();
         host.settings.slowStartInitialShare = 0.5;
         host.settings.slowStartDuration = Span.ofMillis(1_000_000);
         host.settings.slowStartMaxLoadMultiple = 4;
         host.settings.reportsLoad = false;
-        host.fleet(9).change(10, true, host.now() - 1);
-        host.train(IDEMPOTENT, tasks, 50);
-        long cold = host.decisions.stream().filter(s -> s.startsWith("forward") && s.endsWith(" 10")).count();
+        host.fleet(9).relist(10, true, host.now() - 1);
+        host.runTasks(IDEMPOTENT, tasks, 50);
+        long sentToCold = host.decisions.stream()
+                .filter(decision -> decision.startsWith("forward") && decision.endsWith(" 10")).count();
         // Half of a tenth of the fleet, and half of four times that: a tenth of the sends at most.
-        assertTrue(cold <= tasks * 0.106 + 1 && cold >= tasks / 100, cold + " of " + tasks);
+        assertTrue(sentToCold <= tasks * 0.106 + 1 && sentToCold >= tasks / 100, sentToCold + " of " + tasks);
     }
 
     /** Rule 4 over all dispatchers: all workers wait, and a new one is the best at each of them at once. */
     @Test
-    void aNewWorkerThatAllDispatchersHearOfAtOnceGetsNoRush() {
-        int cold = 0;
+    void aNewWorkerIsNotOverloadedWhenAllDispatchersListItAtOnce() {
+        int sentToCold = 0;
         for (int seed = 0; seed < 300; seed++) {
             FakeHost host = new FakeHost();
             host.settings.seed = seed;
@@ -55,16 +56,17 @@
             host.settings.slowStartDuration = Span.ofMillis(1_000_000);
             host.settings.slowStartMaxLoadMultiple = 4;
             host.settings.reportsLoad = false;
-            host.fleet(9).train(NON_IDEMPOTENT, 40, 50);
+            host.fleet(9).runTasks(NON_IDEMPOTENT, 40, 50);
             for (int i = 0; i < 12; i++) {
                 host.task(NON_IDEMPOTENT);
             }
-            host.after(60).change(10, true, host.now() - 1);
+            host.after(60).relist(10, true, host.now() - 1);
             for (int i = 0; i < 8; i++) {
-                cold += host.worker(host.task(NON_IDEMPOTENT), 0) == 10 ? 1 : 0;
+                sentToCold += host.worker(host.task(NON_IDEMPOTENT), 0) == 10 ? 1 : 0;
             }
         }
-        assertTrue(cold > 10 && cold <= 270, "less than a mean run is earned by eight sends: " + cold);
+        assertTrue(sentToCold > 10 && sentToCold <= 270,
+                "less than a mean run is earned by eight sends: " + sentToCold);
     }
 
     /**
@@ -72,16 +74,16 @@
      * do.
      */
     @Test
-    void rejectedAttemptsEarnColdWorkersNothing() {
+    void rejectedAttemptsEarnNoCredit() {
         FakeHost host = new FakeHost();
         host.settings.slowStartInitialShare = 0.5;
         host.settings.slowStartDuration = Span.ofMillis(1_000_000);
         host.settings.slowStartMaxLoadMultiple = 4;
-        host.fleet(9).change(10, true, host.now() - 1);
-        int ran = 0;
+        host.fleet(9).relist(10, true, host.now() - 1);
+        int finished = 0;
         for (int i = 0; i < 400; i++) {
-            for (int w = 1; w <= 10; w++) {
-                host.free(w, w == 10 ? 8 : 0);
+            for (int worker = 1; worker <= 10; worker++) {
+                host.reportFreeSlots(worker, worker == 10 ? 8 : 0);
             }
             long id = host.task(NON_IDEMPOTENT);
             int last = 0;
@@ -90,11 +92,13 @@
             }
             if (host.worker(id, last) > 0) {
                 host.started(id, last).after(50).finished(id, last, AttemptOutcome.FINISHED);
-                ran++;
+                finished++;
             }
         }
-        long cold = host.decisions.stream().filter(s -> s.startsWith("forward") && s.endsWith(" 10")).count();
-        assertTrue(cold > 0 && cold <= ran * 0.106 + 1, cold + " for " + ran + " that ran");
+        long sentToCold = host.decisions.stream()
+                .filter(decision -> decision.startsWith("forward") && decision.endsWith(" 10")).count();
+        assertTrue(sentToCold > 0 && sentToCold <= finished * 0.106 + 1,
+                sentToCold + " for " + finished + " that ran");
     }
 
     /**
@@ -104,9 +108,9 @@
      * seed is a dispatcher.
      */
     @Test
-    void aTaskThatStaysInItsGroupIsNotSureToMeetTheColdWorkerThere() {
-        int stuck = 0;
-        int rescued = 0;
+    void aTaskConfinedToItsDeduplicationScopeDoesNotAlwaysReachTheColdWorkerThere() {
+        int overdue = 0;
+        int retriedAtColdWorker = 0;
         for (int seed = 1; seed <= 60; seed++) {
             FakeHost host = new FakeHost();
             host.settings.seed = seed;
@@ -115,31 +119,31 @@
             host.settings.slowStartMaxLoadMultiple = 3;
             host.fleet(40);
             for (int id = 2; id <= 40; id += 2) {
-                host.change(id, true, host.now());
+                host.relist(id, true, host.now());
             }
-            host.train(NON_IDEMPOTENT, 40, 50);
-            long id = host.hinted(KEYED, 20, 5000);
+            host.runTasks(NON_IDEMPOTENT, 40, 50);
+            long id = host.hintedTask(KEYED, 20, 5000);
             if (host.worker(id, 0) % 2 == 1) {
                 host.after(40);
-                stuck++;
-                rescued += host.worker(id, 1) == host.worker(id, 0) + 1 ? 1 : 0;
+                overdue++;
+                retriedAtColdWorker += host.worker(id, 1) == host.worker(id, 0) + 1 ? 1 : 0;
             }
         }
-        assertTrue(stuck > 20 && rescued * 4 < stuck, rescued + " of " + stuck);
+        assertTrue(overdue > 20 && retriedAtColdWorker * 4 < overdue, retriedAtColdWorker + " of " + overdue);
     }
 
     @Test
-    void warmthGrowsWithTheAgeOfTheProcess() {
+    void warmUpFactorGrowsWithTheAgeOfTheProcess() {
         Settings settings = new Settings();
         settings.slowStartInitialShare = 0.2;
         settings.slowStartDuration = Span.ofMillis(1000);
         SlowStart slowStart = new SlowStart(new PolicyContext(settings, Moment.ofMillis(10_000)));
         Worker worker = new Worker(1);
-        assertEquals(1, slowStart.warmth(worker), "it is not told when it started");
+        assertEquals(1, slowStart.warmUpFactor(worker), "it is not told when it started");
         worker.startedAt = Moment.ofMillis(9500);
-        assertEquals(0.6, slowStart.warmth(worker), 1e-9);
+        assertEquals(0.6, slowStart.warmUpFactor(worker), 1e-9);
         worker.startedAt = Moment.ofMillis(9000);
-        assertEquals(1, slowStart.warmth(worker), 1e-9);
+        assertEquals(1, slowStart.warmUpFactor(worker), 1e-9);
     }
 
     @Test
@@ -154,7 +158,7 @@
         worker.startedAt = Moment.ofMillis(9500);
         slowStart.onSweep(0.5);
         assertFalse(slowStart.permits(worker), "the credit starts below zero");
-        slowStart.earn(2);
+        slowStart.earnCredit(2);
         assertTrue(slowStart.permits(worker));
         slowStart.onAttemptSent(worker, 3);
         assertFalse(slowStart.permits(worker));
--- a/src/test/java/rampshift/policy/TaskPolicyTest.java
+++ b/src/test/java/rampshift/policy/TaskPolicyTest.java
@@ -15,9 +15,9 @@
  */
 class TaskPolicyTest {
     /** Of the tasks that {@link FakeHost#task(int)} hands in. */
-    private static final double PATIENCE_MS = 5000;
+    private static final double REMAINING_MS = 5000;
     /** Less than the time in which a repeat of a task with an idempotency key is dropped. */
-    private static final double SHORT_PATIENCE_MS = 500;
+    private static final double SHORT_REMAINING_MS = 500;
     /** Within the two ticks before the deadline that are left to the final answer. */
     private static final double LAST_TICK_MS = 1;
     /** Long after the time at which an untried task counts as late. */
@@ -82,9 +82,9 @@
     @Test
     void nothingIsSentAfterTheDeadline() {
         FakeHost host = new FakeHost().fleet(4);
-        host.task(KEYED, 0, SHORT_PATIENCE_MS);
-        long id = host.task(KEYED, 0, SHORT_PATIENCE_MS);
-        host.after(SHORT_PATIENCE_MS - LAST_TICK_MS);
+        host.task(KEYED, 0, SHORT_REMAINING_MS);
+        long id = host.task(KEYED, 0, SHORT_REMAINING_MS);
+        host.after(SHORT_REMAINING_MS - LAST_TICK_MS);
         int sent = attempts(host, id);
         assertTrue(sent > 0);
         for (int number = 0; number < sent; number++) {
@@ -101,7 +101,7 @@
         FakeHost host = new FakeHost().fleet(4);
         long id = host.task(NON_IDEMPOTENT);
         host.policy().onEndpointListAwaited(true);
-        host.after(PATIENCE_MS - LATE_MS);
+        host.after(REMAINING_MS - LATE_MS);
         assertEquals(0, finalAnswers(host), "its attempt may still be answered");
         host.after(LATE_MS - LAST_TICK_MS);
         assertEquals(1, host.count("fail " + id + " "));
@@ -115,7 +115,7 @@
         host.policy().onEndpointListAwaited(true);
         host.finished(id, 0, AttemptOutcome.BROKEN);
         assertEquals(1, attempts(host, id));
-        host.change(1, true, 0);
+        host.relist(1, true, 0);
         assertEquals(2, attempts(host, id));
     }
 
--- a/src/test/java/rampshift/policy/TaskQueueTest.java
+++ b/src/test/java/rampshift/policy/TaskQueueTest.java
@@ -99,7 +99,7 @@
         Task task = task(5);
         queue.register(task);
         Attempt attempt = new Attempt(task, new Worker(1), new Moment(0), Span.ZERO, Span.ZERO);
-        attempt.begin();
+        attempt.markSent();
         assertSame(attempt, queue.find(5, 0));
         assertNull(queue.find(5, 1));
         assertNull(queue.find(5, -1));
@@ -109,7 +109,7 @@
     @Test
     void anAttemptThatHasEndedMeanwhileIsNotCancelled() {
         Attempt attempt = new Attempt(task(1), new Worker(1), new Moment(0), Span.ZERO, Span.ZERO);
-        attempt.begin();
+        attempt.markSent();
         queue.cancel(attempt);
         attempt.end(false);
         assertNull(queue.pollCancel());
--- a/src/test/java/rampshift/policy/UnreportedLoadTest.java
+++ b/src/test/java/rampshift/policy/UnreportedLoadTest.java
@@ -12,7 +12,7 @@
 
 /** Where workers report no load: starts tell of their queues. */
 class UnreportedLoadTest {
-    private static FakeHost unreported(int workers) {
+    private static FakeHost withoutLoadReports(int workers) {
         FakeHost host = new FakeHost();
         host.settings.reportsLoad = false;
         return host.fleet(workers);
@@ -22,28 +22,29 @@
      * Tasks that are placed once, one after the other; they begin late but at one worker. How many went
      * there.
      */
-    private static int sentTo(FakeHost host, long quick, int tasks, double late, double run) {
-        int there = 0;
+    private static int countSentTo(FakeHost host, long quickWorker, int tasks, double delayMs, double runMs) {
+        int sentToQuickWorker = 0;
         for (int i = 0; i < tasks; i++) {
             long id = host.task(NON_IDEMPOTENT);
-            boolean soon = host.worker(id, 0) == quick;
-            there += soon ? 1 : 0;
-            host.after(soon ? 1 : late).started(id, 0).after(run).finished(id, 0, AttemptOutcome.FINISHED);
+            boolean startsSoon = host.worker(id, 0) == quickWorker;
+            sentToQuickWorker += startsSoon ? 1 : 0;
+            host.after(startsSoon ? 1 : delayMs).started(id, 0).after(runMs).finished(id, 0,
+                    AttemptOutcome.FINISHED);
         }
-        return there;
+        return sentToQuickWorker;
     }
 
     @Test
-    void startsTellWhichWorkerIsBusy() {
-        FakeHost host = unreported(2);
-        sentTo(host, 2, 40, 150, 50);
-        int good = sentTo(host, 2, 10, 150, 50);
-        assertTrue(good >= 8, "tasks wait at worker 1: " + good);
+    void startDelaysShowWhichWorkerIsBusy() {
+        FakeHost host = withoutLoadReports(2);
+        countSentTo(host, 2, 40, 150, 50);
+        int sentToQuickWorker = countSentTo(host, 2, 10, 150, 50);
+        assertTrue(sentToQuickWorker >= 8, "tasks wait at worker 1: " + sentToQuickWorker);
     }
 
     @Test
-    void aRejectionAsFullTellsOfALongWait() {
-        FakeHost host = unreported(2).train(NON_IDEMPOTENT, 20, 50);
+    void aRejectionAsFullCountsAsALongStartDelay() {
+        FakeHost host = withoutLoadReports(2).runTasks(NON_IDEMPOTENT, 20, 50);
         for (int i = 0; i < 10; i++) {
             long id = host.task(NON_IDEMPOTENT);
             long full = host.worker(id, 0);
@@ -51,15 +52,16 @@
                     AttemptOutcome.FINISHED);
             long next = host.task(NON_IDEMPOTENT);
             assertNotEquals(full, host.worker(next, 0));
-            host.started(next, 0).after(50).finished(next, 0, AttemptOutcome.FINISHED).train(NON_IDEMPOTENT,
+            host.started(next, 0).after(50).finished(next, 0, AttemptOutcome.FINISHED).runTasks(
+                    NON_IDEMPOTENT,
                     4,
                     50);
         }
     }
 
     @Test
-    void anAttemptCancelledUnstartedTellsOfItsWaitToo() {
-        FakeHost host = unreported(2).train(NON_IDEMPOTENT, 4, 50);
+    void anAttemptCancelledBeforeItsStartCountsAsAStartDelay() {
+        FakeHost host = withoutLoadReports(2).runTasks(NON_IDEMPOTENT, 4, 50);
         long id = host.task(IDEMPOTENT);
         long busy = host.worker(id, 0);
         host.after(40).started(id, 1).finished(id, 0, AttemptOutcome.CALLED_OFF).finished(id, 1,
@@ -73,7 +75,7 @@
 
     @ParameterizedTest
     @CsvSource({"0,0", "2,2"})
-    void workersAreProbedOnlyForTasksThatArePlacedOnce(int type, int probes) {
+    void workersAreProbedOnlyForTasksThatCannotBeHedged(int type, int probes) {
         FakeHost host = new FakeHost();
         host.settings.reportsLoad = false;
         host.settings.mayProbe = true;
@@ -82,39 +84,42 @@
     }
 
     @Test
-    void tasksOfAWorkerThatDrainedAndDiedAreRetriedWhereLawful() {
-        FakeHost host = unreported(3).train(NON_IDEMPOTENT, 20, 50);
-        long look = host.task(IDEMPOTENT);
-        long dies = host.worker(look, 0);
-        host.started(look, 0);
-        host.change(dies, false, 0).finished(look, 0, AttemptOutcome.BROKEN);
-        assertTrue(host.worker(look, 1) > 0 && host.worker(look, 1) != dies, "another takes it");
-        long sale = host.task(NON_IDEMPOTENT);
-        assertNotEquals(dies, host.worker(sale, 0));
-        host.started(sale, 0).finished(sale, 0, AttemptOutcome.BROKEN);
-        assertEquals(1, host.count("fail " + sale), "it may have run");
+    void tasksOfAWorkerThatDrainedAndDiedAreRetriedWhereAllowed() {
+        FakeHost host = withoutLoadReports(3).runTasks(NON_IDEMPOTENT, 20, 50);
+        long idempotent = host.task(IDEMPOTENT);
+        long failedWorker = host.worker(idempotent, 0);
+        host.started(idempotent, 0);
+        host.relist(failedWorker, false, 0).finished(idempotent, 0, AttemptOutcome.BROKEN);
+        assertTrue(host.worker(idempotent, 1) > 0 && host.worker(idempotent, 1) != failedWorker,
+                "another takes it");
+        long nonIdempotent = host.task(NON_IDEMPOTENT);
+        assertNotEquals(failedWorker, host.worker(nonIdempotent, 0));
+        host.started(nonIdempotent, 0).finished(nonIdempotent, 0, AttemptOutcome.BROKEN);
+        assertEquals(1, host.count("fail " + nonIdempotent), "it may have run");
     }
 
     @Test
-    void idleCandidatesAreDrawnInProportionToTheirListedSize() {
-        FakeHost host = unreported(0);
+    void idleCandidatesAreChosenInProportionToTheirListedWeight() {
+        FakeHost host = withoutLoadReports(0);
         host.policy().onEndpointListBegin(EndpointListKind.FULL);
         for (int id = 1; id <= 4; id++) {
-            host.policy().onEndpoint(new ListedWorker(id, 0, id, id, EndpointState.READY, host.longAgo(),
+            host.policy().onEndpoint(new ListedWorker(id, 0, id, id, EndpointState.READY, host.warmStart(),
                     id == 1 ? 6 : 2));
         }
         host.policy().onEndpointListEnd();
-        host.decide().train(IDEMPOTENT, 400, 50);
-        long large = host.decisions.stream().filter(s -> s.startsWith("forward") && s.contains(" 1")
-                && s.endsWith(" 1")).count();
+        host.decide().runTasks(IDEMPOTENT, 400, 50);
+        long large = host.decisions.stream()
+                .filter(decision -> decision.startsWith("forward") && decision.contains(" 1")
+                        && decision.endsWith(" 1"))
+                .count();
         long all = host.count("forward");
         assertTrue(large > all * 0.35 && large < all * 0.65,
                 "half of the fleet's size: " + large + " of " + all);
     }
 
     @Test
-    void unstartedTasksQueueElsewherePastTheHedgeTokens() {
-        FakeHost host = unreported(12).train(NON_IDEMPOTENT, 60, 50);
+    void unstartedTasksAreRetriedBeyondTheTokensForHedges() {
+        FakeHost host = withoutLoadReports(12).runTasks(NON_IDEMPOTENT, 60, 50);
         int before = host.count("forward");
         for (int i = 0; i < 20; i++) {
             long id = host.task(IDEMPOTENT);
@@ -125,18 +130,18 @@
     }
 
     @Test
-    void wideTasksAreTakenWhileTasksStartAtOnce() {
-        FakeHost host = unreported(3).train(NON_IDEMPOTENT, 40, 50);
+    void wideTasksAreAcceptedWhileTasksStartAtOnce() {
+        FakeHost host = withoutLoadReports(3).runTasks(NON_IDEMPOTENT, 40, 50);
         for (int i = 0; i < 3; i++) {
             host.started(host.task(NON_IDEMPOTENT), 0);
         }
-        long id = host.wide(IDEMPOTENT, 4);
+        long id = host.wideTask(IDEMPOTENT, 4);
         assertEquals(0, host.count("reject " + id + " "), "a slot of ours at each worker is no queue");
     }
 
     @Test
-    void waitsOfTheLastTasksRejectTheNextUntilTheyAreOld() {
-        FakeHost host = unreported(6).train(IDEMPOTENT, 40, 50);
+    void longStartDelaysRejectTasksUntilTheyDecay() {
+        FakeHost host = withoutLoadReports(6).runTasks(IDEMPOTENT, 40, 50);
         long[] ids = new long[30];
         for (int i = 0; i < ids.length; i++) {
             ids[i] = host.task(IDEMPOTENT);
@@ -145,17 +150,19 @@
         for (long id : ids) {
             host.started(id, 0).finished(id, 0, AttemptOutcome.FINISHED);
         }
-        long late = host.task(IDEMPOTENT);
-        assertEquals(1, host.count("reject " + late + " "), "the last tasks waited longer than this one may");
+        long lateTask = host.task(IDEMPOTENT);
+        assertEquals(1, host.count("reject " + lateTask + " "),
+                "the last tasks waited longer than this one may");
         long later = host.after(2000).task(IDEMPOTENT);
         assertEquals(0, host.count("reject " + later + " "), "that is long ago");
     }
 
     @Test
-    void aTaskThatIsPlacedOnceDrawsMoreWorkers() {
-        FakeHost host = unreported(18);
-        sentTo(host, 18, 500, 60, 5);
-        int good = sentTo(host, 18, 30, 60, 5);
-        assertTrue(good >= 20, "of six drawn it is one in a third of the draws: " + good);
+    void aTaskThatCannotBeHedgedSamplesMoreWorkers() {
+        FakeHost host = withoutLoadReports(18);
+        countSentTo(host, 18, 500, 60, 5);
+        int sentToQuickWorker = countSentTo(host, 18, 30, 60, 5);
+        assertTrue(sentToQuickWorker >= 20,
+                "of six drawn it is one in a third of the draws: " + sentToQuickWorker);
     }
 }
--- a/src/test/java/rampshift/policy/WorkerEstimatesTest.java
+++ b/src/test/java/rampshift/policy/WorkerEstimatesTest.java
@@ -28,7 +28,7 @@
      */
     @Test
     void aTypeThatNeverRanIsNotRejectedWhereWorkersLookSlow() {
-        FakeHost host = new FakeHost().fleet(1).train(IDEMPOTENT, 10, 1).train(IDEMPOTENT, 1, 100);
+        FakeHost host = new FakeHost().fleet(1).runTasks(IDEMPOTENT, 10, 1).runTasks(IDEMPOTENT, 1, 100);
         long id = host.task(NON_IDEMPOTENT);
         assertEquals(0, host.count("reject " + id + " "));
         assertEquals(1, host.worker(id, 0));
@@ -44,18 +44,19 @@
         host.settings.types.add(new TrafficType(1, 0, Span.ofMillis(5000), 0, Span.ofMillis(9000),
                 TrafficType.Effect.NON_IDEMPOTENT, TrafficType.DeduplicationScope.ALL, Span.ZERO, null,
                 null));
-        host.fleet(2).train(NON_IDEMPOTENT, 40, 30);
+        host.fleet(2).runTasks(NON_IDEMPOTENT, 40, 30);
         long first = host.task(4);
         host.after(30).finished(first, 0, AttemptOutcome.FINISHED);
-        host.free(1, 1).free(2, 1);
-        int there = 0;
-        int elsewhere = 0;
+        host.reportFreeSlots(1, 1).reportFreeSlots(2, 1);
+        int sentThere = 0;
+        int sentElsewhere = 0;
         for (int i = 0; i < 20; i++) {
             long worker = host.worker(host.task(NON_IDEMPOTENT), 0);
-            there += worker == host.worker(first, 0) ? 1 : 0;
-            elsewhere += worker == 3 - host.worker(first, 0) ? 1 : 0;
+            sentThere += worker == host.worker(first, 0) ? 1 : 0;
+            sentElsewhere += worker == 3 - host.worker(first, 0) ? 1 : 0;
         }
-        assertTrue(there <= elsewhere + 2, "of workers alike one got " + there + ", the other " + elsewhere);
+        assertTrue(sentThere <= sentElsewhere + 2,
+                "of workers alike one got " + sentThere + ", the other " + sentElsewhere);
     }
 
     /**
@@ -64,22 +65,22 @@
      * was rejected.
      */
     @Test
-    void runsShorterThanTheClockTellsDoNotMakeTheirWorkerLookSlow() {
-        FakeHost host = new FakeHost().fleet(1).train(IDEMPOTENT, 80, 0.05);
-        host.train(NON_IDEMPOTENT, 1, 0.05).free(1, 4);
-        long id = host.hinted(NON_IDEMPOTENT, 60, 5000 - 170);
+    void runsBelowTheClockResolutionDoNotMakeTheirWorkerLookSlow() {
+        FakeHost host = new FakeHost().fleet(1).runTasks(IDEMPOTENT, 80, 0.05);
+        host.runTasks(NON_IDEMPOTENT, 1, 0.05).reportFreeSlots(1, 4);
+        long id = host.hintedTask(NON_IDEMPOTENT, 60, 5000 - 170);
         assertEquals(1, host.worker(id, 0), "60 ms are to run, 110 are left");
     }
 
     @Test
-    void liveWeightsOfTheListTellWhichWorkerIsBusy() {
+    void liveWeightsOfTheListShowWhichWorkerIsBusy() {
         FakeHost host = new FakeHost();
         host.settings.liveWeights = true;
-        host.fleet(4).free(1, 4).free(2, 4);
+        host.fleet(4).reportFreeSlots(1, 4).reportFreeSlots(2, 4);
         for (int round = 0; round < 4; round++) {
             host.policy().onEndpointListBegin(EndpointListKind.DELTA);
             for (int id = 1; id <= 4; id++) {
-                host.policy().onEndpoint(new ListedWorker(id, 0, 1, 0, EndpointState.READY, host.longAgo(),
+                host.policy().onEndpoint(new ListedWorker(id, 0, 1, 0, EndpointState.READY, host.warmStart(),
                         id == 3 ? 8 : 2));
             }
             host.policy().onEndpointListEnd();
@@ -95,11 +96,12 @@
     @Test
     void whereWorkersReportedIdleDoNotStartTasksAreSpreadWithoutTheReports() {
         FakeHost host = new FakeHost();
-        host.fleet(6).train(NON_IDEMPOTENT, 40, 50);
+        host.fleet(6).runTasks(NON_IDEMPOTENT, 40, 50);
         Set<Long> used = new HashSet<>();
         for (int i = 0; i < 40; i++) {
-            for (int w = 1; w <= 6; w++) {
-                host.policy().onLoadReport(w, w == 1 ? 3 : 0, Double.NaN, w == 1 ? 0 : 9, Double.NaN);
+            for (int worker = 1; worker <= 6; worker++) {
+                host.policy().onLoadReport(worker, worker == 1 ? 3 : 0, Double.NaN, worker == 1 ? 0 : 9,
+                        Double.NaN);
             }
             long id = host.task(IDEMPOTENT);
             if (i >= 20) {
@@ -115,29 +117,29 @@
      * as full.
      */
     @Test
-    void aWorkerWhoseReportsDoNotHoldIsAvoided() {
+    void aWorkerWhoseReportsAreWrongIsAvoided() {
         FakeHost host = new FakeHost();
         host.fleet(12);
-        int there = 0;
+        int sentThere = 0;
         for (int i = 0; i < 60; i++) {
-            for (int w = 1; w <= 12; w++) {
-                host.free(w, w <= 3 ? 4 : w == 4 ? 1 : 0);
+            for (int worker = 1; worker <= 12; worker++) {
+                host.reportFreeSlots(worker, worker <= 3 ? 4 : worker == 4 ? 1 : 0);
             }
             long id = host.after(60).task(NON_IDEMPOTENT);
-            boolean false3 = host.worker(id, 0) <= 3;
-            there += false3 && i >= 20 ? 1 : 0;
+            boolean sentOnWrongReport = host.worker(id, 0) <= 3;
+            sentThere += sentOnWrongReport && i >= 20 ? 1 : 0;
             int last = 0;
             while (host.worker(id, last) > 0 && host.worker(id, last) <= 3) {
                 host.finished(id, last++, AttemptOutcome.FULL);
             }
             host.started(id, last).after(50).finished(id, last, AttemptOutcome.FINISHED);
         }
-        assertTrue(there <= 25, "most go there by their reports: " + there + " of 40");
+        assertTrue(sentThere <= 25, "most go there by their reports: " + sentThere + " of 40");
     }
 
     @Test
     void aTypesFirstFinishDoesNotMakeItsWorkerLookFast() {
-        FakeHost host = new FakeHost().fleet(1).free(1, 1).train(NON_IDEMPOTENT, 1, 2);
+        FakeHost host = new FakeHost().fleet(1).reportFreeSlots(1, 1).runTasks(NON_IDEMPOTENT, 1, 2);
         for (int i = 0; i < 30; i++) {
             host.task(IDEMPOTENT);
         }
@@ -152,7 +154,7 @@
     void attemptsWhoseAnswersAreLostDoNotMakeTheirWorkersLookSlowAndFull() {
         FakeHost host = new FakeHost();
         host.settings.progressInterval = Span.ofMillis(1000);
-        host.fleet(2).train(NON_IDEMPOTENT, 40, 50);
+        host.fleet(2).runTasks(NON_IDEMPOTENT, 40, 50);
         for (int i = 0; i < 6; i++) {
             host.started(host.task(NON_IDEMPOTENT), 0);
         }
@@ -161,31 +163,31 @@
             host.started(id, 0).after(50).finished(id, 0, AttemptOutcome.FINISHED);
         }
         int rejected = host.count("reject");
-        host.train(NON_IDEMPOTENT, 20, 50);
+        host.runTasks(NON_IDEMPOTENT, 20, 50);
         assertEquals(rejected, host.count("reject"), "rejectd once it is known that they are lost");
     }
 
     /** Workers that grew slower were met only as they finished something, many running times later. */
     @ParameterizedTest
     @ValueSource(booleans = {false, true})
-    void whereStartsAreNotToldAnOverdueRunTellsOfASlowWorker(boolean progress) {
+    void whereStartsAreNotReportedAnOverdueRunShowsASlowWorker(boolean progress) {
         for (int seed = 1; seed <= 8; seed++) {
             FakeHost host = new FakeHost();
             host.settings.seed = seed;
             host.settings.reportsStart = false;
             host.settings.progressInterval = Span.ofMillis(progress ? 50 : 0);
-            host.fleet(2).free(1, 4).free(2, 4);
+            host.fleet(2).reportFreeSlots(1, 4).reportFreeSlots(2, 4);
             for (int i = 0; i < 20; i++) {
                 long id = host.task(NON_IDEMPOTENT);
                 host.after(50).finished(id, 0, AttemptOutcome.FINISHED);
             }
-            long slow = host.task(NON_IDEMPOTENT);
+            long slowTask = host.task(NON_IDEMPOTENT);
             host.after(progress ? 60 : 150);
             if (progress) {
-                host.policy().onAttemptProgress(slow, 0, 0.1);
+                host.policy().onAttemptProgress(slowTask, 0, 0.1);
             }
-            long other = 3 - host.worker(slow, 0);
-            host.policy().onLoadReport(host.worker(slow, 0), 3, Double.NaN, 1, Double.NaN);
+            long other = 3 - host.worker(slowTask, 0);
+            host.policy().onLoadReport(host.worker(slowTask, 0), 3, Double.NaN, 1, Double.NaN);
             host.policy().onLoadReport(other, 3, Double.NaN, 1, Double.NaN);
             assertEquals(other, host.worker(host.task(NON_IDEMPOTENT), 0), "seed " + seed);
         }
@@ -196,7 +198,7 @@
      * while.
      */
     @Test
-    void whereStartsAreNotToldFinishesInTimeTellThatReportsHold() {
+    void whereStartsAreNotReportedFinishesInTimeConfirmReports() {
         for (int seed = 1; seed <= 5; seed++) {
             FakeHost host = new FakeHost();
             host.settings.seed = seed;
@@ -205,12 +207,12 @@
             for (int i = 0; i < 40; i++) {
                 host.policy().onLoadReport(1, 4, Double.NaN, 0, Double.NaN);
                 host.policy().onLoadReport(2, 4, Double.NaN, 0, Double.NaN);
-                long id = host.hinted(NON_IDEMPOTENT, 50, 5000);
+                long id = host.hintedTask(NON_IDEMPOTENT, 50, 5000);
                 host.after(i < 10 ? 150 : 50).finished(id, 0, AttemptOutcome.FINISHED);
             }
             host.policy().onLoadReport(1, 4, Double.NaN, 0, Double.NaN);
             host.policy().onLoadReport(2, 0, Double.NaN, 30, Double.NaN);
-            assertEquals(1, host.worker(host.hinted(NON_IDEMPOTENT, 50, 5000), 0), "seed " + seed);
+            assertEquals(1, host.worker(host.hintedTask(NON_IDEMPOTENT, 50, 5000), 0), "seed " + seed);
         }
     }
 }
