--- a/src/bench/java/rampshift/policy/DecisionBench.java
+++ b/src/bench/java/rampshift/policy/DecisionBench.java
@@ -17,11 +17,9 @@
 import rampshift.time.Span;
 
 /**
- * What one decision costs, by the size of the fleet. The clock is the story's own: a task each millisecond,
- * forty
- * in hand, each done after 40 ms, so the time measured is the module's alone. JIT as in service: the first
- * compiler
- * only.
+ * Measures the time of one decision by the size of the fleet. The clock is simulated: a task arrives each
+ * millisecond, forty are in flight, and each ends after 40 ms, so that only the policy is measured. The JIT
+ * is that of production: the first compiler only.
  */
 @State(Scope.Thread)
 @BenchmarkMode(Mode.AverageTime)
@@ -87,7 +85,7 @@
         }
     }
 
-    /** One task from its arrival to its end, with the timers that fall due meanwhile. */
+    /** Decides one task from its arrival to its end, with the timers that are due meanwhile. */
     @Benchmark
     public void task() {
         advanceClock();
@@ -103,7 +101,7 @@
         }
     }
 
-    /** A load report by itself. */
+    /** Handles one load report. */
     @Benchmark
     public void report() {
         policy.setNow(now);
@@ -111,7 +109,7 @@
         runDecisions();
     }
 
-    /** A change of the list: one worker drains, or is back. */
+    /** Handles a change of the endpoint list: one worker drains, or is ready again. */
     @Benchmark
     public void change() {
         long worker = 1 + sequence / 2 % workers;
@@ -124,7 +122,7 @@
         runDecisions();
     }
 
-    /** The whole list anew, nothing changed. */
+    /** Handles a full endpoint list without changes. */
     @Benchmark
     public void whole() {
         policy.setNow(now);
@@ -137,7 +135,7 @@
         runDecisions();
     }
 
-    // ---- what is decided
+    // ---- decisions
 
     @Override
     public void forward(long task, long worker, Span timeout) {
@@ -151,12 +149,12 @@
 
     @Override
     public void reject(long task, Span retryAfter) {
-        throw new IllegalStateException("nothing is to be bounced here");
+        throw new IllegalStateException("no task may be rejected here");
     }
 
     @Override
     public void fail(long task) {
-        throw new IllegalStateException("nothing is to be abandoned here");
+        throw new IllegalStateException("no task may fail here");
     }
 
     @Override
@@ -166,7 +164,7 @@
 
     @Override
     public void subscribe() {
-        // There is nobody to ask.
+        // There is no discovery service.
     }
 
     @Override
--- a/src/main/java/rampshift/policy/Admission.java
+++ b/src/main/java/rampshift/policy/Admission.java
@@ -2,18 +2,26 @@
 
 import rampshift.time.Span;
 
-/** Owns which tasks are rejected, for lack of capacity, time or value, and when their clients may retry. */
+/** Decides which tasks are rejected for lack of capacity, time or value, and when their clients may retry. */
 record Admission(PolicyContext context, WorkerEstimates estimates, ExpectedValue value,
         Eligibility eligibility) {
 
-    // how likely in time, and the more the tail counts
+    /**
+     * Probability of ending in time below which a task is rejected. The weight of late tasks in the goal is
+     * added to it.
+     */
     private static final double MIN_IN_TIME_PROBABILITY = 0.25;
-    // late arrivals: more than that are no retries
+    /**
+     * Ratio of late arrivals to given-up tasks that had arrived in time, above which the former are not
+     * retries.
+     */
     private static final double MAX_LATE_ARRIVALS_PER_REJECTION = 2;
 
     /**
-     * Late by the time left: a retry, or a client of little patience. Where far more come so than were
-     * rejected they are no retries; rejected as hopeless, two thirds of the tasks were lost.
+     * Notes whether the task arrived too late to end in time by the time that it has left. It may be a retry,
+     * or its client has a short timeout. Where far more tasks arrive so than were rejected they are not
+     * retries, and their latency objective counts from their arrival; taken for hopeless retries, two thirds
+     * of all tasks were rejected.
      */
     void onTaskArrived(Task task) {
         task.arrivedLate = value.timeLeft(task).micros() < 0;
@@ -24,40 +32,51 @@
         context.history.arrivedLate.put(task.arrivedLate ? 1 : 0);
     }
 
-    /** The part of what was sent lately that was rejected as full: how short capacity is. */
+    /**
+     * Returns the share of recent attempts that were rejected as full, which measures the lack of capacity.
+     */
     double rejectedAsFullShare() {
         return 1 - estimates.shortTermMean(context.history.accepted, 1);
     }
 
-    /** The capacity that the task takes earns more with others, where it is short. */
+    /**
+     * Returns whether other tasks would earn more with the capacity that the task takes. The opportunity cost
+     * rises with the share of attempts rejected as full.
+     */
     boolean opportunityCostExceedsValue(Task task) {
         double opportunityCost = rejectedAsFullShare() * context.history.values.mean(0)
                 * context.runs.knownCostInMeanRuns(task);
         return eligibility.mayReject(task) && opportunityCost > value.ofTask(task);
     }
 
-    /** Whether the task is rejected rather than sent to the worker, at which it is worth this much. */
+    /** Returns whether the task is rejected rather than sent to the worker, where it has the given value. */
     boolean rejects(Task task, Worker worker, double attemptValue, boolean isLastSample) {
         return eligibility.mayReject(task) && !(isLastSample && isExploration(task)) && (attemptValue <= 0
                 || value.inTimeProbabilityByStarts(task, worker) < MIN_IN_TIME_PROBABILITY
                         + context.settings.lateShareWeight);
     }
 
-    /** Nothing of its type was sent for long: after one long run, only another tells that most are short. */
+    /**
+     * Returns whether the task is sent although it may be late because no task of its type was sent for long.
+     * A type rejected for one long run would otherwise never run again, and its short runs would not be
+     * measured.
+     */
     private boolean isExploration(Task task) {
         return !task.arrivedLate && context.runs.isUnsentWithin(task, estimates.longTerm(), context.now());
     }
 
     /**
-     * Late by its own hint, and others wait for its slots: a fleet short of capacity did a quarter of its
-     * work for late answers. Drawback: where hints tell too little. What may not be rejected goes on.
+     * Returns whether the task is late, earns nothing late, and holds slots that others wait for. Without
+     * this rule a fleet short of capacity spent a quarter of its work on late answers. It applies only to
+     * tasks that have a hint of their running time and may be rejected. Drawback: it cancels tasks whose hint
+     * is too low.
      */
     boolean holdsSlotsWithoutValue(Task task, Worker worker) {
         return task.runHint.micros() > 0 && task.type.lateValueShare() == 0 && eligibility.mayReject(task)
                 && value.timeLeft(task).micros() < 0 && estimates.wait(worker, task.slots).micros() > 0;
     }
 
-    /** When the client of a rejected task may retry; zero where it is not told. */
+    /** Returns how long the client of a rejected task should wait before a retry; zero for no advice. */
     Span retryAfter() {
         if (!context.settings.retryAfterHints) {
             return Span.ZERO;
--- a/src/main/java/rampshift/policy/Attempt.java
+++ b/src/main/java/rampshift/policy/Attempt.java
@@ -3,25 +3,25 @@
 import rampshift.time.Moment;
 import rampshift.time.Span;
 
-/** One sending of a task to a worker. */
+/** One attempt at a task: a copy of it that was sent to a worker. */
 final class Attempt {
     final Task task;
     final int number;
     final Worker worker;
     final Moment sentAt;
     final Span predictedWait;
-    /** The wait and the run. */
+    /** The predicted wait and the predicted run. */
     final Span predictedDuration;
-    /** Null until its start is told. */
+    /** Null until the start is observed. */
     Moment startedAt;
     Moment progressAt;
-    /** The share of its work that is done, 0 to 1. */
+    /** The share of the work that is done, 0 to 1, by the last progress message. */
     double progress;
-    /** Reports said that it would start at once, and it is not known yet whether they held. */
+    /** Load reports said that it would start at once, and it is not known yet whether they were right. */
     boolean sentOnIdleReport;
-    /** Its progress messages have ended without an answer. */
+    /** Progress messages are overdue, and no answer came. */
     boolean lost;
-    /** What it earned for cold workers as it was sent, in mean runs. */
+    /** The cost for which credit was earned for cold workers when it was sent, in mean runs of one slot. */
     double creditedCostMeanRuns;
     boolean ended;
     boolean neverRan;
@@ -36,13 +36,14 @@
         predictedDuration = predictedWait.plus(predictedRun);
     }
 
-    /** It is sent. */
+    /** Adds the attempt to those of its task and its worker. */
     void markSent() {
         task.attempts.add(this);
         task.openAttempts++;
         worker.attempts.add(this);
     }
 
+    /** Marks the attempt as ended. */
     void end(boolean withoutRunning) {
         ended = true;
         neverRan = withoutRunning;
@@ -50,17 +51,20 @@
         task.openAttempts--;
     }
 
-    /** Neither ended nor cancelled. */
+    /** Returns whether the attempt is neither ended nor cancelled. */
     boolean isOpen() {
         return !ended && !cancelled;
     }
 
-    /** When it began to run, or where starts are not told should have; null where its was not told. */
+    /**
+     * Returns the observed start. Where none was observed, returns the predicted one if workers don't report
+     * starts, and null if they do.
+     */
     Moment observedOrPredictedStart(boolean startsReported) {
         return startedAt != null || startsReported ? startedAt : sentAt.plus(predictedWait);
     }
 
-    /** When its worker last told of it, or else when it was sent. */
+    /** Returns when the worker last reported on the attempt, or when it was sent. */
     Moment lastHeardOfAt() {
         if (progress > 0) {
             return progressAt;
@@ -68,12 +72,14 @@
         return startedAt != null ? startedAt : sentAt;
     }
 
-    /** What it is going to run in all, in milliseconds, by its progress; at least its age. */
+    /**
+     * Returns the expected total running time in milliseconds, by the reported progress; at least the age.
+     */
     double expectedRunMs(double ageMs) {
         return progress > 0 ? Math.max(ageMs, progressAt.since(startedAt).millis() / progress) : ageMs;
     }
 
-    /** As one of its worker's attempts, it counts as work that the worker has. */
+    /** Returns whether the attempt counts towards the load of its worker. */
     boolean countsAsLoad() {
         return !cancelled && !lost;
     }
--- a/src/main/java/rampshift/policy/Candidate.java
+++ b/src/main/java/rampshift/policy/Candidate.java
@@ -1,4 +1,7 @@
 package rampshift.policy;
 
-/** A tested worker, and its value to the task: an idle and good one has the task's own value on top. */
+/**
+ * A worker tested for idleness and its score: the value of an attempt, plus the task's value if idle and
+ * good.
+ */
 record Candidate(Worker worker, double score) {}
--- a/src/main/java/rampshift/policy/CandidateSampler.java
+++ b/src/main/java/rampshift/policy/CandidateSampler.java
@@ -3,16 +3,26 @@
 import java.util.Collections;
 import java.util.List;
 
-/** Owns which workers are drawn for a task: random ones that it may go to, half of them from the own zone. */
+/**
+ * Samples the candidates for a task: random workers that it may go to, half of them from the own zone where
+ * both the own zone and others have some.
+ */
 record CandidateSampler(PolicyContext context, FleetSweep sweep, SlowStart slowStart,
         Eligibility eligibility, OutlierEjection ejection, Admission admission) {
 
+    /** Number of workers in a sample, over all zones: the d of the Redundant-to-Idle-Queue rule. */
     private static final int SAMPLE_SIZE = 6;
-    private static final int MAX_CONNECTED_CANDIDATES = 3; // more: those to which a connection is free
-    private static final int SINGLE_ATTEMPT_SAMPLE_FACTOR = 3; // times as many where a task is placed once
-    private static final double LOAD_RATIO_EXPONENT = 4; // of how much fuller bound types' workers are
+    /** Number of workers with an idle connection that may join a sample in addition. */
+    private static final int MAX_CONNECTED_CANDIDATES = 3;
+    /** Factor on the sample size for a task that can't be hedged while workers report no load. */
+    private static final int SINGLE_ATTEMPT_SAMPLE_FACTOR = 3;
+    /**
+     * Exponent of the load ratio between workers of constrained types and the others, in the probability with
+     * which an unconstrained task samples the former.
+     */
+    private static final double LOAD_RATIO_EXPONENT = 4;
 
-    /** Adds candidates to those that the task has. */
+    /** Adds a sample of workers to the task's candidates. */
     void sample(Task task) {
         sweep.runIfDue();
         task.randomDraw = task.sampleCount++ == 0 ? context.random.next() : task.randomDraw;
@@ -20,7 +30,7 @@
                 .limit(MAX_CONNECTED_CANDIDATES).forEach(task.candidates::add);
         var localAndRemote = context.workers.localAndRemote(task.typeIndex);
         boolean hasLocalAndRemote = !localAndRemote.get(0).isEmpty() && !localAndRemote.get(1).isEmpty();
-        // What can't go on to another queue is placed once: more are looked at.
+        // A task that can't queue at a second worker needs a larger sample to find a short queue.
         boolean singleAttempt = !context.settings.reportsLoad && !eligibility.mayHedge(task);
         int limit = (hasLocalAndRemote ? SAMPLE_SIZE / 2 : SAMPLE_SIZE)
                 * (singleAttempt ? SINGLE_ATTEMPT_SAMPLE_FACTOR : 1);
@@ -28,8 +38,10 @@
     }
 
     private void sample(Task task, List<Worker> workers, int limit) {
-        // The credit bounds what cold ones get over time, the odds a rush of all to one that is idle. What
-        // has to stay in a group is sure to draw its cold one: a retry of each dispatcher pushed it over.
+        // The slow-start credit bounds what cold workers get over time; the sampling probability bounds a
+        // burst of all dispatchers to one idle cold worker. A task that must stay in its deduplication scope
+        // has few candidates. With the probability scaled by the fleet's size it would always sample the cold
+        // worker among them, and one retry from each dispatcher is enough to overload that worker.
         double workersPerCandidate =
                 eligibility.mustStayInDeduplicationScope(task) ? 1 : (double) workers.size() / limit;
         slowStart.beginSample(workersPerCandidate, 1 - admission.rejectedAsFullShare());
@@ -52,8 +64,9 @@
     }
 
     /**
-     * What may run anywhere leaves room where bound types have to run: such workers are drawn the less, the
-     * fuller they are than the rest. Drawback: more attempts cross to other zones.
+     * Returns whether an unconstrained task samples a worker that also serves constrained types. The more
+     * such workers are loaded compared with the others, the less likely that is, so that capacity is left to
+     * the types that can't run elsewhere. Drawback: more attempts cross to other zones.
      */
     private boolean passesConstrainedLoadCheck() {
         double loadRatio = context.load.constrainedLoadRatio();
--- a/src/main/java/rampshift/policy/DecayingSamples.java
+++ b/src/main/java/rampshift/policy/DecayingSamples.java
@@ -3,11 +3,14 @@
 import rampshift.time.Moment;
 import rampshift.time.Span;
 
-/** The last few values of one measurement and when each was taken; a value loses its weight as it ages. */
+/** The last values of one measurement with the time of each; the weight of a value decays with its age. */
 final class DecayingSamples {
     private final SampleWindow values;
     private final SampleWindow timesMs;
-    /** The last mean and what it was asked for: a task's candidates ask for the same one in turn. */
+    /**
+     * The last mean, NaN if there is none, with its arguments in the fields below: the candidates of a task
+     * ask for the same mean one after another.
+     */
     private double cachedMean = Double.NaN;
     private long cachedNowMicros;
     private long cachedDecayMicros;
@@ -33,12 +36,15 @@
         return values.get(index);
     }
 
-    /** How much the value counts by its age, 0 to 1: a third after one fade, a seventh after two. */
+    /**
+     * Returns the weight of a value by its age, 0 to 1: about a third after one decay time, a seventh after
+     * two.
+     */
     double weight(int index, Moment now, Span decayTime) {
         return Math.exp((timesMs.get(index) - now.millis()) / decayTime.millis());
     }
 
-    /** The mean by these weights, with a prior value of the stated weight. */
+    /** Returns the mean by these weights, including a prior with the given weight. */
     double mean(Moment now, Span decayTime, double prior, double priorWeight) {
         if (isCachedMean(now, decayTime, prior, priorWeight)) {
             return cachedMean;
--- a/src/main/java/rampshift/policy/Decisions.java
+++ b/src/main/java/rampshift/policy/Decisions.java
@@ -3,26 +3,29 @@
 import rampshift.time.Moment;
 import rampshift.time.Span;
 
-/** What the policy decides; {@link DispatchPolicy#decideNext} makes one call on it. */
+/** Receives the decisions of the policy, one for each call of {@link DispatchPolicy#decideNext}. */
 public interface Decisions {
-    /** Send an attempt of the task to the worker; it is numbered in the order of these calls, from 0. */
+    /**
+     * Sends an attempt at the task to the worker. A task's attempts are numbered from 0 in the order of these
+     * calls.
+     */
     void forward(long task, long worker, Span timeout);
 
-    /** Cancel one attempt. */
+    /** Cancels an attempt. */
     void cancel(long task, int attempt);
 
-    /** Final answer: rejected, a retry is harmless; a zero span gives no advice on when. */
+    /** Gives the final answer that the task is rejected and may be retried; a zero span advises no delay. */
     void reject(long task, Span retryAfter);
 
-    /** Final answer: failed, with no promise about its effect. */
+    /** Gives the final answer that the task failed; it may have run. */
     void fail(long task);
 
-    /** Ask for the worker's health and load. */
+    /** Probes the worker's health and load. */
     void probe(long worker);
 
-    /** Subscribe to changes of the endpoint list. */
+    /** Subscribes to changes of the endpoint list. */
     void subscribe();
 
-    /** Call {@link DispatchPolicy#onTimer} at this moment or soon after. */
+    /** Calls {@link DispatchPolicy#onTimer} at this moment or soon after. */
     void wakeAt(Moment when);
 }
--- a/src/main/java/rampshift/policy/DispatchPolicy.java
+++ b/src/main/java/rampshift/policy/DispatchPolicy.java
@@ -4,12 +4,13 @@
 import rampshift.time.Span;
 
 /**
- * The policy as its hosts call it: where a task goes, when it is retried, when it is rejected or fails.
+ * The interface of the policy to its hosts. It decides which workers a task is sent to, and when it is
+ * retried, rejected or failed.
  *
- * <p>A host sets the time and reports what it observed through the {@code on...} methods, which only update
- * what is known. Then it calls {@link #decideNext} until that is false; each call that is true made one call
- * on the {@link Decisions}. This class hands inputs to the parts and carries out what they decide. The
- * mechanism is {@link RedundantToIdleQueue}; docs/design.md tells what was kept and why.
+ * <p>A host sets the time and reports events through the {@code on...} methods, which only update the state.
+ * Then it calls {@link #decideNext} until that returns false; each call that returns true has made one call
+ * on the {@link Decisions}. This class passes events to the parts of the policy and carries out what they
+ * decide. The placement rule is {@link RedundantToIdleQueue}; docs/design.md explains the design.
  */
 public final class DispatchPolicy {
     private final PolicyContext context;
@@ -26,12 +27,12 @@
     private final Admission admission;
     private final RedundantToIdleQueue redundantToIdle;
     private final TaskPolicy taskPolicy;
-    /** When the host was asked to call {@link #onTimer}; null where it was not. */
+    /** When the host was last asked to call {@link #onTimer}; null if no call is pending. */
     private Moment wakeAt;
-    /** Up to when timers are due; later ones wait for {@link #onTimer}. */
+    /** Timers up to this moment are due; later ones wait for {@link #onTimer}. */
     private Moment dueUntil;
 
-    /** Makes a policy that knows no worker yet. */
+    /** Creates a policy without workers. */
     public DispatchPolicy(Settings settings, Moment now) {
         context = new PolicyContext(settings, now);
         dueUntil = now;
@@ -57,14 +58,18 @@
                 redundantToIdle);
     }
 
-    // ---- inputs: what is known
+    // ---- events
 
-    /** Sets the time of the inputs and decisions that follow. */
+    /** Sets the time of the events and decisions that follow. */
     public void setNow(Moment now) {
         context.setNow(now);
     }
 
-    /** The endpoint list is asked for anew; {@code longSince}: it may have had news for long. */
+    /**
+     * The host requests the endpoint list anew.
+     *
+     * @param mayBeOutdated whether the known list may have been outdated for long
+     */
     public void onEndpointListAwaited(boolean mayBeOutdated) {
         endpointListPolicy.onListAwaited(mayBeOutdated);
     }
@@ -77,19 +82,19 @@
         }
     }
 
-    /** An entry of the list that has begun. */
+    /** An entry of the endpoint list that has begun was read. */
     public void onEndpoint(ListedWorker entry) {
         Worker worker = context.workers.put(entry);
         observer.onListedWeight(worker, entry.weight());
     }
 
-    /** The list that had begun is over. */
+    /** The endpoint list that had begun is complete. */
     public void onEndpointListEnd() {
         context.workers.endList();
         tasks.unparkAll();
     }
 
-    /** A task was taken. Its id is new, its type one of the settings. */
+    /** A task has arrived. Its id is new, and its type an index into those of the settings. */
     public void onTaskArrived(long id, TaskRequest request) {
         Task task = new Task(id, context.settings.types.get(request.type()), request, context.now());
         tasks.register(task);
@@ -102,7 +107,7 @@
         tasks.decideAt(eligibility.finalAnswerAt(task), task);
     }
 
-    /** A worker has told that it runs the attempt. */
+    /** A worker has reported that the attempt runs. */
     public void onAttemptStarted(long id, int number) {
         Attempt attempt = tasks.find(id, number);
         if (attempt != null && attempt.startedAt == null) {
@@ -110,11 +115,11 @@
             onContact(attempt.worker);
             observer.onAttemptStarted(attempt);
             value.onAttemptStarted(attempt);
-            redundantToIdle.cancelRest(attempt.task); // what still queues elsewhere is not needed
+            redundantToIdle.cancelRest(attempt.task); // attempts that still queue are not needed
         }
     }
 
-    /** A worker has told what share of the attempt's work is done, 0 to 1. */
+    /** A worker has reported the share of the attempt's work that is done, 0 to 1. */
     public void onAttemptProgress(long id, int number, double completedShare) {
         Attempt attempt = tasks.find(id, number);
         if (attempt != null) {
@@ -123,7 +128,9 @@
         }
     }
 
-    /** A worker has told its load, in slots and units of memory; what it does not tell is NaN. */
+    /**
+     * A worker has reported its load, in slots and units of memory; values that it does not report are NaN.
+     */
     public void onLoadReport(long workerId, double free, double queued, double running, double freeMemory) {
         Worker worker = context.workers.get(workerId);
         if (worker != null) {
@@ -145,7 +152,11 @@
         worker.awaitingProbe.clear();
     }
 
-    /** An attempt has ended; {@code terminal}: its task has its final answer with it. */
+    /**
+     * An attempt has ended.
+     *
+     * @param terminal whether its task has its final answer with it
+     */
     public void onAttemptEnded(long id, int number, AttemptOutcome outcome, boolean terminal) {
         Attempt attempt = tasks.find(id, number);
         if (attempt == null || attempt.ended) {
@@ -183,7 +194,7 @@
         }
     }
 
-    /** The task's client has left: no answer is owed any longer. */
+    /** The task's client has disconnected and needs no answer. */
     public void onClientDisconnected(long id) {
         Task task = tasks.find(id);
         if (task != null) {
@@ -191,7 +202,7 @@
         }
     }
 
-    /** The dispatcher ends: the task gets its final answer now, as at its deadline. */
+    /** The dispatcher shuts down. The task gets its final answer now, as at its deadline. */
     public void onShutdown(long id) {
         Task task = tasks.find(id);
         if (task != null && !task.closed) {
@@ -201,9 +212,9 @@
     }
 
     /**
-     * The moment has come that {@link Decisions#wakeAt} asked for, and all that was observed before it has
-     * been told. What is due by then is decided now, and by no other input: what is heard first may be what
-     * it waits for.
+     * The moment that {@link Decisions#wakeAt} asked for has come, and all events before it have been
+     * reported. Timers fire only by this event: an event that is reported before it may be the one that the
+     * timer guards.
      */
     public void onTimer() {
         wakeAt = null;
@@ -217,7 +228,7 @@
 
     // ---- decisions
 
-    /** Makes one call on the decisions where one is due; false once there is none for now. */
+    /** Makes one call on the decisions; returns false if no decision is due now. */
     public boolean decideNext(Decisions decisions) {
         Attempt cancelled = tasks.pollCancel();
         if (cancelled != null) {
@@ -243,7 +254,7 @@
         return true;
     }
 
-    /** False where there was nothing to do. */
+    /** Carries out the action; returns false if no call on the decisions was made. */
     private boolean carryOut(TaskAction action, Task task, Decisions decisions) {
         if (action instanceof TaskAction.Forward forward) {
             send(task, forward.worker(), decisions);
@@ -253,7 +264,9 @@
             decisions.probe(probe.worker().id);
         } else if (action instanceof TaskAction.GiveUp giveUp) {
             if (giveUp.noWorkerPermitted()) {
-                slowStart.earnCredit(context.runs.costInMeanRuns(task)); // a fleet all cold would get nothing
+                // Credit is earned without an attempt, since a fleet of cold workers only would otherwise
+                // never be sent to.
+                slowStart.earnCredit(context.runs.costInMeanRuns(task));
             }
             giveUp(task, decisions);
         } else {
@@ -285,7 +298,7 @@
         decisions.forward(task.id, worker.id, Span.ZERO);
     }
 
-    /** The one place of final answers from here: rejected where that is lawful, else failed. */
+    /** Gives the task its final answer: rejected where that is allowed, else failed. */
     private void giveUp(Task task, Decisions decisions) {
         boolean mayReject = eligibility.mayReject(task);
         context.history.onTaskGivenUp(task);
@@ -297,7 +310,7 @@
         }
     }
 
-    /** A final answer was given, or is no longer owed: what is still in flight is cancelled. */
+    /** Closes a task that has its final answer or needs none, and cancels its open attempts. */
     private void close(Task task) {
         task.closed = true;
         task.hedgeTargets.clear();
--- a/src/main/java/rampshift/policy/Eligibility.java
+++ b/src/main/java/rampshift/policy/Eligibility.java
@@ -3,12 +3,13 @@
 import rampshift.time.Moment;
 import rampshift.time.Span;
 
-/** Owns the rules on attempts: effect, idempotency window, placement, drain and retry budget. */
+/** The rules on attempts: side effects, deduplication window, placement, draining and retry budget. */
 record Eligibility(PolicyContext context, RetryBudget budget, SlowStart slowStart) {
 
-    private static final int MARGIN_TICKS = 2; // before a deadline, or the end of an idempotency window
+    /** Safety margin before a deadline and before the end of a deduplication window, in timer ticks. */
+    private static final int MARGIN_TICKS = 2;
 
-    /** Every rule that an attempt must keep; asked again right before each is sent. */
+    /** Returns whether an attempt obeys every rule; checked again right before each attempt is sent. */
     boolean permits(Task task, Worker worker) {
         return !task.closed && worker.ready && hasAttemptsLeft(task) && !isDeadlineReached(task)
                 && (task.openAttempts == 0 || context.settings.mayHedge) && slowStart.permits(worker)
@@ -19,18 +20,21 @@
         return task.attempts.size() < context.settings.maxAttempts;
     }
 
-    /** Its deadline is so near that only the final answer is left. */
+    /** Returns whether the deadline is so near that only the final answer may still be sent. */
     boolean isDeadlineReached(Task task) {
         return !context.now().before(finalAnswerAt(task));
     }
 
+    /** Returns when the final answer is due: a margin before the deadline. */
     Moment finalAnswerAt(Task task) {
         return task.deadline.minus(context.settings.tick.times(MARGIN_TICKS));
     }
 
     /**
-     * Each type's first further attempt in the span is kept from cheaper types, and from any that has had its
-     * own: no flood of one uses up what the next needs. Two types may have equal rows.
+     * Returns whether the retry budget has room for a further attempt at the task. One attempt in the window
+     * is reserved for each type that has had none yet, against types of less priority and types that have had
+     * theirs, so that a burst of one type's retries does not use up the budget of another. Types are compared
+     * by identity, since two of them may have equal rows.
      */
     @SuppressWarnings("ReferenceEquality")
     private boolean isWithinRetryBudget(Task task) {
@@ -45,13 +49,15 @@
         return !budget.isEnabled() || remaining >= 1;
     }
 
-    /** Placement: where a traffic type may run at all. The draw goes by it, and each attempt asks again. */
+    /**
+     * Returns whether the type's placement allows the worker; checked at sampling and before each attempt.
+     */
     static boolean allowsPlacement(TrafficType type, Worker worker) {
         return (type.allowedZones() == null || type.allowedZones().contains(worker.zone))
                 && (type.allowedKinds() == null || type.allowedKinds().contains(worker.kind));
     }
 
-    /** What the traffic type allows at this worker, after the attempts so far. */
+    /** Returns whether the traffic type allows a further attempt at the worker, after the attempts so far. */
     boolean allowsAttempt(Task task, Worker worker) {
         if (!allowsPlacement(task.type, worker)) {
             return false;
@@ -74,46 +80,48 @@
         return true;
     }
 
+    /** Returns whether a repeat of the attempt would still be dropped, with a margin. */
     private boolean isInDeduplicationWindow(Attempt attempt) {
         Span margin = context.settings.tick.times(MARGIN_TICKS);
         return context.now()
                 .before(attempt.sentAt.plus(attempt.task.type.deduplicationWindow()).minus(margin));
     }
 
+    /** Returns whether the task may have several attempts in flight at once, at some workers at least. */
     boolean mayHedge(Task task) {
         return context.settings.mayCancel && context.settings.mayHedge && task.type.mayRepeat();
     }
 
-    /** It may queue at a second worker, whichever that is. */
+    /** Returns whether the task may queue at any second worker. */
     boolean mayHedgeAnywhere(Task task) {
         return mayHedge(task) && task.type.mayRepeatAnywhere();
     }
 
-    /** One of its attempts may have run, and it may go further only where a repeat is dropped. */
+    /** Returns whether an attempt may have run and repeats are dropped only within a zone or a cell. */
     boolean mustStayInDeduplicationScope(Task task) {
         return task.type.mayRepeat() && !task.type.mayRepeatAnywhere() && task.mayHaveRun();
     }
 
-    /** Whether any further attempt could be lawful, at whichever worker. */
+    /** Returns whether a further attempt could be allowed at any worker. */
     boolean mayRetry(Task task) {
         return mayHedge(task) && hasAttemptsLeft(task) && (task.type.isIdempotent()
                 || task.attempts.stream()
                         .allMatch(attempt -> attempt.neverRan || isInDeduplicationWindow(attempt)));
     }
 
-    /** Whether a rejection, after which the client may come again, is lawful. */
+    /** Returns whether the task may be rejected, which invites its client to retry. */
     boolean mayReject(Task task) {
         return task.type.mayRepeatAnywhere() || !task.mayHaveRun();
     }
 
-    /** Where removal is advisory, a removed worker that is heard from may be sent to again. */
+    /** Makes a removed worker that is heard from ready again where removal is advisory. */
     void onContact(Worker worker) {
         if (context.settings.removalIsAdvisory && worker.removed && !worker.ready) {
             context.workers.setReady(worker, true);
         }
     }
 
-    /** A removed worker that was sent to again has failed: the endpoint list was right. */
+    /** Withdraws a removed worker that had become ready again: its failure confirms the endpoint list. */
     void onConnectionFailure(Worker worker) {
         if (worker.removed && worker.ready) {
             context.workers.setReady(worker, false);
--- a/src/main/java/rampshift/policy/EndpointListKind.java
+++ b/src/main/java/rampshift/policy/EndpointListKind.java
@@ -1,13 +1,13 @@
 package rampshift.policy;
 
-/** How an endpoint list came. */
+/** What an endpoint list contains. */
 public enum EndpointListKind {
-    /** There is none: the list service could not be reached, or the subscription was lost. */
+    /** No list: the discovery service can't be reached, or the subscription was lost. */
     FAILED,
-    /** Only the workers that changed are named. */
+    /** Only the workers that changed. */
     DELTA,
-    /** All workers are named; the others are removed. */
+    /** All workers; those that it lacks are removed. */
     FULL,
-    /** All workers as they were known before a restart. */
+    /** All workers, as known before a restart of the dispatcher. */
     CACHED
 }
--- a/src/main/java/rampshift/policy/EndpointListPolicy.java
+++ b/src/main/java/rampshift/policy/EndpointListPolicy.java
@@ -3,13 +3,20 @@
 import rampshift.time.Moment;
 import rampshift.time.Span;
 
-/** Owns when the endpoint list is subscribed to, and when tasks wait for it as the known one is too old. */
+/**
+ * Decides when to subscribe to the endpoint list, and when tasks wait for a list since the known one is
+ * outdated.
+ */
 final class EndpointListPolicy {
-    private static final double RESUBSCRIBE_DELAY_SHARE = 0.2; // give or take half
+    /**
+     * Mean delay of a new subscription as a share of the allowed delay; jitter adds or subtracts up to half.
+     */
+    private static final double RESUBSCRIBE_DELAY_SHARE = 0.2;
 
     private final PolicyContext context;
     private Moment subscribeAt;
-    private Moment awaitedFrom; // what the list service has may bind from then on
+    /** From when on tasks wait for the next list; null while no list is awaited. */
+    private Moment awaitedFrom;
 
     EndpointListPolicy(PolicyContext context) {
         this.context = context;
@@ -19,9 +26,10 @@
     }
 
     /**
-     * What the list service has counts as told, long since or from now: once the grace is over nothing goes
-     * by the old list until the next, or until it is known that none comes. Met when a whole fleet restarts;
-     * covers any change of the list's source. Drawback: a silent source delays all tasks.
+     * Makes tasks wait for the next endpoint list, or for the news that none comes: at once if the known list
+     * may be outdated, else after the drain grace period. Workers may have drained while the dispatcher or
+     * its discovery service changed, as when a whole fleet restarts, and must not be sent to by the old list.
+     * Drawback: a discovery service that does not answer delays all tasks.
      */
     void onListAwaited(boolean mayBeOutdated) {
         awaitedFrom = mayBeOutdated ? context.now() : context.after(context.settings.drainGrace);
@@ -30,7 +38,7 @@
     void onListBegin(EndpointListKind kind) {
         awaitedFrom = null;
         if (kind == EndpointListKind.FAILED) {
-            // Scattered, so that a restart of all dispatchers does not overload the list service.
+            // Jitter keeps a restart of all dispatchers from overloading the discovery service.
             double share = RESUBSCRIBE_DELAY_SHARE * (0.5 + context.random.next());
             subscribeAfter(context.settings.maxSubscribeDelay.times(share));
         }
@@ -41,11 +49,12 @@
         context.tasks.decideAt(subscribeAt, null);
     }
 
+    /** Returns whether tasks have to wait for the next endpoint list. */
     boolean isAwaited() {
         return awaitedFrom != null && !context.now().before(awaitedFrom);
     }
 
-    /** Whether to subscribe now; true once. */
+    /** Returns whether to subscribe now; true once for each subscription. */
     boolean pollSubscription() {
         if (subscribeAt == null || context.now().before(subscribeAt)) {
             return false;
--- a/src/main/java/rampshift/policy/EndpointState.java
+++ b/src/main/java/rampshift/policy/EndpointState.java
@@ -1,6 +1,6 @@
 package rampshift.policy;
 
-/** What an endpoint list says of a worker. */
+/** State of a worker in an endpoint list. */
 public enum EndpointState {
     READY, DRAINING, REMOVED
 }
--- a/src/main/java/rampshift/policy/ExpectedValue.java
+++ b/src/main/java/rampshift/policy/ExpectedValue.java
@@ -3,48 +3,63 @@
 import rampshift.time.Moment;
 import rampshift.time.Span;
 
-/** Owns what sending a task to a worker is expected to earn: value, odds of an answer in time, and costs. */
+/**
+ * Estimates the value of sending a task to a worker: probability of an answer in time, times value, less
+ * costs.
+ */
 record ExpectedValue(PolicyContext context, WorkerEstimates estimates, Eligibility eligibility) {
 
-    static final double GOOD_VALUE_SHARE = 0.5; // of the task's value: a candidate worth less is not good
-    private static final double RUN_SPREAD_SHARE = 0.2; // how far a prediction is off, in running times
-    private static final double WAIT_SPREAD_SHARE = 0.5; // and in predicted waits
-    // mean values a mean run, were all to wait for ever
+    /** Share of the task's value that an attempt has to be worth at a good candidate. */
+    static final double GOOD_VALUE_SHARE = 0.5;
+    /** Spread of the error of a predicted run, as a share of that run. */
+    private static final double RUN_SPREAD_SHARE = 0.2;
+    /** Spread of the error of a predicted wait, as a share of that wait. */
+    private static final double WAIT_SPREAD_SHARE = 0.5;
+    /**
+     * Limit of the cost of queueing where workers report no load, in mean task values for each mean run of
+     * one slot.
+     */
     private static final double MAX_QUEUE_COST_MEAN_VALUES = 4;
-    private static final double LATENCY_COST_SHARE = 0.02; // of the value, for each due time until the answer
+    /** Cost of latency as a share of the task's value, for each latency objective until the answer. */
+    private static final double LATENCY_COST_SHARE = 0.02;
+    /** Number of latency objectives after which the cost of latency no longer grows. */
     private static final double LATENCY_COST_MAX_OBJECTIVES = 5;
+    /** Number of runs of a type from which on single runs are used in place of their mean. */
     private static final int MIN_TYPE_RUNS = 3;
 
-    /** Where nothing is reported, a task's first start tells of the queues that it stood in. */
+    /** Records the start delay of the task's first start where workers report no load. */
     void onAttemptStarted(Attempt attempt) {
         Task task = attempt.task;
         if (!context.settings.reportsLoad && eligibility.mayHedgeAnywhere(task)
                 && task.attempts.stream().noneMatch(other -> other != attempt && other.startedAt != null)) {
-            // As old as the queue that it tells of. Tasks bound to a few workers don't count: with
-            // their waits alone 89 in 100 tasks were rejected by a fleet half idle.
+            // The sample is dated back to the sending, when the queue was as long as the delay shows. Tasks
+            // that may not be repeated at every worker are left out: their delays alone made a fleet that was
+            // half idle reject 89 in 100 tasks.
             Moment sentAt = task.attempts.get(0).sentAt;
             context.history.startDelaysMs.put(sentAt, context.since(sentAt).millis());
         }
     }
 
-    /** Until the task's latency objective, or its deadline where that is sooner; below zero: it is late. */
+    /** Returns the time until the latency objective, or the deadline if sooner; negative once it is late. */
     Span timeLeft(Task task) {
         Span objective = task.type.latencyObjective()
                 .plus(context.runs.expected(task).times(task.type.latencySlackFactor()));
         return task.firstRequestedAt.plus(objective).orEarlier(task.deadline).since(context.now());
     }
 
+    /** Returns the value of an answer in time, reduced for a tenant beyond its quota. */
     double ofTask(Task task) {
         boolean byWork = context.settings.valueScalesWithWork && task.runHint.micros() > 0;
         double work = byWork ? context.runs.expected(task).over(context.runs.mean()) : 1;
         return task.type.priorityWeight() * work * (1 - task.quotaDiscount);
     }
 
+    /** Returns whether the value of an attempt makes its worker a good candidate. */
     boolean isGood(Task task, double attemptValue) {
         return attemptValue >= GOOD_VALUE_SHARE * ofTask(task);
     }
 
-    /** The value to be expected from sending the task there now, less its costs. */
+    /** Returns the expected value of sending the task to the worker now, less its costs. */
     double ofAttempt(Task task, Worker worker) {
         Span wait = estimates.wait(worker, task.slots);
         Span run = estimates.run(worker, task);
@@ -62,18 +77,22 @@
                         * Math.min(LATENCY_COST_MAX_OBJECTIVES, end.over(task.type.latencyObjective()));
     }
 
+    /** Returns how likely an attempt is to be answered, by recent failures, message loss and lost types. */
     private double successProbability(Task task, Worker worker) {
         double share = 1 - worker.failureScores.sum() / (worker.failureScores.count() + 2);
-        // A link that loses is between the zones: no worker is to blame, and where all wait it is no loss.
+        // Messages are lost on the link between zones, which is not the worker's fault. The zone is compared
+        // with the own one, so that loss in both makes no difference.
         share *= Math.min(1, reachableShare(worker.zone) / reachableShare(context.settings.zone));
         Moment lost = worker.typesLostAt.get(task.typeIndex);
         return lost == null ? share : share * (1 - Math.exp(-context.since(lost).over(estimates.longTerm())));
     }
 
+    /** Returns the share of recent attempts in the zone that were heard of. */
     private double reachableShare(int zone) {
         return estimates.longTermMean(context.workers.zone(zone).reached, 1);
     }
 
+    /** Returns the cost of crossing to another zone and of opening a connection. */
     private double connectionCost(Worker worker) {
         double crossing = context.isOwnZone(worker) ? 0 : context.settings.crossZoneCost;
         boolean connected = worker.hasIdleConnection(context.now(), context.settings.connectionIdleTimeout);
@@ -81,23 +100,31 @@
         return context.history.values.mean(1) * (crossing + opening);
     }
 
-    /** A task that queues delays all behind it, the more the longer it runs and the longer the queue. */
+    /**
+     * Returns the cost of queueing: a task delays all others behind it, the more the longer it runs and the
+     * longer the queue is.
+     */
     private double queueCost(Task task, Span wait) {
         double share = wait.over(wait.plus(context.runs.mean()));
         if (!context.settings.reportsLoad) {
-            // The last tasks tell of queues: by own slots alone wide ones were rejected by idle workers.
+            // The delays of recent tasks limit the wait: estimated by own slots alone, it made idle workers
+            // reject tasks of several slots.
             double recentDelayMs = estimates.shortTermMean(context.history.startDelaysMs, 0);
             Span recentDelay = wait.orShorter(Span.ofMillis(recentDelayMs));
             Span objective = Span.ofMillis(
                     context.history.latencyObjectivesMs.mean(task.type.latencyObjective().millis()));
             double delayShare = recentDelay.over(recentDelay.plus(objective));
-            // little while waits are short against due times, then steep
+            // The cost stays low while delays are short compared with latency objectives, and then rises
+            // steeply.
             share = MAX_QUEUE_COST_MEAN_VALUES * delayShare * delayShare;
         }
         return share * (context.history.values.mean(1) * context.runs.costInMeanRuns(task));
     }
 
-    /** How likely it is to end in time. With little time left it may run what any of its type's last ran. */
+    /**
+     * Returns the probability that the task ends in time. For a task that arrived late without a hint, it is
+     * the mean over the last running times of its type, since most may be far shorter than their mean.
+     */
     private double inTimeProbability(Task task, Span wait, Span run) {
         SampleWindow ran = context.runs.ofType(task);
         Span left = timeLeft(task);
@@ -118,12 +145,15 @@
         return 1 / inverseLogistic(left.minus(wait).minus(run), spread);
     }
 
-    /** One over a smooth step from 0 to 1, of that spread. */
+    /** Returns one over the logistic function of the slack, which rises from 0 to 1 within the spread. */
     private static double inverseLogistic(Span slack, Span spread) {
         return 1 + Math.exp(-slack.over(spread));
     }
 
-    /** How likely it is to end in time, by how late the last tasks started that could go on elsewhere. */
+    /**
+     * Returns the probability that the task ends in time. Where workers report no load, it goes by recent
+     * start delays: of all tasks that may queue anywhere for such a task, else of workers of the same kind.
+     */
     double inTimeProbabilityByStarts(Task task, Worker worker) {
         Span run = estimates.run(worker, task);
         if (context.settings.reportsLoad) {
--- a/src/main/java/rampshift/policy/FleetLoad.java
+++ b/src/main/java/rampshift/policy/FleetLoad.java
@@ -1,6 +1,8 @@
 package rampshift.policy;
 
-/** The last reported loads over the whole fleet, without this dispatcher's own, per slot of capacity. */
+/**
+ * The last loads reported by workers of the fleet per slot of capacity, without this dispatcher's attempts.
+ */
 final class FleetLoad {
     private final SampleWindow ownZone = new SampleWindow(64);
     private final SampleWindow otherZones = new SampleWindow(64);
@@ -12,12 +14,12 @@
         (worker.servesConstrainedTypes ? constrainedTypeWorkers : otherWorkers).put(loadPerSlot);
     }
 
-    /** The mean load of the own zone, or of all others. */
+    /** Returns the mean load for each slot in the own zone, or in all others. */
     double mean(boolean ofOwnZone) {
         return (ofOwnZone ? ownZone : otherZones).mean(0);
     }
 
-    /** How much fuller workers are where bound types run, over the rest; 1 is alike. */
+    /** Returns the ratio of load between workers that serve constrained types and the others; 1 if equal. */
     double constrainedLoadRatio() {
         double isPlacementConstrained = constrainedTypeWorkers.mean(0);
         return (1 + isPlacementConstrained) / (1 + otherWorkers.mean(isPlacementConstrained));
--- a/src/main/java/rampshift/policy/FleetSweep.java
+++ b/src/main/java/rampshift/policy/FleetSweep.java
@@ -1,6 +1,8 @@
 package rampshift.policy;
 
-/** Looks over all ready workers, when that is due, and tells the parts how many are ejected or cold. */
+/**
+ * Counts, at intervals, the ready workers that are ejected or silent and the share of capacity that is cold.
+ */
 final class FleetSweep {
     private final PolicyContext context;
     private final SlowStart slowStart;
--- a/src/main/java/rampshift/policy/IdleConnections.java
+++ b/src/main/java/rampshift/policy/IdleConnections.java
@@ -4,7 +4,10 @@
 import java.util.stream.Stream;
 import rampshift.time.Moment;
 
-/** The workers to which a connection is idle, the longest first; kept up only where new ones have a price. */
+/**
+ * Workers to which a connection is idle, longest idle first; maintained only where new connections have a
+ * cost.
+ */
 final class IdleConnections {
     private final Settings settings;
     private final ArrayDeque<Worker> longestIdleFirst = new ArrayDeque<>();
@@ -13,7 +16,7 @@
         this.settings = settings;
     }
 
-    /** A connection to the worker has become idle. */
+    /** Records that a connection to the worker has become idle. */
     void onIdle(Worker worker, Moment now) {
         worker.idleConnections.add(now);
         if (settings.handshakeCost > 0) {
@@ -22,7 +25,7 @@
         }
     }
 
-    /** The workers to which one can be used again. */
+    /** Returns the workers to which an idle connection can be reused. */
     Stream<Worker> workers(Moment now) {
         while (!longestIdleFirst.isEmpty()
                 && !longestIdleFirst.peek().hasIdleConnection(now, settings.connectionIdleTimeout)) {
--- a/src/main/java/rampshift/policy/OutlierEjection.java
+++ b/src/main/java/rampshift/policy/OutlierEjection.java
@@ -3,24 +3,38 @@
 import rampshift.time.Moment;
 import rampshift.time.Span;
 
-/** Owns which workers are ejected as outliers, silent or cut off, and the ramp of their recovery. */
+/**
+ * Decides which workers are left out of samples as outliers, silent or unreachable, and ramps up their
+ * recovery.
+ */
 final class OutlierEjection {
-    private static final double EJECTION_FAILURE_SHARE = 0.3; // of a worker's last outcomes
+    /** Share of failures among a worker's last outcomes from which on it is ejected. */
+    private static final double EJECTION_FAILURE_SHARE = 0.3;
+    /** Sum of failure scores among a worker's last outcomes below which it is not ejected. */
     private static final int EJECTION_MIN_FAILURES = 2;
+    /** How long a worker stays ejected, in mean running times. */
     private static final double EJECTION_MEAN_RUNS = 2;
-    private static final int RECOVERED_CONCURRENT_ATTEMPTS = 8; // at once: the recovery ramp ends there
+    /** Limit of concurrent attempts at which the recovery ramp ends and the worker is no longer limited. */
+    private static final int RECOVERED_CONCURRENT_ATTEMPTS = 8;
+    /** Multiple of an attempt's predicted duration after which its worker counts as silent. */
     private static final double SILENCE_PREDICTED_DURATIONS = 4;
+    /** Number of progress intervals that must also have passed before a worker counts as silent. */
     private static final double SILENCE_PROGRESS_INTERVALS = 1.5;
-    private static final double CROSS_ZONE_RETRY_MEAN_RUNS = 4; // until a zone cut off is tried again
-    private static final int CROSS_ZONE_FAILURE_LIMIT = 2; // in a row
+    /** How long other zones stay unused after connections to them failed, in mean running times. */
+    private static final double CROSS_ZONE_RETRY_MEAN_RUNS = 4;
+    /** Number of failed connections to other zones in a row from which on these count as unreachable. */
+    private static final int CROSS_ZONE_FAILURE_LIMIT = 2;
+    /** Number of fleet sweeps in one mean running time. */
     private static final int SWEEPS_PER_MEAN_RUN = 4;
 
     private final PolicyContext context;
     private final WorkerEstimates estimates;
     private final SampleWindow crossZoneFailures = new SampleWindow(CROSS_ZONE_FAILURE_LIMIT);
-    private final DecayingSamples repeatedErrors = new DecayingSamples(16); // 1: at the next worker too
+    /** For each of the last tasks that went on after an error: 1 if the next worker failed too, else 0. */
+    private final DecayingSamples repeatedErrors = new DecayingSamples(16);
     private Moment otherZonesUnreachableUntil;
     private Moment sweptAt;
+    /** Whether most ready workers look bad, so that none is left out. */
     private boolean ejectionSuspended;
 
     OutlierEjection(PolicyContext context, WorkerEstimates estimates) {
@@ -31,7 +45,7 @@
     void onAttemptEnded(Attempt attempt, AttemptOutcome outcome) {
         boolean finished = outcome == AttemptOutcome.FINISHED;
         if (!context.isOwnZone(attempt.worker) && (finished || outcome == AttemptOutcome.NO_CONNECTION)) {
-            // Two in a row elsewhere without a connection: the zone is cut off, its workers are not at fault.
+            // Connections to other zones that fail in a row mean a network partition, not faulty workers.
             crossZoneFailures.put(finished ? 0 : 1);
             boolean unreachable = crossZoneFailures.sum() == CROSS_ZONE_FAILURE_LIMIT;
             otherZonesUnreachableUntil =
@@ -50,9 +64,10 @@
     }
 
     /**
-     * The worker's fault or the task's? The tasks that went on tell: while most fail at the next worker too,
-     * errors are the tasks', which go nowhere else, and workers are not blamed. This fades, and the next task
-     * is tried again. Drawback: many workers that fail at once look the same.
+     * Attributes an error to the worker or to the task. While most tasks with an error fail at the next
+     * worker too, errors count as those of the tasks: these are not retried, and the workers' scores hardly
+     * rise. The samples decay, so that tasks are retried again later. Drawback: many workers that fail at
+     * once look the same.
      */
     private void onError(Task task, Worker worker) {
         if (task.lastErrorWorker != null && task.lastErrorWorker != worker) {
@@ -64,16 +79,20 @@
         task.lastErrorWorker = worker;
     }
 
+    /** Returns the probability that a task with an error fails at the next worker too. */
     private double errorRepeatProbability() {
         return estimates.shortTermMean(repeatedErrors, 0);
     }
 
-    /** The task has failed, and is likely to fail at any other worker. */
+    /** Returns whether the task has failed and is likely to fail at any other worker. */
     boolean likelyFailsAnywhere(Task task) {
         return task.lastErrorWorker != null && errorRepeatProbability() > 0.5;
     }
 
-    /** Ejects a worker, or lets its recovery ramp double while all goes well. */
+    /**
+     * Records the outcome of an attempt, and ejects the worker where too many have failed. An ejected worker
+     * has a limit of concurrent attempts, which doubles with each success and returns to 1 on a failure.
+     */
     private void recordOutcome(Worker worker, double failureScore) {
         worker.failureScores.put(failureScore);
         boolean failed = failureScore > 0.5;
@@ -95,17 +114,25 @@
         return context.runs.mean().times(count);
     }
 
-    /** Whether the worker may be drawn for the task. When most look bad, all may: it is rather our fault. */
+    /**
+     * Returns whether the worker may be sampled for the task. While most workers look bad, all may be: the
+     * fault is then more likely that of the dispatcher.
+     */
     boolean admits(Worker worker, Task task) {
         return ejectionSuspended
                 || (!isSilent(worker) && !isInUnreachableZone(worker) && !isEjectedFor(worker, task));
     }
 
+    /** Returns whether the worker is in another zone while these count as unreachable. */
     private boolean isInUnreachableZone(Worker worker) {
         return !context.isOwnZone(worker) && otherZonesUnreachableUntil != null
                 && context.now().before(otherZonesUnreachableUntil);
     }
 
+    /**
+     * Returns whether an ejection keeps the worker from the task: until its recovery starts, at its limit of
+     * concurrent attempts, and for tasks that may not be repeated.
+     */
     private boolean isEjectedFor(Worker worker, Task task) {
         boolean isAtRecoveryLimit = worker.attempts.size() >= worker.recoveryLimit;
         return worker.recoveryLimit > 0
@@ -113,7 +140,10 @@
                         || context.now().before(worker.recoveryStartsAt));
     }
 
-    /** Nothing was heard from the worker for several predicted spans while something is in flight there. */
+    /**
+     * Returns whether nothing was heard from the worker for several predicted durations of an attempt that is
+     * in flight there.
+     */
     boolean isSilent(Worker worker) {
         for (Attempt attempt : worker.attempts) {
             boolean heardSince = worker.lastContact != null && attempt.sentAt.before(worker.lastContact);
@@ -132,7 +162,7 @@
                 || context.since(sweptAt).micros() >= context.runs.mean().micros() / SWEEPS_PER_MEAN_RUN;
     }
 
-    /** Of the ready workers so many are ejected or silent. */
+    /** Records how many ready workers there are and how many of them are ejected or silent. */
     void onSweep(int ready, int unhealthy) {
         sweptAt = context.now();
         ejectionSuspended = unhealthy * 2 > ready;
--- a/src/main/java/rampshift/policy/PolicyContext.java
+++ b/src/main/java/rampshift/policy/PolicyContext.java
@@ -3,7 +3,7 @@
 import rampshift.time.Moment;
 import rampshift.time.Span;
 
-/** What the parts of the policy share: the time of the input, workers, tasks, and what was seen of both. */
+/** The state that the parts of the policy share: the time, workers, tasks, and statistics of both. */
 final class PolicyContext {
     final Settings settings;
     final SeededRandom random;
@@ -24,7 +24,7 @@
         connections = new IdleConnections(settings);
     }
 
-    /** The facade sets the time of the input that is being handled. */
+    /** Sets the time of the event that is being handled. */
     void setNow(Moment moment) {
         now = moment;
     }
@@ -33,12 +33,12 @@
         return now;
     }
 
-    /** The moment that comes after that span. */
+    /** Returns the moment that comes after the span. */
     Moment after(Span span) {
         return now.plus(span);
     }
 
-    /** How long ago the moment was. */
+    /** Returns how long ago the moment was. */
     Span since(Moment earlier) {
         return now.since(earlier);
     }
--- a/src/main/java/rampshift/policy/RedundantToIdleQueue.java
+++ b/src/main/java/rampshift/policy/RedundantToIdleQueue.java
@@ -5,19 +5,32 @@
 import rampshift.time.Span;
 
 /**
- * Owns the mechanism, the Redundant-to-Idle-Queue rule: sample some workers, test whether they are idle,
- * hedge to those that are or else join one queue; the first to finish cancels the rest.
+ * The Redundant-to-Idle-Queue rule. It samples workers, tests each of them for idleness, and sends hedged
+ * copies of the task to the idle ones, or one attempt that joins a queue where none is idle. The first
+ * attempt to start cancels those that still queue; the first to finish cancels the rest.
  */
 record RedundantToIdleQueue(PolicyContext context, CandidateSampler sampler, WorkerEstimates estimates,
         Eligibility eligibility, ExpectedValue value, Admission admission, RetryPolicy retries) {
 
+    /** Number of candidates whose idleness is tested at once where they may be probed. */
     private static final int IDLENESS_TESTS_AT_ONCE = 2;
-    private static final int MAX_SAMPLES = 3; // in a large fleet a few busy candidates tell little
-    private static final double FRESH_CONTACT_MEAN_RUNS = 1; // that it counts as a health check's answer
+    /** Samples for one placement. In a large fleet one sample of busy workers says little about the rest. */
+    private static final int MAX_SAMPLES = 3;
+    /** Age, in mean running times, up to which the last contact with a worker replaces a probe. */
+    private static final double FRESH_CONTACT_MEAN_RUNS = 1;
+    /** How long a task waits for the answers to its probes, in mean running times. */
     private static final double PROBE_TIMEOUT_MEAN_RUNS = 0.1;
-    private static final double VALUE_SHARE_EXPONENT = 6; // of a candidate's share of the value, in its odds
+    /**
+     * Exponent of a candidate's value share in the weight with which it is chosen at random. The value share
+     * is the value of an attempt at the candidate over that of the task.
+     */
+    private static final double VALUE_SHARE_EXPONENT = 6;
 
-    /** The next step of a task that is nowhere in flight. */
+    /**
+     * Returns the next step for a task that has no attempt in flight. Samples candidates, waits for their
+     * idleness tests, and sends the first attempt, with hedged copies to further idle candidates. Where no
+     * candidate is accepted, samples again up to the limit and then gives the task up.
+     */
     TaskAction place(Task task) {
         if (admission.opportunityCostExceedsValue(task)) {
             return TaskAction.GIVE_UP;
@@ -48,7 +61,7 @@
         }
     }
 
-    /** Samples candidates where all are tested, and tests the next of them for idleness. */
+    /** Tests the next candidates for idleness; where all were tested, samples further ones first. */
     private void sampleAndTest(Task task) {
         if (!task.testInProgress) {
             task.testInProgress = true;
@@ -59,11 +72,14 @@
         }
     }
 
-    /** Probes the next candidates whose last contact is no longer fresh, and sets the short wait. */
+    /**
+     * Probes those of the next candidates whose last contact is not fresh, and sets the timeout for the
+     * answers. Where no probe is needed, all candidates count as tested.
+     */
     private void startIdlenessTests(Task task) {
         int from = task.testedCount;
-        // Live weights of the list tell as much, and cost nothing. So does an attempt, where the task may go
-        // on to the next worker and no report would come with the answer.
+        // Live weights of the endpoint list replace probes at no cost. Where workers report no load, an
+        // attempt at a task that may be hedged shows as much as a probe.
         boolean probes = context.settings.mayProbe && !context.settings.liveWeights
                 && (context.settings.reportsLoad || !eligibility.mayHedge(task));
         int candidateCount = task.candidates.size();
@@ -87,7 +103,10 @@
         }
     }
 
-    /** Idle candidates that are good come first, then those of the most value. */
+    /**
+     * Returns the tested candidate of the highest score, with a null worker where none is permitted. The
+     * score is the value of an attempt there, plus the task's value where the worker is idle and good.
+     */
     private Candidate bestTestedCandidate(Task task) {
         task.endPendingProbes();
         estimates.setTrustThreshold(task.randomDraw);
@@ -106,12 +125,17 @@
         return new Candidate(best, bestScore);
     }
 
+    /** Returns whether the best candidate is idle and good, so that the others need no test. */
     private boolean isIdleAndGood(Task task, Candidate best) {
         return best.worker() != null
                 && !(best.score() < (1 + ExpectedValue.GOOD_VALUE_SHARE) * value.ofTask(task));
     }
 
-    /** Where no report tells the idle ones apart: one of them at random, in proportion to what it can do. */
+    /**
+     * Returns the worker of the first attempt: the best candidate, or a random one of the idle candidates
+     * where workers report no load and the task may be hedged. The random choice is weighted by the size of
+     * workers of the candidate's kind and by its value share.
+     */
     private Worker chooseWorker(Task task, Candidate best) {
         boolean anyIdle = best.score() > value.ofTask(task);
         if (context.settings.reportsLoad || !eligibility.mayHedge(task) || !anyIdle) {
@@ -130,6 +154,7 @@
         return idle.get(context.random.nextIndex(weights));
     }
 
+    /** Adds hedged copies to the other tested candidates for which they pay. */
     private void addHedgedCopies(Task task, Worker first) {
         for (Worker worker : task.testedCandidates()) {
             if (worker != first && retries.shouldHedge(task, worker)) {
@@ -139,7 +164,10 @@
         retries.onFirstAttempt();
     }
 
-    /** For a task in flight: the worker of a new draw at which a further attempt is worth most, or null. */
+    /**
+     * Samples workers anew for a task in flight. Returns the one at which a further attempt has the highest
+     * value, or null where no value is above zero.
+     */
     Worker sampleForRetry(Task task) {
         task.resetSampling();
         sampler.sample(task);
@@ -155,7 +183,9 @@
         return best;
     }
 
-    /** Cancels what is still in flight once the task is answered; once it has started, only what has not. */
+    /**
+     * Cancels the open attempts of a closed task; of a task that is not closed, those that have not started.
+     */
     void cancelRest(Task task) {
         for (Attempt attempt : task.attempts) {
             boolean isNeeded = !task.closed && attempt.startedAt != null;
--- a/src/main/java/rampshift/policy/RetryBudget.java
+++ b/src/main/java/rampshift/policy/RetryBudget.java
@@ -4,7 +4,7 @@
 import rampshift.time.Moment;
 import rampshift.time.Span;
 
-/** What counts for the rule on further attempts: tasks taken and attempts past their first, by window. */
+/** The retry budget: counts the tasks that arrived and the attempts past their first in a sliding window. */
 final class RetryBudget {
     private final Settings settings;
     private final ArrayDeque<Moment> taskArrivals = new ArrayDeque<>();
@@ -14,7 +14,7 @@
         this.settings = settings;
     }
 
-    /** Whether there is such a rule. */
+    /** Returns whether the settings limit further attempts. */
     boolean isEnabled() {
         return settings.retryBudgetWindow.micros() > 0;
     }
@@ -34,12 +34,16 @@
         }
     }
 
-    /** It has turned out that nothing of the attempt was sent. */
+    /** Takes back an attempt of which nothing was sent. */
     void onAttemptNotSent(Attempt attempt) {
         furtherAttempts.remove(attempt);
     }
 
-    /** How many more are lawful in the window that ends now; both its ends are a tick on the safe side. */
+    /**
+     * Returns how many further attempts the window that ends now has room for. For safety against the
+     * granularity of timers, arrivals count for two ticks less than the window and further attempts for one
+     * tick more.
+     */
     double remaining(Moment now) {
         Span span = settings.retryBudgetWindow;
         while (!taskArrivals.isEmpty()
@@ -54,7 +58,10 @@
                 - furtherAttempts.size();
     }
 
-    /** Whether a task of the type had a further attempt in the window. Two types may have equal rows. */
+    /**
+     * Returns whether a task of the type had a further attempt in the window. Types are compared by identity,
+     * since two of them may have equal rows.
+     */
     @SuppressWarnings("ReferenceEquality")
     boolean isUsedBy(TrafficType type) {
         return furtherAttempts.stream().anyMatch(attempt -> attempt.task.type == type);
--- a/src/main/java/rampshift/policy/RetryPolicy.java
+++ b/src/main/java/rampshift/policy/RetryPolicy.java
@@ -2,17 +2,30 @@
 
 import rampshift.time.Span;
 
-/** Owns when a task in flight is retried or hedged, and the tokens that pay for such attempts. */
+/** Decides when a task in flight is retried or hedged, and limits such attempts by a token bucket. */
 final class RetryPolicy {
-    private static final double TOKENS_PER_FIRST_ATTEMPT = 0.2; // hedges and retries, per first attempt
+    /** Tokens for hedges and retries that each first attempt adds. */
+    private static final double TOKENS_PER_FIRST_ATTEMPT = 0.2;
+    /** Number of tokens that can be saved up. */
     private static final double MAX_TOKENS = 10;
-    private static final double RETRY_RESERVE_TOKENS = 2; // that hedges leave to retries
-    // at a higher price a hedge counts as several
+    /** Tokens that hedges leave to retries. */
+    private static final double RETRY_RESERVE_TOKENS = 2;
+    /**
+     * Cost of a wasted run, in values of a mean task, for each token that a hedge takes; at least one is
+     * taken.
+     */
     private static final double WASTED_WORK_COST_PER_TOKEN = 0.05;
-    private static final double UNSTARTED_RETRY_TOKENS = 0.1; // for a place in a queue that nobody reports
+    /**
+     * Tokens for the retry of an attempt that has not started, where workers report starts. A second place in
+     * a queue wastes little work, since the first start cancels the other attempts.
+     */
+    private static final double UNSTARTED_RETRY_TOKENS = 0.1;
+    /** Cost of crossing zones, in values of a mean task, above which hedges stay in the own zone. */
     private static final double HEDGE_MAX_CROSS_ZONE_COST = 0.1;
+    /** Number of progress intervals without a message after which an attempt counts as lost. */
     private static final double LOSS_PROGRESS_INTERVALS = 1.5;
-    private static final double REVIEW_INTERVAL_MEAN_RUNS = 0.5; // between two reviews of a task that runs
+    /** Time between two reviews of a task that runs, in mean running times. */
+    private static final double REVIEW_INTERVAL_MEAN_RUNS = 0.5;
 
     private final PolicyContext context;
     private final WorkerEstimates estimates;
@@ -21,7 +34,8 @@
     private final OutlierEjection ejection;
     private final WorkerObserver observer;
     private final Admission admission;
-    private final double hedgeTokens; // a hedge that runs is waste, a second place in a queue is not
+    /** Tokens for a hedge, or for the retry of an attempt that runs: both may waste a whole run. */
+    private final double hedgeTokens;
     private double tokens = 1;
 
     RetryPolicy(PolicyContext context, WorkerEstimates estimates, ExpectedValue value,
@@ -36,11 +50,15 @@
         hedgeTokens = Math.max(1, context.settings.wastedWorkCost / WASTED_WORK_COST_PER_TOKEN);
     }
 
+    /** Adds the tokens of a first attempt. */
     void onFirstAttempt() {
         tokens = Math.min(MAX_TOKENS, tokens + TOKENS_PER_FIRST_ATTEMPT);
     }
 
-    /** Whether a hedge to the drawn worker is worth its price. */
+    /**
+     * Returns whether a hedged copy to the sampled worker pays: the worker is idle and good, or ejected with
+     * nothing in flight, which the copy then tests for recovery.
+     */
     boolean shouldHedge(Task task, Worker worker) {
         boolean crossingIsCostly = context.settings.crossZoneCost > HEDGE_MAX_CROSS_ZONE_COST;
         if (!eligibility.mayHedge(task) || (crossingIsCostly && !context.isOwnZone(worker))) {
@@ -51,7 +69,7 @@
                 || (estimates.isIdle(worker, task) && value.isGood(task, value.ofAttempt(task, worker)));
     }
 
-    /** The next worker that a hedge goes to, its tokens spent; null where none is left. */
+    /** Takes the tokens of the next hedged copy and returns its worker; null where none is left. */
     Worker pollHedge(Task task) {
         while (!task.hedgeTargets.isEmpty()) {
             Worker worker = task.hedgeTargets.poll();
@@ -63,16 +81,21 @@
         return null;
     }
 
+    /** Cancels an attempt. */
     void cancel(Attempt attempt) {
         attempt.cancelled = true;
         observer.onAttemptCancelled(attempt);
         context.tasks.cancel(attempt);
     }
 
-    /** Is a task in flight lost or late where it is, and would another worker still be in time? */
+    /**
+     * Reviews a task in flight, and schedules its next review. A task all of whose open attempts are overdue
+     * is retried; one that no attempt can answer any more, or that only holds slots without value, is given
+     * up.
+     */
     Review review(Task task) {
         boolean allStuck = true;
-        boolean noAnswerExpected = true; // no answer is counted on any more
+        boolean noAnswerExpected = true;
         Attempt last = null;
         for (Attempt attempt : task.attempts) {
             if (!attempt.ended && !attempt.cancelled) {
@@ -91,13 +114,17 @@
         context.tasks.reviewAt(context.after(untilReview).plus(context.settings.tick), context.now(), task);
         if (admission.holdsSlotsWithoutValue(task, last.worker)
                 || (noAnswerExpected && !eligibility.mayRetry(task))) {
-            return Review.GIVE_UP; // held to its deadline, its client could not come back in time
+            return Review.GIVE_UP; // an answer at the deadline would leave the client no time for a retry
         }
         boolean shouldRetry = allStuck && eligibility.mayRetry(task) && tokens >= retryTokens(last);
         return shouldRetry ? Review.RETRY : Review.KEEP;
     }
 
-    /** No answer will come: such counted as slow runs and full workers, and half of all was rejected. */
+    /**
+     * Marks an attempt as lost once its progress messages stop. A lost attempt must not count towards the
+     * load and the speed of its worker: counted as slow runs on full workers, lost attempts made half of all
+     * tasks rejected.
+     */
     private void detectLoss(Attempt attempt) {
         Span interval = context.settings.progressInterval;
         if (interval.micros() > 0 && !attempt.lost
@@ -111,6 +138,10 @@
         }
     }
 
+    /**
+     * Returns whether an attempt should have started or ended by now, or its worker is silent. An overdue
+     * start also shows that a report of an idle slot was wrong.
+     */
     private boolean isStuck(Attempt attempt) {
         if (estimates.isStartOverdue(attempt)) {
             observer.onIdleReportChecked(attempt, false);
@@ -121,12 +152,13 @@
         return isSlow || ejection.isSilent(attempt.worker);
     }
 
+    /** Returns the tokens for a retry, by the state of the last open attempt. */
     private double retryTokens(Attempt last) {
         return last.startedAt != null ? hedgeTokens
                 : context.settings.reportsStart ? UNSTARTED_RETRY_TOKENS : 1;
     }
 
-    /** An attempt more is sent of a task in flight. */
+    /** Takes the tokens for a further attempt at a task in flight. */
     void onRetry(Task task) {
         tokens -= retryTokens(task.lastOpenAttempt());
     }
--- a/src/main/java/rampshift/policy/Review.java
+++ b/src/main/java/rampshift/policy/Review.java
@@ -1,11 +1,11 @@
 package rampshift.policy;
 
-/** What a look at a task in flight comes to. */
+/** Result of the review of a task in flight. */
 enum Review {
-    /** Its attempts go on as they are. */
+    /** Its attempts continue. */
     KEEP,
-    /** Another attempt is due, if a worker is worth it. */
+    /** Another attempt is due, if a sampled worker makes it pay. */
     RETRY,
-    /** No answer in time is to be expected: it gets its final answer now. */
+    /** No useful answer is expected, and it gets its final answer now. */
     GIVE_UP
 }
--- a/src/main/java/rampshift/policy/RunTimes.java
+++ b/src/main/java/rampshift/policy/RunTimes.java
@@ -6,18 +6,20 @@
 import rampshift.time.Moment;
 import rampshift.time.Span;
 
-/** The running times of the last tasks, hinted at or measured, and what a task is expected to run by them. */
+/** Estimates the running times of tasks by the hints of clients and the measured runs of the last tasks. */
 final class RunTimes {
-    /** Share of its time that a task of a type that never ran is taken to run: the rest is for waits. */
+    /** Default running time as a share of the time until the task is due; the rest is left for queueing. */
     private static final double DEFAULT_RUN_SHARE = 0.5;
 
-    private final SampleWindow recentRunsMs = new SampleWindow(64); // in milliseconds
+    /** Running times of the last tasks of all types, in milliseconds. */
+    private final SampleWindow recentRunsMs = new SampleWindow(64);
+    /** By traffic type, measured running times of the last tasks, in milliseconds. */
     private final SampleWindow[] byType;
-    /** By traffic type, what one is taken to run that never ran. */
+    /** By traffic type, the running time that is assumed until one was measured. */
     private final Span[] defaultRuns;
-    /** By traffic type, when an attempt at a task of it was last sent; null where none was. */
+    /** By traffic type, when an attempt was last sent; null where none was. */
     private final Moment[] lastSentAt;
-    /** Null where not known since the last change: it is asked for many times a decision. */
+    /** The cached mean, null after a change; it is used many times in one decision. */
     private Span mean;
 
     RunTimes(List<TrafficType> types) {
@@ -26,25 +28,27 @@
         lastSentAt = new Moment[types.size()];
     }
 
-    /** A task arrived; a hint of every one tells, not only the few that finish here. */
+    /**
+     * Records the hint of a task that arrived: hints of all tasks count, not only of those that finish here.
+     */
     void onTaskArrived(Task task) {
         if (task.runHint.micros() > 0) {
             put(task.runHint);
         }
     }
 
-    /** An attempt at a task was sent. */
+    /** Records that an attempt at the task was sent. */
     void onSent(Task task, Moment now) {
         lastSentAt[task.typeIndex] = now;
     }
 
-    /** Whether nothing of the task's type was sent for so long. */
+    /** Returns whether no attempt at a task of the same type was sent within the span. */
     boolean isUnsentWithin(Task task, Span span, Moment now) {
         Moment last = lastSentAt[task.typeIndex];
         return last == null || now.since(last).longerThan(span);
     }
 
-    /** A task ran so long. */
+    /** Records the measured running time of a task. */
     void onRun(Task task, Span ran) {
         byType[task.typeIndex].put(ran.millis());
         if (task.runHint.micros() == 0) {
@@ -57,7 +61,7 @@
         mean = null;
     }
 
-    /** The mean of all; until one is known, the shortest guess for any type. */
+    /** Returns the mean running time over all types; until one is known, the shortest default of any type. */
     Span mean() {
         if (mean == null) {
             mean = Span.ofMillis(recentRunsMs.mean(Collections.min(Arrays.asList(defaultRuns)).millis()));
@@ -69,39 +73,46 @@
         return types.stream().map(RunTimes::defaultRun).toArray(Span[]::new);
     }
 
-    /** A running time that takes the stated share of the time up to its due time, at most the objective. */
+    /**
+     * Returns the running time that is the default share of the time until the task is due; at most the
+     * objective.
+     */
     private static Span defaultRun(TrafficType type) {
         double dueShareLeft = 1 / DEFAULT_RUN_SHARE - type.latencySlackFactor();
         return type.latencyObjective().times(1 / Math.max(1, dueShareLeft));
     }
 
     /**
-     * Whether a hint or runs of its type tell what the task runs. Where they don't, what is expected is a
-     * guess, of which nothing may be concluded on the speed of workers.
+     * Returns whether the running time is known by a hint or by runs of the type. Otherwise the expected
+     * running time is a default, which must not be used to estimate the speed of workers.
      */
     boolean isKnown(Task task) {
         return task.runHint.micros() > 0 || byType[task.typeIndex].count() > 0;
     }
 
-    /** What the task is expected to run on a middling worker; see {@link #isKnown}. */
+    /** Returns the expected running time of the task at a mean worker; see {@link #isKnown}. */
     Span expected(Task task) {
         return task.runHint.micros() > 0 ? task.runHint
                 : Span.ofMillis(byType[task.typeIndex].mean(defaultRuns[task.typeIndex].millis()));
     }
 
-    /** The last running times of the task's type, in milliseconds. */
+    /** Returns the last running times of the task's type, in milliseconds. */
     SampleWindow ofType(Task task) {
         return byType[task.typeIndex];
     }
 
-    /** The slots and time that the task is expected to take, in mean runs of one slot. */
+    /** Returns the slots times the time that the task is expected to take, in mean runs of one slot. */
     double costInMeanRuns(Task task) {
-        // Of two guesses no ratio: the shortest for the mean, a fresh process rejected longer types.
+        // The ratio of two defaults means nothing: the mean is the shortest of them, so that a new process
+        // would reject types of longer defaults.
         double meanRuns = recentRunsMs.count() == 0 && !isKnown(task) ? 1 : expected(task).over(mean());
         return meanRuns * task.slots;
     }
 
-    /** The same; a mean run where the running time is a guess, which may be many of them. */
+    /**
+     * Returns the same cost, with one mean run where the running time is only a default, which may be far
+     * longer.
+     */
     double knownCostInMeanRuns(Task task) {
         return isKnown(task) ? costInMeanRuns(task) : task.slots;
     }
--- a/src/main/java/rampshift/policy/SampleWindow.java
+++ b/src/main/java/rampshift/policy/SampleWindow.java
@@ -1,18 +1,18 @@
 package rampshift.policy;
 
-/** The last few values of one measurement. */
+/** The last values of one measurement, up to a fixed count. */
 final class SampleWindow {
     private final double[] values;
     private int count;
     private int next;
-    /** NaN where not known since the last change: it is asked for far more often than that. */
+    /** The cached sum, NaN after a change; it is read far more often than values are added. */
     private double sum = Double.NaN;
 
     SampleWindow(int capacity) {
         values = new double[capacity];
     }
 
-    /** So many windows. */
+    /** Creates the given number of windows. */
     static SampleWindow[] createAll(int count, int capacity) {
         SampleWindow[] windows = new SampleWindow[count];
         for (int i = 0; i < count; i++) {
@@ -21,7 +21,7 @@
         return windows;
     }
 
-    /** Adds a value; the oldest goes where the window is full. */
+    /** Adds a value, in place of the oldest where the window is full. */
     void put(double value) {
         values[next] = value;
         sum = Double.NaN;
@@ -49,7 +49,7 @@
         return count == 0 ? ifNone : sum() / count;
     }
 
-    /** One of the values, in no order. */
+    /** Returns one of the values, which are in no order. */
     double get(int index) {
         return values[index];
     }
@@ -62,7 +62,7 @@
         return max;
     }
 
-    /** The value that was put first of those still held. */
+    /** Returns the oldest value in the window. */
     double oldest() {
         return values[count < values.length ? 0 : next];
     }
--- a/src/main/java/rampshift/policy/SeededRandom.java
+++ b/src/main/java/rampshift/policy/SeededRandom.java
@@ -3,9 +3,10 @@
 import java.util.List;
 import java.util.zip.CRC32;
 
-/** Random numbers from the instance's seed and a counter: the same input gives the same numbers. */
+/** Pseudorandom numbers from a seed and a counter; equal seeds give equal sequences. */
 final class SeededRandom {
-    private static final double CRC32_VALUES = 4294967296.0; // of a CRC-32
+    /** Number of values that a CRC-32 can have. */
+    private static final double CRC32_VALUES = 4294967296.0;
     private final long seed;
     private long counter;
 
@@ -13,7 +14,7 @@
         this.seed = seed;
     }
 
-    /** The next number from 0 to under 1. */
+    /** Returns the next number, from 0 inclusive to 1 exclusive. */
     double next() {
         CRC32 crc = new CRC32();
         for (int shift = 0; shift < Long.SIZE; shift += Byte.SIZE) {
@@ -24,7 +25,7 @@
         return crc.getValue() / CRC32_VALUES;
     }
 
-    /** An index into the weights, in proportion to them. */
+    /** Returns a random index with probabilities in proportion to the weights. */
     int nextIndex(List<Double> weights) {
         double sum = 0;
         for (double weight : weights) {
--- a/src/main/java/rampshift/policy/Settings.java
+++ b/src/main/java/rampshift/policy/Settings.java
@@ -4,43 +4,43 @@
 import java.util.List;
 import rampshift.time.Span;
 
-/** What a dispatcher is told at its start. The host fills it in; the module only reads it. */
+/** Settings of the policy. The host sets them before the start; the policy only reads them. */
 public final class Settings {
-    /** Seed of the instance's random draws; any number. */
+    /** Seed of the policy's random numbers; any number. */
     public long seed;
-    /** The traffic-type table, in the order in which the types are numbered. */
+    /** The traffic types, in the order of their indexes. */
     public final List<TrafficType> types = new ArrayList<>();
-    /** Tasks a second within the quota of a tenant, over all dispatchers, 0 or more; a row a tenant. */
+    /** The quota of each tenant in tasks a second over all dispatchers, 0 or more. */
     public final List<Double> tenantQuotas = new ArrayList<>();
-    /** The dispatcher's own zone, by number, 0 or more. */
+    /** Index of the dispatcher's own zone, 0 or more. */
     public int zone;
     /** Granularity of the host's timers, above zero. */
     public Span tick = Span.ofMillis(1);
-    /** Attempts that a task may have in all, hedges and retries included, 1 or more. */
+    /** Maximum number of attempts at a task, hedges and retries included, 1 or more. */
     public int maxAttempts = 1;
-    /** Whether a worker may be probed for its load before it is sent a task. */
+    /** Whether a worker may be probed for its health and load before it is sent a task. */
     public boolean mayProbe;
-    /** Whether an attempt may be cancelled once the task needs it no more. */
+    /** Whether an attempt may be cancelled once it is not needed. */
     public boolean mayCancel;
     /** Whether a task may have more than one attempt open at once. */
     public boolean mayHedge;
-    /** Whether a rejected task's client is told when to retry. */
+    /** Whether rejections carry a Retry-After hint. */
     public boolean retryAfterHints;
     /** The longest Retry-After hint, zero or more. */
     public Span maxRetryAfter = Span.ZERO;
-    /** Whether the endpoint list comes only to those who subscribe to it. */
+    /** Whether the endpoint list is sent only to subscribers. */
     public boolean endpointListOnRequest;
-    /** Whether the list's weights fall as workers hold more. */
+    /** Whether the weights in the endpoint list fall as workers are loaded. */
     public boolean liveWeights;
-    /** Whether workers report when an attempt begins to run. */
+    /** Whether workers report the start of an attempt's run. */
     public boolean reportsStart;
-    /** Between the progress messages of a running attempt; zero where there are none. */
+    /** Time between the progress messages of a running attempt; zero where there are none. */
     public Span progressInterval = Span.ZERO;
     /** Whether workers report their load, in responses or when probed. */
     public boolean reportsLoad = true;
-    /** Whether a task's value grows in proportion to its work, among tasks of its type. */
+    /** Whether the values of tasks of one type are in proportion to their hinted running times. */
     public boolean valueScalesWithWork;
-    /** Part of its value that a task beyond its tenant's quota keeps, from 0 to 1. */
+    /** Share of its value that a task beyond its tenant's quota keeps, from 0 to 1. */
     public double overQuotaValueShare = 1;
     /** Cost of an attempt in another zone, in values of a mean task, 0 or more. */
     public double crossZoneCost;
@@ -48,28 +48,44 @@
     public double wastedWorkCost;
     /** Cost of opening a connection to a worker, in values of a mean task, 0 or more. */
     public double handshakeCost;
-    /** A connection that has been idle for longer is closed; zero or more. */
+    /** How long a connection to a worker may be idle before it is closed; zero or more. */
     public Span connectionIdleTimeout = Span.ZERO;
-    /** Within which a dispatcher without an endpoint list has to subscribe to it again; zero or more. */
+    /** Time within which a dispatcher that lost its subscription has to subscribe again; zero or more. */
     public Span maxSubscribeDelay = Span.ZERO;
-    /** How long a worker may still be sent to after the list told that it drains or is removed. */
+    /**
+     * How long a worker may still be sent to after the endpoint list has said that it drains or is removed.
+     * The known list stays in use for that long after its source has changed.
+     */
     public Span drainGrace = Span.ZERO;
-    /** Any such span has a budget of attempts past the tasks' first; zero where there is no such rule. */
+    /** Length of the sliding window of the retry budget; zero where there is no budget. */
     public Span retryBudgetWindow = Span.ZERO;
-    /** Attempts past the tasks' first that each window has room for without any task, 0 or more. */
+    /** Attempts past the first that the budget of each window allows in any case, 0 or more. */
     public double retryBudgetMinimum;
-    /** Further such attempts that a window has room for, for each task taken in it, 0 or more. */
+    /**
+     * Attempts past the first that the budget allows in addition for each task that arrived in the window, 0
+     * or more.
+     */
     public double retryBudgetRatio;
-    /** Whether a worker that the list calls removed, or lacks, may be sent to unless it was draining. */
+    /**
+     * Whether a worker that the endpoint list calls removed, or lacks, may be sent to again once it is heard
+     * from, unless it was draining.
+     */
     public boolean removalIsAdvisory;
-    /** Weight of the part of the goal that falls once too large a share of tasks is late, from 0 to 1. */
+    /**
+     * Weight, in the goal of the policy, of the part that falls while too many tasks are late, from 0 to 1.
+     */
     public double lateShareWeight;
-    /** Share of late tasks, from 0 to 1, up to which that part of the goal does not fall. */
+    /** Share of late tasks up to which that part of the goal does not fall, from 0 to 1. */
     public double toleratedLateShare;
-    /** Part of its full speed that a worker has when it starts, from 0 to 1; 1 where none starts slowly. */
+    /**
+     * Share of its full speed that a worker has when it starts, from 0 to 1; 1 where there is no slow start.
+     */
     public double slowStartInitialShare = 1;
-    /** How long after its start a worker reaches its full speed; zero where none starts slowly. */
+    /** How long after its start a worker reaches its full speed; zero where there is no slow start. */
     public Span slowStartDuration = Span.ZERO;
-    /** What all dispatchers may send to a worker in slow start, in multiples of what it can run; above 0. */
+    /**
+     * Load that all dispatchers together may send to a worker in slow start, in multiples of its capacity;
+     * above 0.
+     */
     public double slowStartMaxLoadMultiple = 1;
 }
--- a/src/main/java/rampshift/policy/SlowStart.java
+++ b/src/main/java/rampshift/policy/SlowStart.java
@@ -3,25 +3,33 @@
 import rampshift.time.Span;
 
 /**
- * Owns the slow start of cold workers: how warm each is, how often it is drawn, and the credit to send to it.
- * Dispatchers share nothing: of what each sends, cold workers may get their part of the whole warm fleet,
- * times a share of the stated multiple. Over all dispatchers that adds up to this share of what they can do.
+ * Slow start of cold workers: limits how often they are sampled and, by a credit, how much they are sent.
+ *
+ * <p>Dispatchers share no state. Each of them may send to cold workers, of all that it sends, the share of
+ * the warm fleet's capacity that cold workers have, times the allowed load multiple, times a safety factor.
+ * Summed over all dispatchers, cold workers get that factor of the load that they may be sent.
  */
 final class SlowStart {
-    private static final double BURST_LOAD_FACTOR = 2.5; // of the stated multiple, if all sent at once
-    private static final double USED_LOAD_MULTIPLE_SHARE = 0.5; // of the stated multiple that is ever used
+    /** Load of a cold worker if all dispatchers send at once, as a multiple of the allowed load multiple. */
+    private static final double BURST_LOAD_FACTOR = 2.5;
+    /** Share of the allowed load multiple for which credit is earned. */
+    private static final double USED_LOAD_MULTIPLE_SHARE = 0.5;
+    /** Limit of the credit, in mean runs of one slot. */
     private static final double MAX_CREDIT_MEAN_RUNS = 1;
 
     private final PolicyContext context;
-    private double coldCapacityShare; // what cold workers can do, of the whole fleet when warm
-    private double creditMeanRuns; // that may go to cold workers
-    private double sampleProbability; // in this draw, times the worker's warmth
+    /** Present capacity of cold workers as a share of the capacity of the whole fleet when warm. */
+    private double coldCapacityShare;
+    /** Work that may be sent to cold workers, in mean runs of one slot; negative after more was sent. */
+    private double creditMeanRuns;
+    /** Probability that a cold worker joins the present sample, before its warm-up factor. */
+    private double sampleProbability;
 
     SlowStart(PolicyContext context) {
         this.context = context;
     }
 
-    /** The part of its full speed, over 0 to 1, that the worker has by its age. */
+    /** Returns the share of its full speed that the worker has by its age, above 0 and up to 1. */
     double warmUpFactor(Worker worker) {
         Span age = context.since(worker.startedAt);
         if (worker.startedAt.micros() <= 0 || !context.settings.slowStartDuration.longerThan(age)) {
@@ -31,37 +39,43 @@
         return from + (1 - from) * Math.max(0, age.over(context.settings.slowStartDuration));
     }
 
+    /** Returns whether the worker is warm or there is credit for cold workers. */
     boolean permits(Worker worker) {
         return warmUpFactor(worker) >= 1 || creditMeanRuns > 0;
     }
 
-    /** Sets the odds of cold workers in a draw that takes one in so many workers. */
+    /** Sets the probability of cold workers in a sample that takes one in the given number of workers. */
     void beginSample(double workersPerCandidate, double acceptedShare) {
         double multiple = BURST_LOAD_FACTOR * context.settings.slowStartMaxLoadMultiple;
         sampleProbability = multiple * workersPerCandidate / context.workers.readyCount() * acceptedShare;
     }
 
+    /** Returns whether the worker joins the present sample: always if warm, at random if cold. */
     boolean joinsSample(Worker worker) {
         return warmUpFactor(worker) >= 1
                 || (creditMeanRuns > 0 && context.random.next() < sampleProbability * warmUpFactor(worker));
     }
 
-    /** A first attempt was sent. What never ran earns nothing: it is taken back by a negative cost. */
+    /**
+     * Earns the credit of a first attempt that was sent. An attempt that never ran earns nothing: its credit
+     * is taken back by a negative cost.
+     */
     void earnCredit(double costMeanRuns) {
         double earned = USED_LOAD_MULTIPLE_SHARE * context.settings.slowStartMaxLoadMultiple
                 * coldCapacityShare * costMeanRuns;
         creditMeanRuns = Math.min(MAX_CREDIT_MEAN_RUNS, creditMeanRuns + earned);
     }
 
+    /** Spends the credit of an attempt if its worker is cold. */
     void onAttemptSent(Worker worker, double costMeanRuns) {
         if (warmUpFactor(worker) < 1) {
             creditMeanRuns -= costMeanRuns;
         }
     }
 
-    /** Cold workers, by their size and warmth, can do this share of what the whole fleet can when warm. */
+    /** Records the present capacity of cold workers as a share of that of the whole fleet when warm. */
     void onSweep(double newColdCapacityShare) {
-        // Scattered at first, so that not all dispatchers send their first task to a new worker at once.
+        // A random initial debt keeps all dispatchers from sending their first task to a new worker at once.
         creditMeanRuns = coldCapacityShare == 0 ? -context.random.next() : creditMeanRuns;
         coldCapacityShare = newColdCapacityShare;
     }
--- a/src/main/java/rampshift/policy/Task.java
+++ b/src/main/java/rampshift/policy/Task.java
@@ -6,45 +6,52 @@
 import rampshift.time.Moment;
 import rampshift.time.Span;
 
-/** A task taken and what became of it so far. */
+/** A task that has arrived, with its state, its candidates and its attempts. */
 final class Task {
     final long id;
     final TrafficType type;
     final int typeIndex;
-    /** What it should run on a standard core, by its client's hint; zero where there is none. */
+    /** Running time on a standard core by the client's hint; zero where there is none. */
     final Span runHint;
     final double slots;
     final double memory;
-    /** When the client first asked, as far as the time it has left tells. */
+    /** When the client first sent the request, derived from the time that is left of the type's timeout. */
     Moment firstRequestedAt;
     Moment deadline;
-    /** All of them, in the order of their numbers. */
+    /** All attempts, in the order of their numbers. */
     final ArrayList<Attempt> attempts = new ArrayList<>();
     int openAttempts;
-    /** The workers drawn for it. */
+    /** The workers sampled for the task. */
     final ArrayList<Worker> candidates = new ArrayList<>();
+    /** Candidates that a probe is still to be sent to. */
     final ArrayDeque<Worker> probeTargets = new ArrayDeque<>();
+    /** Workers that a hedged copy is still to be sent to. */
     final ArrayDeque<Worker> hedgeTargets = new ArrayDeque<>();
-    /** It came too late to end in time, by the time it had left. */
+    /** Whether it arrived too late to end in time, by the time that was left. */
     boolean arrivedLate;
-    /** The part of its value, 0 to 1, that its tenant's traffic beyond the quota takes off. */
+    /** Share of its value, 0 to 1, that is deducted as its tenant exceeds the quota. */
     double quotaDiscount;
+    /** Number of samples for the present placement. */
     int sampleCount;
-    /** How many of the candidates were tested for idleness, or are being tested. */
+    /** Number of candidates, from the first, that were tested for idleness or are being tested. */
     int testedCount;
-    /** 0 to 1; decides whether candidates never heard from count as idle, and which reports are read. */
+    /**
+     * A random number from 0 to 1, drawn with the first sample. It decides whether candidates without trusted
+     * reports count as idle, and is the trust that a worker needs for its reports to be read.
+     */
     double randomDraw;
-    /** When it is reviewed next, once it was sent; not after now where no review is to come. */
+    /** When the next review is due; null or not in the future if none is scheduled. */
     Moment nextReviewAt;
-    /** Some candidates are being tested. */
+    /** Whether an idleness test of some candidates has begun and was not yet decided on. */
     boolean testInProgress;
     int pendingProbes;
+    /** Until when the task waits for the answers to its probes. */
     Moment probeDeadline;
-    /** The worker that it last failed at with an error. */
+    /** The last worker that answered with an error. */
     Worker lastErrorWorker;
-    /** It has its final answer, or none is owed any longer. */
+    /** Whether it has its final answer or needs none. */
     boolean closed;
-    /** It waits for a decision. */
+    /** Whether it is in the queue for a decision. */
     boolean queued;
 
     Task(long id, TrafficType type, TaskRequest request, Moment now) {
@@ -58,7 +65,7 @@
         this.firstRequestedAt = deadline.minus(type.timeout()).orEarlier(now);
     }
 
-    /** Forgets the candidates of the last draw. */
+    /** Drops the candidates, so that the next placement samples anew. */
     void resetSampling() {
         candidates.clear();
         sampleCount = 0;
@@ -74,7 +81,7 @@
         return candidates.subList(0, testedCount);
     }
 
-    /** The worker's answer to a probe is awaited, to one that is out or to one to be sent. */
+    /** Waits for the worker's answer to a probe, which is to be sent or already in flight. */
     void awaitProbe(Worker worker, boolean send) {
         if (send) {
             probeTargets.add(worker);
@@ -83,23 +90,23 @@
         pendingProbes++;
     }
 
-    /** A worker has answered, or its probe failed; true once none is awaited any more. */
+    /** Records that a probe was answered or failed; returns whether no other is pending. */
     boolean onProbeDone() {
         return --pendingProbes == 0;
     }
 
-    /** Workers that were silent until now count as busy. */
+    /** Stops waiting for probes. Candidates that have not answered count as busy. */
     void endPendingProbes() {
         candidates.forEach(worker -> worker.probeUnanswered |= worker.awaitingProbe.remove(this));
         pendingProbes = 0;
     }
 
-    /** Whether any attempt may have run. */
+    /** Returns whether any attempt may have run. */
     boolean mayHaveRun() {
         return attempts.stream().anyMatch(attempt -> !attempt.neverRan);
     }
 
-    /** The last attempt that is neither ended nor cancelled. */
+    /** Returns the last attempt that is neither ended nor cancelled, or null. */
     Attempt lastOpenAttempt() {
         Attempt last = null;
         for (Attempt attempt : attempts) {
--- a/src/main/java/rampshift/policy/TaskAction.java
+++ b/src/main/java/rampshift/policy/TaskAction.java
@@ -1,12 +1,15 @@
 package rampshift.policy;
 
-/** What is to be done about a task now. */
+/** The next action for a task. */
 sealed interface TaskAction {
-    /** Nothing: its attempts go on, or something is awaited. */
+    /** Do nothing: attempts continue, or an answer or the endpoint list is awaited. */
     TaskAction WAIT = new Wait();
-    /** It gets its final answer: rejected where that is lawful, else failed. All rejections come by this. */
+    /**
+     * Give the final answer: rejected where that is allowed, else failed. Every rejection results from this
+     * action.
+     */
     TaskAction GIVE_UP = new GiveUp(false);
-    /** The same, where none of the workers drawn may be sent to. */
+    /** Give the final answer since no sampled worker may be sent to. */
     TaskAction NO_WORKER_PERMITTED = new GiveUp(true);
 
     /** See {@link #WAIT}. */
--- a/src/main/java/rampshift/policy/TaskHistory.java
+++ b/src/main/java/rampshift/policy/TaskHistory.java
@@ -2,22 +2,22 @@
 
 import rampshift.time.Moment;
 
-/** What was seen of the last tasks. */
+/** Statistics of the last tasks. */
 final class TaskHistory {
-    /** What they would have earned in time. */
+    /** Values of the last tasks that arrived. */
     final SampleWindow values = new SampleWindow(64);
-    /** Their latency objectives, their own running time left out, in milliseconds. */
+    /** Their latency objectives, without slack for the running time, in milliseconds. */
     final SampleWindow latencyObjectivesMs = new SampleWindow(64);
-    /** From a task's first attempt to its start, in milliseconds; as old as the queue that it tells of. */
+    /** Delays from a task's first attempt to its first start, in milliseconds, dated at the sending. */
     final DecayingSamples startDelaysMs = new DecayingSamples(32);
-    /** Of the attempts that reached a worker: 1 for each taken, 0 for each rejected as full. */
+    /** For the last attempts that reached a worker: 0 if rejected as full, else 1. */
     final DecayingSamples accepted = new DecayingSamples(32);
-    /** 1 for each task that came too late to end in time, by the time it had left. */
+    /** For the last tasks: 1 if it arrived too late to end in time, by the time that was left, else 0. */
     final SampleWindow arrivedLate = new SampleWindow(32);
-    /** 1 for each task given up though it came in time, 0 for each other that is over. */
+    /** For the last tasks with a final answer: 1 if it was given up though it had arrived in time, else 0. */
     final SampleWindow givenUpInTime = new SampleWindow(32);
 
-    /** A task came that may earn so much. */
+    /** Records a task that arrived, with its value. */
     void onTaskArrived(Task task, double value) {
         values.put(value);
         latencyObjectivesMs.put(task.type.latencyObjective().millis());
@@ -29,7 +29,7 @@
         }
     }
 
-    /** A task has its answer from a worker. */
+    /** Records a task that was answered by a worker. */
     void onTaskAnswered() {
         givenUpInTime.put(0);
     }
--- a/src/main/java/rampshift/policy/TaskPolicy.java
+++ b/src/main/java/rampshift/policy/TaskPolicy.java
@@ -2,7 +2,7 @@
 
 import rampshift.time.Span;
 
-/** Owns the order in which the parts are asked what becomes of a task. */
+/** Decides the next action for a task by asking the other parts of the policy in a fixed order. */
 record TaskPolicy(PolicyContext context, Eligibility eligibility, EndpointListPolicy endpointListPolicy,
         ExpectedValue value, OutlierEjection ejection, RetryPolicy retries,
         RedundantToIdleQueue redundantToIdle) {
@@ -24,14 +24,14 @@
         return task.openAttempts == 0 ? redundantToIdle.place(task) : review(task);
     }
 
-    /** The task is parked until the list comes, and given up where it would be late by then. */
+    /** Parks the task until the endpoint list arrives; gives it up once it could no longer end in time. */
     private TaskAction awaitList(Task task) {
         Span left = value.timeLeft(task).minus(context.runs.expected(task));
         if (task.openAttempts == 0 && left.micros() <= 0) {
             return TaskAction.GIVE_UP;
         }
         context.tasks.park(task);
-        if (task.openAttempts == 0) { // what is in flight waits for the list alone
+        if (task.openAttempts == 0) { // attempts in flight need no decision before the list arrives
             context.tasks.decideAt(context.after(left), task);
         }
         return TaskAction.WAIT;
--- a/src/main/java/rampshift/policy/TaskQueue.java
+++ b/src/main/java/rampshift/policy/TaskQueue.java
@@ -5,7 +5,9 @@
 import java.util.Map;
 import rampshift.time.Moment;
 
-/** The tasks in flight, those that await a decision, and the attempts that await a cancel message. */
+/**
+ * The tasks in flight, the queue of those that await a decision, their timers, and attempts to be cancelled.
+ */
 final class TaskQueue {
     private final Map<Long, Task> tasksById = new HashMap<>(); // looked up, never iterated
     private final ArrayDeque<Task> pending = new ArrayDeque<>();
@@ -21,19 +23,19 @@
         tasksById.remove(task.id);
     }
 
-    /** The task, or null where none of this id is in flight. */
+    /** Returns the task in flight with the id, or null. */
     Task find(long id) {
         return tasksById.get(id);
     }
 
-    /** The attempt, or null where there is none of this number. */
+    /** Returns the attempt of the task with the number, or null. */
     Attempt find(long id, int number) {
         Task task = tasksById.get(id);
         boolean isKnown = task != null && number >= 0 && number < task.attempts.size();
         return isKnown ? task.attempts.get(number) : null;
     }
 
-    /** Lets the task be decided after those that wait already. */
+    /** Queues the task for a decision, behind the others; a queued task is not queued twice. */
     void enqueue(Task task) {
         if (!task.queued) {
             task.queued = true;
@@ -41,13 +43,13 @@
         }
     }
 
-    /** Lets the task, which is being decided, be decided once more before all others. */
+    /** Queues the task, which is being decided, for another decision before all others. */
     void enqueueFirst(Task task) {
         task.queued = true;
         pending.addFirst(task);
     }
 
-    /** The next open task that awaits a decision, or null. */
+    /** Returns the next open task that awaits a decision, or null. */
     Task poll() {
         while (!pending.isEmpty()) {
             Task task = pending.poll();
@@ -59,21 +61,23 @@
         return null;
     }
 
-    /** Keeps the task until {@link #unparkAll}. */
+    /** Holds the task back until {@link #unparkAll}. */
     void park(Task task) {
         parked.add(task);
     }
 
+    /** Queues all tasks that were held back. */
     void unparkAll() {
         parked.forEach(this::enqueue);
         parked.clear();
     }
 
+    /** Queues the attempt for a cancel message. */
     void cancel(Attempt attempt) {
         cancels.add(attempt);
     }
 
-    /** The next attempt to cancel that has not ended meanwhile, or null. */
+    /** Returns the next attempt to cancel that has not ended meanwhile, or null. */
     Attempt pollCancel() {
         while (!cancels.isEmpty()) {
             Attempt attempt = cancels.poll();
@@ -84,14 +88,14 @@
         return null;
     }
 
-    /** Lets the task be decided again at that moment; a null task only wakes the host. */
+    /** Schedules a decision on the task at the moment; a null task only wakes the host. */
     void decideAt(Moment at, Task task) {
         timers.set(at, task);
     }
 
     /**
-     * Has the task reviewed at that moment, unless it is before. Each review asks for the next one, so that a
-     * timer for each request had a task reviewed ever more often, the longer it was in flight.
+     * Schedules a review of the task, unless one is due by then already. Each review schedules the next one:
+     * with a timer for each call, a task would be reviewed ever more often the longer it is in flight.
      */
     void reviewAt(Moment at, Moment now, Task task) {
         boolean isSooner = task.nextReviewAt != null && now.before(task.nextReviewAt)
@@ -102,7 +106,7 @@
         }
     }
 
-    /** Enqueues the tasks whose timers are due. */
+    /** Queues the open tasks whose timers are due. */
     void enqueueDue(Moment now) {
         while (timers.due(now)) {
             Task task = timers.poll();
@@ -112,7 +116,7 @@
         }
     }
 
-    /** When the next timer is due; null where none is set. */
+    /** Returns when the next timer is due; null where none is set. */
     Moment nextTimer() {
         return timers.next();
     }
--- a/src/main/java/rampshift/policy/TenantQuotas.java
+++ b/src/main/java/rampshift/policy/TenantQuotas.java
@@ -2,10 +2,12 @@
 
 import rampshift.time.Moment;
 
-/** When the last tasks of each tenant arrivals, and what that tells of its share of the quotas. */
+/** Compares each tenant's share of the arrivals with its share of the quotas. */
 final class TenantQuotas {
-    private static final int MIN_ARRIVALS = 8; // of a tenant: fewer tell nothing yet
+    /** Number of arrivals of a tenant from which on its rate is estimated. */
+    private static final int MIN_ARRIVALS = 8;
     private final Settings settings;
+    /** By tenant, when its last tasks arrived, in milliseconds. */
     private final SampleWindow[] arrivals;
 
     TenantQuotas(Settings settings) {
@@ -13,7 +15,10 @@
         arrivals = SampleWindow.createAll(settings.tenantQuotas.size(), 32);
     }
 
-    /** A task arrived; the result is the part of its value, 0 to 1, that its tenant's traffic takes off. */
+    /**
+     * Records a task that arrived. Returns the share of its value, 0 to 1, that is deducted as its tenant
+     * exceeds its quota.
+     */
     double onTaskArrived(int tenant, Moment now) {
         if (tenant >= arrivals.length) {
             return 0;
@@ -22,22 +27,27 @@
         return arrivals[tenant].count() < MIN_ARRIVALS ? 0 : overQuotaDiscount(tenant, now);
     }
 
-    /** The part of its tasks that lies beyond its share, by its part of the tasks here. */
+    /**
+     * Returns the share of the tenant's tasks beyond its share of the quotas, times the value that these
+     * lose.
+     */
     private double overQuotaDiscount(int tenant, Moment now) {
-        // Their parts of what comes here tell, not the rate: a few of many dispatchers carry most traffic.
+        // The tenant's share of the arrivals at this dispatcher is compared with its share of the quotas. Its
+        // rate can't be compared with its quota, since a few of many dispatchers may carry most traffic.
         double totalRate = 0;
         double totalQuota = 0;
         for (int i = 0; i < arrivals.length; i++) {
             totalQuota += settings.tenantQuotas.get(i);
             totalRate += rate(i, now);
         }
-        // No quota for anybody: there is no share to go beyond, and nothing to divide by.
+        // Without any quota there is no share to exceed, and the division would give NaN.
         double excessShare =
                 totalQuota <= 0 ? 0
                         : 1 - settings.tenantQuotas.get(tenant) / totalQuota * totalRate / rate(tenant, now);
         return Math.max(0, excessShare) * (1 - settings.overQuotaValueShare);
     }
 
+    /** Returns the tenant's rate of arrivals in tasks per millisecond. */
     private double rate(int tenant, Moment now) {
         SampleWindow times = arrivals[tenant];
         return times.count() == 0 ? 0 : times.count() / Math.max(1, now.millis() - times.oldest());
--- a/src/main/java/rampshift/policy/TimerQueue.java
+++ b/src/main/java/rampshift/policy/TimerQueue.java
@@ -4,7 +4,9 @@
 import java.util.PriorityQueue;
 import rampshift.time.Moment;
 
-/** Moments at which a task is looked at again, in their order and those alike in the order they were set. */
+/**
+ * Timers of tasks, in the order of their moments; those of equal moments in the order in which they were set.
+ */
 final class TimerQueue {
     private record Timer(Moment at, long order, Task task) {}
 
@@ -12,12 +14,12 @@
             new PriorityQueue<>(Comparator.comparing(Timer::at).thenComparingLong(Timer::order));
     private long order;
 
-    /** The task may be null: then it is only the host that is to wake up. */
+    /** Sets a timer; the task is null if only the host is to wake up. */
     void set(Moment at, Task task) {
         timers.add(new Timer(at, order++, task));
     }
 
-    /** Whether one is due; then {@link #poll} gives its task. */
+    /** Returns whether a timer is due; {@link #poll} then returns its task. */
     boolean due(Moment now) {
         return !timers.isEmpty() && !now.before(timers.peek().at());
     }
@@ -26,7 +28,7 @@
         return timers.poll().task();
     }
 
-    /** When the next one is due; null where none waits. */
+    /** Returns when the next timer is due; null where none is set. */
     Moment next() {
         return timers.isEmpty() ? null : timers.peek().at();
     }
--- a/src/main/java/rampshift/policy/TrafficType.java
+++ b/src/main/java/rampshift/policy/TrafficType.java
@@ -4,18 +4,19 @@
 import rampshift.time.Span;
 
 /**
- * A row of the traffic-type table: what differs by traffic type.
+ * A traffic type: the properties that its tasks have in common.
  *
  * @param priorityWeight value of a task that ends within its latency objective, 0 or more
- * @param lateValueShare part of that value where the task ends later, within its deadline, from 0 to 1
- * @param latencyObjective how long after it was first asked for a task may take, beside the slack; above zero
- * @param latencySlackFactor running times of the task that its latency objective is longer by, 0 or more
- * @param timeout how long after it was first asked for a task has to be answered at the latest; above zero
- * @param effect what a second run would do
- * @param deduplicationScope the workers that drop a repeat together; used only where the effect is KEYED
+ * @param lateValueShare share of that value if the task ends later but within its deadline, from 0 to 1
+ * @param latencyObjective time from the first request to the end of a task in time, without slack; above zero
+ * @param latencySlackFactor multiple of the task's running time that is added to the objective, 0 or more
+ * @param timeout time from the first request to the client's deadline; above zero
+ * @param effect the effect of a second run
+ * @param deduplicationScope the workers that drop repeats of each other's tasks; used only where the effect
+ * is KEYED
  * @param deduplicationWindow how long repeats are dropped; used only where the effect is KEYED, zero or more
- * @param allowedZones the zones that it may go to, by number; null for any
- * @param allowedKinds the kinds of workers that it may go to, by number; null for any
+ * @param allowedZones indexes of the zones that it may go to; null for any
+ * @param allowedKinds indexes of the kinds of workers that it may go to; null for any
  */
 public record TrafficType(
         double priorityWeight,
@@ -29,27 +30,27 @@
         Set<Integer> allowedZones,
         Set<Integer> allowedKinds) {
 
-    /** It may not go to every worker. */
+    /** Returns whether only some zones or kinds of workers are allowed: a constrained type. */
     boolean isPlacementConstrained() {
         return allowedZones != null || allowedKinds != null;
     }
 
-    /** A second run is harmless, wherever it is. */
+    /** Returns whether a second run is harmless at any worker. */
     boolean isIdempotent() {
         return effect == Effect.IDEMPOTENT;
     }
 
-    /** A second run is harmless or dropped, at some workers at least. */
+    /** Returns whether a second run is harmless or dropped, at some workers at least. */
     boolean mayRepeat() {
         return effect != Effect.NON_IDEMPOTENT;
     }
 
-    /** A second run is harmless or dropped, at whichever worker. */
+    /** Returns whether a second run is harmless or dropped at any worker. */
     boolean mayRepeatAnywhere() {
         return isIdempotent() || (effect == Effect.KEYED && deduplicationScope == DeduplicationScope.ALL);
     }
 
-    /** What a second run would do. */
+    /** The effect of a second run. */
     public enum Effect {
         /** A second run is harmless. */
         IDEMPOTENT,
@@ -59,7 +60,7 @@
         NON_IDEMPOTENT
     }
 
-    /** The workers that drop a repeat of a task with an idempotency key together. */
+    /** The workers among which repeats of a task are dropped by its idempotency key. */
     public enum DeduplicationScope {
         /** All workers. */
         ALL,
--- a/src/main/java/rampshift/policy/Worker.java
+++ b/src/main/java/rampshift/policy/Worker.java
@@ -7,52 +7,64 @@
 import rampshift.time.Moment;
 import rampshift.time.Span;
 
-/** What this dispatcher knows of one worker. */
+/** The state and statistics of one worker as this dispatcher knows them. */
 final class Worker {
     final long id;
     int zone;
     int cell;
     int kind;
     KindStatistics kindStatistics;
-    /** A traffic type that may not go everywhere may go here. */
+    /** Whether a constrained traffic type may go to it. */
     boolean servesConstrainedTypes;
     boolean ready;
-    /** Listed as draining, and not as ready since. */
+    /** Whether it was listed as draining, and not as ready since. */
     boolean draining;
-    /** Called removed by the last list that named it, or left out of a whole one, without having drained. */
+    /** Whether the endpoint list called it removed or lacked it, and it was not draining. */
     boolean removed;
+    /** When its process started; zero where that is not known. */
     Moment startedAt = new Moment(0);
-    /** Attempts still in flight, those cancelled included until their end is observed. */
+    /** Attempts in flight, including cancelled ones until their end is observed. */
     final ArrayList<Attempt> attempts = new ArrayList<>();
-    /** Of the last finished attempts: what a middling worker would have run, and what they ran, in ms. */
+    /** Expected running times of the last finished attempts at a mean worker, in milliseconds. */
     final SampleWindow expectedRunsMs = new SampleWindow(20);
+    /** Measured running times of the same attempts. */
     final SampleWindow actualRunsMs = new SampleWindow(20);
-    /** 1 for each of the last outcomes that was bad. */
+    /**
+     * Failure scores of the last outcomes: 0 for a success, 1 for a failure, less where the task may be at
+     * fault.
+     */
     final SampleWindow failureScores = new SampleWindow(8);
-    /** Slots that other dispatchers held, by the last reports. */
+    /** Slots taken or queued for by other dispatchers, by the last reports. */
     final DecayingSamples otherDispatchersSlots = new DecayingSamples(8);
     Moment loadReportedAt;
-    /** 1 for each of the last attempts that its reports promised an idle slot, and that had one. */
+    /** For the last attempts sent on a report of an idle slot: 1 if it found one, else 0. */
     final DecayingSamples idleReportAccuracy = new DecayingSamples(4);
-    /** Slots in all, by the last reports. */
+    /** Total number of slots, by the last reports. */
     final SampleWindow capacities = new SampleWindow(12);
-    /** From send to start of the last attempts, in milliseconds. */
+    /** Delays from send to start of the last attempts, in milliseconds. */
     final DecayingSamples startDelaysMs = new DecayingSamples(8);
+    /** Free memory by the last report; NaN where none was reported. */
     double freeMemory = Double.NaN;
-    /** Reports tell both free and taken slots. */
+    /** Whether its reports hold both free and running slots. */
     boolean capacityReported;
+    /** Whether a load report came since its process started. */
     boolean hasReported;
     /** When it last rejected an attempt as full. */
     Moment rejectedAsFullAt;
+    /** Whether the last probe was not answered in time, and nothing was heard since. */
     boolean probeUnanswered;
+    /** When it was last heard from; null where it was not. */
     Moment lastContact;
     Moment probedAt;
-    /** 0: not ejected; else how many attempts at once it is trusted with, from a moment on. */
+    /**
+     * Limit of concurrent attempts on the recovery ramp after an ejection; 0 if the worker is not ejected.
+     */
     int recoveryLimit;
+    /** When its ejection ends and the recovery ramp begins. */
     Moment recoveryStartsAt;
-    /** By traffic type, when it last left a task unstarted for good, if it has finished none since. */
+    /** By traffic type, when an attempt was last lost before its start; removed once one finishes. */
     final Map<Integer, Moment> typesLostAt = new HashMap<>();
-    /** Since when each of the connections to it that are idle has been so, the latest last. */
+    /** Since when each of its idle connections is idle, the latest last. */
     final ArrayDeque<Moment> idleConnections = new ArrayDeque<>();
     /** Tasks that wait for its answer to a probe. */
     final ArrayList<Task> awaitingProbe = new ArrayList<>();
@@ -61,7 +73,7 @@
         this.id = id;
     }
 
-    /** It restarted: what was learnt of its former process no longer holds. */
+    /** Drops the statistics of its former process after a restart. */
     void resetStatistics() {
         expectedRunsMs.clear();
         actualRunsMs.clear();
@@ -74,7 +86,7 @@
         lastContact = null;
     }
 
-    /** A load report came, in slots and units of memory; what it does not tell is NaN. */
+    /** Records a load report, in slots and units of memory; values that it lacks are NaN. */
     void onLoadReport(double free, double running, double memory) {
         hasReported = true;
         freeMemory = memory;
@@ -86,7 +98,11 @@
         }
     }
 
-    /** A task ran there; {@code warm}: the worker was, so that the run tells of its kind, too. */
+    /**
+     * Records the running time of a finished attempt.
+     *
+     * @param warm whether the worker was warm, so that the run counts for its kind, too
+     */
     void recordRun(double expectedMs, double ranMs, boolean warm) {
         expectedRunsMs.put(expectedMs);
         actualRunsMs.put(ranMs);
@@ -101,13 +117,13 @@
         otherDispatchersSlots.put(now, slots);
     }
 
-    /** It was heard from. */
+    /** Records that the worker was heard from. */
     void onContact(Moment now) {
         lastContact = now;
         probeUnanswered = false;
     }
 
-    /** Whether a connection to it is idle that was in use within that span. */
+    /** Returns whether a connection to the worker is idle that was in use within the timeout. */
     boolean hasIdleConnection(Moment now, Span idleTimeout) {
         while (!idleConnections.isEmpty() && !idleTimeout.longerThan(now.since(idleConnections.peek()))) {
             idleConnections.poll();
@@ -119,7 +135,7 @@
         return hasReported || lastContact != null;
     }
 
-    /** Both drop a repeat of what the other has seen. */
+    /** Returns whether each of the two workers drops repeats of tasks that the other has received. */
     boolean sharesDeduplicationScope(Worker other, TrafficType.DeduplicationScope scope) {
         return switch (scope) {
             case ALL -> true;
@@ -128,12 +144,12 @@
         };
     }
 
-    /** The weight in the list of the largest of its kind; 1 where none is listed. */
+    /** Returns the greatest listed weight of its kind; 1 where none is listed. */
     double kindWeight() {
         return kindStatistics.maxListedWeight > 0 ? kindStatistics.maxListedWeight : 1;
     }
 
-    /** Slots that this dispatcher's own attempts take or wait for. */
+    /** Returns the slots that this dispatcher's attempts run in or queue for. */
     double ownSlots() {
         double sum = 0;
         for (Attempt attempt : attempts) {
@@ -142,7 +158,7 @@
         return sum;
     }
 
-    /** Slots that this dispatcher's own attempts take that have started. */
+    /** Returns the slots that this dispatcher's started attempts run in. */
     double startedSlots() {
         double sum = 0;
         for (Attempt attempt : attempts) {
--- a/src/main/java/rampshift/policy/WorkerEstimates.java
+++ b/src/main/java/rampshift/policy/WorkerEstimates.java
@@ -3,40 +3,54 @@
 import rampshift.time.Moment;
 import rampshift.time.Span;
 
-/** Owns what is expected of each worker: speed, capacity, load and wait, and how far its reports hold. */
+/** Estimates the speed, capacity, load and queueing delay of workers, and how reliable their reports are. */
 final class WorkerEstimates {
-    static final double MIN_WEIGHT = 0.15; // that a sample keeps at any age, and that a prior has
-    private static final double KIND_WEIGHT = 0.3; // of what its kind or zone tells, among its own samples
+    /** Weight of a prior; also added to the age-dependent weight of a load report, which is at most 1. */
+    static final double MIN_WEIGHT = 0.15;
+    /** Weight of the mean over a worker's kind or zone among the worker's own samples. */
+    private static final double KIND_WEIGHT = 0.3;
+    /** Weight of the mean load of the fleet among the reports of one worker. */
     private static final double FLEET_LOAD_WEIGHT = 0.1;
+    /** Decay time of load reports and start delays, in mean running times. */
     private static final double REPORT_DECAY_MEAN_RUNS = 2;
+    /** Decay time of short-term means, in mean running times. */
     private static final double SHORT_TERM_MEAN_RUNS = 4;
+    /** Decay time of long-term means, in mean running times. */
     private static final double LONG_TERM_MEAN_RUNS = 16;
-    // a further report within it tells nothing new
+    /** Age of the last load report, in mean running times, up to which a further one holds nothing new. */
     private static final double MIN_REPORT_AGE_MEAN_RUNS = 0.5;
-    private static final double REJECTED_WAIT_MEAN_RUNS = 4; // that a rejection as full tells of
-    private static final double START_LIMIT_OBJECTIVES = 0.15; // not started by then, an attempt queues
-    private static final double OVERDUE_RUN_FACTOR = 2; // after which a running attempt counts as slow
+    /** Start delay that a rejection as full stands for, in mean running times. */
+    private static final double REJECTED_WAIT_MEAN_RUNS = 4;
+    /** Share of the latency objective after which an attempt that has not started counts as queued. */
+    private static final double START_LIMIT_OBJECTIVES = 0.15;
+    /** Multiple of the expected running time after which a running attempt counts as slow. */
+    private static final double OVERDUE_RUN_FACTOR = 2;
+    /** Slots by which the estimated load may exceed the capacity of a worker that counts as idle. */
     private static final double IDLE_TOLERANCE_SLOTS = 0.25;
-    private static final int MIN_CAPACITY_REPORTS = 3; // before a worker's own tell its capacity
+    /** Number of load reports from which on a worker's capacity is estimated by its own reports alone. */
+    private static final int MIN_CAPACITY_REPORTS = 3;
 
     private final PolicyContext context;
     private final SlowStart slowStart;
-    private double trustThreshold; // of the task being placed: reports that are trusted less are not read
+    /** Reports of workers that are trusted less are ignored; drawn at random for each task, 0 to 1. */
+    private double trustThreshold;
 
     WorkerEstimates(PolicyContext context, SlowStart slowStart) {
         this.context = context;
         this.slowStart = slowStart;
     }
 
-    /** Sets which share of reports is read from now on: those trusted at least as much as this, 0 to 1. */
+    /** Ignores, from now on, the reports of workers whose trust is below the threshold, 0 to 1. */
     void setTrustThreshold(double threshold) {
         trustThreshold = threshold;
     }
 
     /**
-     * How likely a worker's reports are to hold, by the attempts that they promised an idle slot, and by its
-     * zone's. Covers late, low, stuck and zero reports, and rushes to the same worker; fades as they agree
-     * again. Drawback: one that others rush to is looked at less, as if its reports were wrong.
+     * Returns the probability that a worker's reports are right: the share of recent attempts sent on a
+     * report of an idle slot that found one, at this worker and in its zone. It detects reports that are
+     * late, too low, stuck or always zero, and herds of dispatchers at one worker, and recovers as reports
+     * are right again. Drawback: a worker that many dispatchers choose at once is ignored as if its reports
+     * were wrong.
      */
     double reportTrust(Worker worker) {
         double zone = longTermMean(context.zoneOf(worker).idleReportAccuracy, 1);
@@ -59,7 +73,10 @@
         return context.runs.mean().times(LONG_TERM_MEAN_RUNS);
     }
 
-    /** Expected over actual running times, running attempts that are overdue included; 1 is middling. */
+    /**
+     * Returns the worker's speed relative to a mean worker: expected over actual running times, including
+     * attempts that are overdue and still run.
+     */
     private double speed(Worker worker) {
         double priorMs = context.runs.mean().millis();
         double warmUpFactor = slowStart.warmUpFactor(worker);
@@ -84,25 +101,33 @@
         return expectedMs / actualMs;
     }
 
-    /** A guess is not scaled by the speed of the worker: rejected by it, the type would never be known. */
+    /**
+     * Returns the expected running time of the task at the worker. A default is not scaled by the worker's
+     * speed: a type that is rejected for it would never run, and its running time would never be measured.
+     */
     Span run(Worker worker, Task task) {
         Span expected = context.runs.expected(task);
         return context.runs.isKnown(task) ? expected.times(1 / speed(worker)) : expected;
     }
 
-    /** How long an attempt may run until it counts as slow; one of an unknown type, until it is late. */
+    /** Returns how long an attempt may run until it counts as slow; the objective where no run is known. */
     Span overdueRun(Attempt attempt) {
         Task task = attempt.task;
         return context.runs.isKnown(task) ? run(attempt.worker, task).times(OVERDUE_RUN_FACTOR)
                 : task.type.latencyObjective();
     }
 
+    /** Returns the estimated number of slots, at least 1 and at least those that own attempts run in. */
     double capacity(Worker worker) {
         double started = worker.startedSlots();
         return Math.max(1, Math.max(Math.rint(observedCapacity(worker, started)), started));
     }
 
-    /** Few reports of its own yet: others of its kind tell, or the weight in the list. */
+    /**
+     * Returns the capacity in slots by load reports. A worker with few reports takes that of its kind; a kind
+     * without reports takes its weight in the endpoint list. Where workers report no load, it is the largest
+     * number of slots in which own attempts were seen to run at once on a worker of the kind.
+     */
     private double observedCapacity(Worker worker, double started) {
         KindStatistics kind = worker.kindStatistics;
         if (!context.settings.reportsLoad) {
@@ -118,7 +143,10 @@
                 : worker.capacities.mean(1);
     }
 
-    /** Slots in use or waited for; without a recent report, as many as on its side of the fleet. */
+    /**
+     * Returns how many slots are in use or queued for. Without a recent report it tends to the mean load of
+     * the own zone, or of the other zones.
+     */
     private double load(Worker worker) {
         Span decayTime = context.runs.mean().times(REPORT_DECAY_MEAN_RUNS);
         double weights = FLEET_LOAD_WEIGHT;
@@ -132,14 +160,14 @@
         return worker.ownSlots() + sum / weights;
     }
 
-    /** What the last starts say of the wait there, those of its kind where it has few. */
+    /** Returns the mean of recent start delays at the worker, with that of its kind as a prior. */
     private Span startDelay(Worker worker) {
         double kind = shortTermMean(worker.kindStatistics.startDelaysMs, 0);
         Span decayTime = context.runs.mean().times(REPORT_DECAY_MEAN_RUNS);
         return Span.ofMillis(worker.startDelaysMs.mean(context.now(), decayTime, kind, KIND_WEIGHT));
     }
 
-    /** How long a task of so many slots is expected to wait there before it starts. */
+    /** Returns how long a task of this many slots is expected to queue at the worker before it starts. */
     Span wait(Worker worker, double slots) {
         double capacity = capacity(worker);
         double excessSlots = load(worker) + slots - capacity;
@@ -149,7 +177,8 @@
             wait = wait.orLonger(startDelay(worker));
         }
         if (context.settings.reportsStart) {
-            // An attempt that has not started shows the queue there, or a worker that hangs or is cut off.
+            // The age of an attempt that has not started is a lower bound: it queues, or the worker hangs or
+            // is unreachable.
             for (Attempt attempt : worker.attempts) {
                 if (attempt.startedAt == null && attempt.countsAsLoad()) {
                     wait = wait.orLonger(context.since(attempt.sentAt));
@@ -159,7 +188,10 @@
         return wait;
     }
 
-    /** How long an attempt may be out before a start message is missed: it queues, or is lost. */
+    /**
+     * Returns the age at which an attempt without a start message counts as queued or lost. Where starts are
+     * not reported, a multiple of its predicted duration is taken.
+     */
     Span startLimit(Attempt attempt) {
         return context.settings.reportsStart ? startLimit(attempt.task)
                 : attempt.predictedDuration.times(OVERDUE_RUN_FACTOR);
@@ -169,22 +201,27 @@
         return task.type.latencyObjective().times(START_LIMIT_OBJECTIVES);
     }
 
-    /** How long a worker is expected to be busy that has rejected an attempt as full. */
+    /** Returns the start delay that is assumed at a worker which has rejected an attempt as full. */
     Span rejectedWait() {
         return context.runs.mean().times(REJECTED_WAIT_MEAN_RUNS);
     }
 
-    /** Whether the last report is so old that another one tells something new. */
+    /** Returns whether the last load report is old enough for another one to hold something new. */
     boolean isReportDue(Worker worker) {
         return worker.loadReportedAt == null || context.since(worker.loadReportedAt)
                 .longerThan(context.runs.mean().times(MIN_REPORT_AGE_MEAN_RUNS));
     }
 
+    /** Returns whether the attempt has not started although it should have by its start limit. */
     boolean isStartOverdue(Attempt attempt) {
         return attempt.startedAt == null && context.since(attempt.sentAt).longerThan(startLimit(attempt));
     }
 
-    /** Not heard from, or not believed: idle with the odds of the others, so that it draws no herd. */
+    /**
+     * Tests whether the worker is idle. One that was not heard from, or whose reports are not trusted, counts
+     * as idle with the probability that a trusted candidate of the task is, which prevents a herd at that
+     * worker.
+     */
     boolean isIdle(Worker worker, Task task) {
         if (isTrusted(worker)) {
             return passesIdlenessTest(worker, task);
@@ -200,14 +237,20 @@
                         || (worker.wasHeardFrom() && fitsBesideOwnAttempts(worker, task)));
     }
 
+    /** Returns whether the worker has slots for the task beside this dispatcher's own attempts. */
     private boolean fitsBesideOwnAttempts(Worker worker, Task task) {
         return worker.ownSlots() + task.slots <= capacity(worker);
     }
 
+    /** Returns whether the worker was heard from and its reports are trusted for the present task. */
     private boolean isTrusted(Worker worker) {
         return worker.wasHeardFrom() && trustThreshold <= reportTrust(worker);
     }
 
+    /**
+     * Tests the idleness of a trusted worker by its load reports. A worker that has reported none is idle
+     * without own attempts; where workers report no load, own slots and the expected start delay decide.
+     */
     private boolean passesIdlenessTest(Worker worker, Task task) {
         if (worker.probeUnanswered) {
             return false;
@@ -225,7 +268,7 @@
                 && !wait(worker, task.slots).longerThan(startLimit(task).plus(context.settings.tick));
     }
 
-    /** A report that is still young says that the task would start at once. */
+    /** Returns whether a recent load report says that the task would start at once. */
     boolean hasFreshIdleReport(Worker worker, Task task) {
         Span decayTime = context.runs.mean().times(REPORT_DECAY_MEAN_RUNS);
         return worker.loadReportedAt != null && isIdle(worker, task)
--- a/src/main/java/rampshift/policy/WorkerObserver.java
+++ b/src/main/java/rampshift/policy/WorkerObserver.java
@@ -3,7 +3,7 @@
 import rampshift.time.Moment;
 import rampshift.time.Span;
 
-/** Records what attempts, load reports and endpoint lists tell of workers, their kinds and zones. */
+/** Updates the statistics of workers, kinds and zones by attempts, load reports and endpoint lists. */
 final class WorkerObserver {
     private final PolicyContext context;
     private final WorkerEstimates estimates;
@@ -19,15 +19,16 @@
         onIdleReportChecked(attempt, true);
         context.zoneOf(attempt.worker).reached.put(context.now(), 1);
         if (!context.settings.reportsLoad) {
-            // The start tells of the queue there, and of what runs beside it.
+            // The start shows how long the queue was, and how many slots run at once.
             onStartDelay(attempt, context.since(attempt.sentAt));
             attempt.worker.kindStatistics.capacities.put(attempt.worker.startedSlots());
         }
     }
 
-    /** {@code share}: of its work that is done, 0 to 1. */
+    /** Records the share of the attempt's work that is done, 0 to 1. */
     void onAttemptProgress(Attempt attempt, double completedShare) {
-        if (attempt.startedAt == null) { // its start was not told: the first message comes so long after it
+        if (attempt.startedAt == null) {
+            // The start was not reported. The first progress message comes one interval after it.
             Moment from = context.now().minus(context.settings.progressInterval);
             attempt.startedAt = from.before(attempt.sentAt) ? attempt.sentAt : from;
         }
@@ -50,25 +51,32 @@
         Moment startedAt = attempt.observedOrPredictedStart(context.settings.reportsStart);
         Span ran = context.since(startedAt != null ? startedAt : attempt.sentAt);
         if (startedAt != null) {
-            // First, so that a type's first task does not make its worker look many times as fast or slow.
+            // Recorded before the worker's speed, so that the first run of a type does not make its worker
+            // look many times as fast or slow.
             context.runs.onRun(attempt.task, ran);
         }
         double ranMs = atLeastHalfATickMs(ran);
-        if (context.runs.isKnown(attempt.task)) { // a guess over a run says nothing of the worker
+        // The ratio of a default to a measured run says nothing about the worker.
+        if (context.runs.isKnown(attempt.task)) {
             double expectedMs = atLeastHalfATickMs(context.runs.expected(attempt.task));
             worker.recordRun(expectedMs, ranMs, slowStart.warmUpFactor(worker) >= 1);
         }
         worker.typesLostAt.remove(attempt.task.typeIndex);
-        // it was not late meanwhile; where starts are not told nothing else tells
+        // The attempt was not overdue before. Where starts are not reported, only its end confirms an idle
+        // report.
         onIdleReportChecked(attempt, true);
     }
 
-    /** In milliseconds, for both of a ratio: the clock tells no less, and very short runs would look slow. */
+    /**
+     * Returns the span in milliseconds, at least half a timer tick. Both parts of a ratio of runs get this
+     * minimum: the clock resolves nothing shorter, and a minimum on one part alone would make short runs look
+     * slow.
+     */
     private double atLeastHalfATickMs(Span span) {
         return Math.max(span.millis(), context.settings.tick.millis() / 2);
     }
 
-    /** Cancelled though it should have started by then, it tells of the queue as a start would. */
+    /** Records the age of a cancelled attempt as a start delay if it should have started by then. */
     void onAttemptCancelled(Attempt attempt) {
         if (estimates.isStartOverdue(attempt)) {
             onStartDelay(attempt, context.since(attempt.sentAt));
@@ -82,7 +90,10 @@
         }
     }
 
-    /** An idle slot was promised by reports, and was there or not: they are late, or many rush to it. */
+    /**
+     * Records whether a report of an idle slot was right for an attempt sent on it. It was wrong if it came
+     * late, or if other dispatchers took the slot.
+     */
     void onIdleReportChecked(Attempt attempt, boolean accurate) {
         if (attempt.sentOnIdleReport) {
             attempt.sentOnIdleReport = false;
@@ -91,7 +102,7 @@
         }
     }
 
-    /** In slots and units of memory; what the worker does not tell is NaN. */
+    /** Records a load report, in slots and units of memory; values that it lacks are NaN. */
     void onLoadReport(Worker worker, double free, double queued, double running, double freeMemory) {
         worker.onLoadReport(free, running, freeMemory);
         double queue = Double.isNaN(queued) ? 0 : queued;
@@ -102,13 +113,17 @@
         }
     }
 
-    /** Live weights are the size over 1 + the load per core: a report of every worker, the same for all. */
+    /**
+     * Derives the load of a worker from its live weight, which is its full weight over 1 + its load per core.
+     * A core counts as a slot of capacity here. All dispatchers see the same weights.
+     */
     void onListedWeight(Worker worker, double weight) {
         if (context.settings.liveWeights && weight > 0 && worker.kindStatistics.capacities.count() > 0) {
             onLoad(worker, (worker.kindStatistics.maxListedWeight / weight - 1) * estimates.capacity(worker));
         }
     }
 
+    /** Records the slots in use or queued for at a worker, less those of own attempts. */
     private void onLoad(Worker worker, double slots) {
         if (estimates.isReportDue(worker)) {
             double others = Math.max(0, slots - worker.ownSlots());
--- a/src/main/java/rampshift/policy/WorkerTable.java
+++ b/src/main/java/rampshift/policy/WorkerTable.java
@@ -7,13 +7,16 @@
 import java.util.function.BiPredicate;
 import java.util.function.Predicate;
 
-/** The workers that this dispatcher's own endpoint lists have named, and those that each type may go to. */
+/** The workers that the endpoint lists have named, and the ready ones that each traffic type may go to. */
 final class WorkerTable {
-    /** All of them, in the order of their ids. */
+    /** All workers, in the order of their ids. */
     final List<Worker> all = new ArrayList<>();
-    /** The ready ones. */
+    /** The ready workers. */
     private final List<List<Worker>> ready = localAndRemote();
-    /** By traffic type those that it may go to; types that may go to all of them share these. */
+    /**
+     * By traffic type, the ready workers that it may go to; unconstrained types share the lists of all ready
+     * ones.
+     */
     private final List<List<List<Worker>>> byType = new ArrayList<>();
     private final List<TrafficType> types;
     private final Map<Long, Worker> byId = new HashMap<>(); // looked up, never iterated
@@ -29,16 +32,19 @@
         types.forEach(type -> byType.add(type.isPlacementConstrained() ? localAndRemote() : ready));
     }
 
+    /** Creates two empty lists: for the workers of the own zone and for those of other zones. */
     private static List<List<Worker>> localAndRemote() {
         return List.of(new ArrayList<>(), new ArrayList<>());
     }
 
-    /** The ready ones that the type may go to: those of the own zone, and those elsewhere. In any order. */
+    /**
+     * Returns the ready workers that the type may go to, in any order: those of the own zone, and the others.
+     */
     List<List<Worker>> localAndRemote(int typeIndex) {
         return byType.get(typeIndex);
     }
 
-    /** The worker, or null where none of this id was ever listed. */
+    /** Returns the worker, or null where none of this id was ever listed. */
     Worker get(long id) {
         return byId.get(id);
     }
@@ -51,7 +57,7 @@
         return ready.get(0).size() + ready.get(1).size();
     }
 
-    /** A whole list follows: what it does not name is removed. */
+    /** Begins a full list: marks all workers as removed until it names them. */
     void beginFullList() {
         for (Worker worker : all) {
             worker.ready = false;
@@ -59,7 +65,7 @@
         }
     }
 
-    /** Takes in one entry of a list; {@link #endList} makes it count for the draw. */
+    /** Applies an entry of an endpoint list; it counts for samples after {@link #endList}. */
     Worker put(ListedWorker entry) {
         Worker worker = byId.get(entry.id());
         if (worker == null) {
@@ -98,13 +104,13 @@
                 .anyMatch(type -> type.isPlacementConstrained() && allowsPlacement.test(type, worker));
     }
 
-    /** It is up or not, whatever the last list said. */
+    /** Sets whether the worker is ready, regardless of the last endpoint list. */
     void setReady(Worker worker, boolean isReady) {
         worker.ready = isReady;
         endList();
     }
 
-    /** A list has been taken in. */
+    /** Ends an endpoint list: updates the ready workers of each type. */
     void endList() {
         fill(ready, worker -> true);
         for (int i = 0; i < types.size(); i++) {
--- a/src/main/java/rampshift/policy/ZoneStatistics.java
+++ b/src/main/java/rampshift/policy/ZoneStatistics.java
@@ -1,9 +1,9 @@
 package rampshift.policy;
 
-/** What was seen of all workers of one zone. */
+/** Statistics over all workers of one zone. */
 final class ZoneStatistics {
-    /** Of the last attempts that reports promised an idle slot: 1 for each that had one. */
+    /** For the last attempts sent on a report of an idle slot: 1 if it found one, else 0. */
     final DecayingSamples idleReportAccuracy = new DecayingSamples(16);
-    /** Of the last attempts: 1 for each that started, 0 for each of which nothing was heard. */
+    /** For the last attempts: 1 if it started, 0 if it was lost. */
     final DecayingSamples reached = new DecayingSamples(32);
 }
--- a/src/test/java/rampshift/policy/AdmissionTest.java
+++ b/src/test/java/rampshift/policy/AdmissionTest.java
@@ -29,8 +29,8 @@
         for (int i = 0; i < 30; i++) {
             host.task(IDEMPOTENT);
         }
-        assertTrue(host.count("reject") >= 20, "one slot cannot take them");
-        assertTrue(host.count("forward") > 30, "some are taken");
+        assertTrue(host.count("reject") >= 20, "one slot cannot run them all");
+        assertTrue(host.count("forward") > 30, "some are accepted");
     }
 
     @ParameterizedTest
@@ -40,12 +40,13 @@
         host.settings.lateShareWeight = lateShareWeight;
         host.fleet(1).runTasks(NON_IDEMPOTENT, 40, 100);
         host.task(NON_IDEMPOTENT, 0, 5000 - 312);     // 88 ms are left for a run of 100
-        assertEquals(rejections, host.count("reject"), "about a third in time");
+        assertEquals(rejections, host.count("reject"),
+                "the task ends in time with a probability of about a third");
     }
 
     /**
-     * Met in a fleet that had shrunk: 64% of the sends rejected, all types served alike, the dearest at
-     * 76%.
+     * Guards against a fleet short of capacity that serves all types alike: 64% of its attempts were
+     * rejected, and only 76% of the tasks of the most valuable type were served.
      */
     @ParameterizedTest
     @CsvSource({"0,0", "10,0", "10,1"})
@@ -66,13 +67,13 @@
         assertEquals(fullRejections > 0 && highValue == 0 ? 1 : 0, host.count("reject " + id + " "));
         host.after(3000);
         long later = host.task(NON_IDEMPOTENT);
-        assertTrue(host.worker(later, 0) > 0, "it fades");
+        assertTrue(host.worker(later, 0) > 0, "the share of rejections decays");
     }
 
     /**
-     * One run longer than the latency objective, as after a start beside load, and the type was rejected for
-     * good: 600 of 600 in a minute, though no worker had anything to do. A rejected type never runs, so that
-     * its running time stayed as it was.
+     * Guards against a type that is rejected for good, 600 of 600 tasks in a minute by idle workers, after
+     * one run longer than its latency objective. A rejected type never runs, so that its running time is not
+     * measured again.
      */
     @Test
     void aTypeWhoseOnlyRunWasTooSlowIsTriedAgain() {
@@ -87,10 +88,10 @@
                 sent++;
             }
         }
-        assertTrue(sent >= 550, "taken: " + sent + " of 600");
+        assertTrue(sent >= 550, "sent: " + sent + " of 600");
     }
 
-    /** A fleet that is too slow for the type for a long time costs a trial now and then, and no more. */
+    /** While the fleet is too slow for the type, only a few of its tasks are sent to measure it again. */
     @Test
     void aTypeThatIsAlwaysLateIsTriedRarely() {
         FakeHost host = new FakeHost();
@@ -104,10 +105,13 @@
                 sent++;
             }
         }
-        assertTrue(sent <= 60, "taken: " + sent + " of 600");
+        assertTrue(sent <= 60, "sent: " + sent + " of 600");
     }
 
-    /** The first type of the settings stood for all until something ran: its objective, here of a minute. */
+    /**
+     * Guards against a mean running time that is taken, before any task has run, from the first type of the
+     * settings: here from its objective of a minute.
+     */
     @ParameterizedTest
     @ValueSource(booleans = {false, true})
     void theOrderOfTypesDoesNotAffectTheRetryAfterHint(boolean longFirst) {
@@ -122,7 +126,7 @@
         assertFalse(host.lastRetryAfter().longerThan(Span.ofMillis(200)), host.lastRetryAfter().toString());
     }
 
-    /** Met on a day on which most clients waited a third as long as usual: all their tasks were rejected. */
+    /** Guards against the rejection of all tasks when most clients wait a third as long as usual. */
     @Test
     void tasksOfClientsWithShortTimeoutsAreAcceptedAndLateRetriesAreNot() {
         FakeHost host = new FakeHost().fleet(6).runTasks(NON_IDEMPOTENT, 40, 50);
@@ -132,9 +136,9 @@
             rejections += host.count("reject " + id + " ");
             host.started(id, 0).after(50).finished(id, 0, AttemptOutcome.FINISHED);
         }
-        assertTrue(rejections <= 1, "rejectd: " + rejections);
+        assertTrue(rejections <= 1, "rejected: " + rejections);
         assertEquals(1, host.count("reject " + host.task(NON_IDEMPOTENT, 0, 20) + " "),
-                "nobody can be that fast");
+                "no worker can be that fast");
         FakeHost busy = new FakeHost().fleet(1).runTasks(NON_IDEMPOTENT, 40, 50).reportFreeSlots(1, 0);
         for (int i = 0; i < 40; i++) {
             busy.task(NON_IDEMPOTENT);
@@ -144,8 +148,8 @@
     }
 
     /**
-     * Running times by type alone had 17% of a quiet day rejected and 18% late, where tasks of one type are
-     * unlike.
+     * Tasks of one type may have very different running times. Estimated by type alone, 17% of the tasks of
+     * an unloaded fleet were rejected and 18% late.
      */
     @Test
     void aTaskWhoseHintExceedsItsRemainingTimeIsRejected() {
@@ -158,7 +162,7 @@
         assertEquals(1, host.count("reject " + longTask + " "));
     }
 
-    /** A fleet short of room did a quarter of its work for answers that came late. */
+    /** Guards against a fleet short of capacity that spends a quarter of its work on late answers. */
     @ParameterizedTest
     @CsvSource({"0,true,1", "0,false,0", "2,true,0"})
     void aLateTaskWithoutValueIsCancelledWhereOthersWaitForItsSlots(int type, boolean isFull, int rejected) {
--- a/src/test/java/rampshift/policy/CandidateSamplerTest.java
+++ b/src/test/java/rampshift/policy/CandidateSamplerTest.java
@@ -8,7 +8,7 @@
 import org.junit.jupiter.api.Test;
 import rampshift.time.Span;
 
-/** Which workers are drawn. */
+/** Sampling of candidates. */
 class CandidateSamplerTest {
     private static final TrafficType.Effect IDEMPOTENT_EFFECT = TrafficType.Effect.IDEMPOTENT;
     private static final int[] OWN_ZONE = {0, 1, 0};
@@ -32,19 +32,19 @@
     }
 
     /**
-     * Met at a fleet of 60 with a task a second for each dispatcher: a new connection for nearly each of
-     * them.
+     * Guards against a new connection for nearly each task, as in a fleet of 60 with a task a second for each
+     * dispatcher.
      */
     @Test
     void amongIdleWorkersOneWithAnIdleConnectionIsPreferred() {
         assertTrue(workersUsed(0.03, 5000) <= 5);
-        assertTrue(workersUsed(0, 5000) > 15, "where new ones cost nothing all are drawn");
+        assertTrue(workersUsed(0, 5000) > 15, "where new connections cost nothing all workers are sampled");
         assertTrue(workersUsed(0.03, 25) > 15, "a connection idle for longer is closed");
     }
 
     /**
-     * Met with a bound type rejected on one in ten of its tasks, while others queued at the few workers that
-     * it may go to.
+     * Guards against the rejection of one in ten tasks of a constrained type while other tasks queue at the
+     * few workers that it may go to.
      */
     @Test
     void unconstrainedTasksAvoidLoadedWorkersOfConstrainedTypes() {
@@ -71,6 +71,6 @@
                     .count();
         }
         assertTrue(probes[1] > 0 && probes[1] * 2 < probes[0],
-                "less, and not none: " + probes[0] + ", " + probes[1]);
+                "fewer probes, but some: " + probes[0] + ", " + probes[1]);
     }
 }
--- a/src/test/java/rampshift/policy/DispatchPolicyTest.java
+++ b/src/test/java/rampshift/policy/DispatchPolicyTest.java
@@ -51,7 +51,7 @@
         assertEquals(1, host.count("forward"));
     }
 
-    /** Met by reading the stop: all that was in hand was abandoned, also what had never been sent. */
+    /** Guards against a shutdown that fails all tasks in flight, also those that were never sent. */
     @Test
     void atShutdownATaskIsRejectedWhereThatIsAllowed() {
         FakeHost host = new FakeHost().fleet(2);
--- a/src/test/java/rampshift/policy/EligibilityTest.java
+++ b/src/test/java/rampshift/policy/EligibilityTest.java
@@ -23,7 +23,7 @@
 import org.junit.jupiter.params.provider.ValueSource;
 import rampshift.time.Span;
 
-/** Effect, idempotency window, drain, placement and retry budget. */
+/** Side effects, deduplication window, draining, placement and retry budget. */
 class EligibilityTest {
     private static final TrafficType.Effect IDEMPOTENT_EFFECT = TrafficType.Effect.IDEMPOTENT;
     private static final int[] OWN_ZONE = {0, 1, 0};
@@ -62,7 +62,7 @@
         }
         assertEquals(sent, host.count("forward " + id + " "));
         assertEquals(1, host.count("fail " + id + " "),
-                "it may have run, and a rejection is no longer lawful");
+                "it may have run, and a rejection is no longer allowed");
     }
 
     @Test
@@ -98,7 +98,7 @@
         host.settings.removalIsAdvisory = advisory;
         long id = host.fleet(1).task(NON_IDEMPOTENT);
         host.relist(1, state, 0).task(NON_IDEMPOTENT);
-        assertEquals(1, host.count("forward"), "nothing was heard of it since");
+        assertEquals(1, host.count("forward"), "the worker was not heard from since");
         host.started(id, 0).task(NON_IDEMPOTENT);
         assertEquals(sent ? 2 : 1, host.count("forward"));
     }
@@ -122,7 +122,7 @@
         return host;
     }
 
-    /** The attempt of the decision, its task and its number; none where it is another decision. */
+    /** Returns the task and the number of the attempt that the decision sends; empty for other decisions. */
     private static List<long[]> forwarded(String decision, Map<Long, Integer> sent) {
         String[] words = decision.split(" ");
         if (!words[0].equals("forward")) {
@@ -132,14 +132,14 @@
         return List.of(new long[]{id, sent.merge(id, 1, Integer::sum) - 1});
     }
 
-    /** Met on every day of the first deployment with a budget: 3 further ones where 6 tasks allowed 2.6. */
+    /** Guards against attempts beyond the budget, such as 3 further attempts where 6 tasks allow 2.6. */
     @ParameterizedTest
     @ValueSource(ints = {1, 2, 3, 4, 5, 6})
     void furtherAttemptsStayWithinTheBudgetOfAnyWindow(int seed) {
         Random random = new Random(seed);
         FakeHost host = withRetryBudget().fleet(12);
         List<Double> arrivals = new ArrayList<>();
-        Map<String, Double> furtherAttempts = new LinkedHashMap<>();    // "task number" to when it was sent
+        Map<String, Double> furtherAttempts = new LinkedHashMap<>(); // by "task number", when it was sent
         Map<Long, Integer> sent = new HashMap<>();
         List<long[]> inFlight = new ArrayList<>();
         int decisionsRead = 0;
@@ -173,7 +173,7 @@
             assertTrue(!justNow || used <= allowed, used + " of " + allowed + " at step " + i);
             maxUsed = Math.max(maxUsed, (int) used);
         }
-        assertTrue(maxUsed >= 3, "it is made use of: " + maxUsed);
+        assertTrue(maxUsed >= 3, "the budget is used: " + maxUsed);
     }
 
     @Test
@@ -185,7 +185,7 @@
         }
         long keyed = host.after(50).task(KEYED);
         host.finished(keyed, 0, AttemptOutcome.FULL);
-        assertTrue(host.worker(keyed, 1) > 0, "it goes again");
+        assertTrue(host.worker(keyed, 1) > 0, "it is retried");
     }
 
     @Test
@@ -199,7 +199,7 @@
         assertTrue(host.count("reject") >= 4, host.decisions.toString());
     }
 
-    /** What the list says of worker 4 from now on, in the stories that change it. */
+    /** Sends the endpoint list entry of worker 4 that belongs to the change, if any. */
     private static void applyListChange(FakeHost host, String change) {
         switch (change) {
             case "drains" -> host.listWorker(4, 1, 2, 0, EndpointState.DRAINING, 0);
@@ -212,8 +212,8 @@
     }
 
     /**
-     * Before any change 29 of 100 tasks of such a type went elsewhere. Here the one worker is the ready one,
-     * then what the story says.
+     * Guards against attempts outside the placement, where 29 of 100 tasks of a constrained type were sent.
+     * The only allowed worker is ready at first; then the event changes it.
      */
     @ParameterizedTest
     @CsvSource({"drains", "gone", "is cold", "is full", "is silent", "errs", "is listed elsewhere",
@@ -246,12 +246,12 @@
                         && Long.parseLong(decision.split(" ")[1]) > 20)
                 .toList();
         assertEquals(List.of(), constrained.stream().filter(decision -> !decision.endsWith(" 4")).toList());
-        assertTrue(event.equals("is cold") || !constrained.isEmpty(), "it is sent there at first");
+        assertTrue(event.equals("is cold") || !constrained.isEmpty(), "tasks are sent there at first");
         long after = host.task(type);
         if ((event.endsWith("s") && !event.equals("errs")) || event.equals("gone")
                 || event.startsWith("is listed")) {
             assertEquals(1, host.count("reject " + after + " later"),
-                    "given up at once, with a time to return");
+                    "rejected at once, with a Retry-After hint");
         }
     }
 
@@ -293,8 +293,8 @@
     }
 
     /**
-     * The cell's other worker is not allowed, the allowed ones are of other cells: after one that may have
-     * run only the same is left.
+     * The other worker of the cell is not allowed, and the other allowed workers are in other cells. After an
+     * attempt that may have run, only the same worker is left.
      */
     @Test
     void aKeyedTaskIsRetriedNeitherOutsideItsDeduplicationScopeNorItsPlacement() {
@@ -313,7 +313,7 @@
         }
     }
 
-    /** It was drawn and probed, and is of another kind before the answer comes. */
+    /** The worker is sampled and probed, and its kind changes before the answer to the probe. */
     @Test
     void aWorkerRelistedAsAnotherKindAfterSamplingGetsNoConstrainedTask() {
         FakeHost host = new FakeHost();
--- a/src/test/java/rampshift/policy/EndpointListPolicyTest.java
+++ b/src/test/java/rampshift/policy/EndpointListPolicyTest.java
@@ -7,7 +7,7 @@
 import org.junit.jupiter.api.Test;
 import rampshift.time.Span;
 
-/** Subscriptions, and tasks that wait for a list. */
+/** Subscriptions to the endpoint list, and tasks that wait for a list. */
 class EndpointListPolicyTest {
     @Test
     void aLostSubscriptionIsRenewedWithJitterAndInTime() {
@@ -24,7 +24,10 @@
         assertEquals(2, host.count("subscribe"));
     }
 
-    /** Met when 65 of 93 dispatchers were killed at once: 8 sends to workers that had drained meanwhile. */
+    /**
+     * Guards against attempts to workers that drained during a restart: after 65 of 93 dispatchers were
+     * killed at once, 8 such attempts were sent.
+     */
     @Test
     void afterARestartTasksWaitForTheFirstList() {
         FakeHost host = new FakeHost().fleet(2);
@@ -67,7 +70,7 @@
         host.after(240).task(NON_IDEMPOTENT);
         assertEquals(1, host.count("forward"));
         host.after(20).task(NON_IDEMPOTENT);
-        assertEquals(1, host.count("forward"), "what the new source has may bind by now");
+        assertEquals(1, host.count("forward"), "the list of the new source may be in force by now");
         host.relist(1, true, 0);
         assertEquals(2, host.count("forward"));
     }
@@ -78,7 +81,7 @@
         long id = host.task(NON_IDEMPOTENT);
         host.policy().onEndpointListAwaited(true);
         host.finished(id, 0, AttemptOutcome.FULL);
-        assertEquals(1, host.count("forward"), "the next one waits for the list");
+        assertEquals(1, host.count("forward"), "the next attempt waits for the list");
         host.policy().onClientDisconnected(id);
         host.decide().relist(1, true, 0);
         assertEquals(1, host.count("forward"));
--- a/src/test/java/rampshift/policy/ExpectedValueTest.java
+++ b/src/test/java/rampshift/policy/ExpectedValueTest.java
@@ -13,7 +13,7 @@
 import org.junit.jupiter.params.provider.CsvSource;
 import rampshift.time.Span;
 
-/** What an attempt is worth: quotas, crossings, queues, lost types. */
+/** The value of attempts: quotas, zone crossings, queues, lost types. */
 class ExpectedValueTest {
     private static final int[] OTHER_ZONE = {1, 2, 0};
 
@@ -60,7 +60,7 @@
     }
 
     /**
-     * Divided by no quota at all, the earnings were no number, and any candidate was as good as any other.
+     * Guards against a division by a total quota of zero, which made all values NaN and all candidates equal.
      */
     @Test
     void withoutAnyQuotaTheIdleCandidateIsStillTheBest() {
@@ -104,14 +104,11 @@
         host.task(NON_IDEMPOTENT);
         long longTask = host.task(4);
         long shortTask = host.task(NON_IDEMPOTENT);
-        assertEquals(1, host.count("reject " + longTask + " "), "all behind it would be late");
+        assertEquals(1, host.count("reject " + longTask + " "), "all tasks behind it would be late");
         assertEquals(1, host.count("forward " + shortTask + " "));
     }
 
-    /**
-     * Met on a day on which some workers left all tasks of one traffic type unbegun: other types fled them
-     * too.
-     */
+    /** Guards against all types avoiding a worker that starts no task of one traffic type. */
     @Test
     void onlyTheTypeThatAWorkerLosesGoesElsewhere() {
         FakeHost host = new FakeHost();
@@ -127,7 +124,7 @@
             workersUsed.add(host.worker(id, 0));
             host.started(id, 0).after(10).finished(id, 0, AttemptOutcome.FINISHED);
         }
-        assertEquals(Set.of(3 - losingWorker), workersUsed, "none of its type goes there for now");
+        assertEquals(Set.of(3 - losingWorker), workersUsed, "no task of the type goes there for now");
         workersUsed.clear();
         for (int i = 0; i < 6; i++) {
             workersUsed.add(host.worker(host.task(IDEMPOTENT), 0));
@@ -136,8 +133,8 @@
     }
 
     /**
-     * The way to another zone costs a twentieth of a mean task's earnings; where earnings go by work a light
-     * one is not worth it.
+     * Crossing to another zone costs a twentieth of the value of a mean task. Where values scale with work, a
+     * short task has a lower value than that.
      */
     @ParameterizedTest
     @CsvSource({"false,1", "true,0"})
@@ -156,8 +153,8 @@
     }
 
     /**
-     * Met with clients that came with a quarter of the time: by the mean run none had a chance, and most
-     * tasks run far less than that.
+     * Guards against the rejection of all tasks of clients with a quarter of the usual time. None would end
+     * in time by the mean running time, but most tasks run far shorter.
      */
     @Test
     void aTaskWithLittleTimeIsComparedWithTheLastRunsOfItsType() {
@@ -170,6 +167,6 @@
         host.task(IDEMPOTENT, 0, 60);
         host.after(100);
         long id = host.task(IDEMPOTENT, 0, 60);
-        assertTrue(host.count("forward " + id + " ") > 0, "three of four run less");
+        assertTrue(host.count("forward " + id + " ") > 0, "three of four tasks run shorter");
     }
 }
--- a/src/test/java/rampshift/policy/FakeHost.java
+++ b/src/test/java/rampshift/policy/FakeHost.java
@@ -6,14 +6,16 @@
 import rampshift.time.Moment;
 import rampshift.time.Span;
 
-/** A small host of the policy: a clock that tests move, and what was decided, one line a decision. */
+/**
+ * A host of the policy for tests: a clock that tests advance, and a record of the decisions, one line each.
+ */
 final class FakeHost implements Decisions {
-    /** The traffic types that a host has at first: idempotent, keyed in a cell, not idempotent. */
+    /** Indexes of the default traffic types: idempotent, keyed within a cell, not idempotent. */
     static final int IDEMPOTENT = 0;
     static final int KEYED = 1;
     static final int NON_IDEMPOTENT = 2;
 
-    /** Tests change them before the first input. */
+    /** Tests change the settings before the first event. */
     final Settings settings = new Settings();
     final List<String> decisions = new ArrayList<>();
     private Span lastRetryAfter;
@@ -35,7 +37,7 @@
         addType(TrafficType.Effect.KEYED, TrafficType.DeduplicationScope.ALL, null, null);
     }
 
-    /** Adds a type that may go only to these zones and kinds; null: any. The result is its number. */
+    /** Adds a type that may go only to these zones and kinds, null for any; returns its index. */
     int addType(TrafficType.Effect effect, TrafficType.DeduplicationScope scope, Set<Integer> zones,
             Set<Integer> kinds) {
         settings.types.add(new TrafficType(1, 0, Span.ofMillis(100), 3, Span.ofMillis(5000), effect, scope,
@@ -43,14 +45,14 @@
         return settings.types.size() - 1;
     }
 
-    /** Adds a type whose latency objective grows by so many of its running times. Returns its number. */
+    /** Adds a type with this latency slack factor; returns its index. */
     int addType(TrafficType.Effect effect, TrafficType.DeduplicationScope scope, double slackFactor) {
         settings.types.add(new TrafficType(1, 0, Span.ofMillis(100), slackFactor, Span.ofMillis(5000), effect,
                 scope, Span.ofMillis(1000), null, null));
         return settings.types.size() - 1;
     }
 
-    /** The policy, with its time set. */
+    /** Returns the policy, with its time set. */
     DispatchPolicy policy() {
         Moment now = Moment.ofMillis(clockMs);
         if (policy == null) {
@@ -60,7 +62,7 @@
         return policy;
     }
 
-    /** Workers 1 to this count, all in zone 0, two a cell, warm. */
+    /** Lists warm workers 1 to this count, all in zone 0 and two in each cell. */
     FakeHost fleet(int count) {
         int[][] rows = new int[count][];
         for (int i = 0; i < count; i++) {
@@ -69,7 +71,7 @@
         return listWorkers(rows);
     }
 
-    /** Workers 1 to n, warm, each in a zone, cell and of a kind as told by its row. */
+    /** Lists warm workers from 1; each row holds the zone, the cell and the kind of one of them. */
     FakeHost listWorkers(int[]... rows) {
         policy().onEndpointListBegin(EndpointListKind.CACHED);
         for (int i = 0; i < rows.length; i++) {
@@ -80,7 +82,7 @@
         return decide();
     }
 
-    /** A change of one worker. */
+    /** Sends an endpoint list with the change of one worker. */
     FakeHost listWorker(long id, int zone, int cell, int kind, EndpointState state, double startedMs) {
         policy().onEndpointListBegin(EndpointListKind.DELTA);
         policy.onEndpoint(new ListedWorker(id, zone, cell, kind, state, Moment.ofMillis(startedMs), 1));
@@ -88,6 +90,7 @@
         return decide();
     }
 
+    /** Changes the state of a worker of {@link #fleet} to ready or draining. */
     FakeHost relist(long id, boolean ready, double startedMs) {
         return relist(id, ready ? EndpointState.READY : EndpointState.DRAINING, startedMs);
     }
@@ -104,17 +107,17 @@
         return task(type, tenant, 5000);
     }
 
-    /** A task whose client waits for so long. */
+    /** Hands in a task whose client waits for this time; returns its id. */
     long task(int type, int tenant, double remainingMs) {
         return arrive(new TaskRequest(type, tenant, Span.ZERO, 1, 0, Span.ofMillis(remainingMs)));
     }
 
-    /** A task that hints at what it should run. */
+    /** Hands in a task with a hint of its running time; returns its id. */
     long hintedTask(int type, double hintMs, double remainingMs) {
         return arrive(new TaskRequest(type, 0, Span.ofMillis(hintMs), 1, 0, Span.ofMillis(remainingMs)));
     }
 
-    /** A task that takes so many slots. */
+    /** Hands in a task that takes this many slots; returns its id. */
     long wideTask(int type, double slots) {
         return arrive(new TaskRequest(type, 0, Span.ZERO, slots, 0, Span.ofMillis(5000)));
     }
@@ -135,19 +138,20 @@
         return decide();
     }
 
-    /** A free slot count, as a report in an answer tells it. */
+    /** Reports free slots alone, as in a load report with an answer. */
     FakeHost reportFreeSlots(long worker, double slots) {
         policy().onLoadReport(worker, slots, Double.NaN, Double.NaN, Double.NaN);
         return this;
     }
 
+    /** Advances the clock and fires the timers that are due. */
     FakeHost after(double elapsedMs) {
         clockMs += elapsedMs;
         policy().onTimer();
         return decide();
     }
 
-    /** Time passes in which the host reads nothing, and does not come to its timers. */
+    /** Advances the clock without firing timers, as while the host is held up. */
     FakeHost advanceWithoutTimer(double elapsedMs) {
         clockMs += elapsedMs;
         return this;
@@ -157,7 +161,7 @@
         return tasks;
     }
 
-    /** A start time of workers that are warm. */
+    /** Returns a start time of workers that are warm. */
     Moment warmStart() {
         return new Moment(0);
     }
@@ -174,7 +178,9 @@
         return this;
     }
 
-    /** Plays tasks of the type one after the other, each finished after this long where it is. */
+    /**
+     * Runs tasks of the type one after another; the first attempt at each finishes after the running time.
+     */
     FakeHost runTasks(int type, int count, double runMs) {
         for (int i = 0; i < count; i++) {
             long id = task(type);
@@ -189,16 +195,17 @@
         return this;
     }
 
-    /** What the last rejected client was told to wait; null where none was rejected. */
+    /** Returns the Retry-After hint of the last rejection; null where there was none. */
     Span lastRetryAfter() {
         return lastRetryAfter;
     }
 
+    /** Returns the number of decisions with the prefix. */
     int count(String prefix) {
         return (int) decisions.stream().filter(decision -> (decision + " ").startsWith(prefix)).count();
     }
 
-    /** The worker of an attempt of the task, or -1. */
+    /** Returns the worker of an attempt at the task, or -1. */
     long worker(long task, int number) {
         List<String> sent =
                 decisions.stream().filter(decision -> decision.startsWith("forward " + task + " ")).toList();
@@ -238,6 +245,6 @@
 
     @Override
     public void wakeAt(Moment when) {
-        // Tests move the clock themselves.
+        // Tests advance the clock themselves.
     }
 }
--- a/src/test/java/rampshift/policy/FleetSimulation.java
+++ b/src/test/java/rampshift/policy/FleetSimulation.java
@@ -7,8 +7,8 @@
 import java.util.Random;
 
 /**
- * What the simulated dispatchers and workers of one fleet share: the clock, the events to come, the random
- * draws and the workers. Times are in milliseconds. Equal seeds give equal runs.
+ * A discrete-event simulation of a fleet: the clock, the pending events, the random numbers and the workers.
+ * Times are in milliseconds. Equal seeds give equal runs.
  */
 final class FleetSimulation {
     private static final double START_MILLIS = 1_000_000;
@@ -18,7 +18,7 @@
     /** The worker with id i stands at index i - 1. */
     final List<SimulatedWorker> workers = new ArrayList<>();
     final Random random = new Random();
-    /** The mean run time of a task at a warm worker. */
+    /** The mean running time of a task at a warm worker. */
     final double meanRunMillis;
     private final PriorityQueue<Event> events = new PriorityQueue<>(
             Comparator.comparingDouble(Event::at).thenComparingLong(Event::number));
@@ -29,7 +29,7 @@
         this.meanRunMillis = meanRunMillis;
     }
 
-    /** Drops all events and begins anew, at the present time, with that many warm workers. */
+    /** Drops all events and restarts, at the present time, with this many warm workers. */
     void restart(long seed, int workerCount) {
         random.setSeed(seed);
         events.clear();
--- a/src/test/java/rampshift/policy/OutlierEjectionTest.java
+++ b/src/test/java/rampshift/policy/OutlierEjectionTest.java
@@ -13,7 +13,7 @@
 import rampshift.time.Moment;
 import rampshift.time.Span;
 
-/** Workers that fail or are silent, and tasks that fail anywhere. */
+/** Workers that fail or are silent, unreachable zones, and tasks that fail at any worker. */
 class OutlierEjectionTest {
     @Test
     void aFastFailingWorkerIsEjectedAndComesBackThroughARecoveryRamp() {
@@ -53,7 +53,7 @@
             assertNotEquals(silentWorker, host.worker(id, 0));
             host.started(id, 0).after(50).finished(id, 0, AttemptOutcome.FINISHED);
         }
-        assertEquals(1, host.count("forward " + unanswered + " "), "may have run: never sent again");
+        assertEquals(1, host.count("forward " + unanswered + " "), "it may have run and is not retried");
     }
 
     @Test
@@ -73,7 +73,7 @@
         host.policy().onEndpoint(new ListedWorker(13, 0, 13, 0, EndpointState.READY, host.warmStart(), 1));
         host.policy().onEndpointListEnd();
         for (int i = 0; i < 3; i++) {
-            assertEquals(13, host.worker(host.task(NON_IDEMPOTENT), 0), "only the own zone is reached");
+            assertEquals(13, host.worker(host.task(NON_IDEMPOTENT), 0), "only the own zone is reachable");
         }
         host.after(5000);
         Set<Long> used = new HashSet<>();
@@ -94,8 +94,8 @@
     }
 
     /**
-     * Met on days on which 16 to 42% of the tasks are useless: 54% of all assignments were answered with an
-     * error.
+     * Guards against retries of tasks that fail at any worker: with 16 to 42% of such tasks, 54% of all
+     * attempts were answered with an error.
      */
     @Test
     void tasksLikelyToFailAnywhereGetOneAttempt() {
@@ -118,7 +118,7 @@
         for (int i = 0; i < 3; i++) {
             used.add(host.worker(host.task(NON_IDEMPOTENT), 0));
         }
-        assertEquals(3, used.size(), "one that is ejected gets none of these");
+        assertEquals(3, used.size(), "an ejected worker gets none of these tasks");
     }
 
     @Test
@@ -144,7 +144,7 @@
             }
         }
         assertTrue(attemptsAtFailingWorker < 8,
-                "one in six tasks went there before: " + attemptsAtFailingWorker);
+                "without ejection one in six tasks goes there: " + attemptsAtFailingWorker);
     }
 
     @Test
--- a/src/test/java/rampshift/policy/RedundantToIdleQueueTest.java
+++ b/src/test/java/rampshift/policy/RedundantToIdleQueueTest.java
@@ -9,13 +9,13 @@
 import java.util.Set;
 import org.junit.jupiter.api.Test;
 
-/** The draw: idle candidates first, hedges, probes, further draws. */
+/** Idle candidates, hedged copies, cancellation, probes and further samples. */
 class RedundantToIdleQueueTest {
     @Test
     void hedgesGoToIdleCandidatesAndTheFirstFinishCancelsTheRest() {
         FakeHost host = new FakeHost().fleet(4).runTasks(NON_IDEMPOTENT, 40, 50);
         long id = host.task(IDEMPOTENT);
-        assertTrue(host.count("forward " + id + " ") >= 2, "tokens are saved up: more than one hedge");
+        assertTrue(host.count("forward " + id + " ") >= 2, "saved-up tokens allow a hedged copy");
         host.started(id, 0).after(50).finished(id, 0, AttemptOutcome.FINISHED);
         assertEquals(host.count("forward " + id + " ") - 1, host.count("cancel " + id + " "));
     }
@@ -42,7 +42,7 @@
         host.policy().onLoadReport(2, 3, Double.NaN, Double.NaN, Double.NaN);
         host.policy().onProbeResult(2, true);
         host.decide().after(15);
-        assertEquals(2, host.worker(id, 0), "worker 1 kept silent");
+        assertEquals(2, host.worker(id, 0), "worker 1 has not answered");
     }
 
     @Test
@@ -57,6 +57,6 @@
         }
         host.after(0);
         assertTrue(host.count("forward 1 17 ") + host.count("forward 1 18 ") > 0 || host.count("reject") < 5,
-                "two idle ones among sixteen full ones are found");
+                "two idle workers among sixteen full ones are found");
     }
 }
--- a/src/test/java/rampshift/policy/RetryPolicyTest.java
+++ b/src/test/java/rampshift/policy/RetryPolicyTest.java
@@ -10,7 +10,7 @@
 import org.junit.jupiter.params.provider.CsvSource;
 import rampshift.time.Span;
 
-/** Hedges and retries, and the tokens that pay for them. */
+/** Hedges and retries, and the token bucket that limits them. */
 class RetryPolicyTest {
     @Test
     void hedgesStayWithinTheTokens() {
@@ -27,7 +27,7 @@
         assertTrue(host.count("forward") <= 200 + 200 / 5 / 5, "a tenth of the fifth");
         long id = host.task(IDEMPOTENT);
         host.after(40);
-        assertEquals(2, host.count("forward " + id + " "), "a second place in a queue wastes nothing");
+        assertEquals(2, host.count("forward " + id + " "), "a second attempt that queues wastes nothing");
     }
 
     @ParameterizedTest
@@ -46,15 +46,16 @@
         long id = host.task(IDEMPOTENT);
         int first = host.count("forward " + id + " ");
         host.after(40).after(40);
-        assertTrue(host.count("forward " + id + " ") > first, "another assignment");
-        assertEquals(0, host.count("cancel " + id + " "), "it keeps its place in the first queue");
+        assertTrue(host.count("forward " + id + " ") > first, "another attempt");
+        assertEquals(0, host.count("cancel " + id + " "), "the first attempt stays queued");
         host.started(id, first);
-        assertTrue(host.count("cancel " + id + " ") >= 1, "the place in the queue is freed");
+        assertTrue(host.count("cancel " + id + " ") >= 1, "the attempt that still queues is cancelled");
     }
 
     /**
-     * The dispatcher was late itself: the start lay unread behind another task. Decided by whichever input
-     * came first, each attempt counted as not started and was sent again, which made it later still.
+     * Guards against timers that fire by any event while the dispatcher is late: the start message is still
+     * unread behind another task, so that each attempt counts as not started and is repeated, which delays
+     * the dispatcher further.
      */
     @Test
     void aStartThatIsReadLateButBeforeTheTimerKeepsTheAttemptFromBeingRepeated() {
@@ -68,7 +69,10 @@
         assertEquals(first, host.count("forward " + id + " "), "its start came before the timer");
     }
 
-    /** A lost task was held until its expiry, so that its client could not come back in time. */
+    /**
+     * Guards against a lost task that is held until its deadline, which leaves its client no time for a
+     * retry.
+     */
     @Test
     void aTaskWhoseAnswerIsLostIsGivenUpAtOnceWhereNoRetryIsAllowed() {
         FakeHost host = new FakeHost();
@@ -79,12 +83,12 @@
         long idempotent = host.task(IDEMPOTENT);
         host.started(nonIdempotent, 0).started(idempotent, 0);
         host.after(1000).after(300);
-        assertEquals(0, host.count("fail") + host.count("reject"), "a note may still be on its way");
+        assertEquals(0, host.count("fail") + host.count("reject"), "a progress message may still arrive");
         for (int i = 0; i < 10; i++) {
             host.after(100);
         }
         assertEquals(1, host.count("fail " + nonIdempotent), "it may have run");
-        assertEquals(1, host.count("reject " + idempotent + " "), "its client may come again");
+        assertEquals(1, host.count("reject " + idempotent + " "), "its client may retry");
     }
 
     @ParameterizedTest
@@ -98,7 +102,7 @@
         for (int i = 0; i < 9; i++) {
             host.after(100);
         }
-        assertEquals(0, host.count(answer), "inside the window another worker might come that may take it");
+        assertEquals(0, host.count(answer), "within the window another worker of its scope may become ready");
         for (int i = 0; i < 5; i++) {
             host.after(100);
         }
@@ -117,13 +121,13 @@
             host.policy().onAttemptProgress(running, 0, i / 40.0);
             host.after(100);
         }
-        assertEquals(1, host.count("forward " + queued + " "), "it waits there");
+        assertEquals(1, host.count("forward " + queued + " "), "it queues there");
         assertEquals(0, host.count("fail"));
     }
 
     /**
-     * Met with light tasks that sat in queues until they were late: a new connection cost more than half of
-     * what they earn.
+     * Guards against short tasks that stay in queues until they are late because a new connection costs more
+     * than half of their value.
      */
     @Test
     void anOverdueTaskIsRetriedAtAnyWorkerWhoseValueExceedsItsCost() {
@@ -132,6 +136,6 @@
         host.fleet(4).runTasks(NON_IDEMPOTENT, 20, 50);
         long id = host.task(IDEMPOTENT);
         host.after(40);
-        assertEquals(2, host.count("forward " + id + " "), "it has not begun where it is");
+        assertEquals(2, host.count("forward " + id + " "), "it has not started at the first worker");
     }
 }
--- a/src/test/java/rampshift/policy/SimulatedDispatcher.java
+++ b/src/test/java/rampshift/policy/SimulatedDispatcher.java
@@ -7,7 +7,7 @@
 import rampshift.time.Moment;
 import rampshift.time.Span;
 
-/** A dispatcher of a simulated fleet: one instance of the policy, which shares no state with the others. */
+/** A simulated dispatcher: one instance of the policy, which shares no state with the others. */
 final class SimulatedDispatcher implements Decisions {
     private static final double NETWORK_DELAY_MILLIS = 0.5;
     private static final int MAX_ATTEMPTS = 3;
@@ -16,17 +16,17 @@
     private static final Span TIMEOUT = Span.ofMillis(3000);
     private static final Span IDEMPOTENCY_WINDOW = Span.ofMillis(1000);
     private static final double LATENCY_SLACK_FACTOR = 3;
-    /** The traffic types by their index; one of four tasks, by chance, is not idempotent. */
+    /** Indexes of the traffic types; a random one in four tasks is not idempotent. */
     private static final int IDEMPOTENT = 0;
     private static final int NON_IDEMPOTENT = 1;
     private static final int TASKS_PER_NON_IDEMPOTENT = 4;
 
-    /** An attempt on its way to a worker, in its queue, or running. */
+    /** An attempt in transit to a worker, in its queue, or running. */
     private static final class SimulatedAttempt {
         private final long task;
         private final int number;
         private final SimulatedWorker worker;
-        /** It was cancelled or has finished. */
+        /** Whether it was cancelled or has finished. */
         private boolean ended;
 
         SimulatedAttempt(long task, int number, SimulatedWorker worker) {
@@ -38,7 +38,7 @@
 
     private final FleetSimulation simulation;
     private final DispatchPolicy policy;
-    /** The attempts of each task, by their number. */
+    /** The attempts at each task, in the order of their numbers. */
     private final Map<Long, List<SimulatedAttempt>> attempts = new HashMap<>();
     private long tasks;
     private double wakeAtMillis = Double.MAX_VALUE;
@@ -77,7 +77,7 @@
         return Moment.ofMillis(simulation.now());
     }
 
-    /** Hands the policy an endpoint list that holds these workers. */
+    /** Passes an endpoint list with these workers to the policy. */
     void receiveList(EndpointListKind kind, List<SimulatedWorker> listed) {
         policy.setNow(now());
         policy.onEndpointListBegin(kind);
@@ -89,7 +89,7 @@
         carryOutDecisions();
     }
 
-    /** A client hands in a task. */
+    /** Receives a task from a client. */
     void receiveTask() {
         tasks++;
         long id = tasks;
@@ -100,7 +100,7 @@
         });
     }
 
-    /** How many tasks its clients have handed in. */
+    /** Returns the number of tasks received. */
     long taskCount() {
         return tasks;
     }
@@ -175,7 +175,7 @@
 
     @Override
     public void subscribe() {
-        // The scenario hands out endpoint lists unasked.
+        // The scenario sends endpoint lists without a subscription.
     }
 
     @Override
--- a/src/test/java/rampshift/policy/SimulatedWorker.java
+++ b/src/test/java/rampshift/policy/SimulatedWorker.java
@@ -4,8 +4,8 @@
 import java.util.Queue;
 
 /**
- * A worker that runs a few tasks at once and queues the rest. After a cold start it is slow, and compares
- * what it is sent with what it may be sent.
+ * A simulated worker that runs a few tasks at once and queues the rest. After a cold start it is slow, and it
+ * compares the number of tasks that it is sent with the allowed number.
  */
 final class SimulatedWorker {
     static final int SLOTS = 4;
@@ -13,18 +13,18 @@
     static final double COLD_SPEED = 0.12;
     /** How long it takes until a worker that was started cold is as fast as a warm one. */
     static final double WARM_UP_MILLIS = 24_000;
-    /** The length of the time window in which what a cold worker is sent is bounded. */
+    /** Length of the time window for which the tasks sent to a cold worker are bounded. */
     static final double WINDOW_MILLIS = 1500;
-    /** A cold worker may be sent this many times what it can run in the window. */
+    /** Allowed number of tasks for a cold worker, in multiples of those that it can run in the window. */
     static final double MAX_CAPACITY_MULTIPLE = 4;
     private static final double LONG_WARM = 0;
 
     final long id;
-    /** When it was started; 0 for one that has long been warm. */
+    /** When it was started; 0 for one that was always warm. */
     final double startedAt;
     private final FleetSimulation simulation;
     private final Queue<Runnable> queue = new ArrayDeque<>();
-    /** When tasks were sent, while it was cold, within the last window. */
+    /** When tasks were received while it was cold, within the last window. */
     private final Queue<Double> sentInWindow = new ArrayDeque<>();
     private int running;
     private double worstRatio;
@@ -35,17 +35,17 @@
         this.startedAt = startedAt;
     }
 
-    /** A worker that was started long ago. */
+    /** Creates a worker that was started long ago. */
     static SimulatedWorker warm(FleetSimulation simulation, long id) {
         return new SimulatedWorker(simulation, id, LONG_WARM);
     }
 
-    /** A worker that is started now. */
+    /** Creates a worker that is started now. */
     static SimulatedWorker cold(FleetSimulation simulation, long id) {
         return new SimulatedWorker(simulation, id, simulation.now());
     }
 
-    /** Its present speed as a share of that of a warm worker, up to 1. */
+    /** Returns the present speed as a share of that of a warm worker, up to 1. */
     double speed() {
         if (startedAt == LONG_WARM) {
             return 1;
@@ -55,10 +55,10 @@
     }
 
     /**
-     * Queues a task. Whatever reaches the worker while it is cold is counted, also what is cancelled before
-     * it has run.
+     * Queues a task. All tasks that arrive while the worker is cold are counted, including those cancelled
+     * before they run.
      *
-     * @param start called once a slot has been taken for it; {@link #release} gives the slot back
+     * @param start called once the task has a slot, which {@link #release} frees
      */
     void enqueue(Runnable start) {
         if (speed() < 1) {
@@ -68,7 +68,10 @@
         startQueued();
     }
 
-    /** The bound is the count that is allowed on average and, for chance, twice its square root and 2. */
+    /**
+     * Compares the count with its bound: the allowed mean, plus twice its square root and 2 for random
+     * variation.
+     */
     private void countSent() {
         double now = simulation.now();
         sentInWindow.add(now);
@@ -88,7 +91,7 @@
         }
     }
 
-    /** Gives back the slot of a task that has ended or was cancelled before it started. */
+    /** Frees the slot of a task that has ended or was cancelled before it started. */
     void release() {
         running--;
     }
@@ -105,12 +108,12 @@
         return SLOTS - running;
     }
 
-    /** How many tasks it was sent in the last window in which it was cold. */
+    /** Returns the number of tasks received in the last window in which it was cold. */
     int sentInLastWindow() {
         return sentInWindow.size();
     }
 
-    /** The largest number of tasks sent in any window so far, as a multiple of its bound. */
+    /** Returns the largest ratio so far of the tasks received in a window to the bound. */
     double worstRatio() {
         return worstRatio;
     }
