--- a/src/test/java/rampshift/policy/SlowStartFleetTest.java
+++ b/src/test/java/rampshift/policy/SlowStartFleetTest.java
@@ -8,10 +8,10 @@
 import org.junit.jupiter.params.provider.CsvSource;
 
 /**
- * Slow start over a whole fleet of dispatchers that share nothing: together they must not send a cold worker
- * more than it may be sent in the stated time. One instance of the policy keeps to that by its own credit; a
- * simulated fleet shows that the credits of many, in a burst or saved up, do not add up to more than the
- * bound of {@link SimulatedWorker}. docs/design.md tells what six seeds gave.
+ * Slow start over a fleet of dispatchers that share no state: together they must not send a cold worker more
+ * than the allowed number of tasks in a window. Each instance of the policy is limited by its own credit. The
+ * simulated fleet shows that the credits of many instances, in a burst or saved up, don't exceed the bound of
+ * {@link SimulatedWorker}. docs/design.md has the results of six seeds.
  */
 class SlowStartFleetTest {
     private static final int SEEDS = Integer.getInteger("cold.seeds", 2);
@@ -23,10 +23,10 @@
     /**
      * The traffic of one run. After some time the first workers are restarted cold, all at once.
      *
-     * @param firstShare the part of the traffic that only the first dispatcher has; the rest is spread evenly
-     * @param load the traffic before the burst, as a share of what the warm fleet can do
-     * @param burst how many times that traffic the burst is
-     * @param burstDelayMillis between the restart and the beginning of the burst
+     * @param firstShare the share of the traffic that goes to the first dispatcher; the rest is spread evenly
+     * @param load the traffic before the burst, as a share of the capacity of the warm fleet
+     * @param burst the traffic of the burst, as a multiple of that before it
+     * @param burstDelayMillis the time between the restart and the beginning of the burst
      */
     private record Scenario(
             int dispatchers,
@@ -38,19 +38,19 @@
             double burstDelayMillis) {
     }
 
-    /** A third of the fleet is restarted cold at once, as a burst of half as much traffic again begins. */
+    /** A third of the fleet restarts cold at once, as a burst of half as much traffic again begins. */
     @ParameterizedTest
     @CsvSource({"3, 12, 0.7, 0", "20, 12, 0.6, 0", "30, 12, 0.7, 0.7", "120, 30, 0.8, 0"})
     void allDispatchersTogetherKeepToTheBoundOfEachColdWorker(int dispatchers, int workers, double load,
             double firstShare) {
         Scenario scenario = new Scenario(dispatchers, workers, workers / 3, firstShare, load, 1.5, 0);
         double worst = worstRatio(scenario, MEAN_RUN_MILLIS);
-        assertTrue(worst <= 1, "a cold worker was sent " + worst + " times what it may be");
+        assertTrue(worst <= 1, "a cold worker was sent " + worst + " times the bound");
     }
 
     /**
-     * There is little traffic while one worker is cold, so that every dispatcher saves up the credit that it
-     * has for that worker; then there is more traffic than the fleet can do.
+     * Little traffic while one worker is cold lets every dispatcher save up its credit for that worker; the
+     * traffic that follows exceeds the capacity of the fleet.
      */
     @ParameterizedTest
     @CsvSource({"120, 50, 3000", "120, 400, 6000", "30, 400, 6000"})
@@ -58,10 +58,12 @@
             double meanRunMillis, double burstDelayMillis) {
         Scenario scenario = new Scenario(dispatchers, 12, 1, 0, 0.2, 6, burstDelayMillis);
         double worst = worstRatio(scenario, meanRunMillis);
-        assertTrue(worst <= 1, "it was sent " + worst + " times what it may be");
+        assertTrue(worst <= 1, "it was sent " + worst + " times the bound");
     }
 
-    /** The worst ratio of what a cold worker was sent to its bound, over all cold workers and seeds. */
+    /**
+     * Returns the largest ratio of tasks sent to a cold worker to its bound, over all cold workers and seeds.
+     */
     private static double worstRatio(Scenario scenario, double meanRunMillis) {
         FleetSimulation simulation = new FleetSimulation(meanRunMillis);
         double worst = 0;
@@ -101,7 +103,7 @@
         simulation.runUntil(end);
     }
 
-    /** Tasks arrive at random, with exponential times between them. */
+    /** Schedules arrivals of tasks with exponentially distributed times between them. */
     private static void scheduleTasks(FleetSimulation simulation, Scenario scenario,
             List<SimulatedDispatcher> dispatchers, double burstAt, double end) {
         double tasksPerMilli =
@@ -116,7 +118,7 @@
         }
     }
 
-    /** Restarts the first workers cold, and tells all dispatchers of it. */
+    /** Restarts the first workers cold, and sends all dispatchers the new list. */
     private static void restartCold(FleetSimulation simulation, int count,
             List<SimulatedDispatcher> dispatchers) {
         for (int i = 0; i < count; i++) {
--- a/src/test/java/rampshift/policy/SlowStartTest.java
+++ b/src/test/java/rampshift/policy/SlowStartTest.java
@@ -13,7 +13,7 @@
 import rampshift.time.Moment;
 import rampshift.time.Span;
 
-/** What cold workers are sent. */
+/** Limits on the attempts sent to cold workers. */
 class SlowStartTest {
     @Test
     void aFleetOfColdWorkersGetsItsPresentCapacity() {
@@ -24,7 +24,7 @@
         host.settings.reportsLoad = false;
         host.fleet(0).relist(1, true, host.now() - 1).relist(2, true, host.now() - 1);
         host.runTasks(IDEMPOTENT, 100, 50);
-        // Half of 2 x 0.5 of the tasks, each counted as it is sent.
+        // The credit covers half of 2 (the load multiple) times 0.5 (the speed) of the tasks sent.
         assertTrue(host.count("forward") >= 40 && host.count("forward") <= 51,
                 "sent " + host.count("forward"));
     }
@@ -41,11 +41,14 @@
         host.runTasks(IDEMPOTENT, tasks, 50);
         long sentToCold = host.decisions.stream()
                 .filter(decision -> decision.startsWith("forward") && decision.endsWith(" 10")).count();
-        // Half of a tenth of the fleet, and half of four times that: a tenth of the sends at most.
+        // The worker has half the speed and so half of a tenth of the capacity. Half of the load multiple of
+        // four allows twice that: a tenth of the attempts at most.
         assertTrue(sentToCold <= tasks * 0.106 + 1 && sentToCold >= tasks / 100, sentToCold + " of " + tasks);
     }
 
-    /** Rule 4 over all dispatchers: all workers wait, and a new one is the best at each of them at once. */
+    /**
+     * All workers have queues, and a new worker is the best candidate at each of many dispatchers at once.
+     */
     @Test
     void aNewWorkerIsNotOverloadedWhenAllDispatchersListItAtOnce() {
         int sentToCold = 0;
@@ -66,12 +69,12 @@
             }
         }
         assertTrue(sentToCold > 10 && sentToCold <= 270,
-                "less than a mean run is earned by eight sends: " + sentToCold);
+                "eight attempts earn a credit of less than a mean run: " + sentToCold);
     }
 
     /**
-     * Met in a release under load: a fleet that turned half away sent cold workers 2.2 times what they could
-     * do.
+     * Guards against cold workers that are sent 2.2 times their capacity while a fleet rejects half of its
+     * attempts.
      */
     @Test
     void rejectedAttemptsEarnNoCredit() {
@@ -102,10 +105,9 @@
     }
 
     /**
-     * A cold worker was sent 5.5 times what it could do (debrecen-flotta, incident i4f06f0): 25 of 33 sends
-     * were second ones, from 30
-     * dispatchers, of types whose repeats are dropped in one cell, where it was the only other worker. Each
-     * seed is a dispatcher.
+     * Guards against a cold worker that is sent 5.5 times its capacity by retries of tasks whose repeats are
+     * dropped in one cell, where it is the only other worker: 25 of 33 attempts were such retries, from 30
+     * dispatchers. Each seed stands for a dispatcher.
      */
     @Test
     void aTaskConfinedToItsDeduplicationScopeDoesNotAlwaysReachTheColdWorkerThere() {
@@ -139,7 +141,7 @@
         settings.slowStartDuration = Span.ofMillis(1000);
         SlowStart slowStart = new SlowStart(new PolicyContext(settings, Moment.ofMillis(10_000)));
         Worker worker = new Worker(1);
-        assertEquals(1, slowStart.warmUpFactor(worker), "it is not told when it started");
+        assertEquals(1, slowStart.warmUpFactor(worker), "the start time is not known");
         worker.startedAt = Moment.ofMillis(9500);
         assertEquals(0.6, slowStart.warmUpFactor(worker), 1e-9);
         worker.startedAt = Moment.ofMillis(9000);
--- a/src/test/java/rampshift/policy/TaskPolicyTest.java
+++ b/src/test/java/rampshift/policy/TaskPolicyTest.java
@@ -9,18 +9,18 @@
 import org.junit.jupiter.api.Test;
 
 /**
- * The order in which a task's questions are asked: is its deadline over, is an endpoint list awaited, would
- * it fail anywhere, is it to be placed or reviewed. A wrong order sends an attempt that is not allowed, or
- * keeps a client waiting for an answer that is known.
+ * The order of the checks of a task: whether its deadline is reached, an endpoint list is awaited, or it is
+ * likely to fail at any worker, and then its placement or review. A wrong order sends an attempt that is not
+ * allowed, or delays an answer that is known.
  */
 class TaskPolicyTest {
-    /** Of the tasks that {@link FakeHost#task(int)} hands in. */
+    /** The time until the deadline of tasks of {@link FakeHost#task(int)}. */
     private static final double REMAINING_MS = 5000;
-    /** Less than the time in which a repeat of a task with an idempotency key is dropped. */
+    /** A time until the deadline that is shorter than the deduplication window of keyed tasks. */
     private static final double SHORT_REMAINING_MS = 500;
-    /** Within the two ticks before the deadline that are left to the final answer. */
+    /** A time within the two ticks before the deadline that are reserved for the final answer. */
     private static final double LAST_TICK_MS = 1;
-    /** Long after the time at which an untried task counts as late. */
+    /** A time after which a task that was not sent is late. */
     private static final double LATE_MS = 1000;
     private static final int FAILED_TASKS = 5;
 
@@ -33,7 +33,9 @@
         assertEquals(0, finalAnswers(host));
     }
 
-    /** It may have run: neither another attempt nor a rejection, after which its client would retry. */
+    /**
+     * The task may have run, so it must be neither retried nor rejected, after which its client would retry.
+     */
     @Test
     void nonIdempotentTaskThatMayHaveRunIsFailedAtOnceAndNotRetried() {
         FakeHost host = new FakeHost().fleet(4);
@@ -53,7 +55,7 @@
         assertEquals(0, finalAnswers(host));
     }
 
-    /** While errors repeat at the next worker, the next task with an error is answered and not retried. */
+    /** While errors repeat at the next worker, a task with an error is answered and not retried. */
     @Test
     void taskThatWouldFailAnywhereIsAnsweredAtOnceAfterItsFirstError() {
         FakeHost host = new FakeHost().fleet(8);
@@ -76,8 +78,8 @@
     }
 
     /**
-     * The task may be retried and must not be rejected: only its deadline keeps it from being sent again. Its
-     * client has little patience; the task before it, taken for a late retry, is rejected on arrival.
+     * The task may be retried and must not be rejected: only its deadline prevents another attempt. Its
+     * client has a short timeout; the task before it counts as a late retry and is rejected on arrival.
      */
     @Test
     void nothingIsSentAfterTheDeadline() {
@@ -95,7 +97,7 @@
         assertEquals(1, host.count("fail " + id + " "), "one final answer");
     }
 
-    /** A list that does not come must not keep a client beyond its deadline. */
+    /** A list that does not arrive must not delay an answer beyond the deadline. */
     @Test
     void finalAnswerDoesNotWaitForTheEndpointList() {
         FakeHost host = new FakeHost().fleet(4);
@@ -107,7 +109,7 @@
         assertEquals(1, host.count("fail " + id + " "));
     }
 
-    /** The known list is too old to send by: a failed task waits, and is retried with the new list. */
+    /** The known list may be outdated: a task whose attempt failed waits and is retried by the new list. */
     @Test
     void retryWaitsForTheEndpointList() {
         FakeHost host = new FakeHost().fleet(4);
--- a/src/test/java/rampshift/policy/TaskQueueTest.java
+++ b/src/test/java/rampshift/policy/TaskQueueTest.java
@@ -30,7 +30,10 @@
         assertNull(queue.poll());
     }
 
-    /** Each review asks for the next: with a timer a request, two requests were two reviews from then on. */
+    /**
+     * Each review schedules the next one: with a timer for each call, two calls would be two reviews from
+     * then on.
+     */
     @Test
     void aTaskIsReviewedOnceHoweverOftenItsReviewIsAskedFor() {
         Task task = task(1);
--- a/src/test/java/rampshift/policy/UnreportedLoadTest.java
+++ b/src/test/java/rampshift/policy/UnreportedLoadTest.java
@@ -10,7 +10,7 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
 
-/** Where workers report no load: starts tell of their queues. */
+/** Workers that report no load: start delays show their queues. */
 class UnreportedLoadTest {
     private static FakeHost withoutLoadReports(int workers) {
         FakeHost host = new FakeHost();
@@ -19,8 +19,8 @@
     }
 
     /**
-     * Tasks that are placed once, one after the other; they begin late but at one worker. How many went
-     * there.
+     * Runs tasks that can't be hedged one after another; they start late at all workers but one. Returns how
+     * many were sent to that one.
      */
     private static int countSentTo(FakeHost host, long quickWorker, int tasks, double delayMs, double runMs) {
         int sentToQuickWorker = 0;
@@ -39,7 +39,7 @@
         FakeHost host = withoutLoadReports(2);
         countSentTo(host, 2, 40, 150, 50);
         int sentToQuickWorker = countSentTo(host, 2, 10, 150, 50);
-        assertTrue(sentToQuickWorker >= 8, "tasks wait at worker 1: " + sentToQuickWorker);
+        assertTrue(sentToQuickWorker >= 8, "tasks queue at worker 1: " + sentToQuickWorker);
     }
 
     @Test
@@ -91,7 +91,7 @@
         host.started(idempotent, 0);
         host.relist(failedWorker, false, 0).finished(idempotent, 0, AttemptOutcome.BROKEN);
         assertTrue(host.worker(idempotent, 1) > 0 && host.worker(idempotent, 1) != failedWorker,
-                "another takes it");
+                "another worker is sent the retry");
         long nonIdempotent = host.task(NON_IDEMPOTENT);
         assertNotEquals(failedWorker, host.worker(nonIdempotent, 0));
         host.started(nonIdempotent, 0).finished(nonIdempotent, 0, AttemptOutcome.BROKEN);
@@ -126,7 +126,7 @@
             host.after(40).started(id, 0).after(50).finished(id, 0, AttemptOutcome.FINISHED);
         }
         int sent = host.count("forward") - before;
-        assertTrue(sent >= 36, "nearly each at a second worker, not a fifth of them: " + sent);
+        assertTrue(sent >= 36, "nearly each task is retried, not a fifth of them: " + sent);
     }
 
     @Test
@@ -136,7 +136,7 @@
             host.started(host.task(NON_IDEMPOTENT), 0);
         }
         long id = host.wideTask(IDEMPOTENT, 4);
-        assertEquals(0, host.count("reject " + id + " "), "a slot of ours at each worker is no queue");
+        assertEquals(0, host.count("reject " + id + " "), "one own attempt at each worker is no queue");
     }
 
     @Test
@@ -152,9 +152,9 @@
         }
         long lateTask = host.task(IDEMPOTENT);
         assertEquals(1, host.count("reject " + lateTask + " "),
-                "the last tasks waited longer than this one may");
+                "the last tasks queued longer than this one may");
         long later = host.after(2000).task(IDEMPOTENT);
-        assertEquals(0, host.count("reject " + later + " "), "that is long ago");
+        assertEquals(0, host.count("reject " + later + " "), "the start delays have decayed");
     }
 
     @Test
@@ -163,6 +163,6 @@
         countSentTo(host, 18, 500, 60, 5);
         int sentToQuickWorker = countSentTo(host, 18, 30, 60, 5);
         assertTrue(sentToQuickWorker >= 20,
-                "of six drawn it is one in a third of the draws: " + sentToQuickWorker);
+                "a sample of six workers holds it in a third of all samples: " + sentToQuickWorker);
     }
 }
--- a/src/test/java/rampshift/policy/WorkerEstimatesTest.java
+++ b/src/test/java/rampshift/policy/WorkerEstimatesTest.java
@@ -13,7 +13,7 @@
 import org.junit.jupiter.params.provider.ValueSource;
 import rampshift.time.Span;
 
-/** Which workers are taken for idle, fast or slow, by reports and by what was observed. */
+/** Idleness, speed and load of workers by their reports and by observed attempts. */
 class WorkerEstimatesTest {
     @Test
     void withoutAReportAWorkerWithoutOwnAttemptsIsIdle() {
@@ -22,9 +22,10 @@
     }
 
     /**
-     * Its running time is not known, so its latency objective stands for it, and that was divided by the
-     * speed of workers. One slow run among short ones made them look so slow that the type was rejected: by
-     * ten runs of 1 ms and one of 100 a worker has a quarter of its speed, 100 ms became 400, all there was.
+     * Guards against a default running time, derived from the latency objective, that is divided by the speed
+     * of workers. One slow run among short ones makes workers look so slow that the type is rejected: by ten
+     * runs of 1 ms and one of 100 a worker has a quarter of its speed, and 100 ms become 400, all the time
+     * there is.
      */
     @Test
     void aTypeThatNeverRanIsNotRejectedWhereWorkersLookSlow() {
@@ -35,8 +36,8 @@
     }
 
     /**
-     * Its start was not told, so its latency objective stood for its running time: the one worker looked many
-     * times as fast as the other, and all waited there.
+     * Guards against the use of the latency objective as the expected running time of an attempt whose start
+     * was not reported: one worker looked many times as fast as the other, and all tasks queued there.
      */
     @Test
     void aFirstFinishWithoutAStartDoesNotMakeItsWorkerLookFast() {
@@ -56,20 +57,20 @@
             sentElsewhere += worker == 3 - host.worker(first, 0) ? 1 : 0;
         }
         assertTrue(sentThere <= sentElsewhere + 2,
-                "of workers alike one got " + sentThere + ", the other " + sentElsewhere);
+                "of two equal workers one got " + sentThere + ", the other " + sentElsewhere);
     }
 
     /**
-     * A run of less than half a tick counts as half of one, and what was expected of it did not: a worker
-     * that ran a type in 0.05 ms for long looked ten times as slow as it was, and a type that runs longer
-     * was rejected.
+     * A run of less than half a tick counts as half a tick. Guards against an expected running time without
+     * that minimum: a worker that runs a type in 0.05 ms looks ten times as slow as it is, and a type that
+     * runs longer is rejected.
      */
     @Test
     void runsBelowTheClockResolutionDoNotMakeTheirWorkerLookSlow() {
         FakeHost host = new FakeHost().fleet(1).runTasks(IDEMPOTENT, 80, 0.05);
         host.runTasks(NON_IDEMPOTENT, 1, 0.05).reportFreeSlots(1, 4);
         long id = host.hintedTask(NON_IDEMPOTENT, 60, 5000 - 170);
-        assertEquals(1, host.worker(id, 0), "60 ms are to run, 110 are left");
+        assertEquals(1, host.worker(id, 0), "the task runs 60 ms, and 110 ms are left");
     }
 
     @Test
@@ -88,7 +89,7 @@
         }
         for (int i = 0; i < 10; i++) {
             long id = host.task(NON_IDEMPOTENT);
-            assertEquals(3, host.worker(id, 0), "the others hold three times their room");
+            assertEquals(3, host.worker(id, 0), "the others have a load of three times their slots");
             host.started(id, 0).after(40).finished(id, 0, AttemptOutcome.FINISHED);
         }
     }
@@ -109,12 +110,12 @@
             }
             host.after(60).started(id, 0).after(50).finished(id, 0, AttemptOutcome.FINISHED);
         }
-        assertTrue(used.size() > 1, "reports are late and worker 1 is overrun: " + used);
+        assertTrue(used.size() > 1, "reports are late and worker 1 is overloaded: " + used);
     }
 
     /**
-     * Met where 28 of 112 workers told of idle slots and had none: 28% of the sends, two thirds rejected
-     * as full.
+     * Guards against workers that report idle slots without having any: 28 of 112 workers did so and got 28%
+     * of the attempts, two thirds of which were rejected as full.
      */
     @Test
     void aWorkerWhoseReportsAreWrongIsAvoided() {
@@ -134,7 +135,7 @@
             }
             host.started(id, last).after(50).finished(id, last, AttemptOutcome.FINISHED);
         }
-        assertTrue(sentThere <= 25, "most go there by their reports: " + sentThere + " of 40");
+        assertTrue(sentThere <= 25, "by the reports most tasks would go there: " + sentThere + " of 40");
     }
 
     @Test
@@ -143,12 +144,11 @@
         for (int i = 0; i < 30; i++) {
             host.task(IDEMPOTENT);
         }
-        assertTrue(host.count("reject") >= 20, "one slot cannot take them");
+        assertTrue(host.count("reject") >= 20, "one slot cannot run them all");
     }
 
     /**
-     * Met on a day on which one answer in six was lost: what would never end counted as slow runs and taken
-     * slots.
+     * Guards against lost attempts, as with one answer in six lost, that count as slow runs and taken slots.
      */
     @Test
     void attemptsWhoseAnswersAreLostDoNotMakeTheirWorkersLookSlowAndFull() {
@@ -164,10 +164,12 @@
         }
         int rejected = host.count("reject");
         host.runTasks(NON_IDEMPOTENT, 20, 50);
-        assertEquals(rejected, host.count("reject"), "rejectd once it is known that they are lost");
+        assertEquals(rejected, host.count("reject"), "no task is rejected once the attempts count as lost");
     }
 
-    /** Workers that grew slower were met only as they finished something, many running times later. */
+    /**
+     * Guards against a slow worker that is detected only when an attempt finishes, many running times later.
+     */
     @ParameterizedTest
     @ValueSource(booleans = {false, true})
     void whereStartsAreNotReportedAnOverdueRunShowsASlowWorker(boolean progress) {
@@ -194,8 +196,8 @@
     }
 
     /**
-     * Only starts told that a report had held: where none are told, no report was believed any more after a
-     * while.
+     * Guards against confirmation of reports by starts alone: where none are reported, no report stays
+     * trusted.
      */
     @Test
     void whereStartsAreNotReportedFinishesInTimeConfirmReports() {
