--- a/src/main/java/rampshift/policy/DispatchPolicy.java
+++ b/src/main/java/rampshift/policy/DispatchPolicy.java
@@ -66,7 +66,7 @@
     }
 
     /**
-     * The host requests the endpoint list anew.
+     * Records that the host requests the endpoint list anew.
      *
      * @param mayBeOutdated whether the known list may have been outdated for long
      */
@@ -74,7 +74,7 @@
         endpointListPolicy.onListAwaited(mayBeOutdated);
     }
 
-    /** An endpoint list begins, or is known not to come. Its entries follow, then its end. */
+    /** Begins an endpoint list, or records that none comes. Its entries follow, then its end. */
     public void onEndpointListBegin(EndpointListKind kind) {
         endpointListPolicy.onListBegin(kind);
         if (kind == EndpointListKind.FULL || kind == EndpointListKind.CACHED) {
@@ -82,19 +82,19 @@
         }
     }
 
-    /** An entry of the endpoint list that has begun was read. */
+    /** Applies an entry of the endpoint list that has begun. */
     public void onEndpoint(ListedWorker entry) {
         Worker worker = context.workers.put(entry);
         observer.onListedWeight(worker, entry.weight());
     }
 
-    /** The endpoint list that had begun is complete. */
+    /** Ends the endpoint list that has begun. */
     public void onEndpointListEnd() {
         context.workers.endList();
         tasks.unparkAll();
     }
 
-    /** A task has arrived. Its id is new, and its type an index into those of the settings. */
+    /** Records a task that has arrived. Its id is new, and its type an index into those of the settings. */
     public void onTaskArrived(long id, TaskRequest request) {
         Task task = new Task(id, context.settings.types.get(request.type()), request, context.now());
         tasks.register(task);
@@ -107,7 +107,7 @@
         tasks.decideAt(eligibility.finalAnswerAt(task), task);
     }
 
-    /** A worker has reported that the attempt runs. */
+    /** Records that a worker has reported the start of an attempt's run. */
     public void onAttemptStarted(long id, int number) {
         Attempt attempt = tasks.find(id, number);
         if (attempt != null && attempt.startedAt == null) {
@@ -119,7 +119,7 @@
         }
     }
 
-    /** A worker has reported the share of the attempt's work that is done, 0 to 1. */
+    /** Records the share of an attempt's work that is done, 0 to 1, as its worker has reported it. */
     public void onAttemptProgress(long id, int number, double completedShare) {
         Attempt attempt = tasks.find(id, number);
         if (attempt != null) {
@@ -129,7 +129,7 @@
     }
 
     /**
-     * A worker has reported its load, in slots and units of memory; values that it does not report are NaN.
+     * Records a worker's load report, in slots and units of memory; values that it lacks are NaN.
      */
     public void onLoadReport(long workerId, double free, double queued, double running, double freeMemory) {
         Worker worker = context.workers.get(workerId);
@@ -138,7 +138,7 @@
         }
     }
 
-    /** A probe was answered, or has failed. */
+    /** Records that a probe was answered or has failed. */
     public void onProbeResult(long workerId, boolean answered) {
         Worker worker = context.workers.get(workerId);
         if (worker == null) {
@@ -153,7 +153,7 @@
     }
 
     /**
-     * An attempt has ended.
+     * Records that an attempt has ended.
      *
      * @param terminal whether its task has its final answer with it
      */
@@ -194,7 +194,7 @@
         }
     }
 
-    /** The task's client has disconnected and needs no answer. */
+    /** Closes a task whose client has disconnected and needs no answer. */
     public void onClientDisconnected(long id) {
         Task task = tasks.find(id);
         if (task != null) {
@@ -202,7 +202,7 @@
         }
     }
 
-    /** The dispatcher shuts down. The task gets its final answer now, as at its deadline. */
+    /** Makes the final answer of a task due now, as at its deadline, since the dispatcher shuts down. */
     public void onShutdown(long id) {
         Task task = tasks.find(id);
         if (task != null && !task.closed) {
@@ -212,9 +212,9 @@
     }
 
     /**
-     * The moment that {@link Decisions#wakeAt} asked for has come, and all events before it have been
-     * reported. Timers fire only by this event: an event that is reported before it may be the one that the
-     * timer guards.
+     * Makes the timers up to now due. The host calls it at the moment that {@link Decisions#wakeAt} asked
+     * for, once it has reported all events observed before: one of them may be what a timer waits for. No
+     * other event makes timers due.
      */
     public void onTimer() {
         wakeAt = null;
--- a/src/main/java/rampshift/policy/WorkerEstimates.java
+++ b/src/main/java/rampshift/policy/WorkerEstimates.java
@@ -19,7 +19,7 @@
     private static final double LONG_TERM_MEAN_RUNS = 16;
     /** Age of the last load report, in mean running times, up to which a further one holds nothing new. */
     private static final double MIN_REPORT_AGE_MEAN_RUNS = 0.5;
-    /** Start delay that a rejection as full stands for, in mean running times. */
+    /** Start delay assumed after a rejection as full, in mean running times. */
     private static final double REJECTED_WAIT_MEAN_RUNS = 4;
     /** Share of the latency objective after which an attempt that has not started counts as queued. */
     private static final double START_LIMIT_OBJECTIVES = 0.15;
--- a/src/test/java/rampshift/policy/FleetSimulation.java
+++ b/src/test/java/rampshift/policy/FleetSimulation.java
@@ -15,7 +15,7 @@
 
     private record Event(double at, long number, Runnable action) {}
 
-    /** The worker with id i stands at index i - 1. */
+    /** The worker with id i is at index i - 1. */
     final List<SimulatedWorker> workers = new ArrayList<>();
     final Random random = new Random();
     /** The mean running time of a task at a warm worker. */
