--- a/src/main/java/rampshift/policy/Attempt.java
+++ b/src/main/java/rampshift/policy/Attempt.java
@@ -3,26 +3,26 @@
 import rampshift.time.Moment;
 import rampshift.time.Span;
 
-/** One sending of a task to a worker. */
+/** One attempt at a task: a copy of it that was sent to a worker. */
 final class Attempt {
     final Task task;
     final int number;
     final Worker worker;
     final Moment sentAt;
     final Span predictedWait;
-    /** The wait and the run. */
-    final Span predictedSpan;
-    /** Null until its start is told. */
+    /** The predicted wait and the predicted run. */
+    final Span predictedDuration;
+    /** Null until the start is observed. */
     Moment startedAt;
     Moment progressAt;
-    /** The share of its work that is done, 0 to 1. */
+    /** The share of the work that is done, 0 to 1, by the last progress message. */
     double progress;
-    /** Reports said that it would start at once, and it is not known yet whether they held. */
-    boolean promisedIdle;
-    /** Its progress messages have ended without an answer. */
+    /** Load reports said that it would start at once, and it is not known yet whether they were right. */
+    boolean sentOnIdleReport;
+    /** Progress messages are overdue, and no answer came. */
     boolean lost;
-    /** What it earned for cold workers as it was sent, in mean runs. */
-    double costInMeanRuns;
+    /** The cost for which credit was earned for cold workers when it was sent, in mean runs of one slot. */
+    double creditedCostMeanRuns;
     boolean ended;
     boolean neverRan;
     boolean cancelled;
@@ -33,16 +33,17 @@
         this.worker = worker;
         this.sentAt = sentAt;
         this.predictedWait = predictedWait;
-        predictedSpan = predictedWait.plus(predictedRun);
+        predictedDuration = predictedWait.plus(predictedRun);
     }
 
-    /** It is sent. */
-    void begin() {
+    /** Adds the attempt to those of its task and its worker. */
+    void markSent() {
         task.attempts.add(this);
         task.openAttempts++;
         worker.attempts.add(this);
     }
 
+    /** Marks the attempt as ended. */
     void end(boolean withoutRunning) {
         ended = true;
         neverRan = withoutRunning;
@@ -50,31 +51,36 @@
         task.openAttempts--;
     }
 
-    /** Neither ended nor cancelled. */
+    /** Returns whether the attempt is neither ended nor cancelled. */
     boolean isOpen() {
         return !ended && !cancelled;
     }
 
-    /** When it began to run, or where starts are not told should have; null where its was not told. */
-    Moment startedAt(boolean startsAreTold) {
-        return startedAt != null || startsAreTold ? startedAt : sentAt.plus(predictedWait);
+    /**
+     * Returns the observed start. Where none was observed, returns the predicted one if workers don't report
+     * starts, and null if they do.
+     */
+    Moment observedOrPredictedStart(boolean startsReported) {
+        return startedAt != null || startsReported ? startedAt : sentAt.plus(predictedWait);
     }
 
-    /** When its worker last told of it, or else when it was sent. */
-    Moment lastToldAt() {
+    /** Returns when the worker last reported on the attempt, or when it was sent. */
+    Moment lastHeardOfAt() {
         if (progress > 0) {
             return progressAt;
         }
         return startedAt != null ? startedAt : sentAt;
     }
 
-    /** What it is going to run in all, in milliseconds, by its progress; at least its age. */
+    /**
+     * Returns the expected total running time in milliseconds, by the reported progress; at least the age.
+     */
     double expectedRunMs(double ageMs) {
         return progress > 0 ? Math.max(ageMs, progressAt.since(startedAt).millis() / progress) : ageMs;
     }
 
-    /** As one of its worker's attempts, it counts as work that the worker has. */
-    boolean loadsWorker() {
+    /** Returns whether the attempt counts towards the load of its worker. */
+    boolean countsAsLoad() {
         return !cancelled && !lost;
     }
 }
--- a/src/main/java/rampshift/policy/DispatchPolicy.java
+++ b/src/main/java/rampshift/policy/DispatchPolicy.java
@@ -4,19 +4,20 @@
 import rampshift.time.Span;
 
 /**
- * The policy as its hosts call it: where a task goes, when it is retried, when it is rejected or fails.
+ * The interface of the policy to its hosts. It decides which workers a task is sent to, and when it is
+ * retried, rejected or failed.
  *
- * <p>A host sets the time and reports what it observed through the {@code on...} methods, which only update
- * what is known. Then it calls {@link #decideNext} until that is false; each call that is true made one call
- * on the {@link Decisions}. This class hands inputs to the parts and carries out what they decide. The
- * mechanism is {@link RedundantToIdleQueue}; docs/design.md tells what was kept and why.
+ * <p>A host sets the time and reports events through the {@code on...} methods, which only update the state.
+ * Then it calls {@link #decideNext} until that returns false; each call that returns true has made one call
+ * on the {@link Decisions}. This class passes events to the parts of the policy and carries out what they
+ * decide. The placement rule is {@link RedundantToIdleQueue}; docs/design.md explains the design.
  */
 public final class DispatchPolicy {
     private final PolicyContext context;
     private final TaskQueue tasks;
     private final RetryBudget budget;
     private final TenantQuotas quotas;
-    private final EndpointListPolicy list;
+    private final EndpointListPolicy endpointListPolicy;
     private final SlowStart slowStart;
     private final Eligibility eligibility;
     private final WorkerEstimates estimates;
@@ -24,21 +25,21 @@
     private final ExpectedValue value;
     private final OutlierEjection ejection;
     private final Admission admission;
-    private final RedundantToIdleQueue draw;
-    private final TaskPolicy policy;
-    /** When the host was asked to call {@link #onTimer}; null where it was not. */
+    private final RedundantToIdleQueue redundantToIdle;
+    private final TaskPolicy taskPolicy;
+    /** When the host was last asked to call {@link #onTimer}; null if no call is pending. */
     private Moment wakeAt;
-    /** Up to when timers are due; later ones wait for {@link #onTimer}. */
+    /** Timers up to this moment are due; later ones wait for {@link #onTimer}. */
     private Moment dueUntil;
 
-    /** Makes a policy that knows no worker yet. */
+    /** Creates a policy without workers. */
     public DispatchPolicy(Settings settings, Moment now) {
         context = new PolicyContext(settings, now);
         dueUntil = now;
         tasks = context.tasks;
         budget = new RetryBudget(settings);
         quotas = new TenantQuotas(settings);
-        list = new EndpointListPolicy(context);
+        endpointListPolicy = new EndpointListPolicy(context);
         slowStart = new SlowStart(context);
         eligibility = new Eligibility(context, budget, slowStart);
         estimates = new WorkerEstimates(context, slowStart);
@@ -51,43 +52,49 @@
         FleetSweep sweep = new FleetSweep(context, slowStart, ejection);
         CandidateSampler sampler =
                 new CandidateSampler(context, sweep, slowStart, eligibility, ejection, admission);
-        draw = new RedundantToIdleQueue(context, sampler, estimates, eligibility, value, admission, retries);
-        policy = new TaskPolicy(context, eligibility, list, value, ejection, retries, draw);
+        redundantToIdle =
+                new RedundantToIdleQueue(context, sampler, estimates, eligibility, value, admission, retries);
+        taskPolicy = new TaskPolicy(context, eligibility, endpointListPolicy, value, ejection, retries,
+                redundantToIdle);
     }
 
-    // ---- inputs: what is known
+    // ---- events
 
-    /** Sets the time of the inputs and decisions that follow. */
+    /** Sets the time of the events and decisions that follow. */
     public void setNow(Moment now) {
         context.setNow(now);
     }
 
-    /** The endpoint list is asked for anew; {@code longSince}: it may have had news for long. */
-    public void onEndpointListAwaited(boolean longSince) {
-        list.onListAwaited(longSince);
+    /**
+     * Records that the host requests the endpoint list anew.
+     *
+     * @param mayBeOutdated whether the known list may have been outdated for long
+     */
+    public void onEndpointListAwaited(boolean mayBeOutdated) {
+        endpointListPolicy.onListAwaited(mayBeOutdated);
     }
 
-    /** An endpoint list begins, or is known not to come. Its entries follow, then its end. */
+    /** Begins an endpoint list, or records that none comes. Its entries follow, then its end. */
     public void onEndpointListBegin(EndpointListKind kind) {
-        list.onListBegin(kind);
-        if (kind == EndpointListKind.WHOLE || kind == EndpointListKind.CACHED) {
-            context.workers.beginWhole();
+        endpointListPolicy.onListBegin(kind);
+        if (kind == EndpointListKind.FULL || kind == EndpointListKind.CACHED) {
+            context.workers.beginFullList();
         }
     }
 
-    /** An entry of the list that has begun. */
+    /** Applies an entry of the endpoint list that has begun. */
     public void onEndpoint(ListedWorker entry) {
         Worker worker = context.workers.put(entry);
         observer.onListedWeight(worker, entry.weight());
     }
 
-    /** The list that had begun is over. */
+    /** Ends the endpoint list that has begun. */
     public void onEndpointListEnd() {
         context.workers.endList();
         tasks.unparkAll();
     }
 
-    /** A task was taken. Its id is new, its type one of the settings. */
+    /** Records a task that has arrived. Its id is new, and its type an index into those of the settings. */
     public void onTaskArrived(long id, TaskRequest request) {
         Task task = new Task(id, context.settings.types.get(request.type()), request, context.now());
         tasks.register(task);
@@ -100,7 +107,7 @@
         tasks.decideAt(eligibility.finalAnswerAt(task), task);
     }
 
-    /** A worker has told that it runs the attempt. */
+    /** Records that a worker has reported the start of an attempt's run. */
     public void onAttemptStarted(long id, int number) {
         Attempt attempt = tasks.find(id, number);
         if (attempt != null && attempt.startedAt == null) {
@@ -108,20 +115,22 @@
             onContact(attempt.worker);
             observer.onAttemptStarted(attempt);
             value.onAttemptStarted(attempt);
-            draw.cancelRest(attempt.task); // what still queues elsewhere is not needed
+            redundantToIdle.cancelRest(attempt.task); // attempts that still queue are not needed
         }
     }
 
-    /** A worker has told what share of the attempt's work is done, 0 to 1. */
-    public void onAttemptProgress(long id, int number, double share) {
+    /** Records the share of an attempt's work that is done, 0 to 1, as its worker has reported it. */
+    public void onAttemptProgress(long id, int number, double completedShare) {
         Attempt attempt = tasks.find(id, number);
         if (attempt != null) {
-            observer.onAttemptProgress(attempt, share);
+            observer.onAttemptProgress(attempt, completedShare);
             onContact(attempt.worker);
         }
     }
 
-    /** A worker has told its load, in slots and units of memory; what it does not tell is NaN. */
+    /**
+     * Records a worker's load report, in slots and units of memory; values that it lacks are NaN.
+     */
     public void onLoadReport(long workerId, double free, double queued, double running, double freeMemory) {
         Worker worker = context.workers.get(workerId);
         if (worker != null) {
@@ -129,7 +138,7 @@
         }
     }
 
-    /** A probe was answered, or has failed. */
+    /** Records that a probe was answered or has failed. */
     public void onProbeResult(long workerId, boolean answered) {
         Worker worker = context.workers.get(workerId);
         if (worker == null) {
@@ -139,26 +148,30 @@
         if (answered) {
             onContact(worker);
         }
-        worker.awaitingProbe.stream().filter(Task::endProbe).forEach(tasks::enqueue);
+        worker.awaitingProbe.stream().filter(Task::onProbeDone).forEach(tasks::enqueue);
         worker.awaitingProbe.clear();
     }
 
-    /** An attempt has ended; {@code terminal}: its task has its final answer with it. */
-    public void onAttemptFinished(long id, int number, AttemptOutcome outcome, boolean terminal) {
+    /**
+     * Records that an attempt has ended.
+     *
+     * @param terminal whether its task has its final answer with it
+     */
+    public void onAttemptEnded(long id, int number, AttemptOutcome outcome, boolean terminal) {
         Attempt attempt = tasks.find(id, number);
         if (attempt == null || attempt.ended) {
             return;
         }
         attempt.end(outcome.neverRan);
         if (outcome.neverRan) {
-            slowStart.earn(-attempt.costInMeanRuns);
+            slowStart.earnCredit(-attempt.creditedCostMeanRuns);
         }
         if (outcome == AttemptOutcome.NOT_SENT) {
             budget.onAttemptNotSent(attempt);
         }
-        context.history.onAttemptFinished(outcome, context.now());
-        observer.onAttemptFinished(attempt, outcome);
-        ejection.onAttemptFinished(attempt, outcome);
+        context.history.onAttemptEnded(outcome, context.now());
+        observer.onAttemptEnded(attempt, outcome);
+        ejection.onAttemptEnded(attempt, outcome);
         if (outcome.isConnectionFailure()) {
             eligibility.onConnectionFailure(attempt.worker);
         }
@@ -176,20 +189,20 @@
         if (terminal || task.closed) {
             close(task);
         } else if (task.openAttempts == 0) {
-            task.newDraw();
+            task.resetSampling();
             tasks.enqueue(task);
         }
     }
 
-    /** The task's client has left: no answer is owed any longer. */
-    public void onClientGone(long id) {
+    /** Closes a task whose client has disconnected and needs no answer. */
+    public void onClientDisconnected(long id) {
         Task task = tasks.find(id);
         if (task != null) {
             close(task);
         }
     }
 
-    /** The dispatcher ends: the task gets its final answer now, as at its deadline. */
+    /** Makes the final answer of a task due now, as at its deadline, since the dispatcher shuts down. */
     public void onShutdown(long id) {
         Task task = tasks.find(id);
         if (task != null && !task.closed) {
@@ -199,9 +212,9 @@
     }
 
     /**
-     * The moment has come that {@link Decisions#wakeAt} asked for, and all that was observed before it has
-     * been told. What is due by then is decided now, and by no other input: what is heard first may be what
-     * it waits for.
+     * Makes the timers up to now due. The host calls it at the moment that {@link Decisions#wakeAt} asked
+     * for, once it has reported all events observed before: one of them may be what a timer waits for. No
+     * other event makes timers due.
      */
     public void onTimer() {
         wakeAt = null;
@@ -215,21 +228,21 @@
 
     // ---- decisions
 
-    /** Makes one call on the decisions where one is due; false once there is none for now. */
-    public boolean decideNext(Decisions out) {
+    /** Makes one call on the decisions; returns false if no decision is due now. */
+    public boolean decideNext(Decisions decisions) {
         Attempt cancelled = tasks.pollCancel();
         if (cancelled != null) {
-            out.cancel(cancelled.task.id, cancelled.number);
+            decisions.cancel(cancelled.task.id, cancelled.number);
             return true;
         }
         tasks.enqueueDue(dueUntil);
         for (Task task = tasks.poll(); task != null; task = tasks.poll()) {
-            if (carryOut(policy.next(task), task, out)) {
+            if (carryOut(taskPolicy.next(task), task, decisions)) {
                 return true;
             }
         }
-        if (list.pollSubscription()) {
-            out.subscribe();
+        if (endpointListPolicy.pollSubscription()) {
+            decisions.subscribe();
             return true;
         }
         Moment next = tasks.nextTimer();
@@ -237,41 +250,43 @@
             return false;
         }
         wakeAt = next;
-        out.wakeAt(next);
+        decisions.wakeAt(next);
         return true;
     }
 
-    /** False where there was nothing to do. */
-    private boolean carryOut(TaskAction action, Task task, Decisions out) {
+    /** Carries out the action; returns false if no call on the decisions was made. */
+    private boolean carryOut(TaskAction action, Task task, Decisions decisions) {
         if (action instanceof TaskAction.Forward forward) {
-            send(task, forward.worker(), out);
+            send(task, forward.worker(), decisions);
         } else if (action instanceof TaskAction.Probe probe) {
             probe.worker().probedAt = context.now();
             tasks.enqueueFirst(task);
-            out.probe(probe.worker().id);
-        } else if (action instanceof TaskAction.GiveUp answer) {
-            if (answer.nobodyPermitted()) {
-                slowStart.earn(context.runs.costInMeanRuns(task)); // a fleet all cold would get nothing
+            decisions.probe(probe.worker().id);
+        } else if (action instanceof TaskAction.GiveUp giveUp) {
+            if (giveUp.noWorkerPermitted()) {
+                // Credit is earned without an attempt, since a fleet of cold workers only would otherwise
+                // never be sent to.
+                slowStart.earnCredit(context.runs.costInMeanRuns(task));
             }
-            giveUp(task, out);
+            giveUp(task, decisions);
         } else {
             return false;
         }
         return true;
     }
 
-    private void send(Task task, Worker worker, Decisions out) {
+    private void send(Task task, Worker worker, Decisions decisions) {
         Attempt attempt = new Attempt(task, worker, context.now(), estimates.wait(worker, task.slots),
                 estimates.run(worker, task));
-        attempt.promisedIdle = estimates.promisesIdle(worker, task);
+        attempt.sentOnIdleReport = estimates.hasFreshIdleReport(worker, task);
         double cost = context.runs.costInMeanRuns(task);
         if (task.openAttempts == 0) {
-            attempt.costInMeanRuns = cost;
-            slowStart.earn(cost);
+            attempt.creditedCostMeanRuns = cost;
+            slowStart.earnCredit(cost);
         }
         budget.onAttemptSent(attempt);
         context.runs.onSent(task, context.now());
-        attempt.begin();
+        attempt.markSent();
         worker.idleConnections.pollLast();
         slowStart.onAttemptSent(worker, cost);
         if (task.hedgeTargets.isEmpty()) {
@@ -280,26 +295,26 @@
         } else {
             tasks.enqueueFirst(task);
         }
-        out.forward(task.id, worker.id, Span.ZERO);
+        decisions.forward(task.id, worker.id, Span.ZERO);
     }
 
-    /** The one place of final answers from here: rejected where that is lawful, else failed. */
-    private void giveUp(Task task, Decisions out) {
+    /** Gives the task its final answer: rejected where that is allowed, else failed. */
+    private void giveUp(Task task, Decisions decisions) {
         boolean mayReject = eligibility.mayReject(task);
         context.history.onTaskGivenUp(task);
         close(task);
         if (mayReject) {
-            out.reject(task.id, admission.retryAfter());
+            decisions.reject(task.id, admission.retryAfter());
         } else {
-            out.fail(task.id);
+            decisions.fail(task.id);
         }
     }
 
-    /** A final answer was given, or is no longer owed: what is still in flight is cancelled. */
+    /** Closes a task that has its final answer or needs none, and cancels its open attempts. */
     private void close(Task task) {
         task.closed = true;
         task.hedgeTargets.clear();
-        draw.cancelRest(task);
+        redundantToIdle.cancelRest(task);
         if (task.openAttempts == 0) {
             tasks.remove(task);
         }
--- a/src/main/java/rampshift/policy/IdleConnections.java
+++ b/src/main/java/rampshift/policy/IdleConnections.java
@@ -4,29 +4,34 @@
 import java.util.stream.Stream;
 import rampshift.time.Moment;
 
-/** The workers to which a connection is idle, the longest first; kept up only where new ones have a price. */
+/**
+ * Workers to which a connection is idle, longest idle first; maintained only where new connections have a
+ * cost.
+ */
 final class IdleConnections {
     private final Settings settings;
-    private final ArrayDeque<Worker> order = new ArrayDeque<>();
+    private final ArrayDeque<Worker> longestIdleFirst = new ArrayDeque<>();
 
     IdleConnections(Settings settings) {
         this.settings = settings;
     }
 
-    /** A connection to the worker has become idle. */
+    /** Records that a connection to the worker has become idle. */
     void onIdle(Worker worker, Moment now) {
         worker.idleConnections.add(now);
         if (settings.handshakeCost > 0) {
-            order.remove(worker);
-            order.add(worker);
+            longestIdleFirst.remove(worker);
+            longestIdleFirst.add(worker);
         }
     }
 
-    /** The workers to which one can be used again. */
+    /** Returns the workers to which an idle connection can be reused. */
     Stream<Worker> workers(Moment now) {
-        while (!order.isEmpty() && !order.peek().keepsConnection(now, settings.connectionIdleTimeout)) {
-            order.poll();
+        while (!longestIdleFirst.isEmpty()
+                && !longestIdleFirst.peek().hasIdleConnection(now, settings.connectionIdleTimeout)) {
+            longestIdleFirst.poll();
         }
-        return order.stream().filter(worker -> worker.keepsConnection(now, settings.connectionIdleTimeout));
+        return longestIdleFirst.stream()
+                .filter(worker -> worker.hasIdleConnection(now, settings.connectionIdleTimeout));
     }
 }
--- a/src/main/java/rampshift/policy/WorkerTable.java
+++ b/src/main/java/rampshift/policy/WorkerTable.java
@@ -7,13 +7,16 @@
 import java.util.function.BiPredicate;
 import java.util.function.Predicate;
 
-/** The workers that this dispatcher's own endpoint lists have named, and those that each type may go to. */
+/** The workers that the endpoint lists have named, and the ready ones that each traffic type may go to. */
 final class WorkerTable {
-    /** All of them, in the order of their ids. */
+    /** All workers, in the order of their ids. */
     final List<Worker> all = new ArrayList<>();
-    /** The ready ones. */
-    private final List<List<Worker>> ready = sides();
-    /** By traffic type those that it may go to; types that may go to all of them share these. */
+    /** The ready workers. */
+    private final List<List<Worker>> ready = localAndRemote();
+    /**
+     * By traffic type, the ready workers that it may go to; unconstrained types share the lists of all ready
+     * ones.
+     */
     private final List<List<List<Worker>>> byType = new ArrayList<>();
     private final List<TrafficType> types;
     private final Map<Long, Worker> byId = new HashMap<>(); // looked up, never iterated
@@ -26,98 +29,103 @@
         this.ownZone = ownZone;
         this.allowsPlacement = allowsPlacement;
         this.types = types;
-        types.forEach(type -> byType.add(type.bound() ? sides() : ready));
+        types.forEach(type -> byType.add(type.isPlacementConstrained() ? localAndRemote() : ready));
     }
 
-    private static List<List<Worker>> sides() {
+    /** Creates two empty lists: for the workers of the own zone and for those of other zones. */
+    private static List<List<Worker>> localAndRemote() {
         return List.of(new ArrayList<>(), new ArrayList<>());
     }
 
-    /** The ready ones that the type may go to: those of the own zone, and those elsewhere. In any order. */
-    List<List<Worker>> sides(int typeIndex) {
+    /**
+     * Returns the ready workers that the type may go to, in any order: those of the own zone, and the others.
+     */
+    List<List<Worker>> localAndRemote(int typeIndex) {
         return byType.get(typeIndex);
     }
 
-    /** The worker, or null where none of this id was ever listed. */
+    /** Returns the worker, or null where none of this id was ever listed. */
     Worker get(long id) {
         return byId.get(id);
     }
 
     ZoneStatistics zone(int number) {
-        return zones.computeIfAbsent(number, n -> new ZoneStatistics());
+        return zones.computeIfAbsent(number, key -> new ZoneStatistics());
     }
 
     int readyCount() {
         return ready.get(0).size() + ready.get(1).size();
     }
 
-    /** A whole list follows: what it does not name is removed. */
-    void beginWhole() {
+    /** Begins a full list: marks all workers as removed until it names them. */
+    void beginFullList() {
         for (Worker worker : all) {
             worker.ready = false;
             worker.removed = !worker.draining;
         }
     }
 
-    /** Takes in one entry of a list; {@link #endList} makes it count for the draw. */
+    /** Applies an entry of an endpoint list; it counts for samples after {@link #endList}. */
     Worker put(ListedWorker entry) {
         Worker worker = byId.get(entry.id());
         if (worker == null) {
             worker = add(entry.id());
         } else if (entry.startedAt().micros() > 0 && !entry.startedAt().equals(worker.startedAt)) {
-            worker.forget();
+            worker.resetStatistics();
         }
         worker.zone = entry.zone();
         worker.cell = entry.cell();
         worker.kind = entry.kind();
         worker.kindStatistics = kinds.computeIfAbsent(entry.kind(), kind -> new KindStatistics());
-        worker.kindStatistics.listedSize = Math.max(worker.kindStatistics.listedSize, entry.weight());
+        worker.kindStatistics.maxListedWeight =
+                Math.max(worker.kindStatistics.maxListedWeight, entry.weight());
         worker.ready = entry.state() == EndpointState.READY;
         boolean isRemoved = entry.state() == EndpointState.REMOVED;
         worker.draining = entry.state() == EndpointState.DRAINING || (isRemoved && worker.draining);
         worker.removed = isRemoved && !worker.draining;
         worker.startedAt = entry.startedAt();
-        worker.servesBoundTypes = servesBoundTypes(worker);
+        worker.servesConstrainedTypes = servesConstrainedTypes(worker);
         return worker;
     }
 
     private Worker add(long id) {
         Worker worker = new Worker(id);
         byId.put(id, worker);
-        int place = 0;
-        while (place < all.size() && all.get(place).id < id) {
-            place++;
+        int index = 0;
+        while (index < all.size() && all.get(index).id < id) {
+            index++;
         }
-        all.add(place, worker);
+        all.add(index, worker);
         return worker;
     }
 
-    private boolean servesBoundTypes(Worker worker) {
-        return types.stream().anyMatch(type -> type.bound() && allowsPlacement.test(type, worker));
+    private boolean servesConstrainedTypes(Worker worker) {
+        return types.stream()
+                .anyMatch(type -> type.isPlacementConstrained() && allowsPlacement.test(type, worker));
     }
 
-    /** It is up or not, whatever the last list said. */
+    /** Sets whether the worker is ready, regardless of the last endpoint list. */
     void setReady(Worker worker, boolean isReady) {
         worker.ready = isReady;
         endList();
     }
 
-    /** A list has been taken in. */
+    /** Ends an endpoint list: updates the ready workers of each type. */
     void endList() {
         fill(ready, worker -> true);
         for (int i = 0; i < types.size(); i++) {
             TrafficType type = types.get(i);
-            if (type.bound()) {
+            if (type.isPlacementConstrained()) {
                 fill(byType.get(i), worker -> allowsPlacement.test(type, worker));
             }
         }
     }
 
-    private void fill(List<List<Worker>> sides, Predicate<Worker> taken) {
-        sides.forEach(List::clear);
+    private void fill(List<List<Worker>> localAndRemote, Predicate<Worker> filter) {
+        localAndRemote.forEach(List::clear);
         for (Worker worker : all) {
-            if (worker.ready && taken.test(worker)) {
-                sides.get(worker.zone == ownZone ? 0 : 1).add(worker);
+            if (worker.ready && filter.test(worker)) {
+                localAndRemote.get(worker.zone == ownZone ? 0 : 1).add(worker);
             }
         }
     }
--- a/src/test/java/rampshift/policy/DispatchPolicyTest.java
+++ b/src/test/java/rampshift/policy/DispatchPolicyTest.java
@@ -10,12 +10,12 @@
 class DispatchPolicyTest {
     @Test
     void theSameInputGivesTheSameOutput() {
-        assertEquals(new FakeHost().fleet(5).train(IDEMPOTENT, 50, 30).decisions,
-                new FakeHost().fleet(5).train(IDEMPOTENT, 50, 30).decisions);
+        assertEquals(new FakeHost().fleet(5).runTasks(IDEMPOTENT, 50, 30).decisions,
+                new FakeHost().fleet(5).runTasks(IDEMPOTENT, 50, 30).decisions);
     }
 
     @Test
-    void aTaskThatNobodyAnswersFailsBeforeItsDeadline() {
+    void aTaskWithoutAnAnswerFailsBeforeItsDeadline() {
         FakeHost host = new FakeHost().fleet(1);
         long id = host.task(NON_IDEMPOTENT);
         host.after(4990);
@@ -28,11 +28,11 @@
     }
 
     @Test
-    void nothingIsSentAfterTheClientLeft() {
+    void nothingIsSentAfterTheClientDisconnects() {
         FakeHost host = new FakeHost().fleet(2);
         long id = host.task(IDEMPOTENT);
         int sent = host.count("forward");
-        host.policy().onClientGone(id);
+        host.policy().onClientDisconnected(id);
         host.decide().finished(id, 0, AttemptOutcome.ERRED).after(6000);
         assertEquals(sent, host.count("forward"));
         assertEquals(0, host.count("reject") + host.count("fail"));
@@ -51,21 +51,21 @@
         assertEquals(1, host.count("forward"));
     }
 
-    /** Met by reading the stop: all that was in hand was abandoned, also what had never been sent. */
+    /** Guards against a shutdown that fails all tasks in flight, also those that were never sent. */
     @Test
-    void atShutdownATaskIsRejectedWhereThatIsLawful() {
+    void atShutdownATaskIsRejectedWhereThatIsAllowed() {
         FakeHost host = new FakeHost().fleet(2);
-        long runs = host.task(NON_IDEMPOTENT);
+        long running = host.task(NON_IDEMPOTENT);
         long repeatable = host.task(IDEMPOTENT);
         host.policy().onEndpointListAwaited(true);
-        long waits = host.task(NON_IDEMPOTENT);
-        for (long id : new long[]{runs, repeatable, waits}) {
+        long waiting = host.task(NON_IDEMPOTENT);
+        for (long id : new long[]{running, repeatable, waiting}) {
             host.policy().onShutdown(id);
         }
         host.decide();
-        assertEquals(1, host.count("fail " + runs));
+        assertEquals(1, host.count("fail " + running));
         assertEquals(1, host.count("reject " + repeatable + " "));
-        assertEquals(1, host.count("reject " + waits + " "));
-        assertEquals(1, host.count("cancel " + runs + " 0"));
+        assertEquals(1, host.count("reject " + waiting + " "));
+        assertEquals(1, host.count("cancel " + running + " 0"));
     }
 }
--- a/src/test/java/rampshift/policy/TaskQueueTest.java
+++ b/src/test/java/rampshift/policy/TaskQueueTest.java
@@ -30,7 +30,10 @@
         assertNull(queue.poll());
     }
 
-    /** Each review asks for the next: with a timer a request, two requests were two reviews from then on. */
+    /**
+     * Each review schedules the next one: with a timer for each call, two calls would be two reviews from
+     * then on.
+     */
     @Test
     void aTaskIsReviewedOnceHoweverOftenItsReviewIsAskedFor() {
         Task task = task(1);
@@ -99,7 +102,7 @@
         Task task = task(5);
         queue.register(task);
         Attempt attempt = new Attempt(task, new Worker(1), new Moment(0), Span.ZERO, Span.ZERO);
-        attempt.begin();
+        attempt.markSent();
         assertSame(attempt, queue.find(5, 0));
         assertNull(queue.find(5, 1));
         assertNull(queue.find(5, -1));
@@ -109,7 +112,7 @@
     @Test
     void anAttemptThatHasEndedMeanwhileIsNotCancelled() {
         Attempt attempt = new Attempt(task(1), new Worker(1), new Moment(0), Span.ZERO, Span.ZERO);
-        attempt.begin();
+        attempt.markSent();
         queue.cancel(attempt);
         attempt.end(false);
         assertNull(queue.pollCancel());
