--- a/src/main/java/rampshift/pipeline/AdmissionControl.java
+++ b/src/main/java/rampshift/pipeline/AdmissionControl.java
@@ -7,8 +7,9 @@
 import rampshift.time.Span;
 
 /**
- * Admits a task, or rejects it: beyond the bounds on tasks in flight, past its time, or during a stop. That
- * is harmless, since nothing was forwarded yet. The policy rejects by what it expects of workers.
+ * Admits a task, or rejects it if too many tasks are in flight, its deadline has passed, the I/O thread is
+ * overloaded, or the dispatcher is stopping. A task that is rejected here was not forwarded, so its client
+ * may retry it safely. Rejections that depend on the expected capacity of workers are up to the policy.
  */
 public final class AdmissionControl {
     private final int maxTasks;
@@ -27,9 +28,10 @@
     /**
      * Creates an admission control that is open.
      *
-     * @param maxTasks the most tasks in flight
-     * @param maxBytes the most bytes that the messages of the tasks in flight may take together
-     * @param overloadRetryAfter when a client may retry that was rejected for overload; zero to tell none
+     * @param maxTasks the maximum number of tasks in flight
+     * @param maxBytes the maximum total size of the messages of the tasks in flight
+     * @param overloadRetryAfter the delay after which a client that was rejected for overload may retry;
+     *     zero to send no Retry-After
      */
     public AdmissionControl(int maxTasks, long maxBytes, Span overloadRetryAfter, AdmissionWindow window,
             Clock clock, Counters counters, TaskRegistry registry, Responder responder,
@@ -46,19 +48,22 @@
     }
 
     /**
-     * The dispatcher will stop: tasks that are admitted from some moment on have no deadline beyond another.
+     * Limits the deadlines of the tasks that are still to be admitted, since the dispatcher will stop.
+     *
+     * @param from tasks that are admitted at this moment or later are limited
+     * @param latest the latest deadline that they may have
      */
     public void limitDeadlines(Moment from, Moment latest) {
         limitDeadlinesFrom = from;
         latestDeadline = latest;
     }
 
-    /** Rejects all tasks from now on: they would not end before the dispatcher stops. */
+    /** Rejects all tasks from now on, since they would not end before the dispatcher stops. */
     public void close() {
         closed = true;
     }
 
-    /** Admits a task and passes it on, or rejects it. */
+    /** Admits a task and passes it to the policy, or rejects it. */
     void admit(InFlightTask task) {
         Counters.Name rejection = reasonToReject(task);
         if (rejection != null) {
@@ -75,13 +80,13 @@
         policyHost.onTask(task);
     }
 
-    /** Returns the counter of the reason; null if the task is to be admitted. */
+    /** Returns the counter of the reason to reject a task; null if the task is to be admitted. */
     private Counters.Name reasonToReject(InFlightTask task) {
         if (closed) {
             return Counters.Name.TASKS_REJECTED_STOPPING;
         }
         if (!clock.now().before(task.deadline())) {
-            return Counters.Name.TASKS_REJECTED_LATE;     // it was unread while this process was stalled
+            return Counters.Name.TASKS_REJECTED_LATE;     // unread while this process was stalled
         }
         if (registry.size() >= maxTasks || registry.byteCount() + task.byteCount() > maxBytes) {
             Log.warn("load-shed", "tasks", registry.size(), "bytes", registry.byteCount());
--- a/src/main/java/rampshift/pipeline/AdmissionWindow.java
+++ b/src/main/java/rampshift/pipeline/AdmissionWindow.java
@@ -8,35 +8,40 @@
 import rampshift.time.Span;
 
 /**
- * Bounds for how long new tasks may keep the I/O thread between two polls of its sockets, once it has been
- * behind for some time. What comes beyond that is rejected at once: admitted, it would keep the responses to
- * earlier tasks unread, until none of them ends in its time. A burst that is over before is admitted whole,
- * also by a process that is cold or waits for a core.
+ * Limits the time that new tasks may take of the I/O thread between two polls of its sockets, once the thread
+ * has been overloaded for some time. Tasks beyond the limit are rejected at once: if they were admitted, the
+ * responses to earlier tasks would stay unread until none of these met its deadline. A shorter burst is
+ * admitted whole, even by a process that has just started or waits for a CPU core.
+ *
+ * <p>A window begins with the first task after a poll and ends before the next poll.
  */
 public final class AdmissionWindow {
     private static final Span MAX_LENGTH = Span.ofMillis(20);
-    /** A cold process takes about as long until it keeps up. */
+    /**
+     * How long windows may exceed {@link #MAX_LENGTH} before tasks are rejected: about as long as a process
+     * that has just started needs to keep up with its load.
+     */
     private static final Span TOLERATED_OVERLOAD = Span.ofMillis(1000);
 
     private final XnioIoThread thread;
     private final Clock clock;
     private final NextTick nextTick;
-    /** When the first task came since the last poll; null where none has. */
+    /** When the first task since the last poll arrived; null if none has. */
     private Moment openedAt;
-    /** When a window was first, and last, too long in the present overload. */
+    /** When a window exceeded the limit for the first and the last time in the latest overload. */
     private Moment overloadedSince;
     private Moment lastTooLongAt;
-    /** The present window is too long. */
+    /** Whether the current window has exceeded the limit. */
     private boolean tooLong;
-    /** No more tasks are admitted before the next poll. */
+    /** Whether no more tasks are admitted before the next poll. */
     private boolean shut;
-    /** Between two polls since then, tasks took less than a window. */
+    /** Whether a window has ended within the limit since the last one that exceeded it. */
     private boolean hasCaughtUp = true;
 
     /**
      * Creates a window, whose methods are to be called on this thread.
      *
-     * @throws IOException if there are no descriptors left
+     * @throws IOException if no file descriptors are left
      */
     public AdmissionWindow(XnioIoThread thread, Clock clock) throws IOException {
         this.thread = thread;
@@ -44,7 +49,7 @@
         nextTick = new NextTick(thread);
     }
 
-    /** Returns whether one more task may be admitted before the sockets are polled. */
+    /** Returns whether one more task may be admitted before the next poll of the sockets. */
     public boolean isOpen() {
         Moment now = clock.now();
         open(now);
@@ -53,9 +58,10 @@
     }
 
     /**
-     * The thread runs what it is given once it has gone through the sockets that were ready, and before it
-     * polls again. Told by a socket of its own, clients that came before that one at each poll were turned
-     * away at each.
+     * Starts a window unless one is in progress. XNIO runs a task that is executed on the thread after all
+     * ready sockets have been handled and before the next poll, and that task ends the window. If the event
+     * of a socket ended it instead, clients whose sockets are handled before that one would be rejected at
+     * every poll.
      */
     private void open(Moment now) {
         if (openedAt == null) {
@@ -64,14 +70,16 @@
         }
     }
 
-    /** Returns whether a task has been turned away since the last poll: so is any other until the next. */
+    /** Returns whether a task was rejected since the last poll; all others are rejected until the next. */
     boolean isShut() {
         return shut;
     }
 
     /**
-     * Asked in a window that is too long: whether such have come again and again for longer than a burst.
-     * Time alone does not end an overload: the responses to what was admitted may take as long.
+     * Records that the current window exceeds the limit, and returns whether the overload has lasted for
+     * longer than {@link #TOLERATED_OVERLOAD}. The overload ends if a window ends within the limit and none
+     * exceeds it for that time. Time alone does not end it, since handling the responses to admitted tasks
+     * may take as long.
      */
     private boolean isOverloaded(Moment now) {
         if (hasCaughtUp
@@ -89,13 +97,14 @@
         shut = false;
         if (tooLong) {
             tooLong = false;
-            nextTick.run(() -> open(clock.now())); // tells whether the next poll comes sooner
+            // Starts a window at the next poll even without a task, to detect that the thread has caught up.
+            nextTick.run(() -> open(clock.now()));
         } else {
             hasCaughtUp = true;
         }
     }
 
-    /** Releases the descriptors. */
+    /** Releases the file descriptors. */
     public void close() {
         nextTick.close();
     }
--- a/src/main/java/rampshift/pipeline/AttemptSender.java
+++ b/src/main/java/rampshift/pipeline/AttemptSender.java
@@ -13,7 +13,7 @@
 import rampshift.workers.ConnectionPool;
 import rampshift.workers.LoadReport;
 
-/** Sends attempts and health checks to workers, and reports what becomes of them. */
+/** Sends attempts and health checks to workers, and reports their events to the policy host. */
 public final class AttemptSender {
     private static final Map<AttemptOutcome, Counters.Name> OUTCOME_COUNTERS = outcomeCounters();
 
@@ -69,7 +69,7 @@
         });
     }
 
-    /** Passes the events of one attempt on. */
+    /** Counts the outcome of one attempt, and passes its events to the policy host. */
     private final class AttemptEvents implements AttemptListener {
         private final PolicyHost host;
         private final InFlightTask task;
--- a/src/main/java/rampshift/pipeline/EndpointListUpdater.java
+++ b/src/main/java/rampshift/pipeline/EndpointListUpdater.java
@@ -18,13 +18,13 @@
     private final ConnectionPool pool;
     private final WorkerIds workerIds = new WorkerIds();
 
-    /** Creates an updater of a pool; the settings name the zones and kinds that the policy knows. */
+    /** Creates an updater of a pool. The settings contain the names of the zones and kinds. */
     public EndpointListUpdater(HostSettings settings, ConnectionPool pool) {
         this.settings = settings;
         this.pool = pool;
     }
 
-    /** Applies a list to the pool; a complete one also removes the workers that it does not name. */
+    /** Applies a list to the pool. Workers that a complete list lacks are then no longer ready. */
     void updatePool(EndpointList list, boolean complete) {
         if (complete) {
             pool.beginFullList();
@@ -62,7 +62,7 @@
         };
     }
 
-    /** Returns the index of a name; names that are not configured share the index after all that are. */
+    /** Returns the index of a name. All names that are not configured share the index after the last one. */
     private static int index(List<String> names, String name) {
         int index = names.indexOf(name);
         return index < 0 ? names.size() : index;
--- a/src/main/java/rampshift/pipeline/InFlightTask.java
+++ b/src/main/java/rampshift/pipeline/InFlightTask.java
@@ -8,19 +8,19 @@
 import rampshift.time.Moment;
 import rampshift.workers.AttemptExchange;
 
-/** A task that was admitted, until it is answered and all its attempts have ended. */
+/** A task from its admission until it is answered and all its attempts have ended. */
 final class InFlightTask {
     private static final int INITIAL_HEAD_CHARACTERS = 512;
 
     private final long id;
     private final ClientRequest request;
     private final TaskDescription description;
-    /** The part of the head that is the same for all attempts: all but the time that is left. */
+    /** The part of the head that is the same for all attempts: all but the field with the remaining time. */
     private final byte[] head;
     private final byte[] body;
-    /** By the number of the attempt; null before it is sent, and once it has ended. */
+    /** The attempts by their numbers; null before an attempt is sent and after it has ended. */
     private final List<AttemptExchange> attempts = new ArrayList<>(2);
-    /** When each attempt was started; null for those that are known not to have run. */
+    /** The start times of the attempts by their numbers; null for those that are known not to have run. */
     private final List<Moment> attemptStarts = new ArrayList<>(2);
     private Moment deadline;
     private int openAttempts;
@@ -59,19 +59,19 @@
         return description.transactionId();
     }
 
-    /** Returns when the response is due at the latest. */
+    /** Returns the time by which the client must have its response. */
     Moment deadline() {
         return deadline;
     }
 
-    /** Moves the deadline forward, however long the client would wait. */
+    /** Moves the deadline to an earlier time, even if the client would wait for longer. */
     void limitDeadline(Moment end) {
         deadline = deadline.orEarlier(end);
     }
 
     /**
-     * Returns by when the next attempt must begin: the deadline, or the end of the first deduplication
-     * window.
+     * Returns the time by which the next attempt must be sent: the deadline, or the end of the first
+     * deduplication window if that is earlier. A window begins with each attempt that may have run.
      */
     Moment attemptDeadline() {
         if (description.deduplicationWindow() == null) {
@@ -86,7 +86,7 @@
         return end;
     }
 
-    /** Records that an attempt starts, and returns its number. */
+    /** Records the start of an attempt, and returns its number. */
     int startAttempt(Moment now) {
         attempts.add(null);
         attemptStarts.add(now);
@@ -98,7 +98,7 @@
         attempts.set(number, attempt);
     }
 
-    /** Returns an attempt that is in progress; null if there is none of this number. */
+    /** Returns an attempt in progress; null if there is none with this number. */
     AttemptExchange attempt(int number) {
         return number < 0 || number >= attempts.size() ? null : attempts.get(number);
     }
@@ -116,7 +116,7 @@
         return answered;
     }
 
-    /** Marks the task as answered, and returns false if it was so before. */
+    /** Marks the task as answered, and returns false if it was answered before. */
     boolean markAnswered() {
         boolean first = !answered;
         answered = true;
@@ -128,12 +128,12 @@
         return answered && openAttempts == 0;
     }
 
-    /** Returns the size of the message to a worker without the time that is left. */
+    /** Returns the size of the message to a worker, without the field with the remaining time. */
     int byteCount() {
         return head.length + body.length;
     }
 
-    /** Returns the message to a worker, with the time that is left now. */
+    /** Returns the message to a worker, with the time that remains until the deadline. */
     ByteBuffer[] message(Moment now) {
         String remainingTime =
                 RequestDecoder.REMAINING_TIME_FIELD + ": " + deadline.since(now).seconds() + "\r\n\r\n";
--- a/src/main/java/rampshift/pipeline/OverloadRejection.java
+++ b/src/main/java/rampshift/pipeline/OverloadRejection.java
@@ -6,9 +6,9 @@
 import rampshift.time.Span;
 
 /**
- * Rejects tasks by their head alone while the {@link AdmissionWindow} is shut. A task whose transaction is
- * known here is decoded all the same: an attempt of it may have run, and a client may repeat what was
- * rejected.
+ * Rejects tasks by the head of their request alone while the {@link AdmissionWindow} admits none. A request
+ * whose transaction id is known is still decoded, and refused as a duplicate: an attempt at that task may
+ * have run, and a rejection would allow the client to retry it.
  */
 public final class OverloadRejection implements EarlyRejection {
     private final AdmissionWindow window;
@@ -17,9 +17,9 @@
     private final Counters counters;
 
     /**
-     * Creates the rejection.
+     * Creates a rejection that depends on a window.
      *
-     * @param retryAfter when a rejected client may retry; zero to tell none
+     * @param retryAfter the delay after which a rejected client may retry; zero to send no Retry-After
      */
     public OverloadRejection(AdmissionWindow window, Span retryAfter, TaskRegistry registry,
             Counters counters) {
--- a/src/main/java/rampshift/pipeline/PolicyHost.java
+++ b/src/main/java/rampshift/pipeline/PolicyHost.java
@@ -17,9 +17,9 @@
 import rampshift.time.Span;
 import rampshift.workers.LoadReport;
 
-/** Hosts the dispatch policy: passes each event to it, then carries out its decisions one by one. */
+/** Hosts the dispatch policy: passes each event to it, then executes its decisions one by one. */
 public final class PolicyHost implements Decisions {
-    /** How late a wake-up may be without what has arrived being read before it. */
+    /** How late a wake-up may be before pending input is read ahead of it. */
     private static final Span MAX_WAKE_UP_LATENESS = Span.ofMillis(5);
 
     private final XnioIoThread thread;
@@ -30,7 +30,7 @@
     private final TaskRegistry registry;
     private final AttemptSender sender;
     private final Responder responder;
-    /** Events that arrive while decisions are carried out wait until these are. */
+    /** Events to process. Those that arrive while one is processed wait until its decisions are executed. */
     private final ArrayDeque<Runnable> events = new ArrayDeque<>();
     private boolean processing;
     private IoTimer wakeUpTimer;
@@ -87,10 +87,10 @@
     }
 
     /**
-     * An endpoint list has arrived, perhaps amid a decision: then the pool uses it at once, and the policy is
-     * told after that decision.
+     * Applies an endpoint list to the pool and to the policy. While an event is processed, the pool is
+     * updated at once, and the policy after the decisions on that event.
      *
-     * @param cached whether it was stored before the start, and may be out of date
+     * @param cached whether the list was stored by an earlier process and may be out of date
      */
     public void onEndpointList(EndpointList list, boolean cached) {
         boolean complete = list.complete() || cached;
@@ -107,14 +107,16 @@
     }
 
     /**
-     * The discovery service is asked anew: at the start, when its list may be much newer, or at another
-     * address.
+     * Reports that a new endpoint list is requested from the discovery service.
+     *
+     * @param atStart whether the dispatcher has just started, so that the known list may be far out of date;
+     *     otherwise the address of the discovery service has changed
      */
     public void onEndpointListAwaited(boolean atStart) {
         onEvent(() -> policy.onEndpointListAwaited(atStart));
     }
 
-    /** The discovery service can't be reached; the present list stays in use. */
+    /** Reports that the discovery service can't be reached. The current list stays in use. */
     public void onEndpointListFailed() {
         onEvent(() -> {
             policy.onEndpointListBegin(EndpointListKind.FAILED);
@@ -134,7 +136,10 @@
                         description.memory(), task.deadline().since(clock.now()))));
     }
 
-    /** The dispatcher stops: answers the clients that still wait, by rejections where these are allowed. */
+    /**
+     * Ends all tasks, since the dispatcher stops. Clients that still wait are rejected, where a retry is
+     * safe, or receive a failure.
+     */
     public void endAllTasks() {
         for (InFlightTask task : registry.all()) {
             onEvent(() -> policy.onShutdown(task.id()));
@@ -215,11 +220,15 @@
         if (wakeUpTimer != null) {
             wakeUpTimer.cancel();
         }
-        // Woken early, the policy asked for the same again, and the thread spun for most of a millisecond.
+        // After an early wake-up the policy would request the same one again, and the thread would spin for
+        // most of a millisecond.
         wakeUpTimer = IoTimer.notBefore(thread, when.since(clock.now()), () -> onWakeUp(when));
     }
 
-    /** Late, what workers have sent lies unread, and would be taken for missed starts and finishes. */
+    /**
+     * Reports a wake-up to the policy. If it is late, pending input is read first: the policy would take the
+     * unread messages of workers for missed starts and finishes.
+     */
     private void onWakeUp(Moment when) {
         if (clock.now().since(when).longerThan(MAX_WAKE_UP_LATENESS)) {
             wakeUpTimer = IoTimer.timeout(thread, Span.ZERO, readBarrier, () -> onEvent(policy::onTimer));
--- a/src/main/java/rampshift/pipeline/RequestDecoder.java
+++ b/src/main/java/rampshift/pipeline/RequestDecoder.java
@@ -15,7 +15,7 @@
 import rampshift.time.Moment;
 import rampshift.time.Span;
 
-/** Makes tasks of clients' requests, and refuses requests that are none with a status of 4xx. */
+/** Decodes the requests of clients into tasks, and refuses invalid requests with a 4xx status. */
 public final class RequestDecoder implements RequestHandler {
     static final String REMAINING_TIME_FIELD = "X-Remaining";
     static final String TRANSACTION_FIELD = "X-Txn";
@@ -37,7 +37,7 @@
     private final AdmissionControl admission;
     private long lastTaskId;
 
-    /** Creates a decoder that passes tasks to an admission control. */
+    /** Creates a decoder that passes tasks to an admission control. The names are those of the settings. */
     public RequestDecoder(Settings settings, HostSettings names, Counters counters, TaskRegistry registry,
             AdmissionControl admission) {
         this.settings = settings;
@@ -134,12 +134,15 @@
         return isKeyed(type) ? type.deduplicationWindow() : null;
     }
 
-    /** Tenants that are not configured share the index after all that are, and have no quota to exceed. */
+    /**
+     * Returns the index of the tenant. All tenants that are not configured share the index after the last
+     * one, and have no quota.
+     */
     private int tenant(ClientRequest request) {
         return tenants.getOrDefault(String.valueOf(request.field(TENANT_FIELD)), tenants.size());
     }
 
-    /** No client waits longer than the deadline of its traffic type, whatever it says. */
+    /** Returns how long the client waits: the time that it states, up to the timeout of the traffic type. */
     private static Span waitingTime(double remainingSeconds, TrafficType type) {
         Span longest = type.timeout();
         boolean isLimited = remainingSeconds > longest.millis() / 1000;
--- a/src/main/java/rampshift/pipeline/Responder.java
+++ b/src/main/java/rampshift/pipeline/Responder.java
@@ -13,7 +13,7 @@
 
     private final Counters counters;
 
-    /** Creates a responder that counts here. */
+    /** Creates a responder that adds to the given counters. */
     public Responder(Counters counters) {
         this.counters = counters;
     }
@@ -22,13 +22,17 @@
         respond(task, Counters.Name.TASKS_FINISHED, OK, null, result);
     }
 
-    /** Rejects a task that never ran or may run again, with a span to retry after; zero to tell none. */
+    /**
+     * Rejects a task that never ran or may run again.
+     *
+     * @param retryAfter the delay after which the client may retry; zero to send no Retry-After
+     */
     void rejected(InFlightTask task, Span retryAfter) {
         String seconds = retryAfterSeconds(retryAfter);
         respond(task, Counters.Name.TASKS_REJECTED, SERVICE_UNAVAILABLE, seconds, EMPTY);
     }
 
-    /** Returns the value of Retry-After for a span; null where it is too short to tell. */
+    /** Returns the value of Retry-After for a delay; null if the delay is too short to be written. */
     static String retryAfterSeconds(Span retryAfter) {
         return MIN_RETRY_AFTER.longerThan(retryAfter) ? null : retryAfter.seconds();
     }
--- a/src/main/java/rampshift/pipeline/StallDetector.java
+++ b/src/main/java/rampshift/pipeline/StallDetector.java
@@ -7,21 +7,21 @@
 import rampshift.time.Span;
 
 /**
- * Detects by a regular heartbeat that the I/O thread was stalled: stopped, or without processor time.
+ * Detects by a periodic heartbeat that the I/O thread was stalled: suspended, or without CPU time.
  *
- * <p>What is read after a stall may have been in the socket's buffer all the while, and its time counts from
- * its arrival, not from when it was read: a dispatcher that was stopped for 3 s forwarded tasks 0.2 s after
- * their deadline.
+ * <p>Input that is read after a stall may have been in the socket buffer throughout the stall. The time limit
+ * of a task counts from the arrival of its request: counted from when the request was read, a dispatcher that
+ * was suspended for 3 s forwarded tasks 0.2 s after their deadlines.
  */
 public final class StallDetector {
     private static final Span HEARTBEAT_INTERVAL = Span.ofMillis(50);
-    /** How late a heartbeat may be before the thread counts as stalled. */
+    /** How late a heartbeat may be before the thread is considered stalled. */
     private static final Span MAX_LATENESS = Span.ofMillis(50);
 
     private final XnioIoThread thread;
     private final Clock clock;
     private Moment lastHeartbeat;
-    /** The last heartbeat before a stall; null once a heartbeat was in time again. */
+    /** When the last heartbeat before a stall was; null once a heartbeat is in time again. */
     private Moment stalledSince;
     private IoTimer timer;
 
@@ -39,7 +39,7 @@
 
     private void heartbeat() {
         Moment now = clock.now();
-        // Until a heartbeat is in time again, what is read may still have arrived before.
+        // Until a heartbeat is in time again, input that is read may have arrived before or during the stall.
         stalledSince = isLate(now) ? lastHeartbeat : null;
         lastHeartbeat = now;
         scheduleHeartbeat();
@@ -50,8 +50,8 @@
     }
 
     /**
-     * Returns for how long, at most, what is read now may have been unread; zero if the thread is not
-     * stalled.
+     * Returns the longest time for which input that is read now may have been unread; zero if the thread is
+     * not stalled.
      */
     public Span maxUnreadTime() {
         Moment now = clock.now();
--- a/src/main/java/rampshift/pipeline/TaskLabels.java
+++ b/src/main/java/rampshift/pipeline/TaskLabels.java
@@ -4,10 +4,10 @@
 import rampshift.clients.InvalidRequestException;
 
 /**
- * What a task takes of its worker, by the labels of its request.
+ * The resources that a task takes of its worker, parsed from the labels of its request.
  *
- * @param slots how many slots; 1 where no label says so
- * @param memory how much memory, in the unit of the load reports; 0 where no label says so
+ * @param slots the number of slots; 1 if no label states it
+ * @param memory the memory, in the unit of the load reports; 0 if no label states it
  */
 record TaskLabels(double slots, double memory) {
     private static final String SLOTS = "slots";
@@ -19,7 +19,7 @@
      * Parses labels such as {@code slots=2,memory=0.5}; others than these two are ignored.
      *
      * @param text the value of the header field; null if there is none
-     * @throws InvalidRequestException if one of the two has no valid value
+     * @throws InvalidRequestException if the value of one of the two is invalid
      */
     static TaskLabels parse(String text) throws InvalidRequestException {
         double slots = 1;
@@ -47,7 +47,8 @@
     }
 
     /**
-     * Returns a number of plain decimal digits; NaN for null and for anything else that Java would accept.
+     * Parses a number of plain decimal digits. Returns NaN for null and for any other text, also in the other
+     * formats that {@link Double#parseDouble} accepts.
      */
     static double parseDecimal(String text) {
         return text != null && DECIMAL.matcher(text).matches() ? Double.parseDouble(text) : Double.NaN;
--- a/src/main/java/rampshift/pipeline/TaskRegistry.java
+++ b/src/main/java/rampshift/pipeline/TaskRegistry.java
@@ -6,7 +6,7 @@
 import java.util.List;
 import java.util.Map;
 
-/** The tasks in flight, and the one place where they are removed. */
+/** The tasks in flight, which are removed nowhere else, and the transaction ids of recent tasks. */
 public final class TaskRegistry {
     private static final int MAX_RECENT_TRANSACTIONS = 2048;
 
@@ -26,14 +26,14 @@
         return tasks.get(id);
     }
 
-    /** Returns a copy, so that tasks may be removed while it is walked. */
+    /** Returns a copy of the tasks in flight, so that tasks may be removed during an iteration. */
     List<InFlightTask> all() {
         return new ArrayList<>(tasks.values());
     }
 
     /**
-     * Returns whether a task with this transaction id is in flight, or recently was; each request has a new
-     * one.
+     * Returns whether a task with this transaction id is in flight or was recently. Every request must have a
+     * new id.
      */
     boolean isKnown(String transactionId) {
         return byTransactionId.containsKey(transactionId) || recentTransactionIds.contains(transactionId);
@@ -49,8 +49,8 @@
     }
 
     /**
-     * A response and another client's request with the id of that task may cross: it has reached workers
-     * already.
+     * Remembers the id of a completed task for a while: the response to it may cross a request with the same
+     * id, whose task has already been sent to workers.
      */
     private void remember(String transactionId) {
         boolean added = recentTransactionIds.add(transactionId);
@@ -64,7 +64,7 @@
         return tasks.size();
     }
 
-    /** Returns how many bytes the messages of the tasks in flight take. */
+    /** Returns the total size of the messages of the tasks in flight. */
     long byteCount() {
         return byteCount;
     }
--- a/src/main/java/rampshift/pipeline/WorkerIds.java
+++ b/src/main/java/rampshift/pipeline/WorkerIds.java
@@ -6,8 +6,8 @@
 import java.util.zip.CRC32;
 
 /**
- * Maps the uids of workers to the numbers by which the dispatch policy knows them. A number depends on the
- * uid alone, so that it is the same at every dispatcher, unless two numbers collide.
+ * Maps the uids of workers to the numbers by which the dispatch policy identifies them. A number depends on
+ * the uid alone, so that it is the same at every dispatcher, unless two uids have the same hash.
  */
 final class WorkerIds {
     private static final int LOW_BITS = 20;
--- a/src/test/java/rampshift/pipeline/AdmissionWindowTest.java
+++ b/src/test/java/rampshift/pipeline/AdmissionWindowTest.java
@@ -20,8 +20,8 @@
 import rampshift.time.ReadBarrier;
 
 /**
- * How long new tasks may keep the thread. Without a bound, a dispatcher that was offered more than it carries
- * admitted all of it: 2,000 tasks a second at 16 workers, of which 0.1% ended in time.
+ * Tests the limit of the time that new tasks take of the I/O thread. Without it, an overloaded dispatcher
+ * admitted all tasks: 0.1% of 2,000 tasks a second at 16 workers ended in time.
  */
 class AdmissionWindowTest {
     private static final long TASK_MILLIS = 10;
@@ -45,27 +45,27 @@
         });
     }
 
-    /** A hundred and thirty tasks of 10 ms in one go, and more whenever the sockets were polled. */
+    /** Offers 130 tasks of 10 ms each in one window, and more after each poll of the sockets. */
     @Test
     void aThreadThatStaysBehindTakesTasksForTwentyMillisecondsAPoll() throws Exception {
-        assertFalse(ioThread.call(() -> keepBusy(130)), "behind for 1.3 s");
+        assertFalse(ioThread.call(() -> keepBusy(130)), "overloaded for 1.3 s");
         for (int poll = 0; poll < 3; poll++) {
             assertFalse(afterPoll(() -> {
                 assertTrue(window.isOpen(), "the first task after a poll");
                 return keepBusy(4);
-            }), "still behind");
+            }), "still overloaded");
         }
     }
 
     /**
-     * Of the sockets of one poll, all find the window open. It was opened by a socket too, and clients that
-     * came before that one were turned away, in an overload the same ones at each poll.
+     * All sockets of one poll must find the window open. When the event of a socket reopened it, clients
+     * whose sockets were handled before that one were rejected, in an overload the same ones at every poll.
      */
     @Test
     void theWindowIsOpenAgainBeforeThePoll() throws Exception {
         FutureTask<Boolean> beforePoll = new FutureTask<>(window::isOpen);
         ioThread.call(() -> {
-            assertFalse(keepBusy(130), "behind for 1.3 s");
+            assertFalse(keepBusy(130), "overloaded for 1.3 s");
             ioThread.thread().execute(beforePoll);
             return null;
         });
@@ -78,10 +78,10 @@
         assertTrue(afterPoll(window::isOpen));
     }
 
-    /** Behind no longer, it takes the next burst whole. */
+    /** After the overload has ended, the next burst is admitted whole. */
     @Test
     void aThreadThatHasCaughtUpTakesTheNextBurst() throws Exception {
-        assertFalse(ioThread.call(() -> keepBusy(130)), "behind for 1.3 s");
+        assertFalse(ioThread.call(() -> keepBusy(130)), "overloaded for 1.3 s");
         afterPoll(() -> {
             Thread.sleep(CAUGHT_UP_MILLIS);
             return null;
@@ -89,7 +89,10 @@
         assertTrue(afterPoll(() -> keepBusy(10)));
     }
 
-    /** Responses to what was admitted take 1 s between two windows: none of them is a burst of its own. */
+    /**
+     * The responses to admitted tasks take 1 s between two windows. No window must be taken for the first one
+     * of a new burst.
+     */
     @Test
     void workBetweenTwoWindowsDoesNotEndAnOverload() throws Exception {
         List<Boolean> lastWasTaken = new ArrayList<>();
@@ -101,10 +104,10 @@
             return null;
         });
         assertTrue(done.await(TIMEOUT_SECONDS, TimeUnit.SECONDS));
-        assertEquals(List.of(false, false, false), lastWasTaken, "still behind at each poll");
+        assertEquals(List.of(false, false, false), lastWasTaken, "still overloaded at each poll");
     }
 
-    /** Asks for the next poll first, so that none passes without work. */
+    /** Requests the next tick first, so that no poll passes without work. */
     private void respondAndKeepBusy(NextTick tick, List<Boolean> lastWasTaken, CountDownLatch done) {
         if (done.getCount() > 1) {
             tick.run(() -> respondAndKeepBusy(tick, lastWasTaken, done));
@@ -118,7 +121,7 @@
         done.countDown();
     }
 
-    /** Asks for so many tasks, 10 ms each, and returns whether the last one was taken. */
+    /** Offers tasks that take 10 ms each, and returns whether the last one was admitted. */
     private boolean keepBusy(int tasks) throws InterruptedException {
         boolean open = true;
         for (int i = 0; i < tasks; i++) {
--- a/src/test/java/rampshift/pipeline/StallDetectorTest.java
+++ b/src/test/java/rampshift/pipeline/StallDetectorTest.java
@@ -11,7 +11,7 @@
 import rampshift.time.Clock;
 import rampshift.time.Span;
 
-/** How a stall of the I/O thread is detected. */
+/** Tests the detection of stalls of the I/O thread. */
 class StallDetectorTest {
     private static final int STALL_MS = 600;
     private static final Span MIN_UNREAD_TIME = Span.ofMillis(500);
--- a/src/test/java/rampshift/pipeline/WorkerIdsTest.java
+++ b/src/test/java/rampshift/pipeline/WorkerIdsTest.java
@@ -5,7 +5,7 @@
 
 import org.junit.jupiter.api.Test;
 
-/** The numbers of workers. */
+/** Tests the numbers that identify workers. */
 class WorkerIdsTest {
     @Test
     void numberOfWorkerDependsOnItsUidAlone() {
