--- a/src/main/java/rampshift/workers/AttemptExchange.java
+++ b/src/main/java/rampshift/workers/AttemptExchange.java
@@ -10,16 +10,16 @@
 import rampshift.time.Span;
 
 /**
- * One attempt at a task: its request to a worker and the response, until the outcome is known. Whether
- * the last byte of the request was written decides between "never ran" and "may have run".
+ * One attempt at a task: its request to a worker and the response, until the outcome is known. Without a
+ * response, the task never ran if the last byte of the request was not written, and may have run otherwise.
  */
 public final class AttemptExchange extends WorkerExchange {
-    /** The bounds of the delay of a last byte, as shares of the dial timeout. */
+    /** The bounds of the delay of the last byte, as shares of the dial timeout. */
     private static final double MIN_LAST_BYTE_DELAY_SHARE = 0.02;
     private static final double MAX_LAST_BYTE_DELAY_SHARE = 0.1;
     /**
-     * How long a connection must have been idle for a non-idempotent task, as a share of the dial
-     * timeout.
+     * The time for which a connection must have been idle before a non-idempotent task may use it, as a
+     * share of the dial timeout.
      */
     private static final double MIN_IDLE_SHARE = 0.1;
 
@@ -41,7 +41,7 @@
                         () -> cancel(AttemptOutcome.TIMED_OUT));
     }
 
-    /** Cancels the attempt and closes its connection. The outcome is reported, unless one was before. */
+    /** Cancels the attempt and closes its connection. Reports the outcome unless one was reported before. */
     public void cancel() {
         cancel(AttemptOutcome.CALLED_OFF);
     }
@@ -64,8 +64,9 @@
     }
 
     /**
-     * A worker may repeat its rejection of an earlier task late. On a connection that is reused at once
-     * the repetition would be taken for the response to this request, while the task runs.
+     * Returns the minimum idle time for a non-idempotent task. A worker may send a late duplicate of its
+     * rejection of an earlier task. On a connection that is reused at once the duplicate would be taken for
+     * the response to this request while the task runs.
      */
     @Override
     Span minIdleTime() {
@@ -73,8 +74,9 @@
     }
 
     /**
-     * A reset takes at least as long as a response to arrive. Without the delay, an idle connection that
-     * had been reset cost a non-idempotent task each time.
+     * Returns the delay for a non-idempotent task, in which a reset of the connection can arrive: that takes
+     * at least as long as the fastest response. Without the delay, each idle connection that had been reset
+     * failed a non-idempotent task.
      */
     @Override
     Span lastByteDelay() {
@@ -87,8 +89,8 @@
     }
 
     /**
-     * While the connection was made, the worker may have begun to drain or have moved, and the client
-     * have left.
+     * Checks the attempt again: while the connection was opened, the worker may have begun to drain or have
+     * moved, the deadline may have passed, and the client may have left.
      */
     @Override
     public boolean mayWriteFirstByte() {
@@ -112,8 +114,8 @@
     }
 
     /**
-     * The deadline may pass while the connection is made or the last byte is delayed, if this process is
-     * paused.
+     * Returns whether the deadline has not passed. It may pass while the connection is opened or the last
+     * byte is delayed, for example if this process is suspended.
      */
     private boolean isBeforeDeadline() {
         return pool().now().before(request.deadline());
@@ -163,7 +165,7 @@
         try {
             reportLoad(pool().loadReportReader().read(headerValue));
         } catch (IOException e) {
-            reportMalformedResponse("a load report that is no JSON");
+            reportMalformedResponse("a load report that is not valid JSON");
         }
     }
 
@@ -204,7 +206,7 @@
             return;
         }
         if (message.workerUid() != null && !message.workerUid().equals(endpoint().uid())) {
-            reportMalformedResponse("a line from " + message.workerUid());
+            reportMalformedResponse("a line with the uid of worker " + message.workerUid());
         }
         reportLoad(message.load());
         switch (message.state()) {
@@ -214,7 +216,7 @@
             case FAILED -> reportOutcome(AttemptOutcome.ERRED, null);
             case RETURNED -> reportOutcome(AttemptOutcome.FULL, null);
             case LOST -> reportOutcome(AttemptOutcome.BROKEN, null);
-            default -> reportMalformedResponse("the unknown state " + message.stateWord());
+            default -> reportMalformedResponse("the unknown task state " + message.stateWord());
         }
     }
 
@@ -231,8 +233,9 @@
     }
 
     /**
-     * The failure of a stale connection has an outcome of its own once the request was written, since it
-     * says nothing about the worker: the best workers were ejected for it.
+     * Returns the outcome of a connection failure. The failure of a stale connection has its own outcome if
+     * the request was written, since it says nothing about the health of the worker: counted as a failure of
+     * the worker, it led to the ejection of the best workers.
      */
     private AttemptOutcome failureOutcome(boolean stale) {
         if (requestWritten) {
--- a/src/main/java/rampshift/workers/AttemptListener.java
+++ b/src/main/java/rampshift/workers/AttemptListener.java
@@ -2,31 +2,31 @@
 
 import rampshift.policy.AttemptOutcome;
 
-/** Receives the events of one attempt. {@link #onOutcome} comes once, and last. */
+/** Receives the events of one attempt. {@link #onOutcome} is called once, as the last method. */
 public interface AttemptListener {
     /**
-     * Whether the client still waits for the task: asked before the first byte and before a delayed last
-     * byte.
+     * Returns whether the client still waits for the task. Called before the first byte and before a delayed
+     * last byte is written.
      */
     boolean isStillWanted();
 
-    /** The worker has started the task. */
+    /** Called when the worker has started the task. */
     void onStarted();
 
     /**
-     * The worker has reported progress.
+     * Called when the worker has reported progress.
      *
-     * @param share the share of the task that is done, over 0 and up to 1
+     * @param share the share of the task that is done, above 0 and at most 1
      */
     void onProgress(double share);
 
-    /** The worker has reported its load. */
+    /** Called when the worker has reported its load. */
     void onLoadReport(long workerNumber, LoadReport load);
 
     /**
-     * The attempt has ended.
+     * Called when the outcome of the attempt is known.
      *
-     * @param outcome how it ended
+     * @param outcome how the attempt ended
      * @param result the result of the task; null unless the task finished
      */
     void onOutcome(AttemptOutcome outcome, byte[] result);
--- a/src/main/java/rampshift/workers/ConnectionPool.java
+++ b/src/main/java/rampshift/workers/ConnectionPool.java
@@ -14,15 +14,15 @@
 import rampshift.time.Span;
 
 /**
- * All connections to workers. It owns the idle ones, and lends them to attempts and health checks. To be
- * used on the I/O thread alone.
+ * The pool of connections to workers. It owns the idle ones, which attempts and health checks borrow. Must be
+ * used on the I/O thread only.
  */
 public final class ConnectionPool {
-    /** The share of a worker's idle timeout after which an idle connection is not reused any more. */
+    /** The idle time after which a connection is not reused, as a share of the idle timeout of workers. */
     private static final double MAX_IDLE_SHARE = 0.5;
     /**
-     * The share of a worker's idle timeout for which non-idempotent tasks avoid idle connections after a
-     * stale one.
+     * The time for which non-idempotent tasks avoid idle connections after a stale one was detected, as a
+     * share of the idle timeout of workers.
      */
     private static final double STALE_SHARE = 0.5;
     private static final Span CLEANUP_INTERVAL = Span.ofMillis(500);
@@ -43,9 +43,9 @@
     private Runnable firstByteHook = () -> {};
 
     /**
-     * Creates a pool that knows no workers yet.
+     * Creates a pool without workers.
      *
-     * @param maxConnections the largest number of connections to workers, idle ones and dials included
+     * @param maxConnections the maximum number of connections to workers, including idle ones and dials
      */
     public ConnectionPool(XnioIoThread thread, Dialer dialer, Clock clock, HostSettings settings,
             Counters counters,
@@ -64,16 +64,16 @@
     }
 
     /**
-     * Sets what runs before the first byte of each attempt is written. It reads what the discovery
-     * service has sent, so that no attempt starts by an outdated endpoint list.
+     * Sets a hook that runs before the first byte of each attempt is written. The hook reads the pending
+     * input from the discovery service, so that no attempt is sent by an outdated endpoint list.
      */
     public void beforeFirstByte(Runnable hook) {
         firstByteHook = hook;
     }
 
     /**
-     * Applies an entry of the endpoint list. A worker with another placement is not the one that tasks
-     * were assigned to: attempts that have not been written yet are reported as not sent.
+     * Applies an entry of the endpoint list. If the placement of a worker has changed, tasks were assigned to
+     * it by the old one: attempts that have not been written yet end as not sent.
      */
     public void updateWorker(WorkerListing listing) {
         WorkerEndpoint endpoint = endpoints.computeIfAbsent(listing.number(),
@@ -83,12 +83,14 @@
         }
     }
 
-    /** A full endpoint list follows: workers that it doesn't name are removed. */
+    /**
+     * Begins a complete endpoint list. All workers become not ready, until the list contains them as ready.
+     */
     public void beginFullList() {
         endpoints.values().forEach(WorkerEndpoint::markNotReady);
     }
 
-    /** The full endpoint list is complete. */
+    /** Ends a complete endpoint list: closes the idle connections to workers that are not ready. */
     public void endFullList() {
         for (WorkerEndpoint endpoint : endpoints.values()) {
             if (!endpoint.isReady()) {
@@ -97,7 +99,7 @@
         }
     }
 
-    /** Whether the worker takes new tasks, by the latest endpoint list. */
+    /** Returns whether the worker accepts new tasks according to the latest endpoint list. */
     public boolean isReady(long workerNumber) {
         WorkerEndpoint endpoint = endpoints.get(workerNumber);
         return endpoint != null && endpoint.isReady();
@@ -123,7 +125,7 @@
     }
 
     /**
-     * Closes the idle connections and stops the timer. Connections that are lent are closed when they are
+     * Closes the idle connections and stops the timer. Borrowed connections are closed when they are
      * returned.
      */
     public void close() {
@@ -164,14 +166,14 @@
         firstByteHook.run();
     }
 
-    /** Lends an idle connection, see {@link IdleConnectionCache#take}; null if there is none. */
+    /** Borrows an idle connection, see {@link IdleConnectionCache#take}; null if there is none. */
     HttpConnection takeIdle(WorkerEndpoint endpoint, Span minIdleTime) {
         return idleConnections.take(endpoint, minIdleTime);
     }
 
     /**
-     * Whether one more connection may be opened. The connection that has been idle for longest is closed
-     * for it.
+     * Returns whether one more connection may be opened. At the limit, the connection that has been idle for
+     * the longest time is closed first.
      */
     boolean makeRoom() {
         if (dialer.openCount() >= maxConnections && !idleConnections.isEmpty()) {
@@ -186,10 +188,10 @@
     }
 
     /**
-     * Takes a lent connection back, and keeps it if it can be reused.
+     * Accepts the return of a borrowed connection, and keeps it if it can be reused.
      *
-     * @param incarnation that of the worker when the connection was lent; a connection that was lent
-     *     while its worker moved leads to the old address
+     * @param incarnation the incarnation of the worker when the connection was borrowed; if the worker has
+     *     moved since, the connection leads to its old address
      */
     void giveBack(WorkerEndpoint endpoint, int incarnation, HttpConnection connection) {
         boolean reusable = !closed && connection.isReusable() && endpoint.isReady()
@@ -201,14 +203,17 @@
         }
     }
 
-    /** Whether an idle connection has turned out to be stale lately. */
+    /** Returns whether an idle connection was recently found to be stale. */
     boolean hasRecentStaleConnection() {
         return lastStaleAt != null
                 && !clock.now().since(lastStaleAt)
                         .longerThan(settings.connectionIdleTimeout().times(STALE_SHARE));
     }
 
-    /** An idle connection to the worker was stale: the others may have been reset too and are closed. */
+    /**
+     * Records that an idle connection to the worker was stale, and closes the others: they may have been
+     * reset too.
+     */
     void onStaleConnection(WorkerEndpoint endpoint) {
         lastStaleAt = clock.now();
         idleConnections.closeAll(endpoint);
--- a/src/main/java/rampshift/workers/HealthCheck.java
+++ b/src/main/java/rampshift/workers/HealthCheck.java
@@ -8,11 +8,11 @@
 import rampshift.connections.ResponseHead;
 import rampshift.time.IoTimer;
 
-/** Asks a worker for its load. The response, or that there is none in time, is reported once. */
+/** Requests the load of a worker, and reports once the response or that none arrived in time. */
 final class HealthCheck extends WorkerExchange {
     private static final int INITIAL_BODY_BYTES = 256;
     private static final int MAX_BODY_BYTES = 4096;
-    /** The timeout as a multiple of the dial timeout. */
+    /** The timeout of a health check as a multiple of the dial timeout. */
     private static final double TIMEOUT_FACTOR = 2;
 
     private final HealthCheckListener listener;
@@ -60,7 +60,7 @@
         try {
             load = pool().loadReportReader().read(body.array(), body.length());
         } catch (IOException e) {
-            logMalformedResponse("a health check response that is no JSON");
+            logMalformedResponse("a health check response that is not valid JSON");
         }
         finish(status == StatusCodes.OK, load);
     }
--- a/src/main/java/rampshift/workers/IdleConnectionCache.java
+++ b/src/main/java/rampshift/workers/IdleConnectionCache.java
@@ -19,7 +19,7 @@
     /**
      * Creates an empty cache.
      *
-     * @param endpoints a live view of the workers that have idle connections
+     * @param endpoints a live view of all workers
      * @param maxIdleTime how long a connection may be idle and still be reused
      */
     IdleConnectionCache(Collection<WorkerEndpoint> endpoints, Clock clock, Counters counters,
@@ -89,7 +89,7 @@
         endpoints.forEach(this::closeAll);
     }
 
-    /** Closes the connection that has been idle for longest. The cache must not be empty. */
+    /** Closes the connection that has been idle for the longest time. The cache must not be empty. */
     void closeOldest() {
         WorkerEndpoint oldest = null;
         for (WorkerEndpoint endpoint : endpoints) {
--- a/src/main/java/rampshift/workers/LingeringExchanges.java
+++ b/src/main/java/rampshift/workers/LingeringExchanges.java
@@ -9,8 +9,8 @@
 import rampshift.time.Span;
 
 /**
- * The exchanges whose result is known while the rest of the response is still to come. The rest is read
- * so that the connection can be reused, but not for long.
+ * The exchanges whose result is known while the rest of the response has yet to arrive. The rest is read for
+ * a limited time, so that the connection can be reused.
  */
 final class LingeringExchanges {
     private static final Span MAX_LINGER_TIME = Span.ofMillis(1000);
--- a/src/main/java/rampshift/workers/LoadReportReader.java
+++ b/src/main/java/rampshift/workers/LoadReportReader.java
@@ -8,7 +8,7 @@
 /** Reads load reports from JSON objects. */
 final class LoadReportReader {
     private static final JsonFactory JSON = new JsonFactory();
-    /** Larger numbers are taken for mistakes. */
+    /** The exclusive limit of plausible numbers; larger ones are ignored as errors of the worker. */
     private static final double MAX_PLAUSIBLE_VALUE = 1e6;
 
     private final String freeSlotsName;
@@ -17,8 +17,8 @@
     /**
      * Creates a reader.
      *
-     * @param freeSlotsName the name of the field with the number of free slots
-     * @param freeMemoryName the name of the field with the free memory
+     * @param freeSlotsName the name of the field with the number of free slots; null if there is none
+     * @param freeMemoryName the name of the field with the free memory; null if there is none
      */
     LoadReportReader(String freeSlotsName, String freeMemoryName) {
         this.freeSlotsName = freeSlotsName;
@@ -28,8 +28,8 @@
     /**
      * Reads the value of a header field.
      *
-     * @return the load report, or null if the text is empty or no object
-     * @throws IOException if the text is no JSON
+     * @return the load report; null if the text is empty or not an object
+     * @throws IOException if the text is not valid JSON
      */
     LoadReport read(String text) throws IOException {
         try (JsonParser parser = JSON.createParser(text)) {
@@ -41,8 +41,8 @@
     /**
      * Reads the body of a response.
      *
-     * @return the load report, or null if the body is empty or no object
-     * @throws IOException if the body is no JSON
+     * @return the load report; null if the body is empty or not an object
+     * @throws IOException if the body is not valid JSON
      */
     LoadReport read(byte[] body, int length) throws IOException {
         try (JsonParser parser = JSON.createParser(body, 0, length)) {
@@ -52,9 +52,9 @@
     }
 
     /**
-     * Reads the value that a parser has just reached, and leaves the parser at its end.
+     * Reads the value at the current token of a parser, and leaves the parser at the end of the value.
      *
-     * @return the load report, or null if the value is no object
+     * @return the load report; null if the value is not an object
      */
     LoadReport read(JsonParser parser) throws IOException {
         if (parser.currentToken() != JsonToken.START_OBJECT) {
--- a/src/main/java/rampshift/workers/ProgressMessage.java
+++ b/src/main/java/rampshift/workers/ProgressMessage.java
@@ -3,13 +3,13 @@
 /**
  * One line of a worker's response to a task.
  *
- * @param taskId the id of the task; null if the line names none
- * @param workerUid the name of the worker; null if the line names none
+ * @param taskId the id of the task; null if the line contains none
+ * @param workerUid the uid of the worker; null if the line contains none
  * @param state the state of the task
- * @param stateWord the state as the worker wrote it; null if the line names none
- * @param progressShare the share of the task that is done; NaN if the line names none
- * @param load the load of the worker; null if the line reports none
- * @param result the result of the task; empty if the line has none
+ * @param stateWord the state as the worker wrote it; null if the line contains none
+ * @param progressShare the share of the task that is done; NaN if the line contains none
+ * @param load the load of the worker; null if the line contains none
+ * @param result the result of the task; empty if the line contains none
  */
 record ProgressMessage(String taskId, String workerUid, TaskState state, String stateWord,
         double progressShare,
--- a/src/main/java/rampshift/workers/ProgressMessageParser.java
+++ b/src/main/java/rampshift/workers/ProgressMessageParser.java
@@ -33,7 +33,7 @@
      *
      * @param line an array that starts with the line
      * @param length the length of the line in bytes
-     * @throws IOException if the line is no JSON object
+     * @throws IOException if the line is not a JSON object
      */
     static ProgressMessage parse(byte[] line, int length, LoadReportReader loadReportReader)
             throws IOException {
@@ -43,7 +43,7 @@
     private ProgressMessage parse() throws IOException {
         try (JsonParser parser = JSON.createParser(line, 0, length)) {
             if (parser.nextToken() != JsonToken.START_OBJECT) {
-                throw new IOException("no JSON object");
+                throw new IOException("not a JSON object");
             }
             while (parser.nextToken() != JsonToken.END_OBJECT) {
                 if (parser.currentToken() == null) {
@@ -84,8 +84,8 @@
     }
 
     /**
-     * The bytes of the text that the parser has reached, copied without decoding where nothing is
-     * escaped.
+     * Returns the bytes of the string at the current token of the parser, copied without decoding if the
+     * string contains no escapes.
      */
     private byte[] textBytes(JsonParser parser) throws IOException {
         int start = (int) parser.currentTokenLocation().getByteOffset() + 1;
--- a/src/main/java/rampshift/workers/ProgressReader.java
+++ b/src/main/java/rampshift/workers/ProgressReader.java
@@ -4,7 +4,7 @@
 import rampshift.connections.BoundedBuffer;
 import rampshift.policy.AttemptOutcome;
 
-/** Reads the progress messages about one task, one a line, from the body of a worker's response. */
+/** Reads the progress messages about one task, one per line, from the body of a worker's response. */
 final class ProgressReader {
     private static final int INITIAL_LINE_BYTES = 1024;
     private static final int MAX_LINE_BYTES = 64 * 1024;
@@ -19,10 +19,10 @@
     }
 
     /**
-     * Takes the next byte of the body.
+     * Reads the next byte of the body.
      *
-     * @return the message that the byte completes; null if it completes none, or an empty line
-     * @throws MalformedProgressException if the line is too long, no JSON object, or about another task
+     * @return the message that the byte completes; null if it completes none or a blank line
+     * @throws MalformedProgressException if the line is too long, not a JSON object, or about another task
      */
     ProgressMessage read(byte next) throws MalformedProgressException {
         if (next == '\n') {
@@ -36,10 +36,10 @@
     }
 
     /**
-     * Ends the body; a last line may lack its line feed.
+     * Ends the current line, at a line feed or at the end of the body: the last line may lack its line feed.
      *
-     * @return the message in the last line; null if it is empty
-     * @throws MalformedProgressException if the line is no JSON object, or about another task
+     * @return the message in the line; null if the line is blank
+     * @throws MalformedProgressException if the line is not a JSON object, or about another task
      */
     ProgressMessage endLine() throws MalformedProgressException {
         int length = line.length();
@@ -53,15 +53,19 @@
         try {
             message = ProgressMessageParser.parse(line.array(), length, loadReportReader);
         } catch (IOException e) {
-            throw new MalformedProgressException("a line that is no JSON object", AttemptOutcome.BROKEN);
+            throw new MalformedProgressException("a line that is not a JSON object", AttemptOutcome.BROKEN);
         }
         if (!isAboutTask(message)) {
-            throw new MalformedProgressException("a line for another task", AttemptOutcome.BROKEN);
+            throw new MalformedProgressException("a line that may be about another task",
+                    AttemptOutcome.BROKEN);
         }
         return message;
     }
 
-    /** A message without an id is accepted unless it may be the last one about an earlier task. */
+    /**
+     * Returns whether a message is about this task. Without an id it is accepted, unless it reports the task
+     * as done or returned: then it may be the last message about an earlier task.
+     */
     private boolean isAboutTask(ProgressMessage message) {
         if (message.taskId() == null) {
             return message.state() != TaskState.DONE && message.state() != TaskState.RETURNED;
--- a/src/main/java/rampshift/workers/TaskState.java
+++ b/src/main/java/rampshift/workers/TaskState.java
@@ -5,12 +5,12 @@
     STARTED, RUNNING, DONE, FAILED,
     /** The worker has not run the task, and won't. */
     RETURNED,
-    /** The worker doesn't know what became of the task. */
+    /** The worker doesn't know how the task ended. */
     LOST,
-    /** No state, or one that is not defined. */
+    /** No state, or one that the protocol doesn't define. */
     UNKNOWN;
 
-    /** Parses the word for a state; null and other words are {@link #UNKNOWN}. */
+    /** Parses the name of a state; null and other names yield {@link #UNKNOWN}. */
     static TaskState parse(String word) {
         if (word == null) {
             return UNKNOWN;
--- a/src/main/java/rampshift/workers/WorkerEndpoint.java
+++ b/src/main/java/rampshift/workers/WorkerEndpoint.java
@@ -6,7 +6,7 @@
 import rampshift.time.Span;
 
 /**
- * A worker as the connection pool knows it: its entry in the endpoint list, and the idle connections to
+ * The state of a worker in the connection pool: its entry in the endpoint list, and the idle connections to
  * it.
  */
 final class WorkerEndpoint {
@@ -23,8 +23,8 @@
     /**
      * Creates an endpoint that has no address yet.
      *
-     * @param number the number by which the dispatcher knows the worker
-     * @param uid the name by which the endpoint list knows the worker
+     * @param number the number that identifies the worker in the dispatcher
+     * @param uid the name that identifies the worker in the endpoint list
      */
     WorkerEndpoint(long number, String uid) {
         this.number = number;
@@ -34,7 +34,7 @@
     /**
      * Applies an entry of the endpoint list.
      *
-     * @return whether idle connections to the worker must not be used any more
+     * @return whether idle connections to the worker must not be reused
      */
     boolean update(WorkerListing listing) {
         boolean moved = listing.address() != null && !listing.address().equals(address);
@@ -60,12 +60,12 @@
         return uid;
     }
 
-    /** Where the worker listens; null until the endpoint list names an address. */
+    /** Returns the address at which the worker listens; null until the endpoint list contains one. */
     InetSocketAddress address() {
         return address;
     }
 
-    /** Whether the worker takes new tasks, by the latest endpoint list. */
+    /** Returns whether the worker accepts new tasks according to the latest endpoint list. */
     boolean isReady() {
         return ready;
     }
@@ -75,14 +75,14 @@
     }
 
     /**
-     * Increases whenever the worker moves, restarts or changes its placement: connections from before
-     * then don't lead to the worker that is listed now.
+     * Returns a number that increases whenever the worker moves, restarts or changes its placement.
+     * Connections of an earlier incarnation must not be used for the worker that is listed now.
      */
     int incarnation() {
         return incarnation;
     }
 
-    /** The shortest time to the first byte of a response; zero before the first response. */
+    /** Returns the shortest time to the first byte of a response; zero before the first response. */
     Span shortestResponseTime() {
         return shortestResponseTime;
     }
@@ -92,7 +92,7 @@
         shortestResponseTime = first ? responseTime : shortestResponseTime.orShorter(responseTime);
     }
 
-    /** The idle connections to the worker, the most recently used first. */
+    /** Returns the idle connections to the worker, the most recently used first. */
     Deque<IdleConnection> idleConnections() {
         return idleConnections;
     }
--- a/src/main/java/rampshift/workers/WorkerExchange.java
+++ b/src/main/java/rampshift/workers/WorkerExchange.java
@@ -8,9 +8,9 @@
 import rampshift.time.Span;
 
 /**
- * A request to a worker and its response. It takes a connection from the pool, or dials one, and gives it
- * back once, in {@link #release}. Its result is reported once; what arrives of the response after that is
- * only read and dropped.
+ * A request to a worker and its response. It borrows a connection from the pool, or dials one, and returns it
+ * once, in {@link #release}. Its result is reported once; the rest of the response after that is read and
+ * discarded.
  */
 abstract class WorkerExchange implements ExchangeListener, Dialer.DialListener {
     private final ConnectionPool pool;
@@ -26,23 +26,23 @@
         this.endpoint = endpoint;
     }
 
-    /** Makes the whole HTTP request; called just before it is written. */
+    /** Creates the whole HTTP request; called just before it is written. */
     abstract ByteBuffer[] message();
 
     /** Called if the pool has reached its limit of connections, or if the worker has no address. */
     abstract void onNoConnectionAvailable();
 
-    /** Whether the request must not be sent over a connection that was idle. */
+    /** Returns whether the request must not be sent over an idle connection. */
     boolean requiresNewConnection() {
         return false;
     }
 
-    /** How long a connection must have been idle to be reused. */
+    /** Returns the time for which a connection must have been idle to be reused. */
     Span minIdleTime() {
         return Span.ZERO;
     }
 
-    /** How much later than the other bytes the last one is written. */
+    /** Returns the delay of the last byte of the request after the other bytes. */
     Span lastByteDelay() {
         return Span.ZERO;
     }
@@ -79,19 +79,22 @@
         connection.exchange(this, lastByteDelay(), this::message);
     }
 
-    /** Whether the connection leads to the worker that is listed now: it has not moved or restarted since. */
+    /**
+     * Returns whether the connection leads to the worker that is listed now: the worker has not moved,
+     * restarted or changed its placement since the exchange started.
+     */
     final boolean isCurrent() {
         return incarnation == endpoint.incarnation();
     }
 
-    /** The time from the last byte of the request to the first of the response. */
+    /** Returns the time from the last byte of the request to the first byte of the response. */
     final Span timeToFirstByte() {
         return connection.timeToFirstByte();
     }
 
     /**
-     * To be called if the connection failed before the response began. If it had been idle before, it was
-     * stale, and the pool closes the other idle connections to the worker.
+     * Reports a connection failure before the head of the response arrived. A connection that was reused was
+     * stale then, and the pool closes the other idle connections to the worker.
      *
      * @return whether the connection was stale
      */
@@ -103,7 +106,7 @@
     }
 
     /**
-     * Notes that the result is being reported.
+     * Records that the result is being reported.
      *
      * @return false if a result was reported before
      */
@@ -124,7 +127,7 @@
         }
     }
 
-    /** Ends the exchange: cancels its dial, and gives its connection back. May be called more than once. */
+    /** Ends the exchange: cancels its dial and returns its connection. May be called more than once. */
     final void release() {
         if (dial != null) {
             dial.cancel();
@@ -138,7 +141,7 @@
         }
     }
 
-    /** Logs that the worker sent a response that makes no sense. */
+    /** Logs that the worker sent an invalid response. */
     final void logMalformedResponse(String what) {
         Log.warn("malformed-response", "worker", endpoint.uid(), "what", what);
     }
--- a/src/main/java/rampshift/workers/WorkerListing.java
+++ b/src/main/java/rampshift/workers/WorkerListing.java
@@ -3,14 +3,14 @@
 import java.net.InetSocketAddress;
 
 /**
- * An entry of the endpoint list, as far as connections depend on it.
+ * The part of an entry of the endpoint list that connections depend on.
  *
- * @param number the number by which the dispatcher knows the worker
- * @param uid the name by which the endpoint list knows the worker
- * @param address where the worker listens; null leaves the address as it was
- * @param placement zone and kind of the worker; tasks are assigned on the strength of them
- * @param startedAtMs when the worker was started, in milliseconds of Unix time
- * @param ready whether the worker takes new tasks
+ * @param number the number that identifies the worker in the dispatcher
+ * @param uid the name that identifies the worker in the endpoint list
+ * @param address the address at which the worker listens; null to keep the previous address
+ * @param placement the zone and the kind of the worker, by which tasks are assigned to it
+ * @param startedAtMs the start time of the worker, in milliseconds of Unix time
+ * @param ready whether the worker accepts new tasks
  */
 public record WorkerListing(long number, String uid, InetSocketAddress address, String placement,
         long startedAtMs,
--- a/src/test/java/rampshift/workers/ConnectionPoolFixture.java
+++ b/src/test/java/rampshift/workers/ConnectionPoolFixture.java
@@ -30,7 +30,7 @@
 import rampshift.time.Moment;
 import rampshift.time.Span;
 
-/** A connection pool with one worker, over pipes that the test connects when it wants to. */
+/** A connection pool with one worker, over pipes. The test decides when a dial succeeds. */
 abstract class ConnectionPoolFixture {
     static final InetSocketAddress ADDRESS = InetSocketAddress.createUnresolved("worker", 1);
     static final String EMPTY_ERROR_RESPONSE = "HTTP/1.1 500 x\r\nContent-Length: 0\r\n\r\n";
@@ -91,7 +91,7 @@
         createPool(10, LONG_DIAL_TIMEOUT_MS, idleTimeoutMs);
     }
 
-    /** To be called on the I/O thread. */
+    /** Lists the worker. Must be called on the I/O thread. */
     void listWorker(InetSocketAddress address, String placement, long startedAtMs, boolean ready) {
         pool.updateWorker(new WorkerListing(1, "s-1", address, placement, startedAtMs, ready));
     }
@@ -130,19 +130,19 @@
         return new ByteBuffer[]{ByteBuffer.wrap(new byte[]{'x'})};
     }
 
-    /** Connects a dial to a new pipe; the result is the pipe, whose right side is the worker's. */
+    /** Connects a dial to a new pipe and returns the pipe, whose right side is the worker's end. */
     ChannelPipe<StreamConnection, StreamConnection> connect(int dialNumber) throws Exception {
         ChannelPipe<StreamConnection, StreamConnection> pipe = thread.createFullDuplexPipeConnection();
         runOnThread(() -> dialed.get(dialNumber).handleEvent(pipe.getLeftSide()));
         return pipe;
     }
 
-    /** Connects the latest dial; the result is the worker's end. */
+    /** Connects the latest dial and returns the worker's end of the pipe. */
     StreamConnection connectLatest() throws Exception {
         return connect(dialed.size() - 1).getRightSide();
     }
 
-    /** Completes one attempt so that its connection becomes idle; the result is the worker's end. */
+    /** Completes one attempt so that its connection becomes idle, and returns the worker's end. */
     StreamConnection createIdleConnection() throws Exception {
         startIdempotentAttempt();
         StreamConnection worker = connect(0).getRightSide();
@@ -169,14 +169,14 @@
         }
     }
 
-    /** A complete response with one line in one chunk. */
+    /** Returns a complete response with one line in one chunk. */
     static String chunked(String line) {
         return "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n" + Integer.toHexString(line.length())
                 + "\r\n"
                 + line + "\r\n0\r\n\r\n";
     }
 
-    /** Records the outcomes of attempts, whose clients never leave. */
+    /** Records the outcomes of attempts. Their clients never leave. */
     private final class OutcomeRecorder implements AttemptListener {
         @Override
         public boolean isStillWanted() {
@@ -185,17 +185,17 @@
 
         @Override
         public void onStarted() {
-            // The tests look at outcomes alone.
+            // The tests check outcomes only.
         }
 
         @Override
         public void onProgress(double share) {
-            // The tests look at outcomes alone.
+            // The tests check outcomes only.
         }
 
         @Override
         public void onLoadReport(long workerNumber, LoadReport load) {
-            // The tests look at outcomes alone.
+            // The tests check outcomes only.
         }
 
         @Override
--- a/src/test/java/rampshift/workers/ConnectionPoolTest.java
+++ b/src/test/java/rampshift/workers/ConnectionPoolTest.java
@@ -28,7 +28,7 @@
 import rampshift.time.Clock;
 import rampshift.time.Span;
 
-/** Attempts and their connections, where the test decides when a connection is made. */
+/** Tests attempts and their connections. The tests decide when a dial succeeds. */
 class ConnectionPoolTest extends ConnectionPoolFixture {
     ConnectionPoolTest() throws IOException {}
 
@@ -44,8 +44,8 @@
     }
 
     /**
-     * A busy thread had left a drain notice unread for 0.4 s, and sent tasks by the endpoint list before
-     * it.
+     * A busy thread left a drain notice unread for 0.4 s, and sent tasks by the endpoint list before that
+     * notice.
      */
     @Test
     void readsPendingEndpointUpdatesBeforeTheFirstByte() throws Exception {
@@ -56,7 +56,7 @@
         assertEquals(List.of(AttemptOutcome.NOT_SENT), outcomes);
     }
 
-    /** A process that had been paused saw the connection first, and the end of the task's time after it. */
+    /** A process that had been suspended handled the open connection before the deadline that had passed. */
     @Test
     void writesNothingAfterTheDeadline() throws Exception {
         createPool();
@@ -86,7 +86,7 @@
         StreamConnection worker = connect(0).getRightSide();
         assertEquals(List.of(AttemptOutcome.NOT_SENT), outcomes);
         assertEquals(1, counters.get(Counters.Name.ATTEMPTS_WITHHELD));
-        assertEquals(-1, worker.getSourceChannel().read(ByteBuffer.allocate(10)), "nothing but the end");
+        assertEquals(-1, worker.getSourceChannel().read(ByteBuffer.allocate(10)), "nothing but end of stream");
     }
 
     @Test
@@ -101,7 +101,7 @@
         runOnThread(() -> assertEquals(0, dialer.openCount()));
     }
 
-    /** Found as a test over loopback that failed now and then: tasks went to the worker's old address. */
+    /** Connections that were in use while their worker moved were reused: tasks went to its old address. */
     @ParameterizedTest
     @CsvSource({"elsewhere,a/m,0", "worker,a/m,5", "worker,b/m,0", "worker,a/n,0"})
     void closesALentConnectionIfItsWorkerMovedOrRestarted(String host, String placement, long startedAtMs)
@@ -118,7 +118,7 @@
         assertEquals(2, dials.size(), "a new connection is dialed");
     }
 
-    /** Found with idle connections that were reset at the next request: non-idempotent tasks failed. */
+    /** Non-idempotent tasks failed on idle connections that were reset at the next request. */
     @Test
     void aNonIdempotentTaskNeverRanIfItsConnectionIsResetBeforeTheLastByte() throws Exception {
         createPool();
@@ -172,7 +172,7 @@
         awaitOutcomes(3);
     }
 
-    /** The worker closed it while the I/O thread was busy, and nobody had read that yet. */
+    /** The worker closed the connection, and the busy I/O thread has not read the end of the stream yet. */
     @Test
     void anIdleConnectionWhoseEndIsUnreadIsNotReused() throws Exception {
         createPool();
@@ -185,7 +185,7 @@
         runOnThread(() -> assertEquals(1, dialer.openCount(), "the idle connection was closed"));
     }
 
-    /** The cleanup runs twice a second, and later if the thread is paused. */
+    /** The cleanup runs twice a second, or later if the thread is delayed. */
     @Test
     void aConnectionThatWasIdleForTooLongIsNotReusedBeforeTheNextCleanupEither() throws Exception {
         createPoolWithIdleTimeout(20);
@@ -195,7 +195,10 @@
         assertEquals(2, dials.size(), "a new connection is dialed");
     }
 
-    /** A repeated rejection of the task before was taken for this task's, which ran at two workers. */
+    /**
+     * A duplicate rejection of the previous task was taken for a rejection of this task, which then ran at
+     * two workers.
+     */
     @Test
     void aRepeatedResponseIsNotTakenForTheResponseToANonIdempotentTask() throws Exception {
         createPool();
@@ -206,10 +209,13 @@
         StreamConnection fresh = connect(1).getRightSide();
         ByteBuffer received = ByteBuffer.allocate(10);
         until("request", () -> fresh.getSourceChannel().read(received) > 0);
-        assertEquals(1, outcomes.size(), "its outcome is open");
+        assertEquals(1, outcomes.size(), "its outcome is not known yet");
     }
 
-    /** Before the bytes that tell the outcome the task may have run; after them the outcome stands. */
+    /**
+     * If the response ends before the bytes that determine the outcome, the task may have run. After them the
+     * outcome is final.
+     */
     @ParameterizedTest
     @EnumSource(value = AttemptOutcome.class, names = {"FINISHED", "ERRED", "FULL", "BROKEN"})
     void aResponseThatIsCutAtAnyByteTellsWhetherTheTaskMayHaveRun(AttemptOutcome outcome) throws Exception {
@@ -235,7 +241,10 @@
         }
     }
 
-    /** After a rejection the task went to the next worker, and its last byte was written here as well. */
+    /**
+     * After an early rejection the task was sent to the next worker, and its last byte was still written to
+     * the first one.
+     */
     @ParameterizedTest
     @ValueSource(strings = {"HTTP/1.1 503 x\r\nX-Turned-Away: 1\r\nContent-Length: 5\r\n\r\n",
             "HTTP/1.1 503 x\r\nX-Turned-Away: 1\r\nContent-Length: 0\r\n\r\n",
@@ -257,7 +266,7 @@
         runOnThread(() -> assertEquals(0, dialer.openCount()));
     }
 
-    /** Parsing takes longer than writing, so there is always more to be read. */
+    /** Parsing takes longer than writing, so that input is always pending. */
     @Test
     void anEndlessResponseLeavesTimeOnTheThreadForOthers() throws Exception {
         createPool();
@@ -268,7 +277,7 @@
         Thread flood = new Thread(() -> writeEndlessly(worker, sentBytes));
         flood.setDaemon(true);
         flood.start();
-        until("the flood is under way", () -> sentBytes.get() > 4_000_000);
+        until("the endless response is in progress", () -> sentBytes.get() > 4_000_000);
         FutureTask<Void> cancellation = new FutureTask<>(attempt::cancel, null);
         thread.execute(cancellation);
         cancellation.get(10, TimeUnit.SECONDS);
@@ -278,8 +287,8 @@
     }
 
     /**
-     * Writes lines until the peer closes the connection, without a pause: what was read is refilled at
-     * once.
+     * Writes lines until the peer closes the connection, without a pause, so that more input is available
+     * after each read.
      */
     private static void writeEndlessly(StreamConnection connection, AtomicLong sentBytes) {
         byte[] text = "{\"id\":\"t\",\"state\":\"x\"}\n".repeat(2000).getBytes(StandardCharsets.UTF_8);
@@ -296,7 +305,7 @@
         }
     }
 
-    /** A last line without an id may be about the task before. */
+    /** A last line without an id may be about the previous task. */
     @ParameterizedTest
     @CsvSource({"returned", "done", "lost"})
     void aLastLineWithoutAnIdTellsOnlyThatTheTaskMayHaveRun(String state) throws Exception {
@@ -307,7 +316,7 @@
         assertEquals(List.of(AttemptOutcome.BROKEN), outcomes);
     }
 
-    /** The checks before the first byte may take a while, and the message contains how much time is left. */
+    /** The checks before the first byte may take some time, and the message contains the remaining time. */
     @Test
     void theMessageIsMadeOnceItMayBeWritten() throws Exception {
         createPool();
