--- a/src/main/java/rampshift/connections/BoundedBuffer.java
+++ b/src/main/java/rampshift/connections/BoundedBuffer.java
@@ -12,8 +12,8 @@
     /**
      * Creates an empty buffer.
      *
-     * @param initialCapacity the number of bytes to allocate at first
-     * @param limit the largest number of bytes that the buffer may hold
+     * @param initialCapacity the initial capacity in bytes
+     * @param limit the maximum number of bytes that the buffer may hold
      */
     public BoundedBuffer(int initialCapacity, int limit) {
         this.limit = limit;
@@ -23,7 +23,7 @@
     /**
      * Appends one byte.
      *
-     * @return false if the buffer was full, and the byte was not appended
+     * @return false if the buffer is full, so that the byte was not appended
      */
     public boolean append(byte value) {
         if (length == limit) {
@@ -34,7 +34,7 @@
         return true;
     }
 
-    /** Appends as many of the given bytes as the limit leaves room for, and drops the rest. */
+    /** Appends as many of the given bytes as the limit permits, and drops the rest. */
     public void appendTruncated(byte[] source, int offset, int count) {
         int accepted = Math.min(count, limit - length);
         ensureCapacity(length + accepted);
@@ -48,17 +48,17 @@
         }
     }
 
-    /** The backing array, of which the first {@link #length} bytes are valid until the next append. */
+    /** Returns the backing array, whose first {@link #length} bytes are valid until the next append. */
     public byte[] array() {
         return bytes;
     }
 
-    /** The number of bytes that the buffer holds. */
+    /** Returns the number of bytes in the buffer. */
     public int length() {
         return length;
     }
 
-    /** Whether the last byte that was appended has this value; false for an empty buffer. */
+    /** Returns whether the last byte in the buffer has this value; false for an empty buffer. */
     public boolean endsWith(byte value) {
         return length > 0 && bytes[length - 1] == value;
     }
@@ -73,7 +73,7 @@
         length = 0;
     }
 
-    /** Decodes the bytes that the buffer holds. */
+    /** Decodes the bytes in the buffer. */
     public String text(Charset charset) {
         return new String(bytes, 0, length, charset);
     }
--- a/src/main/java/rampshift/connections/Dialer.java
+++ b/src/main/java/rampshift/connections/Dialer.java
@@ -14,7 +14,7 @@
 import rampshift.time.ReadBarrier;
 import rampshift.time.Span;
 
-/** Opens connections on the I/O thread and owns the buffers through which all of them read. */
+/** Opens connections on the I/O thread, and owns the read buffers that they share. */
 public final class Dialer {
     private static final int READ_BUFFER_BYTES = 16 * 1024;
     private static final int POLL_BUFFER_BYTES = 4 * 1024;
@@ -23,7 +23,7 @@
     final XnioIoThread thread;
     final ByteBuffer readBuffer = ByteBuffer.allocateDirect(READ_BUFFER_BYTES);
     final byte[] readBytes = new byte[READ_BUFFER_BYTES];
-    /** For reads that may happen while another connection is reading through {@link #readBuffer}. */
+    /** A buffer for reads that may occur while another connection reads through {@link #readBuffer}. */
     final ByteBuffer pollBuffer = ByteBuffer.allocateDirect(POLL_BUFFER_BYTES);
     private final ChannelOpener opener;
     private final ReadBarrier readBarrier;
@@ -34,28 +34,28 @@
         /**
          * Starts to open a channel.
          *
-         * @param address where to connect to
+         * @param address the address to connect to
          * @param listener called on the I/O thread with the open channel
-         * @return the attempt, which can be cancelled
+         * @return the future of the channel, which can be cancelled
          */
         IoFuture<StreamConnection> open(InetSocketAddress address,
                 ChannelListener<StreamConnection> listener);
     }
 
-    /** Receives the result of a dial: one call, unless the dial was cancelled. */
+    /** Receives the result of a dial: one of its methods is called once, unless the dial was cancelled. */
     public interface DialListener {
-        /** The connection is open; it belongs to the listener from now on. */
+        /** Called when the connection is open; the listener owns it from now on. */
         void onConnected(HttpConnection connection);
 
         /**
-         * No connection could be made in time.
+         * Called if the connection could not be opened within the timeout.
          *
-         * @param reason what went wrong, for the log
+         * @param reason the cause, for the log
          */
         void onUnreachable(String reason);
     }
 
-    /** A dial in progress. It owns a timer and a half-open socket, and releases both when it ends. */
+    /** A dial in progress. It owns a timer and a connecting socket, and releases both when it ends. */
     public final class Dial {
         private final DialListener listener;
         private IoFuture<StreamConnection> channelFuture;
@@ -69,8 +69,9 @@
         private void start(InetSocketAddress address, Span timeout) {
             openCount++;
             channelFuture = opener.open(address, this::onOpened);
-            // Failed by a timer alone, a dispatcher that was late for longer than this failed every dial,
-            // repeated each with a new one and was later still: it finished nothing any more.
+            // The timeout waits for the read barrier: with a plain timer, a dispatcher whose I/O thread was
+            // delayed by more than the timeout failed every dial and retried each with a new dial, which
+            // delayed the thread further, so that no task finished.
             timer = IoTimer.timeout(thread, timeout, readBarrier, () -> fail("connect timed out"));
             channelFuture.addNotifier((future, attachment) -> {
                 if (future.getStatus() == IoFuture.Status.FAILED) {
@@ -125,17 +126,17 @@
         readBarrier = new ReadBarrier(thread);
     }
 
-    /** What a timeout of an exchange waits for, so that input that has arrived goes first. */
+    /** Returns the barrier for the timeouts of exchanges, so that pending input is handled before them. */
     public ReadBarrier readBarrier() {
         return readBarrier;
     }
 
-    /** The number of open connections and of dials in progress. */
+    /** Returns the number of open connections and of dials in progress. */
     public int openCount() {
         return openCount;
     }
 
-    /** Called once by each connection that is closed. */
+    /** Called once by each connection when it is closed. */
     void onClosed() {
         openCount--;
     }
@@ -143,8 +144,8 @@
     /**
      * Starts to open a connection. The listener is never called before this method returns.
      *
-     * @param address where to connect to
-     * @param timeout when to give up
+     * @param address the address to connect to
+     * @param timeout the time after which the dial fails
      * @param listener receives the result
      * @return the dial, which can be cancelled
      */
--- a/src/main/java/rampshift/connections/HttpConnection.java
+++ b/src/main/java/rampshift/connections/HttpConnection.java
@@ -9,16 +9,16 @@
 
 /**
  * A client connection to a worker or to the discovery service: HTTP/1.1, one exchange at a time, without
- * retries. It is used on the I/O thread alone. Whoever dialed it owns it and releases it with {@link
- * #close()}.
+ * retries. Must be used on the I/O thread only. The object that dialed the connection owns it and releases it
+ * with {@link #close()}.
  *
  * <p>Undertow's client is not used here: it can't cancel a connect, and it doesn't report when the last
  * byte of a request was written, which decides whether a task may have run (docs/design.md).
  */
 public final class HttpConnection {
-    /** What is read at one readiness event, so that a peer that never stops leaves time for the others. */
+    /** The limit of bytes read per readiness event, so that an endless response does not block the thread. */
     static final int MAX_BYTES_PER_READ_EVENT = 128 * 1024;
-    /** What is read at one {@link #poll()}: about as much as the longest endpoint list that is accepted. */
+    /** The limit of bytes read per {@link #poll()}: about the size of the longest accepted endpoint list. */
     static final int MAX_BYTES_PER_POLL = 2 * 1024 * 1024;
     private static final int NANOS_PER_MICRO = 1000;
 
@@ -45,20 +45,20 @@
         channel.getSourceChannel().resumeReads();
     }
 
-    /** Sets what is run once if the connection ends while it is idle, unless this side closes it. */
+    /** Sets a handler that is run once if the connection fails or the peer closes it while it is idle. */
     public void onIdleClose(Runnable handler) {
         idleCloseHandler = handler;
     }
 
-    /** Whether another exchange may be started: the connection is open, persistent and idle. */
+    /** Returns whether another exchange may be started: the connection is open, persistent and idle. */
     public boolean isReusable() {
         return !closed && persistent && listener == null;
     }
 
     /**
-     * Reads what has arrived on an idle connection, and closes it if that is its end or bytes that belong
-     * to no request: either may lie unread while the I/O thread is busy. Must not be called during an
-     * exchange.
+     * Reads pending input of an idle connection, and closes it at the end of the stream or if bytes have
+     * arrived that belong to no request: either may be unread while the I/O thread is busy. Must not be
+     * called during an exchange.
      *
      * @return whether the connection is still open and may be reused
      */
@@ -69,7 +69,7 @@
         try {
             int count = channel.getSourceChannel().read(dialer.pollBuffer.clear());
             if (count != 0) {
-                fail(count < 0 ? "closed by the peer" : "unrequested bytes");
+                fail(count < 0 ? "closed by the peer" : "bytes that belong to no request");
             }
         } catch (IOException e) {
             fail("reading: " + e.getMessage());
@@ -83,14 +83,14 @@
     }
 
     /**
-     * Starts an exchange in which the last byte of the request is written later than the others. A
-     * connection that the peer no longer wants is reset by then, and it is known that the request was not
-     * acted on.
+     * Starts an exchange in which the last byte of the request is written later than the others. If the peer
+     * has already closed the connection, its reset arrives before that byte is written, and it is known that
+     * the peer has not processed the request.
      *
      * @param exchangeListener receives the events of the exchange
-     * @param lastByteDelay how much later the last byte is written; zero to write it with the others
-     * @param request called once the request may be written, since the request contains the time that is
-     *     left
+     * @param lastByteDelay the delay of the last byte after the others; zero to write it with them
+     * @param request creates the request; called when the request may be written, since it contains the
+     *     remaining time
      */
     public void exchange(ExchangeListener exchangeListener, Span lastByteDelay,
             Supplier<ByteBuffer[]> request) {
@@ -107,12 +107,15 @@
         writer.start(buffers, lastByteDelay);
     }
 
-    /** The time from the last byte of the request to the first of the response; zero before that. */
+    /**
+     * Returns the time from the last byte of the request to the first byte of the response; zero until that
+     * byte has arrived.
+     */
     public Span timeToFirstByte() {
         return timeToFirstByte;
     }
 
-    /** The time since the last bytes of the response were read, or since the request was written. */
+    /** Returns the time since bytes of the response were last read, or since the request was written. */
     public Span timeSinceLastRead() {
         return microsSince(lastReadNanos);
     }
@@ -122,8 +125,8 @@
     }
 
     /**
-     * Reads what has arrived of a response now, instead of when the I/O thread gets to it. May be called
-     * while another connection is being read, since it uses a buffer of its own.
+     * Reads the pending input of the response now, without waiting for the next readiness event. May be
+     * called while another connection is being read, since it uses a separate buffer.
      */
     public void poll() {
         if (listener != null && requestWritten) {
@@ -135,7 +138,10 @@
         read(dialer.readBuffer, dialer.readBytes, MAX_BYTES_PER_READ_EVENT);
     }
 
-    /** Reads until nothing is left or the limit is reached; the selector reports what is left then. */
+    /**
+     * Reads until no input is left or the limit is reached. The selector reports input beyond the limit
+     * again.
+     */
     private void read(ByteBuffer buffer, byte[] bytes, int maxBytes) {
         try {
             int total = 0;
@@ -165,7 +171,7 @@
             timeToFirstByte = microsSince(requestWrittenNanos);
         }
         if (listener == null) {
-            fail("unrequested bytes");
+            fail("bytes that belong to no request");
             return;
         }
         if (!requestWritten) {
@@ -231,7 +237,7 @@
         IoUtils.safeClose(channel);
     }
 
-    /** Connects the writer with the exchange in progress. */
+    /** Passes the events of the writer to the exchange in progress. */
     private final class WriteEvents implements RequestWriter.Listener {
         @Override
         public boolean mayWriteLastByte() {
--- a/src/main/java/rampshift/connections/RequestWriter.java
+++ b/src/main/java/rampshift/connections/RequestWriter.java
@@ -11,28 +11,28 @@
 
 /**
  * Writes requests to one connection, one at a time, on the I/O thread. The last byte of a request can be
- * delayed, so that it is known for longer that the peer can't have acted on the request.
+ * delayed: until it is written, the peer can't have processed the request.
  */
 final class RequestWriter {
     /** Receives the events of the request that is being written. */
     interface Listener {
         /**
-         * Asked before a delayed last byte is written; after false, {@link RequestWriter#cancel} has been
-         * called.
+         * Returns whether a delayed last byte may be written. Before it returns false, the listener must call
+         * {@link RequestWriter#cancel}.
          */
         boolean mayWriteLastByte();
 
-        /** The last byte has been written. */
+        /** Called when the last byte has been written. */
         void onRequestWritten();
 
-        /** The connection failed. */
+        /** Called if the connection fails. */
         void onWriteFailure(IOException cause);
     }
 
     private final XnioIoThread thread;
     private final ConduitStreamSinkChannel sink;
     private final Listener listener;
-    /** What is being written; null if nothing is, or if only a delayed last byte is left. */
+    /** The buffers being written; null if there are none, or if only a delayed last byte is left. */
     private ByteBuffer[] pending;
     private ByteBuffer delayedLastByte;
     private Span lastByteDelay;
@@ -48,8 +48,8 @@
     /**
      * Writes a request. The listener may be called before this method returns.
      *
-     * @param request buffers that hold at least one byte together
-     * @param delay how long the last byte is written after the others; zero to write it with them
+     * @param request buffers that together contain at least one byte
+     * @param delay the delay of the last byte after the others; zero to write it with them
      */
     void start(ByteBuffer[] request, Span delay) {
         pending = request;
@@ -77,7 +77,7 @@
             return;
         }
         try {
-            // All buffers are checked: a request without a body ends with an empty one.
+            // All buffers are checked, since a request without a body ends with an empty buffer.
             while (Buffers.hasRemaining(pending)) {
                 if (sink.write(pending, 0, pending.length) == 0) {
                     sink.resumeWrites();
@@ -107,7 +107,7 @@
         write();
     }
 
-    /** Stops writing; what has not been written is dropped. */
+    /** Stops writing, and drops the bytes that have not been written. */
     void cancel() {
         pending = null;
         delayedLastByte = null;
--- a/src/main/java/rampshift/connections/ResponseHead.java
+++ b/src/main/java/rampshift/connections/ResponseHead.java
@@ -15,7 +15,7 @@
     /**
      * Creates a head without fields.
      *
-     * @param minorVersion the minor version of HTTP/1 that the peer speaks, 0 to 9
+     * @param minorVersion the minor version of HTTP/1, 0 to 9 if the status line is valid
      * @param status the status code, 100 to 999
      */
     ResponseHead(int minorVersion, int status) {
@@ -31,16 +31,16 @@
         return minorVersion;
     }
 
-    /** The status code, 100 to 999. */
+    /** Returns the status code, 100 to 999. */
     public int status() {
         return status;
     }
 
     /**
-     * Looks a header field up.
+     * Returns the value of a header field.
      *
-     * @param name the name of the field, in any case
-     * @return the value of the first field with this name, or null if there is none
+     * @param name the name of the field; case is ignored
+     * @return the value of the first field with this name; null if there is none
      */
     public String field(String name) {
         for (HeaderField field : fields) {
@@ -51,7 +51,7 @@
         return null;
     }
 
-    /** The number of fields with this name, in any case. */
+    /** Returns the number of fields with this name; case is ignored. */
     int fieldCount(String name) {
         int count = 0;
         for (HeaderField field : fields) {
--- a/src/main/java/rampshift/connections/ResponseReader.java
+++ b/src/main/java/rampshift/connections/ResponseReader.java
@@ -5,8 +5,8 @@
 import java.util.Locale;
 
 /**
- * An incremental parser of HTTP/1.1 responses. One instance serves one connection, one response after
- * another.
+ * An incremental parser of HTTP/1.1 responses. One instance parses the successive responses of one
+ * connection.
  */
 final class ResponseReader {
     static final int MAX_LINE_BYTES = 8192;
@@ -21,31 +21,31 @@
     private static final int DECIMAL = 10;
     private static final int HEXADECIMAL = 16;
 
-    /** What the next byte belongs to. */
+    /** The part of the response that the next byte belongs to. */
     private enum State {
         STATUS_LINE, HEADER_FIELDS,
-        /** A body of a length that the head states. */
+        /** A body whose length is in the head. */
         FIXED_BODY,
-        /** The line that states the length of a chunk, the chunk, and the line feed after it. */
+        /** The line with the length of a chunk, the chunk, and the line feed after it. */
         CHUNK_SIZE, CHUNK_DATA, CHUNK_END,
         /** The fields after the last chunk. */
         TRAILER,
         /** A body that ends with the connection. */
         BODY_UNTIL_CLOSE,
-        /** Nothing: the response is complete. */
+        /** No part: the response is complete. */
         COMPLETE
     }
 
     private final BoundedBuffer line = new BoundedBuffer(INITIAL_LINE_BYTES, MAX_LINE_BYTES);
     private State state = State.STATUS_LINE;
     private ResponseHead head;
-    /** Header fields, trailer fields and interim responses so far. */
+    /** The number of header fields, trailer fields and interim responses so far. */
     private int fieldCount;
-    /** Bytes of the fixed-length body, or of the current chunk, that are still to come. */
+    /** The number of bytes of the fixed-length body, or of the current chunk, that have yet to arrive. */
     private long remainingBytes;
     private boolean stopped;
 
-    /** Makes {@link #read} return at once, even if bytes that it was given are left. */
+    /** Makes {@link #read} return at once, even if not all of its bytes are consumed. */
     void stop() {
         stopped = true;
     }
@@ -59,12 +59,12 @@
         line.clear();
     }
 
-    /** Whether the whole response has been read. */
+    /** Returns whether the whole response has been read. */
     boolean isComplete() {
         return state == State.COMPLETE;
     }
 
-    /** Whether the response is complete and the peer leaves the connection open after it. */
+    /** Returns whether the response is complete and the peer leaves the connection open after it. */
     boolean isPersistent() {
         if (state != State.COMPLETE || head.minorVersion() < 1) {
             return false;
@@ -73,13 +73,13 @@
         return connection == null || !connection.equalsIgnoreCase("close");
     }
 
-    /** Whether the response is complete if the peer closes the connection now. */
+    /** Returns whether the response is complete if the peer closes the connection now. */
     boolean isCompleteAtClose() {
         return state == State.BODY_UNTIL_CLOSE;
     }
 
     /**
-     * Parses the next bytes and passes what they contain to the listener.
+     * Parses the next bytes, and passes the head and the parts of the body to the listener.
      *
      * @param bytes the array that holds the bytes
      * @param from the index of the first byte
@@ -166,7 +166,7 @@
         state = State.HEADER_FIELDS;
     }
 
-    /** The status code of a status line, or 0 if it is no number. */
+    /** Returns the status code of a status line; 0 if it is not a number. */
     private static int parseStatus(String statusLine) {
         try {
             return Integer.parseInt(statusLine, STATUS_START, STATUS_END, DECIMAL);
@@ -209,7 +209,7 @@
         head = null;
     }
 
-    /** Determines how the end of the body is found, and with it the state after the head. */
+    /** Returns the state after the head, which depends on how the end of the body is marked. */
     private State bodyState() throws MalformedResponseException {
         String transferEncoding = head.field("Transfer-Encoding");
         String contentLength = head.field("Content-Length");
@@ -240,15 +240,15 @@
     }
 
     private static long parseLength(String text, int radix) throws MalformedResponseException {
-        // Long.parseLong alone would accept a sign.
+        // Long.parseLong would also accept a sign.
         boolean startsWithDigit = !text.isEmpty() && Character.digit(text.charAt(0), radix) >= 0;
         if (startsWithDigit && text.length() <= MAX_LENGTH_DIGITS) {
             try {
                 return Long.parseLong(text, radix);
             } catch (NumberFormatException e) {
-                // Reported below, as for any other text that is no length.
+                // Reported below, as for any other invalid length.
             }
         }
-        throw new MalformedResponseException("a length that is no number");
+        throw new MalformedResponseException("a length that is not a valid number");
     }
 }
--- a/src/test/java/rampshift/connections/DialerTest.java
+++ b/src/test/java/rampshift/connections/DialerTest.java
@@ -20,10 +20,10 @@
 import rampshift.time.Span;
 
 /**
- * Timeouts of a thread that is late. A flight recording of a dispatcher at four times what it carries had
- * 194 of 417 samples in {@code Dial.fail}, called by the dial's timer: XNIO runs timers that are due before
- * it looks at its sockets, so that a thread late by more than the timeout failed each dial as "connect timed
- * out" though the connection was up. Workers got 16 starts, 49 health checks and not one attempt.
+ * Tests timeouts on a delayed thread. XNIO runs due timers before it polls its sockets: a thread that was
+ * delayed by more than the timeout failed each dial as "connect timed out" although the connection was open.
+ * At four times the sustainable load, 194 of 417 profile samples of a dispatcher were in {@code Dial.fail},
+ * and workers received 16 starts, 49 health checks and no attempt.
  */
 class DialerTest {
     private static final long TIMEOUT_SECONDS = 20;
@@ -33,7 +33,7 @@
     @RegisterExtension
     final IoThreadExtension ioThread = new IoThreadExtension();
 
-    /** The connection is up at once, while the thread is held up for three times the timeout. */
+    /** The connection is open at once, while the thread is blocked for three times the timeout. */
     @Test
     void aConnectionThatIsUpCountsThoughTheThreadComesToItLate() throws Exception {
         try (ServerSocket server = new ServerSocket(0, 1, InetAddress.getLoopbackAddress())) {
@@ -59,7 +59,7 @@
         assertEquals("connect timed out", result.get(TIMEOUT_SECONDS, TimeUnit.SECONDS));
     }
 
-    /** Both are there before the timer is looked at: the input that ends the wait, and the timeout. */
+    /** The input that ends the wait arrives, and the timeout passes, before the thread checks its timers. */
     @Test
     void inputThatHasArrivedIsHandedOnBeforeATimeout() throws Exception {
         CompletableFuture<String> first = new CompletableFuture<>();
--- a/src/test/java/rampshift/connections/HttpConnectionTest.java
+++ b/src/test/java/rampshift/connections/HttpConnectionTest.java
@@ -19,9 +19,9 @@
 import rampshift.IoThreadExtension;
 import rampshift.time.Span;
 
-/** One connection over a pipe. */
+/** Tests a connection over a pipe. */
 class HttpConnectionTest {
-    /** Far more than may be read at once; the end of the response, so that a failing test ends. */
+    /** The response is far longer than what may be read at once, but ends, so that a failing test ends. */
     private static final int RESPONSE_BYTES = 4 * HttpConnection.MAX_BYTES_PER_POLL;
     private static final int TIMEOUT_SECONDS = 20;
 
@@ -29,7 +29,7 @@
     final IoThreadExtension ioThread = new IoThreadExtension();
     private HttpConnection connection;
 
-    /** A peer that sent faster than it was read held the I/O thread for good. */
+    /** A peer that sent data faster than it was read blocked the I/O thread forever. */
     @Test
     void aPeerThatAlwaysHasMoreToReadLeavesTheThreadToOthersAfterABoundedNumberOfBytes() throws Exception {
         BodyCounter counter = new BodyCounter();
@@ -38,7 +38,7 @@
         int count = counter.bytesBeforeTheNextTask.get(TIMEOUT_SECONDS, TimeUnit.SECONDS);
         assertTrue(count > 0 && count <= HttpConnection.MAX_BYTES_PER_READ_EVENT, "bytes: " + count);
         assertEquals(RESPONSE_BYTES, counter.allBytes.get(TIMEOUT_SECONDS, TimeUnit.SECONDS),
-                "what is left is read later");
+                "the rest is read later");
     }
 
     @Test
@@ -77,7 +77,7 @@
         return dialer;
     }
 
-    /** Counts the bytes of a body, and how many of them come before a task that is queued at the first. */
+    /** Counts the bytes of a body, and those that are read before a task runs that the first one queues. */
     private final class BodyCounter implements ExchangeListener {
         private final CompletableFuture<Integer> bytesBeforeTheNextTask = new CompletableFuture<>();
         private final CompletableFuture<Integer> allBytes = new CompletableFuture<>();
@@ -102,7 +102,7 @@
         }
     }
 
-    /** Has a part of the response ready at each read, as if the peer had just sent it. */
+    /** Provides a part of the response at each read, as if the peer had just sent it. */
     private static final class FloodingConduit extends AbstractStreamSourceConduit<StreamSourceConduit> {
         private static final String HEAD =
                 "HTTP/1.1 200 OK\r\nContent-Length: " + RESPONSE_BYTES + "\r\n\r\n";
--- a/src/test/java/rampshift/connections/ResponseReaderTest.java
+++ b/src/test/java/rampshift/connections/ResponseReaderTest.java
@@ -92,11 +92,11 @@
 
     @Override
     public void onComplete() {
-        // The tests ask the reader whether the response is complete.
+        // The tests query the reader for whether the response is complete.
     }
 
     @Override
     public void onFailure(String reason) {
-        // A reader reports failures by exceptions.
+        // The reader reports failures by exceptions.
     }
 }
