--- a/src/main/java/rampshift/counters/Counters.java
+++ b/src/main/java/rampshift/counters/Counters.java
@@ -5,81 +5,90 @@
 import java.util.Map;
 import java.util.stream.Stream;
 
-/** What was admitted, sent and answered since the start. Counted on the I/O thread alone. */
+/** The event counters of the dispatcher since its start. Must be used on the I/O thread only. */
 public final class Counters {
-    /** What is counted. The page {@code /counters} has a line for each, in this order, under its key. */
+    /** The names of the counters. The page {@code /counters} has a line for each, in this order. */
     public enum Name {
         /** Tasks that were admitted. */
         TASKS_ADMITTED("taken"),
-        /** Requests that are no valid tasks. */
+        /** Requests that were refused as invalid. */
         REQUESTS_REFUSED("turned_down"),
         /** Tasks that were answered with a result. */
         TASKS_FINISHED("finished"),
-        /** Tasks that were rejected, for whatever reason: they never ran, or may run again. */
+        /** Tasks that were rejected for any reason: they never ran, or may run again. */
         TASKS_REJECTED("bounced"),
-        /** Tasks that were not admitted since too many, or too many bytes, were in flight. */
+        /**
+         * Tasks that were not admitted since too many tasks or bytes were in flight, or since the I/O thread
+         * was overloaded.
+         */
         TASKS_REJECTED_OVERLOAD("bounced_full"),
         /** Tasks that were not admitted since their deadline had passed before they were read. */
         TASKS_REJECTED_LATE("bounced_stale"),
         /** Tasks that were not admitted since the dispatcher was about to stop. */
         TASKS_REJECTED_STOPPING("bounced_stopping"),
-        /** Tasks that were failed: they may have run. */
+        /** Tasks that were answered with a failure: they may have run. */
         TASKS_FAILED("abandoned"),
-        /** Tasks whose client left before their answer. */
+        /** Tasks whose client left before the response. */
         CLIENTS_LEFT("client_gone"),
         /** Attempts that were started. */
         ATTEMPTS("assigned"),
-        /** Attempts withheld before the first byte: worker draining, moved, restarted; late; client gone. */
+        /**
+         * Attempts that were withheld before the first byte, since their worker was not ready, had moved or
+         * restarted, their deadline had passed or their client had left.
+         */
         ATTEMPTS_WITHHELD("first_byte_held_back"),
-        /** Attempts that were canceled. */
+        /** Attempts that were canceled, including those that timed out. */
         ATTEMPTS_CANCELED("called_off"),
         /** Connections to workers that were dialed. */
         CONNECTIONS_DIALED("dialed"),
-        /** Dials that brought no connection. */
+        /** Dials for attempts that failed. */
         DIALS_FAILED("dial_failed"),
-        /** Connections to workers that were idle and used again. */
+        /** Idle connections to workers that were reused. */
         CONNECTIONS_REUSED("reused"),
-        /** Idle connections that were closed. */
+        /** Idle connections that this side closed, or found closed when they were about to be reused. */
         IDLE_CONNECTIONS_CLOSED("idle_dropped"),
-        /** Attempts that brought a result. */
+        /** Attempts that returned a result. */
         OUTCOME_FINISHED,
         /** Attempts that ended with an error. */
         OUTCOME_ERRED,
         /** Attempts that the worker rejected for lack of capacity. */
         OUTCOME_FULL,
-        /** Attempts that brought nothing in time. */
+        /** Attempts that timed out after their request was written. */
         OUTCOME_TIMED_OUT,
-        /** Attempts for which there was no connection. */
+        /** Attempts whose connection could not be opened, or failed before their request was written. */
         OUTCOME_NO_CONNECTION,
         /** Attempts that ended without a result after their request was written. */
         OUTCOME_BROKEN,
         /** Attempts on a connection that had been idle and was reset without a response. */
         OUTCOME_STALE,
-        /** Attempts that ended since they were canceled. */
+        /** Attempts that were canceled after their request was written. */
         OUTCOME_CALLED_OFF,
-        /** Attempts that were ended before their request was written. */
+        /**
+         * Attempts that ended before their request was written for another reason: canceled, withheld,
+         * over the connection limit, or on a stale connection.
+         */
         OUTCOME_NOT_SENT,
-        /** Responses of workers that could not be read. */
+        /** Invalid statuses, lines and load reports in the responses to attempts. */
         MALFORMED_RESPONSES("odd_answers"),
         /** Health checks that were sent. */
         HEALTH_CHECKS("probes"),
         /** Health checks that were answered. */
         HEALTH_CHECKS_ANSWERED("probes_answered"),
-        /** Complete endpoint lists. */
+        /** Complete endpoint lists that were received. */
         COMPLETE_LISTS("lists_whole"),
-        /** Changes of the endpoint list. */
+        /** Lists of changed endpoints that were received. */
         LIST_CHANGES("lists_changes"),
         /** Polls of the discovery agent that failed. */
         WATCH_FAILURES("watch_broken"),
-        /** Configurations that were read again. */
+        /** Reloads of the configuration. */
         RELOADS,
-        /** Connections from clients. */
+        /** Connections from clients that were served. */
         CLIENT_CONNECTIONS,
-        /** Connections from idle clients that were closed for new ones. */
+        /** Connections from clients that were closed at the limit of connections to accept new ones. */
         CLIENT_CONNECTIONS_CLOSED_FOR_ROOM,
-        /** Clients whose connection was closed since they were silent for too long. */
+        /** Connections from clients that were closed since they were idle for too long. */
         CLIENTS_TIMED_OUT("clients_silent"),
-        /** Connections on which more was pipelined than is kept. */
+        /** Connections whose pipelined input exceeded the limit, so that it was dropped. */
         PIPELINED_INPUT_DROPPED("sent_ahead");
 
         private final String key;
@@ -92,7 +101,7 @@
             this.key = key;
         }
 
-        /** The word under which operators find it. */
+        /** Returns the key under which the counter is published. */
         public String key() {
             return key;
         }
@@ -100,30 +109,30 @@
 
     private final Map<Name, long[]> counts = new EnumMap<>(Name.class);
 
-    /** Counters that are all 0. */
+    /** Creates counters that are all 0. */
     public Counters() {
         for (Name name : Name.values()) {
             counts.put(name, new long[1]);
         }
     }
 
-    /** Counts one more. */
+    /** Increments a counter. */
     public void add(Name name) {
         counts.get(name)[0]++;
     }
 
-    /** How many were counted. */
+    /** Returns the value of a counter. */
     public long get(Name name) {
         return counts.get(name)[0];
     }
 
-    /** Keys and values in turn of those that are not 0, for a log line. */
+    /** Returns the alternating keys and values of the counters that are not 0, for a log line. */
     public Object[] pairs() {
         return counts.keySet().stream().filter(name -> get(name) != 0)
                 .flatMap(name -> Stream.<Object>of(name.key(), get(name))).toArray();
     }
 
-    /** The page: one {@code key value} a line. */
+    /** Returns the content of the page {@code /counters}: one {@code key value} per line. */
     public String text() {
         StringBuilder text = new StringBuilder();
         for (Name name : Name.values()) {
--- a/src/main/java/rampshift/log/EventRateLimit.java
+++ b/src/main/java/rampshift/log/EventRateLimit.java
@@ -1,6 +1,6 @@
 package rampshift.log;
 
-/** Bounds how many lines a second one event may write. */
+/** Limits the number of lines per second for one event. */
 final class EventRateLimit {
     private static final int MAX_LINES_PER_SECOND = 5;
 
@@ -8,7 +8,7 @@
     private int requestedThisSecond;
     private int suppressed;
 
-    /** Whether a line may be written in that second; if not, it counts as suppressed. */
+    /** Returns whether a line may be written in that second; otherwise it is counted as suppressed. */
     boolean tryAcquire(long second) {
         if (second != currentSecond) {
             currentSecond = second;
@@ -22,7 +22,7 @@
         return true;
     }
 
-    /** How many lines were suppressed since this was last called. */
+    /** Returns the number of lines that were suppressed since the last call, and resets it. */
     int takeSuppressed() {
         int taken = suppressed;
         suppressed = 0;
--- a/src/main/java/rampshift/log/LibraryLogs.java
+++ b/src/main/java/rampshift/log/LibraryLogs.java
@@ -6,11 +6,11 @@
 import org.jboss.logging.LoggerProvider;
 
 /**
- * The provider that JBoss Logging finds as a service: what Undertow and XNIO log at WARN and above goes
- * through {@link Log}. No diagnostic context is kept.
+ * The service provider for JBoss Logging: passes the messages that Undertow and XNIO log at WARN and above to
+ * {@link Log}. Diagnostic contexts are not supported.
  */
 public final class LibraryLogs implements LoggerProvider {
-    /** One library logger. */
+    /** The logger of one category of a library. */
     private static final class LibraryLogger extends Logger {
         private static final long serialVersionUID = 1L;
 
@@ -60,7 +60,7 @@
 
     @Override
     public void clearMdc() {
-        // no context is kept
+        // Diagnostic contexts are not supported.
     }
 
     @Override
@@ -75,7 +75,7 @@
 
     @Override
     public void removeMdc(String key) {
-        // no context is kept
+        // Diagnostic contexts are not supported.
     }
 
     @Override
@@ -85,7 +85,7 @@
 
     @Override
     public void clearNdc() {
-        // no context is kept
+        // Diagnostic contexts are not supported.
     }
 
     @Override
@@ -110,11 +110,11 @@
 
     @Override
     public void pushNdc(String message) {
-        // no context is kept
+        // Diagnostic contexts are not supported.
     }
 
     @Override
     public void setNdcMaxDepth(int maxDepth) {
-        // no context is kept
+        // Diagnostic contexts are not supported.
     }
 }
--- a/src/main/java/rampshift/log/Log.java
+++ b/src/main/java/rampshift/log/Log.java
@@ -5,9 +5,9 @@
 import java.util.concurrent.TimeUnit;
 
 /**
- * The logger: one line an event, {@code seconds LEVEL event key=value ...}, to standard error. A thread of
- * its own writes, so that a stuck reader of the log never holds up the dispatcher: then lines are dropped
- * and counted. Of each event only so many lines a second are written. May be called on any thread.
+ * The logger. Writes one line per event, {@code seconds LEVEL event key=value ...}, to standard error on a
+ * separate thread. If the reader of the log blocks, lines are dropped and counted, and the dispatcher is not
+ * delayed. The number of lines per second is limited for each event. May be called on any thread.
  */
 public final class Log {
     private static final long STARTED_NANOS = System.nanoTime();
@@ -17,7 +17,7 @@
     private Log() {}
 
     /**
-     * Logs an event of ordinary operation.
+     * Logs an event of normal operation.
      *
      * @param event one word
      * @param pairs keys and values in turn
@@ -61,7 +61,7 @@
         WRITER.write(line.toString());
     }
 
-    /** Waits a little, before the process ends, until the lines so far are written. */
+    /** Waits, for a limited time, until the pending lines are written. Called before the process ends. */
     public static void flush() {
         WRITER.flush();
     }
--- a/src/main/java/rampshift/log/LogLevel.java
+++ b/src/main/java/rampshift/log/LogLevel.java
@@ -1,6 +1,6 @@
 package rampshift.log;
 
-/** How serious a log line is. */
+/** The severity of a log line. */
 enum LogLevel {
     INFO, WARN, ERROR
 }
--- a/src/main/java/rampshift/log/LogLine.java
+++ b/src/main/java/rampshift/log/LogLine.java
@@ -2,7 +2,7 @@
 
 import java.util.concurrent.TimeUnit;
 
-/** The text of one log line while it is put together. */
+/** A builder for the text of one log line. */
 final class LogLine {
     private static final int INITIAL_CHARS = 96;
     private static final int MAX_VALUE_CHARS = 400;
@@ -11,7 +11,7 @@
 
     private final StringBuilder text = new StringBuilder(INITIAL_CHARS);
 
-    /** Begins a line with the time since the start, the level and the event. */
+    /** Creates a line that begins with the time since the start, the level and the event. */
     LogLine(long nanosSinceStart, LogLevel level, String event) {
         long millis = TimeUnit.NANOSECONDS.toMillis(nanosSinceStart);
         String paddedFraction = String.valueOf(MILLIS_PER_SECOND + millis % MILLIS_PER_SECOND);
@@ -20,7 +20,10 @@
         text.append(' ').append(level).append(' ').append(event);
     }
 
-    /** Appends a pair. What comes from outside stays on the line, and short. */
+    /**
+     * Appends a pair. Replaces control characters in the value and truncates it, since it may come from
+     * another process.
+     */
     void append(Object key, Object value) {
         text.append(' ').append(key).append('=');
         String full = String.valueOf(value);
@@ -34,7 +37,7 @@
         }
     }
 
-    /** Appends a count, unless it is 0. */
+    /** Appends a count unless it is 0. */
     void appendCount(String key, long count) {
         if (count > 0) {
             append(key, count);
--- a/src/main/java/rampshift/log/LogWriter.java
+++ b/src/main/java/rampshift/log/LogWriter.java
@@ -5,7 +5,7 @@
 import java.util.concurrent.BlockingQueue;
 import java.util.concurrent.TimeUnit;
 
-/** Writes lines to standard error on a thread of its own, which the first line starts. */
+/** Writes lines to standard error on a separate thread, which is started with the first line. */
 final class LogWriter {
     private static final int QUEUE_LINES = 512;
     private static final int FLUSH_POLLS = 50;
@@ -15,7 +15,7 @@
     private long dropped;
     private Thread thread;
 
-    /** Hands over a line; where too many wait it is dropped. */
+    /** Adds a line to the queue, or drops it if the queue is full. */
     synchronized void write(String line) {
         if (lines.offer(line)) {
             dropped = 0;
@@ -29,7 +29,7 @@
         }
     }
 
-    /** How many lines were dropped since one was last handed over. */
+    /** Returns the number of lines that were dropped since a line was last added to the queue. */
     synchronized long dropped() {
         return dropped;
     }
@@ -45,7 +45,10 @@
         }
     }
 
-    /** Waits until no line waits, but not long; then once more, for the line that is being written. */
+    /**
+     * Waits, for a limited time, until the queue is empty, and then a moment longer for the line that is
+     * being written.
+     */
     void flush() {
         try {
             for (int i = 0; i < FLUSH_POLLS && !lines.isEmpty(); i++) {
--- a/src/main/java/rampshift/time/Clock.java
+++ b/src/main/java/rampshift/time/Clock.java
@@ -1,8 +1,8 @@
 package rampshift.time;
 
 /**
- * The running clock: monotonic, and set once to Unix time, because start times of workers come in it. Later
- * steps of the machine's wall clock change nothing.
+ * The system clock of the dispatcher: monotonic, and set to Unix time once, at its creation, because the
+ * start times of workers are given in Unix time. Later steps of the machine's wall clock have no effect.
  */
 public final class Clock {
     private static final long MICROS_PER_MILLI = 1000;
@@ -10,12 +10,12 @@
 
     private final long offsetMicros;
 
-    /** A clock that is set to the wall clock now. */
+    /** Creates a clock that is set to the current wall clock time. */
     public Clock() {
         offsetMicros = System.currentTimeMillis() * MICROS_PER_MILLI - monotonicMicros();
     }
 
-    /** The present moment, in microseconds of Unix time. */
+    /** Returns the current moment, in microseconds of Unix time. */
     public Moment now() {
         return new Moment(offsetMicros + monotonicMicros());
     }
--- a/src/main/java/rampshift/time/IoTimer.java
+++ b/src/main/java/rampshift/time/IoTimer.java
@@ -4,10 +4,10 @@
 import org.xnio.XnioExecutor;
 
 /**
- * A timer on an I/O thread that never fires once it is canceled, nor twice. XNIO hands all timers that are
- * due to its queue in one go, and one that another of them removes runs all the same: a watch was failed
- * for the timeout of a poll that had just been answered, and the last byte of an attempt was looked after
- * that had been canceled.
+ * A timer on an I/O thread that fires at most once, and never after it was canceled. XNIO moves all due
+ * timers to its task queue together, and runs one of them even if another removes it. With plain XNIO timers,
+ * an endpoint watch failed at the timeout of a poll that had just been answered, and the delayed last byte of
+ * a canceled attempt was still handled.
  */
 public final class IoTimer {
     private static final long MICROS_PER_MILLI = 1000;
@@ -21,21 +21,24 @@
     }
 
     /**
-     * Runs an action on the thread after a delay, up to a millisecond early. To be called, as
-     * {@link #cancel} is, on that thread.
+     * Runs an action on the thread after a delay, up to a millisecond early. This method and {@link #cancel}
+     * must be called on that thread.
      */
     public static IoTimer in(XnioExecutor thread, Span delay, Runnable action) {
         return new IoTimer(thread, delay.micros(), TimeUnit.MICROSECONDS, action);
     }
 
-    /** The same, but never early: XNIO drops what is left of a millisecond. */
+    /**
+     * Runs an action on the thread after a delay, never early: the delay is rounded up to whole milliseconds,
+     * since XNIO rounds it down.
+     */
     public static IoTimer notBefore(XnioExecutor thread, Span delay, Runnable action) {
         return new IoTimer(thread, ceilMillis(delay), TimeUnit.MILLISECONDS, action);
     }
 
     /**
-     * Runs an action after a delay, once what had arrived at the thread's sockets by then has been handed on.
-     * For a timeout that such input would end: whoever handles it cancels the timer.
+     * Runs an action after a delay, and after the input has been handled that had arrived at the sockets of
+     * the thread by then. It is meant for timeouts that such input ends: its handler cancels the timer.
      */
     public static IoTimer timeout(XnioExecutor thread, Span delay, ReadBarrier barrier, Runnable action) {
         IoTimer timer = new IoTimer(thread, delay.micros(), TimeUnit.MICROSECONDS, null);
@@ -58,7 +61,7 @@
         }
     }
 
-    /** Keeps the action from running. May be called again, and after the timer has fired. */
+    /** Cancels the timer, so that its action doesn't run. Has no effect after the timer has fired. */
     public void cancel() {
         action = null;
         key.remove();
--- a/src/main/java/rampshift/time/Moment.java
+++ b/src/main/java/rampshift/time/Moment.java
@@ -1,44 +1,44 @@
 package rampshift.time;
 
 /**
- * A point in time on the host's clock, whose zero is the host's choice and which only advances.
+ * A point in time on the monotonic clock of the host, which also defines its zero.
  *
- * @param micros microseconds since that zero
+ * @param micros the microseconds since that zero
  */
 public record Moment(long micros) implements Comparable<Moment> {
     private static final long MICROS_PER_MILLI = 1000;
 
-    /** The moment so many milliseconds after zero, rounded to the microsecond. */
+    /** Returns the moment the given milliseconds after zero, rounded to the microsecond. */
     public static Moment ofMillis(double millis) {
         return new Moment(Math.round(millis * MICROS_PER_MILLI));
     }
 
-    /** Milliseconds since zero. */
+    /** Returns the milliseconds since zero. */
     public double millis() {
         return (double) micros / MICROS_PER_MILLI;
     }
 
-    /** The moment that much later. */
+    /** Returns the moment that is later by a span. */
     public Moment plus(Span span) {
         return new Moment(micros + span.micros());
     }
 
-    /** The moment that much earlier. */
+    /** Returns the moment that is earlier by a span. */
     public Moment minus(Span span) {
         return new Moment(micros - span.micros());
     }
 
-    /** The span from an earlier moment to this one; negative where the other one is later. */
+    /** Returns the span from an earlier moment to this one; negative if the other one is later. */
     public Span since(Moment earlier) {
         return new Span(micros - earlier.micros);
     }
 
-    /** Whether this moment is earlier than the other. */
+    /** Returns whether this moment is earlier than the other one. */
     public boolean before(Moment other) {
         return micros < other.micros;
     }
 
-    /** The earlier of the two. */
+    /** Returns the earlier one of the two moments. */
     public Moment orEarlier(Moment other) {
         return micros <= other.micros ? this : other;
     }
--- a/src/main/java/rampshift/time/NextTick.java
+++ b/src/main/java/rampshift/time/NextTick.java
@@ -9,10 +9,10 @@
 import org.xnio.channels.StreamSourceChannel;
 
 /**
- * Runs an action once an I/O thread has looked at its sockets. XNIO runs all tasks and timers that are due,
- * and those that become due meanwhile, before it looks: an action that reschedules itself as either keeps
- * every socket waiting. So the action is triggered by a pipe from the thread to itself, which takes two
- * descriptors.
+ * Runs an action at the next poll of an I/O thread. XNIO runs all due tasks and timers, including those that
+ * become due meanwhile, before it polls its sockets: an action that reschedules itself as a task or a timer
+ * delays all sockets indefinitely. Therefore the action is triggered by a pipe from the thread to itself,
+ * which takes two file descriptors.
  */
 public final class NextTick {
     private final ByteBuffer signal = ByteBuffer.allocateDirect(1);
@@ -20,9 +20,9 @@
     private Runnable pending;
 
     /**
-     * Opens the pipe. To be called, as all other methods are, on that thread.
+     * Opens the pipe. All methods, including this constructor, must be called on that thread.
      *
-     * @throws IOException where no pipe can be opened
+     * @throws IOException if the pipe can't be opened
      */
     public NextTick(XnioIoThread thread) throws IOException {
         pipe = thread.createHalfDuplexPipe();
@@ -30,7 +30,7 @@
         pipe.getLeftSide().resumeReads();
     }
 
-    /** Runs an action at the next tick, in place of the one that was to run then before. */
+    /** Runs an action at the next poll, in place of the pending one, if any. */
     public void run(Runnable action) {
         boolean signaled = pending != null;
         pending = action;
@@ -56,10 +56,10 @@
     }
 
     private static IllegalStateException brokenPipe(IOException cause) {
-        return new IllegalStateException("a pipe of this process broke", cause);
+        return new IllegalStateException("the wake-up pipe of the I/O thread failed", cause);
     }
 
-    /** Gives back the pipe; a pending action does not run. */
+    /** Closes the pipe; a pending action does not run. */
     public void close() {
         pending = null;
         IoUtils.safeClose(pipe.getLeftSide());
--- a/src/main/java/rampshift/time/ReadBarrier.java
+++ b/src/main/java/rampshift/time/ReadBarrier.java
@@ -7,26 +7,27 @@
 import rampshift.log.Log;
 
 /**
- * Runs actions once everything that had arrived at the thread's sockets by then has been handed on: the
- * sockets are polled twice, since a poll hands on what it found in no order. XNIO runs timers that are due
- * before it polls, so that a thread that was held up takes what lies unread for a timeout.
+ * Runs actions after all input has been handled that had arrived at the sockets of an I/O thread. The sockets
+ * are polled twice, since the events of one poll are handled in no particular order. XNIO runs due timers
+ * before it polls: without the barrier, the timeouts of a delayed thread would fire although the input that
+ * they wait for has arrived.
  *
- * <p>It holds descriptors only while an action waits. Where there are none, the action runs at once.
+ * <p>File descriptors are held only while an action waits. If none are left, the action runs at once.
  */
 public final class ReadBarrier {
     private final XnioIoThread thread;
-    /** Null while nothing waits. */
+    /** Null while no action waits. */
     private NextTick tick;
-    /** What waits for the first poll, and for the second one. */
+    /** The actions that wait for their first poll, and those that wait for their second poll. */
     private List<Runnable> unpolled = new ArrayList<>();
     private List<Runnable> polled = new ArrayList<>();
 
-    /** Creates a barrier, whose methods are to be called on this thread. */
+    /** Creates a barrier whose methods must be called on this thread. */
     public ReadBarrier(XnioIoThread thread) {
         this.thread = thread;
     }
 
-    /** Runs an action once what has arrived by now was handed on. */
+    /** Runs an action after the input that has arrived by now has been handled. */
     public void run(Runnable action) {
         try {
             if (tick == null) {
--- a/src/main/java/rampshift/time/Span.java
+++ b/src/main/java/rampshift/time/Span.java
@@ -6,23 +6,23 @@
  * @param micros the length in microseconds
  */
 public record Span(long micros) implements Comparable<Span> {
-    /** No time at all. */
+    /** A span of length zero. */
     public static final Span ZERO = new Span(0);
 
     private static final long MICROS_PER_MILLI = 1000;
     private static final long MILLIS_PER_SECOND = 1000;
 
-    /** A span of so many milliseconds, rounded to the microsecond. */
+    /** Returns a span of the given milliseconds, rounded to the microsecond. */
     public static Span ofMillis(double millis) {
         return new Span(Math.round(millis * MICROS_PER_MILLI));
     }
 
-    /** Its length in milliseconds. */
+    /** Returns the length in milliseconds. */
     public double millis() {
         return (double) micros / MICROS_PER_MILLI;
     }
 
-    /** Its length in seconds, with three decimals; what is left of a millisecond is dropped. */
+    /** Returns the length in seconds with three decimals; fractions of a millisecond are dropped. */
     public String seconds() {
         long wholeMillis = Math.abs(micros) / MICROS_PER_MILLI;
         String paddedFraction =
@@ -31,37 +31,37 @@
         return sign + wholeMillis / MILLIS_PER_SECOND + '.' + paddedFraction;
     }
 
-    /** The sum of the two. */
+    /** Returns the sum of the two spans. */
     public Span plus(Span other) {
         return new Span(micros + other.micros);
     }
 
-    /** This span less the other. */
+    /** Returns this span minus the other one. */
     public Span minus(Span other) {
         return new Span(micros - other.micros);
     }
 
-    /** This span times a factor, rounded to the microsecond. */
+    /** Returns this span times a factor, rounded to the microsecond. */
     public Span times(double factor) {
         return new Span(Math.round(micros * factor));
     }
 
-    /** The ratio of this span to the other. */
+    /** Returns the ratio of this span to the other one. */
     public double over(Span other) {
         return (double) micros / other.micros;
     }
 
-    /** Whether this span is longer than the other. */
+    /** Returns whether this span is longer than the other one. */
     public boolean longerThan(Span other) {
         return micros > other.micros;
     }
 
-    /** The longer of the two. */
+    /** Returns the longer one of the two spans. */
     public Span orLonger(Span other) {
         return micros >= other.micros ? this : other;
     }
 
-    /** The shorter of the two. */
+    /** Returns the shorter one of the two spans. */
     public Span orShorter(Span other) {
         return micros <= other.micros ? this : other;
     }
--- a/src/test/java/rampshift/time/IoTimerTest.java
+++ b/src/test/java/rampshift/time/IoTimerTest.java
@@ -17,7 +17,7 @@
 import org.xnio.XnioWorker;
 
 class IoTimerTest {
-    /** The thread was at something else while both became due, so that they are in its queue together. */
+    /** The thread is busy while both timers become due, so that XNIO queues them together. */
     @Test
     void timerThatIsCanceledByAnotherDueWithItDoesNotFire() throws Exception {
         XnioWorker worker = Xnio.getInstance().createWorker(
@@ -47,8 +47,8 @@
     }
 
     /**
-     * Took half of all CPU time: timers that fired a part of a millisecond early were scheduled again at
-     * once.
+     * Timers that fired a fraction of a millisecond early were rescheduled at once, which took half of all
+     * CPU time.
      */
     @ParameterizedTest
     @CsvSource({"-500,0", "0,0", "1,1", "300,1", "1000,1", "1001,2", "1700,2"})
