--- a/src/test/java/rampshift/workers/ConnectionPoolTest.java
+++ b/src/test/java/rampshift/workers/ConnectionPoolTest.java
@@ -86,7 +86,7 @@
         StreamConnection worker = connect(0).getRightSide();
         assertEquals(List.of(AttemptOutcome.NOT_SENT), outcomes);
         assertEquals(1, counters.get(Counters.Name.ATTEMPTS_WITHHELD));
-        assertEquals(-1, worker.getSourceChannel().read(ByteBuffer.allocate(10)), "nothing but end of stream");
+        assertEquals(-1, worker.getSourceChannel().read(ByteBuffer.allocate(10)), "only the end of stream");
     }
 
     @Test
