--- a/src/main/java/rampshift/pipeline/AdmissionControl.java
+++ b/src/main/java/rampshift/pipeline/AdmissionControl.java
@@ -69,7 +69,7 @@
         if (rejection != null) {
             counters.add(rejection);
             boolean isOverload = rejection == Counters.Name.TASKS_REJECTED_OVERLOAD;
-            responder.rejected(task, isOverload ? overloadRetryAfter : Span.ZERO);
+            responder.sendRejection(task, isOverload ? overloadRetryAfter : Span.ZERO);
             return;
         }
         if (latestDeadline != null && !clock.now().before(limitDeadlinesFrom)) {
--- a/src/main/java/rampshift/pipeline/AdmissionWindow.java
+++ b/src/main/java/rampshift/pipeline/AdmissionWindow.java
@@ -16,25 +16,25 @@
  * <p>A window begins with the first task after a poll and ends before the next poll.
  */
 public final class AdmissionWindow {
-    private static final Span MAX_LENGTH = Span.ofMillis(20);
+    private static final Span MAX_WINDOW = Span.ofMillis(20);
     /**
-     * How long windows may exceed {@link #MAX_LENGTH} before tasks are rejected: about as long as a process
+     * How long windows may exceed {@link #MAX_WINDOW} before tasks are rejected: about as long as a process
      * that has just started needs to keep up with its load.
      */
-    private static final Span TOLERATED_OVERLOAD = Span.ofMillis(1000);
+    private static final Span MAX_TOLERATED_OVERLOAD = Span.ofMillis(1000);
 
     private final XnioIoThread thread;
     private final Clock clock;
     private final NextTick nextTick;
     /** When the first task since the last poll arrived; null if none has. */
-    private Moment openedAt;
+    private Moment startedAt;
     /** When a window exceeded the limit for the first and the last time in the latest overload. */
     private Moment overloadedSince;
-    private Moment lastTooLongAt;
+    private Moment lastExceededAt;
     /** Whether the current window has exceeded the limit. */
-    private boolean tooLong;
+    private boolean limitExceeded;
     /** Whether no more tasks are admitted before the next poll. */
-    private boolean shut;
+    private boolean rejecting;
     /** Whether a window has ended within the limit since the last one that exceeded it. */
     private boolean hasCaughtUp = true;
 
@@ -52,9 +52,9 @@
     /** Returns whether one more task may be admitted before the next poll of the sockets. */
     public boolean isOpen() {
         Moment now = clock.now();
-        open(now);
-        shut = now.since(openedAt).longerThan(MAX_LENGTH) && isOverloaded(now);
-        return !shut;
+        startWindow(now);
+        rejecting = now.since(startedAt).longerThan(MAX_WINDOW) && isOverloaded(now);
+        return !rejecting;
     }
 
     /**
@@ -63,42 +63,42 @@
      * of a socket ended it instead, clients whose sockets are handled before that one would be rejected at
      * every poll.
      */
-    private void open(Moment now) {
-        if (openedAt == null) {
-            openedAt = now;
-            thread.execute(this::onSocketsDone);
+    private void startWindow(Moment now) {
+        if (startedAt == null) {
+            startedAt = now;
+            thread.execute(this::onReadySocketsHandled);
         }
     }
 
     /** Returns whether a task was rejected since the last poll; all others are rejected until the next. */
-    boolean isShut() {
-        return shut;
+    boolean isRejecting() {
+        return rejecting;
     }
 
     /**
      * Records that the current window exceeds the limit, and returns whether the overload has lasted for
-     * longer than {@link #TOLERATED_OVERLOAD}. The overload ends if a window ends within the limit and none
-     * exceeds it for that time. Time alone does not end it, since handling the responses to admitted tasks
-     * may take as long.
+     * longer than {@link #MAX_TOLERATED_OVERLOAD}. The overload ends if a window ends within the limit and
+     * none exceeds it for that time. Time alone does not end it, since handling the responses to admitted
+     * tasks may take as long.
      */
     private boolean isOverloaded(Moment now) {
         if (hasCaughtUp
-                && (lastTooLongAt == null || now.since(lastTooLongAt).longerThan(TOLERATED_OVERLOAD))) {
+                && (lastExceededAt == null || now.since(lastExceededAt).longerThan(MAX_TOLERATED_OVERLOAD))) {
             overloadedSince = now;
         }
         hasCaughtUp = false;
-        tooLong = true;
-        lastTooLongAt = now;
-        return now.since(overloadedSince).longerThan(TOLERATED_OVERLOAD);
+        limitExceeded = true;
+        lastExceededAt = now;
+        return now.since(overloadedSince).longerThan(MAX_TOLERATED_OVERLOAD);
     }
 
-    private void onSocketsDone() {
-        openedAt = null;
-        shut = false;
-        if (tooLong) {
-            tooLong = false;
+    private void onReadySocketsHandled() {
+        startedAt = null;
+        rejecting = false;
+        if (limitExceeded) {
+            limitExceeded = false;
             // Starts a window at the next poll even without a task, to detect that the thread has caught up.
-            nextTick.run(() -> open(clock.now()));
+            nextTick.run(() -> startWindow(clock.now()));
         } else {
             hasCaughtUp = true;
         }
--- a/src/main/java/rampshift/pipeline/AttemptSender.java
+++ b/src/main/java/rampshift/pipeline/AttemptSender.java
@@ -38,12 +38,12 @@
 
     /** Starts the next attempt of a task. */
     void send(PolicyHost host, InFlightTask task, long worker, Span timeout) {
-        Moment sendBy = task.attemptDeadline();
+        Moment deadline = task.attemptDeadline();
         int number = task.startAttempt(clock.now());
         counters.add(Counters.Name.ATTEMPTS);
         AttemptEvents events = new AttemptEvents(host, task, number);
         AttemptRequest request = new AttemptRequest(task.transactionId(), task.description().nonIdempotent(),
-                sendBy, () -> task.message(clock.now()), timeout);
+                deadline, () -> task.message(clock.now()), timeout);
         AttemptExchange attempt = pool.startAttempt(worker, request, events);
         if (!events.ended) {
             task.setAttempt(number, attempt);
@@ -89,7 +89,7 @@
 
         @Override
         public void onStarted() {
-            host.onAttemptBegun(task, number);
+            host.onAttemptStarted(task, number);
         }
 
         @Override
--- a/src/main/java/rampshift/pipeline/InFlightTask.java
+++ b/src/main/java/rampshift/pipeline/InFlightTask.java
@@ -65,8 +65,8 @@
     }
 
     /** Moves the deadline to an earlier time, even if the client would wait for longer. */
-    void limitDeadline(Moment end) {
-        deadline = deadline.orEarlier(end);
+    void limitDeadline(Moment latest) {
+        deadline = deadline.orEarlier(latest);
     }
 
     /**
@@ -77,13 +77,13 @@
         if (description.deduplicationWindow() == null) {
             return deadline;
         }
-        Moment end = deadline;
+        Moment limit = deadline;
         for (Moment start : attemptStarts) {
             if (start != null) {
-                end = end.orEarlier(start.plus(description.deduplicationWindow()));
+                limit = limit.orEarlier(start.plus(description.deduplicationWindow()));
             }
         }
-        return end;
+        return limit;
     }
 
     /** Records the start of an attempt, and returns its number. */
--- a/src/main/java/rampshift/pipeline/OverloadRejection.java
+++ b/src/main/java/rampshift/pipeline/OverloadRejection.java
@@ -31,7 +31,7 @@
 
     @Override
     public boolean rejects(RequestHead head) {
-        if (!window.isShut() || !isNewTask(head)) {
+        if (!window.isRejecting() || !isNewTask(head)) {
             return false;
         }
         counters.add(Counters.Name.TASKS_REJECTED_OVERLOAD);
--- a/src/main/java/rampshift/pipeline/PolicyHost.java
+++ b/src/main/java/rampshift/pipeline/PolicyHost.java
@@ -126,7 +126,7 @@
 
     void onTask(InFlightTask task) {
         task.request().onDisconnect(() -> onEvent(() -> {
-            responder.clientLeft(task);
+            responder.recordClientLeft(task);
             policy.onClientGone(task.id());
             registry.removeIfCompleted(task);
         }));
@@ -146,7 +146,7 @@
         }
     }
 
-    void onAttemptBegun(InFlightTask task, int number) {
+    void onAttemptStarted(InFlightTask task, int number) {
         onEvent(() -> policy.onAttemptStarted(task.id(), number));
     }
 
@@ -161,7 +161,7 @@
 
     void onAttemptEnded(InFlightTask task, int number, AttemptOutcome outcome, byte[] result) {
         if (outcome == AttemptOutcome.FINISHED) {
-            responder.finished(task, result);
+            responder.sendResult(task, result);
         }
         onEvent(() -> {
             policy.onAttemptFinished(task.id(), number, outcome, task.isAnswered());
@@ -194,14 +194,14 @@
     @Override
     public void reject(long task, Span retryAfter) {
         InFlightTask inFlight = registry.get(task);
-        responder.rejected(inFlight, retryAfter);
+        responder.sendRejection(inFlight, retryAfter);
         registry.removeIfCompleted(inFlight);
     }
 
     @Override
     public void fail(long task) {
         InFlightTask inFlight = registry.get(task);
-        responder.failed(inFlight);
+        responder.sendFailure(inFlight);
         registry.removeIfCompleted(inFlight);
     }
 
--- a/src/main/java/rampshift/pipeline/RequestDecoder.java
+++ b/src/main/java/rampshift/pipeline/RequestDecoder.java
@@ -37,15 +37,15 @@
     private final AdmissionControl admission;
     private long lastTaskId;
 
-    /** Creates a decoder that passes tasks to an admission control. The names are those of the settings. */
-    public RequestDecoder(Settings settings, HostSettings names, Counters counters, TaskRegistry registry,
-            AdmissionControl admission) {
+    /** Creates a decoder that passes tasks to an admission control. The host settings contain the names. */
+    public RequestDecoder(Settings settings, HostSettings hostSettings, Counters counters,
+            TaskRegistry registry, AdmissionControl admission) {
         this.settings = settings;
         this.counters = counters;
         this.registry = registry;
         this.admission = admission;
-        types = indexes(names.types());
-        tenants = indexes(names.tenants());
+        types = indexes(hostSettings.types());
+        tenants = indexes(hostSettings.tenants());
     }
 
     private static Map<String, Integer> indexes(List<String> names) {
@@ -122,16 +122,16 @@
 
     private static void checkIdempotencyKey(ClientRequest request, TrafficType type)
             throws InvalidRequestException {
-        check(!isKeyed(type) || request.field(IDEMPOTENCY_KEY_FIELD) != null, BAD_REQUEST,
+        check(!requiresIdempotencyKey(type) || request.field(IDEMPOTENCY_KEY_FIELD) != null, BAD_REQUEST,
                 "Idempotency-Key is missing or there twice");
     }
 
-    private static boolean isKeyed(TrafficType type) {
+    private static boolean requiresIdempotencyKey(TrafficType type) {
         return type.effect() == TrafficType.Effect.KEYED;
     }
 
     private static Span deduplicationWindow(TrafficType type) {
-        return isKeyed(type) ? type.deduplicationWindow() : null;
+        return requiresIdempotencyKey(type) ? type.deduplicationWindow() : null;
     }
 
     /**
--- a/src/main/java/rampshift/pipeline/Responder.java
+++ b/src/main/java/rampshift/pipeline/Responder.java
@@ -9,7 +9,7 @@
     private static final int SERVICE_UNAVAILABLE = 503;
     private static final int GATEWAY_TIMEOUT = 504;
     private static final Span MIN_RETRY_AFTER = Span.ofMillis(1);
-    private static final byte[] EMPTY = {};
+    private static final byte[] EMPTY_BODY = {};
 
     private final Counters counters;
 
@@ -18,7 +18,7 @@
         this.counters = counters;
     }
 
-    void finished(InFlightTask task, byte[] result) {
+    void sendResult(InFlightTask task, byte[] result) {
         respond(task, Counters.Name.TASKS_FINISHED, OK, null, result);
     }
 
@@ -27,9 +27,9 @@
      *
      * @param retryAfter the delay after which the client may retry; zero to send no Retry-After
      */
-    void rejected(InFlightTask task, Span retryAfter) {
+    void sendRejection(InFlightTask task, Span retryAfter) {
         String seconds = retryAfterSeconds(retryAfter);
-        respond(task, Counters.Name.TASKS_REJECTED, SERVICE_UNAVAILABLE, seconds, EMPTY);
+        respond(task, Counters.Name.TASKS_REJECTED, SERVICE_UNAVAILABLE, seconds, EMPTY_BODY);
     }
 
     /** Returns the value of Retry-After for a delay; null if the delay is too short to be written. */
@@ -37,11 +37,11 @@
         return MIN_RETRY_AFTER.longerThan(retryAfter) ? null : retryAfter.seconds();
     }
 
-    void failed(InFlightTask task) {
-        respond(task, Counters.Name.TASKS_FAILED, GATEWAY_TIMEOUT, null, EMPTY);
+    void sendFailure(InFlightTask task) {
+        respond(task, Counters.Name.TASKS_FAILED, GATEWAY_TIMEOUT, null, EMPTY_BODY);
     }
 
-    void clientLeft(InFlightTask task) {
+    void recordClientLeft(InFlightTask task) {
         if (task.markAnswered()) {
             counters.add(Counters.Name.CLIENTS_LEFT);
         }
--- a/src/test/java/rampshift/pipeline/AdmissionWindowTest.java
+++ b/src/test/java/rampshift/pipeline/AdmissionWindowTest.java
@@ -25,7 +25,7 @@
  */
 class AdmissionWindowTest {
     private static final long TASK_MILLIS = 10;
-    private static final long CAUGHT_UP_MILLIS = 1050;
+    private static final long CATCH_UP_MILLIS = 1050;
     private static final long TIMEOUT_SECONDS = 20;
 
     @RegisterExtension
@@ -47,12 +47,12 @@
 
     /** Offers 130 tasks of 10 ms each in one window, and more after each poll of the sockets. */
     @Test
-    void aThreadThatStaysBehindTakesTasksForTwentyMillisecondsAPoll() throws Exception {
-        assertFalse(ioThread.call(() -> keepBusy(130)), "overloaded for 1.3 s");
+    void overloadedThreadAdmitsTasksForTwentyMillisecondsPerPoll() throws Exception {
+        assertFalse(ioThread.call(() -> offerTasks(130)), "overloaded for 1.3 s");
         for (int poll = 0; poll < 3; poll++) {
             assertFalse(afterPoll(() -> {
                 assertTrue(window.isOpen(), "the first task after a poll");
-                return keepBusy(4);
+                return offerTasks(4);
             }), "still overloaded");
         }
     }
@@ -62,10 +62,10 @@
      * whose sockets were handled before that one were rejected, in an overload the same ones at every poll.
      */
     @Test
-    void theWindowIsOpenAgainBeforeThePoll() throws Exception {
+    void windowReopensBeforeNextPoll() throws Exception {
         FutureTask<Boolean> beforePoll = new FutureTask<>(window::isOpen);
         ioThread.call(() -> {
-            assertFalse(keepBusy(130), "overloaded for 1.3 s");
+            assertFalse(offerTasks(130), "overloaded for 1.3 s");
             ioThread.thread().execute(beforePoll);
             return null;
         });
@@ -73,20 +73,20 @@
     }
 
     @Test
-    void aBurstThatIsSoonOverIsTakenWhole() throws Exception {
-        assertTrue(ioThread.call(() -> keepBusy(10)));
+    void shortBurstIsAdmittedWhole() throws Exception {
+        assertTrue(ioThread.call(() -> offerTasks(10)));
         assertTrue(afterPoll(window::isOpen));
     }
 
     /** After the overload has ended, the next burst is admitted whole. */
     @Test
-    void aThreadThatHasCaughtUpTakesTheNextBurst() throws Exception {
-        assertFalse(ioThread.call(() -> keepBusy(130)), "overloaded for 1.3 s");
+    void burstAfterOverloadIsAdmittedWhole() throws Exception {
+        assertFalse(ioThread.call(() -> offerTasks(130)), "overloaded for 1.3 s");
         afterPoll(() -> {
-            Thread.sleep(CAUGHT_UP_MILLIS);
+            Thread.sleep(CATCH_UP_MILLIS);
             return null;
         });
-        assertTrue(afterPoll(() -> keepBusy(10)));
+        assertTrue(afterPoll(() -> offerTasks(10)));
     }
 
     /**
@@ -94,27 +94,28 @@
      * of a new burst.
      */
     @Test
-    void workBetweenTwoWindowsDoesNotEndAnOverload() throws Exception {
-        List<Boolean> lastWasTaken = new ArrayList<>();
+    void workBetweenWindowsDoesNotEndOverload() throws Exception {
+        List<Boolean> lastWasAdmitted = new ArrayList<>();
         CountDownLatch done = new CountDownLatch(3);
         ioThread.call(() -> {
-            keepBusy(130);
+            offerTasks(130);
             NextTick tick = new NextTick(ioThread.thread());
-            tick.run(() -> respondAndKeepBusy(tick, lastWasTaken, done));
+            tick.run(() -> handleResponsesAndOfferTasks(tick, lastWasAdmitted, done));
             return null;
         });
         assertTrue(done.await(TIMEOUT_SECONDS, TimeUnit.SECONDS));
-        assertEquals(List.of(false, false, false), lastWasTaken, "still overloaded at each poll");
+        assertEquals(List.of(false, false, false), lastWasAdmitted, "still overloaded at each poll");
     }
 
     /** Requests the next tick first, so that no poll passes without work. */
-    private void respondAndKeepBusy(NextTick tick, List<Boolean> lastWasTaken, CountDownLatch done) {
+    private void handleResponsesAndOfferTasks(NextTick tick, List<Boolean> lastWasAdmitted,
+            CountDownLatch done) {
         if (done.getCount() > 1) {
-            tick.run(() -> respondAndKeepBusy(tick, lastWasTaken, done));
+            tick.run(() -> handleResponsesAndOfferTasks(tick, lastWasAdmitted, done));
         }
         try {
-            Thread.sleep(CAUGHT_UP_MILLIS);
-            lastWasTaken.add(keepBusy(4));
+            Thread.sleep(CATCH_UP_MILLIS);
+            lastWasAdmitted.add(offerTasks(4));
         } catch (InterruptedException e) {
             throw new IllegalStateException(e);
         }
@@ -122,7 +123,7 @@
     }
 
     /** Offers tasks that take 10 ms each, and returns whether the last one was admitted. */
-    private boolean keepBusy(int tasks) throws InterruptedException {
+    private boolean offerTasks(int tasks) throws InterruptedException {
         boolean open = true;
         for (int i = 0; i < tasks; i++) {
             open = window.isOpen();
