--- a/src/main/java/rampshift/pipeline/AttemptSender.java
+++ b/src/main/java/rampshift/pipeline/AttemptSender.java
@@ -83,7 +83,7 @@
         }
 
         @Override
-        public boolean isStillWanted() {
+        public boolean isClientWaiting() {
             return task.request().isClientWaiting();
         }
 
--- a/src/main/java/rampshift/pipeline/EndpointListUpdater.java
+++ b/src/main/java/rampshift/pipeline/EndpointListUpdater.java
@@ -27,7 +27,7 @@
     /** Applies a list to the pool. Workers that a complete list lacks are then no longer ready. */
     void updatePool(EndpointList list, boolean complete) {
         if (complete) {
-            pool.beginFullList();
+            pool.beginCompleteList();
         }
         for (Endpoint endpoint : list.endpoints()) {
             pool.updateWorker(new WorkerListing(workerIds.number(endpoint.uid()), endpoint.uid(),
@@ -35,7 +35,7 @@
                     endpoint.state() == Endpoint.State.READY));
         }
         if (complete) {
-            pool.endFullList();
+            pool.endCompleteList();
         }
     }
 
--- a/src/main/java/rampshift/workers/AttemptExchange.java
+++ b/src/main/java/rampshift/workers/AttemptExchange.java
@@ -96,7 +96,7 @@
     public boolean mayWriteFirstByte() {
         pool().runFirstByteHook();
         boolean allowed =
-                endpoint().isReady() && isCurrent() && isBeforeDeadline() && listener.isStillWanted();
+                endpoint().isReady() && isCurrent() && isBeforeDeadline() && listener.isClientWaiting();
         if (!allowed) {
             pool().counters().add(Counters.Name.ATTEMPTS_WITHHELD);
             finish(AttemptOutcome.NOT_SENT);
@@ -106,7 +106,7 @@
 
     @Override
     public boolean mayWriteLastByte() {
-        boolean allowed = isBeforeDeadline() && listener.isStillWanted();
+        boolean allowed = isBeforeDeadline() && listener.isClientWaiting();
         if (!allowed) {
             finish(AttemptOutcome.NOT_SENT);
         }
@@ -216,7 +216,7 @@
             case FAILED -> reportOutcome(AttemptOutcome.ERRED, null);
             case RETURNED -> reportOutcome(AttemptOutcome.FULL, null);
             case LOST -> reportOutcome(AttemptOutcome.BROKEN, null);
-            default -> reportMalformedResponse("the unknown task state " + message.stateWord());
+            default -> reportMalformedResponse("the unknown task state " + message.stateName());
         }
     }
 
@@ -244,9 +244,9 @@
         return stale ? AttemptOutcome.NOT_SENT : AttemptOutcome.NO_CONNECTION;
     }
 
-    private void reportMalformedResponse(String what) {
+    private void reportMalformedResponse(String reason) {
         pool().counters().add(Counters.Name.MALFORMED_RESPONSES);
-        logMalformedResponse(what);
+        logMalformedResponse(reason);
     }
 
     private void finishMalformed(MalformedProgressException cause) {
--- a/src/main/java/rampshift/workers/AttemptListener.java
+++ b/src/main/java/rampshift/workers/AttemptListener.java
@@ -8,7 +8,7 @@
      * Returns whether the client still waits for the task. Called before the first byte and before a delayed
      * last byte is written.
      */
-    boolean isStillWanted();
+    boolean isClientWaiting();
 
     /** Called when the worker has started the task. */
     void onStarted();
--- a/src/main/java/rampshift/workers/ConnectionPool.java
+++ b/src/main/java/rampshift/workers/ConnectionPool.java
@@ -24,7 +24,7 @@
      * The time for which non-idempotent tasks avoid idle connections after a stale one was detected, as a
      * share of the idle timeout of workers.
      */
-    private static final double STALE_SHARE = 0.5;
+    private static final double STALE_AVOIDANCE_SHARE = 0.5;
     private static final Span CLEANUP_INTERVAL = Span.ofMillis(500);
 
     private final XnioIoThread thread;
@@ -86,12 +86,12 @@
     /**
      * Begins a complete endpoint list. All workers become not ready, until the list contains them as ready.
      */
-    public void beginFullList() {
+    public void beginCompleteList() {
         endpoints.values().forEach(WorkerEndpoint::markNotReady);
     }
 
     /** Ends a complete endpoint list: closes the idle connections to workers that are not ready. */
-    public void endFullList() {
+    public void endCompleteList() {
         for (WorkerEndpoint endpoint : endpoints.values()) {
             if (!endpoint.isReady()) {
                 idleConnections.closeAll(endpoint);
@@ -175,7 +175,7 @@
      * Returns whether one more connection may be opened. At the limit, the connection that has been idle for
      * the longest time is closed first.
      */
-    boolean makeRoom() {
+    boolean ensureCapacity() {
         if (dialer.openCount() >= maxConnections && !idleConnections.isEmpty()) {
             idleConnections.closeOldest();
         }
@@ -193,7 +193,7 @@
      * @param incarnation the incarnation of the worker when the connection was borrowed; if the worker has
      *     moved since, the connection leads to its old address
      */
-    void giveBack(WorkerEndpoint endpoint, int incarnation, HttpConnection connection) {
+    void returnConnection(WorkerEndpoint endpoint, int incarnation, HttpConnection connection) {
         boolean reusable = !closed && connection.isReusable() && endpoint.isReady()
                 && incarnation == endpoint.incarnation();
         if (reusable) {
@@ -207,7 +207,7 @@
     boolean hasRecentStaleConnection() {
         return lastStaleAt != null
                 && !clock.now().since(lastStaleAt)
-                        .longerThan(settings.connectionIdleTimeout().times(STALE_SHARE));
+                        .longerThan(settings.connectionIdleTimeout().times(STALE_AVOIDANCE_SHARE));
     }
 
     /**
--- a/src/main/java/rampshift/workers/ProgressMessageParser.java
+++ b/src/main/java/rampshift/workers/ProgressMessageParser.java
@@ -17,7 +17,7 @@
     private final LoadReportReader loadReportReader;
     private String taskId;
     private String workerUid;
-    private String stateWord;
+    private String stateName;
     private double progressShare = Double.NaN;
     private LoadReport load;
     private byte[] result = NO_RESULT;
@@ -52,7 +52,7 @@
                 parseField(parser);
             }
         }
-        return new ProgressMessage(taskId, workerUid, TaskState.parse(stateWord), stateWord, progressShare,
+        return new ProgressMessage(taskId, workerUid, TaskState.parse(stateName), stateName, progressShare,
                 load,
                 result);
     }
@@ -75,7 +75,7 @@
         switch (name) {
             case "id" -> taskId = parser.getText();
             case "from" -> workerUid = parser.getText();
-            case "state" -> stateWord = parser.getText();
+            case "state" -> stateName = parser.getText();
             case "result" -> result = textBytes(parser);
             default -> {
                 // Not a field of the protocol.
--- a/src/main/java/rampshift/workers/TaskState.java
+++ b/src/main/java/rampshift/workers/TaskState.java
@@ -11,11 +11,11 @@
     UNKNOWN;
 
     /** Parses the name of a state; null and other names yield {@link #UNKNOWN}. */
-    static TaskState parse(String word) {
-        if (word == null) {
+    static TaskState parse(String name) {
+        if (name == null) {
             return UNKNOWN;
         }
-        return switch (word) {
+        return switch (name) {
             case "started" -> STARTED;
             case "running" -> RUNNING;
             case "done" -> DONE;
--- a/src/main/java/rampshift/workers/WorkerExchange.java
+++ b/src/main/java/rampshift/workers/WorkerExchange.java
@@ -61,7 +61,7 @@
         if (connection != null) {
             connectionReused = true;
             sendRequest();
-        } else if (endpoint.address() == null || !pool.makeRoom()) {
+        } else if (endpoint.address() == null || !pool.ensureCapacity()) {
             onNoConnectionAvailable();
         } else {
             dial = pool.dial(endpoint, this);
@@ -137,12 +137,12 @@
             HttpConnection released = connection;
             connection = null;
             pool.lingeringExchanges().remove(this);
-            pool.giveBack(endpoint, incarnation, released);
+            pool.returnConnection(endpoint, incarnation, released);
         }
     }
 
     /** Logs that the worker sent an invalid response. */
-    final void logMalformedResponse(String what) {
-        Log.warn("malformed-response", "worker", endpoint.uid(), "what", what);
+    final void logMalformedResponse(String reason) {
+        Log.warn("malformed-response", "worker", endpoint.uid(), "what", reason);
     }
 }
--- a/src/test/java/rampshift/workers/ConnectionPoolFixture.java
+++ b/src/test/java/rampshift/workers/ConnectionPoolFixture.java
@@ -39,7 +39,8 @@
 
     final XnioIoThread thread;
     final Counters counters = new Counters();
-    final List<ChannelListener<StreamConnection>> dialed = Collections.synchronizedList(new ArrayList<>());
+    final List<ChannelListener<StreamConnection>> dialListeners =
+            Collections.synchronizedList(new ArrayList<>());
     final List<FutureResult<StreamConnection>> dials = Collections.synchronizedList(new ArrayList<>());
     final List<AttemptOutcome> outcomes = Collections.synchronizedList(new ArrayList<>());
     final AttemptListener listener = new OutcomeRecorder();
@@ -103,7 +104,7 @@
             return null;
         });
         dials.add(dial);
-        dialed.add(opened);
+        dialListeners.add(opened);
         return dial.getIoFuture();
     }
 
@@ -133,13 +134,13 @@
     /** Connects a dial to a new pipe and returns the pipe, whose right side is the worker's end. */
     ChannelPipe<StreamConnection, StreamConnection> connect(int dialNumber) throws Exception {
         ChannelPipe<StreamConnection, StreamConnection> pipe = thread.createFullDuplexPipeConnection();
-        runOnThread(() -> dialed.get(dialNumber).handleEvent(pipe.getLeftSide()));
+        runOnThread(() -> dialListeners.get(dialNumber).handleEvent(pipe.getLeftSide()));
         return pipe;
     }
 
     /** Connects the latest dial and returns the worker's end of the pipe. */
     StreamConnection connectLatest() throws Exception {
-        return connect(dialed.size() - 1).getRightSide();
+        return connect(dialListeners.size() - 1).getRightSide();
     }
 
     /** Completes one attempt so that its connection becomes idle, and returns the worker's end. */
@@ -179,7 +180,7 @@
     /** Records the outcomes of attempts. Their clients never leave. */
     private final class OutcomeRecorder implements AttemptListener {
         @Override
-        public boolean isStillWanted() {
+        public boolean isClientWaiting() {
             return true;
         }
 
--- a/src/test/java/rampshift/workers/ConnectionPoolTest.java
+++ b/src/test/java/rampshift/workers/ConnectionPoolTest.java
@@ -104,7 +104,7 @@
     /** Connections that were in use while their worker moved were reused: tasks went to its old address. */
     @ParameterizedTest
     @CsvSource({"elsewhere,a/m,0", "worker,a/m,5", "worker,b/m,0", "worker,a/n,0"})
-    void closesALentConnectionIfItsWorkerMovedOrRestarted(String host, String placement, long startedAtMs)
+    void closesABorrowedConnectionIfItsWorkerMovedOrRestarted(String host, String placement, long startedAtMs)
             throws Exception {
         createPool();
         startIdempotentAttempt();
@@ -174,7 +174,7 @@
 
     /** The worker closed the connection, and the busy I/O thread has not read the end of the stream yet. */
     @Test
-    void anIdleConnectionWhoseEndIsUnreadIsNotReused() throws Exception {
+    void anIdleConnectionWithUnreadEndOfStreamIsNotReused() throws Exception {
         createPool();
         StreamConnection worker = createIdleConnection();
         runOnThread(() -> {
@@ -187,7 +187,7 @@
 
     /** The cleanup runs twice a second, or later if the thread is delayed. */
     @Test
-    void aConnectionThatWasIdleForTooLongIsNotReusedBeforeTheNextCleanupEither() throws Exception {
+    void anExpiredIdleConnectionIsNotReusedBeforeTheNextCleanup() throws Exception {
         createPoolWithIdleTimeout(20);
         createIdleConnection();
         Thread.sleep(30);
@@ -200,7 +200,7 @@
      * two workers.
      */
     @Test
-    void aRepeatedResponseIsNotTakenForTheResponseToANonIdempotentTask() throws Exception {
+    void aDuplicateResponseIsNotTakenForTheResponseToANonIdempotentTask() throws Exception {
         createPool();
         StreamConnection worker = createIdleConnection();
         startNonIdempotentAttempt();
@@ -218,7 +218,7 @@
      */
     @ParameterizedTest
     @EnumSource(value = AttemptOutcome.class, names = {"FINISHED", "ERRED", "FULL", "BROKEN"})
-    void aResponseThatIsCutAtAnyByteTellsWhetherTheTaskMayHaveRun(AttemptOutcome outcome) throws Exception {
+    void aTruncatedResponseDeterminesWhetherTheTaskMayHaveRun(AttemptOutcome outcome) throws Exception {
         createPool();
         String response = switch (outcome) {
             case FINISHED -> chunked("{\"id\":\"t\",\"state\":\"done\",\"result\":\"r\"}\n");
@@ -255,7 +255,7 @@
         startNonIdempotentAttempt();
         ChannelPipe<StreamConnection, StreamConnection> pipe = thread.createFullDuplexPipeConnection();
         runOnThread(() -> {
-            dialed.get(0).handleEvent(pipe.getLeftSide());
+            dialListeners.get(0).handleEvent(pipe.getLeftSide());
             write(pipe.getRightSide(), response);
         });
         until("outcome", () -> !outcomes.isEmpty());
@@ -268,7 +268,7 @@
 
     /** Parsing takes longer than writing, so that input is always pending. */
     @Test
-    void anEndlessResponseLeavesTimeOnTheThreadForOthers() throws Exception {
+    void anEndlessResponseDoesNotBlockTheThread() throws Exception {
         createPool();
         AttemptExchange attempt = startIdempotentAttempt();
         StreamConnection worker = connectLatest();
@@ -308,7 +308,7 @@
     /** A last line without an id may be about the previous task. */
     @ParameterizedTest
     @CsvSource({"returned", "done", "lost"})
-    void aLastLineWithoutAnIdTellsOnlyThatTheTaskMayHaveRun(String state) throws Exception {
+    void aLastLineWithoutAnIdMeansThatTheTaskMayHaveRun(String state) throws Exception {
         createPool();
         startIdempotentAttempt();
         write(connectLatest(), chunked("{\"state\":\"" + state + "\"}\n"));
@@ -318,7 +318,7 @@
 
     /** The checks before the first byte may take some time, and the message contains the remaining time. */
     @Test
-    void theMessageIsMadeOnceItMayBeWritten() throws Exception {
+    void theMessageIsCreatedOnceItMayBeWritten() throws Exception {
         createPool();
         List<String> order = Collections.synchronizedList(new ArrayList<>());
         runOnThread(() -> {
@@ -333,7 +333,7 @@
     }
 
     @Test
-    void aTaskIsNotSentIfAllConnectionsAreTaken() throws Exception {
+    void aTaskIsNotSentIfAllConnectionsAreInUse() throws Exception {
         createPoolWithMaxConnections(1);
         startIdempotentAttempt();
         startIdempotentAttempt();
