--- a/src/main/java/rampshift/connections/Dialer.java
+++ b/src/main/java/rampshift/connections/Dialer.java
@@ -18,7 +18,7 @@
 public final class Dialer {
     private static final int READ_BUFFER_BYTES = 16 * 1024;
     private static final int POLL_BUFFER_BYTES = 4 * 1024;
-    private static final OptionMap OPTIONS = OptionMap.create(Options.TCP_NODELAY, true);
+    private static final OptionMap SOCKET_OPTIONS = OptionMap.create(Options.TCP_NODELAY, true);
 
     final XnioIoThread thread;
     final ByteBuffer readBuffer = ByteBuffer.allocateDirect(READ_BUFFER_BYTES);
@@ -116,7 +116,7 @@
 
     /** Creates a dialer that opens TCP connections. */
     public Dialer(XnioIoThread thread) {
-        this(thread, (address, listener) -> thread.openStreamConnection(address, listener, OPTIONS));
+        this(thread, (address, listener) -> thread.openStreamConnection(address, listener, SOCKET_OPTIONS));
     }
 
     /** Creates a dialer that opens channels in another way. */
--- a/src/main/java/rampshift/connections/RequestWriter.java
+++ b/src/main/java/rampshift/connections/RequestWriter.java
@@ -36,7 +36,7 @@
     private ByteBuffer[] pending;
     private ByteBuffer delayedLastByte;
     private Span lastByteDelay;
-    private IoTimer timer;
+    private IoTimer lastByteTimer;
 
     RequestWriter(XnioIoThread thread, StreamConnection channel, Listener listener) {
         this.thread = thread;
@@ -93,12 +93,12 @@
         if (delayedLastByte == null) {
             listener.onRequestWritten();
         } else {
-            timer = IoTimer.notBefore(thread, lastByteDelay, this::writeLastByte);
+            lastByteTimer = IoTimer.notBefore(thread, lastByteDelay, this::writeLastByte);
         }
     }
 
     private void writeLastByte() {
-        timer = null;
+        lastByteTimer = null;
         if (!listener.mayWriteLastByte()) {
             return;
         }
@@ -111,9 +111,9 @@
     void cancel() {
         pending = null;
         delayedLastByte = null;
-        if (timer != null) {
-            timer.cancel();
-            timer = null;
+        if (lastByteTimer != null) {
+            lastByteTimer.cancel();
+            lastByteTimer = null;
         }
     }
 }
--- a/src/main/java/rampshift/connections/ResponseReader.java
+++ b/src/main/java/rampshift/connections/ResponseReader.java
@@ -184,10 +184,10 @@
         head.add(text.substring(0, colon).trim(), text.substring(colon + 1).trim());
     }
 
-    private void countField(String counted) throws MalformedResponseException {
+    private void countField(String countedItems) throws MalformedResponseException {
         fieldCount++;
         if (fieldCount > MAX_HEADER_FIELDS) {
-            throw new MalformedResponseException("over " + MAX_HEADER_FIELDS + " " + counted);
+            throw new MalformedResponseException("over " + MAX_HEADER_FIELDS + " " + countedItems);
         }
     }
 
--- a/src/test/java/rampshift/connections/DialerTest.java
+++ b/src/test/java/rampshift/connections/DialerTest.java
@@ -28,28 +28,28 @@
 class DialerTest {
     private static final long TIMEOUT_SECONDS = 20;
     private static final Span DIAL_TIMEOUT = Span.ofMillis(20);
-    private static final long HELD_UP_MILLIS = 60;
+    private static final long BLOCKED_MILLIS = 60;
 
     @RegisterExtension
     final IoThreadExtension ioThread = new IoThreadExtension();
 
     /** The connection is open at once, while the thread is blocked for three times the timeout. */
     @Test
-    void aConnectionThatIsUpCountsThoughTheThreadComesToItLate() throws Exception {
+    void anOpenConnectionIsAcceptedByADelayedThread() throws Exception {
         try (ServerSocket server = new ServerSocket(0, 1, InetAddress.getLoopbackAddress())) {
             CompletableFuture<String> result = new CompletableFuture<>();
             ioThread.thread().execute(() -> {
                 new Dialer(ioThread.thread()).dial((InetSocketAddress) server.getLocalSocketAddress(),
                         DIAL_TIMEOUT,
                         new ResultListener(result));
-                holdUp();
+                blockThread();
             });
             assertEquals("connected", result.get(TIMEOUT_SECONDS, TimeUnit.SECONDS));
         }
     }
 
     @Test
-    void aDialThatIsNeverAnsweredTimesOutOnce() throws Exception {
+    void anUnansweredDialTimesOutOnce() throws Exception {
         CompletableFuture<String> result = new CompletableFuture<>();
         ioThread.thread().execute(
                 () -> new Dialer(ioThread.thread(),
@@ -61,25 +61,25 @@
 
     /** The input that ends the wait arrives, and the timeout passes, before the thread checks its timers. */
     @Test
-    void inputThatHasArrivedIsHandedOnBeforeATimeout() throws Exception {
+    void pendingInputIsHandledBeforeATimeout() throws Exception {
         CompletableFuture<String> first = new CompletableFuture<>();
         var pipe = ioThread.thread().createFullDuplexPipeConnection();
-        StreamConnection near = pipe.getLeftSide();
+        StreamConnection localEnd = pipe.getLeftSide();
         ioThread.thread().execute(() -> {
             IoTimer timer = IoTimer.timeout(ioThread.thread(), DIAL_TIMEOUT,
                     new Dialer(ioThread.thread()).readBarrier(),
                     () -> first.complete("timeout"));
-            near.getSourceChannel().setReadListener(source -> {
+            localEnd.getSourceChannel().setReadListener(source -> {
                 timer.cancel();
                 source.suspendReads();
                 first.complete("input");
             });
-            near.getSourceChannel().resumeReads();
+            localEnd.getSourceChannel().resumeReads();
             write(pipe.getRightSide());
-            holdUp();
+            blockThread();
         });
         assertEquals("input", first.get(TIMEOUT_SECONDS, TimeUnit.SECONDS));
-        IoUtils.safeClose(near, pipe.getRightSide());
+        IoUtils.safeClose(localEnd, pipe.getRightSide());
     }
 
     private static void write(StreamConnection to) {
@@ -90,9 +90,9 @@
         }
     }
 
-    private static void holdUp() {
+    private static void blockThread() {
         try {
-            Thread.sleep(HELD_UP_MILLIS);
+            Thread.sleep(BLOCKED_MILLIS);
         } catch (InterruptedException e) {
             Thread.currentThread().interrupt();
         }
--- a/src/test/java/rampshift/connections/HttpConnectionTest.java
+++ b/src/test/java/rampshift/connections/HttpConnectionTest.java
@@ -31,18 +31,18 @@
 
     /** A peer that sent data faster than it was read blocked the I/O thread forever. */
     @Test
-    void aPeerThatAlwaysHasMoreToReadLeavesTheThreadToOthersAfterABoundedNumberOfBytes() throws Exception {
+    void anEndlessResponseYieldsTheThreadAfterABoundedNumberOfBytes() throws Exception {
         BodyCounter counter = new BodyCounter();
         StreamConnection peer = startExchangeWithFloodingPeer(counter);
         peer.getSinkChannel().write(ByteBuffer.wrap(new byte[]{'x'}));
-        int count = counter.bytesBeforeTheNextTask.get(TIMEOUT_SECONDS, TimeUnit.SECONDS);
+        int count = counter.bytesBeforeNextTask.get(TIMEOUT_SECONDS, TimeUnit.SECONDS);
         assertTrue(count > 0 && count <= HttpConnection.MAX_BYTES_PER_READ_EVENT, "bytes: " + count);
         assertEquals(RESPONSE_BYTES, counter.allBytes.get(TIMEOUT_SECONDS, TimeUnit.SECONDS),
                 "the rest is read later");
     }
 
     @Test
-    void aPollOfAPeerThatAlwaysHasMoreToReadEnds() throws Exception {
+    void aPollOfAnEndlessResponseEnds() throws Exception {
         BodyCounter counter = new BodyCounter();
         startExchangeWithFloodingPeer(counter);
         CompletableFuture<Integer> polledBytes = new CompletableFuture<>();
@@ -57,11 +57,11 @@
     private StreamConnection startExchangeWithFloodingPeer(ExchangeListener listener) throws Exception {
         ChannelPipe<StreamConnection, StreamConnection> pipe =
                 ioThread.thread().createFullDuplexPipeConnection();
-        StreamConnection near = pipe.getLeftSide();
-        near.getSourceChannel().setConduit(new FloodingConduit(near.getSourceChannel().getConduit()));
+        StreamConnection localEnd = pipe.getLeftSide();
+        localEnd.getSourceChannel().setConduit(new FloodingConduit(localEnd.getSourceChannel().getConduit()));
         CompletableFuture<Void> started = new CompletableFuture<>();
         ioThread.thread().execute(() -> {
-            connection = new HttpConnection(dialerOfOneOpenConnection(), near);
+            connection = new HttpConnection(dialerOfOneOpenConnection(), localEnd);
             connection.exchange(listener, ByteBuffer.wrap(new byte[]{'x'}));
             started.complete(null);
         });
@@ -79,14 +79,14 @@
 
     /** Counts the bytes of a body, and those that are read before a task runs that the first one queues. */
     private final class BodyCounter implements ExchangeListener {
-        private final CompletableFuture<Integer> bytesBeforeTheNextTask = new CompletableFuture<>();
+        private final CompletableFuture<Integer> bytesBeforeNextTask = new CompletableFuture<>();
         private final CompletableFuture<Integer> allBytes = new CompletableFuture<>();
         private int count;
 
         @Override
         public void onBody(byte[] bytes, int offset, int length) {
             if (count == 0) {
-                ioThread.thread().execute(() -> bytesBeforeTheNextTask.complete(count));
+                ioThread.thread().execute(() -> bytesBeforeNextTask.complete(count));
             }
             count += length;
         }
