--- a/src/main/java/rampshift/log/LibraryLogs.java
+++ b/src/main/java/rampshift/log/LibraryLogs.java
@@ -35,8 +35,8 @@
         }
 
         private void forward(Level level, String text, Throwable thrown) {
-            LogLevel ownLevel = level == Level.WARN ? LogLevel.WARN : LogLevel.ERROR;
-            Log.line(ownLevel, "library", "from", getName(), "said", text, "thrown", describe(thrown));
+            LogLevel logLevel = level == Level.WARN ? LogLevel.WARN : LogLevel.ERROR;
+            Log.line(logLevel, "library", "from", getName(), "said", text, "thrown", describe(thrown));
         }
 
         private static String describe(Throwable thrown) {
--- a/src/main/java/rampshift/log/LogWriter.java
+++ b/src/main/java/rampshift/log/LogWriter.java
@@ -7,11 +7,11 @@
 
 /** Writes lines to standard error on a separate thread, which is started with the first line. */
 final class LogWriter {
-    private static final int QUEUE_LINES = 512;
-    private static final int FLUSH_POLLS = 50;
-    private static final long FLUSH_POLL_MILLIS = 2;
+    private static final int QUEUE_CAPACITY = 512;
+    private static final int MAX_FLUSH_POLLS = 50;
+    private static final long FLUSH_POLL_INTERVAL_MILLIS = 2;
 
-    private final BlockingQueue<String> lines = new ArrayBlockingQueue<>(QUEUE_LINES);
+    private final BlockingQueue<String> lines = new ArrayBlockingQueue<>(QUEUE_CAPACITY);
     private long dropped;
     private Thread thread;
 
@@ -51,10 +51,10 @@
      */
     void flush() {
         try {
-            for (int i = 0; i < FLUSH_POLLS && !lines.isEmpty(); i++) {
-                TimeUnit.MILLISECONDS.sleep(FLUSH_POLL_MILLIS);
+            for (int i = 0; i < MAX_FLUSH_POLLS && !lines.isEmpty(); i++) {
+                TimeUnit.MILLISECONDS.sleep(FLUSH_POLL_INTERVAL_MILLIS);
             }
-            TimeUnit.MILLISECONDS.sleep(FLUSH_POLL_MILLIS);
+            TimeUnit.MILLISECONDS.sleep(FLUSH_POLL_INTERVAL_MILLIS);
         } catch (InterruptedException e) {
             Thread.currentThread().interrupt();
         }
--- a/src/main/java/rampshift/time/NextTick.java
+++ b/src/main/java/rampshift/time/NextTick.java
@@ -15,7 +15,7 @@
  * which takes two file descriptors.
  */
 public final class NextTick {
-    private final ByteBuffer signal = ByteBuffer.allocateDirect(1);
+    private final ByteBuffer signalBuffer = ByteBuffer.allocateDirect(1);
     private final ChannelPipe<StreamSourceChannel, StreamSinkChannel> pipe;
     private Runnable pending;
 
@@ -36,26 +36,26 @@
         pending = action;
         if (!signaled) {
             try {
-                pipe.getRightSide().write(signal.clear());
+                pipe.getRightSide().write(signalBuffer.clear());
             } catch (IOException e) {
-                throw brokenPipe(e);
+                throw pipeFailure(e);
             }
         }
     }
 
     private void onSignal() {
         try {
-            if (pipe.getLeftSide().read(signal.clear()) > 0) {
+            if (pipe.getLeftSide().read(signalBuffer.clear()) > 0) {
                 Runnable current = pending;
                 pending = null;
                 current.run();
             }
         } catch (IOException e) {
-            throw brokenPipe(e);
+            throw pipeFailure(e);
         }
     }
 
-    private static IllegalStateException brokenPipe(IOException cause) {
+    private static IllegalStateException pipeFailure(IOException cause) {
         return new IllegalStateException("the wake-up pipe of the I/O thread failed", cause);
     }
 
--- a/src/main/java/rampshift/time/ReadBarrier.java
+++ b/src/main/java/rampshift/time/ReadBarrier.java
@@ -17,10 +17,10 @@
 public final class ReadBarrier {
     private final XnioIoThread thread;
     /** Null while no action waits. */
-    private NextTick tick;
+    private NextTick nextTick;
     /** The actions that wait for their first poll, and those that wait for their second poll. */
-    private List<Runnable> unpolled = new ArrayList<>();
-    private List<Runnable> polled = new ArrayList<>();
+    private List<Runnable> awaitingFirstPoll = new ArrayList<>();
+    private List<Runnable> awaitingSecondPoll = new ArrayList<>();
 
     /** Creates a barrier whose methods must be called on this thread. */
     public ReadBarrier(XnioIoThread thread) {
@@ -30,29 +30,29 @@
     /** Runs an action after the input that has arrived by now has been handled. */
     public void run(Runnable action) {
         try {
-            if (tick == null) {
-                tick = new NextTick(thread);
+            if (nextTick == null) {
+                nextTick = new NextTick(thread);
             }
         } catch (IOException e) {
             Log.warn("read-barrier", "broke", e.getMessage());
             action.run();
             return;
         }
-        unpolled.add(action);
-        tick.run(this::onTick);
+        awaitingFirstPoll.add(action);
+        nextTick.run(this::onTick);
     }
 
     private void onTick() {
-        List<Runnable> ready = polled;
-        polled = unpolled;
-        unpolled = new ArrayList<>();
-        if (!polled.isEmpty()) {
-            tick.run(this::onTick);
+        List<Runnable> ready = awaitingSecondPoll;
+        awaitingSecondPoll = awaitingFirstPoll;
+        awaitingFirstPoll = new ArrayList<>();
+        if (!awaitingSecondPoll.isEmpty()) {
+            nextTick.run(this::onTick);
         }
         ready.forEach(Runnable::run);
-        if (polled.isEmpty() && unpolled.isEmpty() && tick != null) {
-            tick.close();
-            tick = null;
+        if (awaitingSecondPoll.isEmpty() && awaitingFirstPoll.isEmpty() && nextTick != null) {
+            nextTick.close();
+            nextTick = null;
         }
     }
 }
--- a/src/test/java/rampshift/time/IoTimerTest.java
+++ b/src/test/java/rampshift/time/IoTimerTest.java
@@ -19,7 +19,7 @@
 class IoTimerTest {
     /** The thread is busy while both timers become due, so that XNIO queues them together. */
     @Test
-    void timerThatIsCanceledByAnotherDueWithItDoesNotFire() throws Exception {
+    void timerThatIsCanceledByAnotherDueTimerDoesNotFire() throws Exception {
         XnioWorker worker = Xnio.getInstance().createWorker(
                 OptionMap.create(Options.WORKER_IO_THREADS, 1, Options.THREAD_DAEMON, true));
         try {
