--- a/src/main/java/rampshift/connections/Dialer.java
+++ b/src/main/java/rampshift/connections/Dialer.java
@@ -36,19 +36,19 @@
          *
          * @param address the address to connect to
          * @param listener called on the I/O thread with the open channel
-         * @return the future of the channel, which can be cancelled
+         * @return the future of the channel, which can be canceled
          */
         IoFuture<StreamConnection> open(InetSocketAddress address,
                 ChannelListener<StreamConnection> listener);
     }
 
-    /** Receives the result of a dial: one of its methods is called once, unless the dial was cancelled. */
+    /** Receives the result of a dial: one of its methods is called once, unless the dial was canceled. */
     public interface DialListener {
         /** Called when the connection is open; the listener owns it from now on. */
         void onConnected(HttpConnection connection);
 
         /**
-         * Called if the connection could not be opened within the timeout.
+         * Called if the dial failed or timed out.
          *
          * @param reason the cause, for the log
          */
@@ -147,7 +147,7 @@
      * @param address the address to connect to
      * @param timeout the time after which the dial fails
      * @param listener receives the result
-     * @return the dial, which can be cancelled
+     * @return the dial, which can be canceled
      */
     public Dial dial(InetSocketAddress address, Span timeout, DialListener listener) {
         Dial dial = new Dial(listener);
--- a/src/main/java/rampshift/connections/HttpConnection.java
+++ b/src/main/java/rampshift/connections/HttpConnection.java
@@ -72,7 +72,7 @@
                 fail(count < 0 ? "closed by the peer" : "bytes that belong to no request");
             }
         } catch (IOException e) {
-            fail("reading: " + e.getMessage());
+            fail("read failed: " + e.getMessage());
         }
         return !closed;
     }
@@ -160,7 +160,7 @@
                 onBytes(bytes, count);
             }
         } catch (IOException e) {
-            fail("reading: " + e.getMessage());
+            fail("read failed: " + e.getMessage());
         }
     }
 
@@ -254,7 +254,7 @@
 
         @Override
         public void onWriteFailure(IOException cause) {
-            fail("writing: " + cause.getMessage());
+            fail("write failed: " + cause.getMessage());
         }
     }
 }
--- a/src/main/java/rampshift/pipeline/PolicyHost.java
+++ b/src/main/java/rampshift/pipeline/PolicyHost.java
@@ -19,7 +19,7 @@
 
 /** Hosts the dispatch policy: passes each event to it, then executes its decisions one by one. */
 public final class PolicyHost implements Decisions {
-    /** How late a wake-up may be before pending input is read ahead of it. */
+    /** The lateness of a wake-up above which pending input is read before the wake-up is reported. */
     private static final Span MAX_WAKE_UP_LATENESS = Span.ofMillis(5);
 
     private final XnioIoThread thread;
--- a/src/main/java/rampshift/workers/AttemptRequest.java
+++ b/src/main/java/rampshift/workers/AttemptRequest.java
@@ -13,7 +13,7 @@
  *     delay, that it is unknown whether the task ran
  * @param deadline the time from which on nothing of the request may be written
  * @param message creates the whole HTTP request; called just before it is written
- * @param timeout the time after which the attempt is cancelled, counted from its start; zero for no timeout
+ * @param timeout the time after which the attempt is canceled, counted from its start; zero for no timeout
  */
 public record AttemptRequest(String taskId, boolean nonIdempotent, Moment deadline,
         Supplier<ByteBuffer[]> message,
--- a/src/main/java/rampshift/workers/ConnectionPool.java
+++ b/src/main/java/rampshift/workers/ConnectionPool.java
@@ -108,7 +108,7 @@
     /**
      * Sends a task to a worker that has been listed. The listener may be called before this method returns.
      *
-     * @return the attempt, which can be cancelled
+     * @return the attempt, which can be canceled
      */
     public AttemptExchange startAttempt(long workerNumber, AttemptRequest request, AttemptListener listener) {
         AttemptExchange attempt = new AttemptExchange(this, endpoints.get(workerNumber), request, listener);
