--- a/src/main/java/rampshift/counters/Counters.java
+++ b/src/main/java/rampshift/counters/Counters.java
@@ -5,7 +5,7 @@
 import java.util.Map;
 import java.util.stream.Stream;
 
-/** The event counters of the dispatcher since its start. Must be used on the I/O thread only. */
+/** The event counters of the dispatcher since its start, which are incremented on the I/O thread only. */
 public final class Counters {
     /** The names of the counters. The page {@code /counters} has a line for each, in this order. */
     public enum Name {
@@ -64,8 +64,8 @@
         /** Attempts that were canceled after their request was written. */
         OUTCOME_CALLED_OFF,
         /**
-         * Attempts that ended before their request was written for another reason: canceled, withheld,
-         * over the connection limit, or on a stale connection.
+         * Attempts that ended before their request was written for another reason: canceled, timed out,
+         * withheld, over the connection limit, or on a stale connection.
          */
         OUTCOME_NOT_SENT,
         /** Invalid statuses, lines and load reports in the responses to attempts. */
