--- a/src/main/java/rampshift/log/LogWriter.java
+++ b/src/main/java/rampshift/log/LogWriter.java
@@ -5,17 +5,17 @@
 import java.util.concurrent.BlockingQueue;
 import java.util.concurrent.TimeUnit;
 
-/** Writes lines to standard error on a thread of its own, which the first line starts. */
+/** Writes lines to standard error on a separate thread, which is started with the first line. */
 final class LogWriter {
-    private static final int QUEUE_LINES = 512;
-    private static final int FLUSH_POLLS = 50;
-    private static final long FLUSH_POLL_MILLIS = 2;
+    private static final int QUEUE_CAPACITY = 512;
+    private static final int MAX_FLUSH_POLLS = 50;
+    private static final long FLUSH_POLL_INTERVAL_MILLIS = 2;
 
-    private final BlockingQueue<String> lines = new ArrayBlockingQueue<>(QUEUE_LINES);
+    private final BlockingQueue<String> lines = new ArrayBlockingQueue<>(QUEUE_CAPACITY);
     private long dropped;
     private Thread thread;
 
-    /** Hands over a line; where too many wait it is dropped. */
+    /** Adds a line to the queue, or drops it if the queue is full. */
     synchronized void write(String line) {
         if (lines.offer(line)) {
             dropped = 0;
@@ -29,7 +29,7 @@
         }
     }
 
-    /** How many lines were dropped since one was last handed over. */
+    /** Returns the number of lines that were dropped since a line was last added to the queue. */
     synchronized long dropped() {
         return dropped;
     }
@@ -45,13 +45,16 @@
         }
     }
 
-    /** Waits until no line waits, but not long; then once more, for the line that is being written. */
+    /**
+     * Waits, for a limited time, until the queue is empty, and then a moment longer for the line that is
+     * being written.
+     */
     void flush() {
         try {
-            for (int i = 0; i < FLUSH_POLLS && !lines.isEmpty(); i++) {
-                TimeUnit.MILLISECONDS.sleep(FLUSH_POLL_MILLIS);
+            for (int i = 0; i < MAX_FLUSH_POLLS && !lines.isEmpty(); i++) {
+                TimeUnit.MILLISECONDS.sleep(FLUSH_POLL_INTERVAL_MILLIS);
             }
-            TimeUnit.MILLISECONDS.sleep(FLUSH_POLL_MILLIS);
+            TimeUnit.MILLISECONDS.sleep(FLUSH_POLL_INTERVAL_MILLIS);
         } catch (InterruptedException e) {
             Thread.currentThread().interrupt();
         }
--- a/src/main/java/rampshift/pipeline/AttemptSender.java
+++ b/src/main/java/rampshift/pipeline/AttemptSender.java
@@ -13,7 +13,7 @@
 import rampshift.workers.ConnectionPool;
 import rampshift.workers.LoadReport;
 
-/** Sends attempts and health checks to workers, and reports what becomes of them. */
+/** Sends attempts and health checks to workers, and reports their events to the policy host. */
 public final class AttemptSender {
     private static final Map<AttemptOutcome, Counters.Name> OUTCOME_COUNTERS = outcomeCounters();
 
@@ -38,12 +38,12 @@
 
     /** Starts the next attempt of a task. */
     void send(PolicyHost host, InFlightTask task, long worker, Span timeout) {
-        Moment sendBy = task.attemptDeadline();
+        Moment deadline = task.attemptDeadline();
         int number = task.startAttempt(clock.now());
         counters.add(Counters.Name.ATTEMPTS);
         AttemptEvents events = new AttemptEvents(host, task, number);
         AttemptRequest request = new AttemptRequest(task.transactionId(), task.description().nonIdempotent(),
-                sendBy, () -> task.message(clock.now()), timeout);
+                deadline, () -> task.message(clock.now()), timeout);
         AttemptExchange attempt = pool.startAttempt(worker, request, events);
         if (!events.ended) {
             task.setAttempt(number, attempt);
@@ -69,7 +69,7 @@
         });
     }
 
-    /** Passes the events of one attempt on. */
+    /** Counts the outcome of one attempt, and passes its events to the policy host. */
     private final class AttemptEvents implements AttemptListener {
         private final PolicyHost host;
         private final InFlightTask task;
@@ -83,13 +83,13 @@
         }
 
         @Override
-        public boolean isStillWanted() {
+        public boolean isClientWaiting() {
             return task.request().isClientWaiting();
         }
 
         @Override
         public void onStarted() {
-            host.onAttemptBegun(task, number);
+            host.onAttemptStarted(task, number);
         }
 
         @Override
--- a/src/main/java/rampshift/pipeline/Responder.java
+++ b/src/main/java/rampshift/pipeline/Responder.java
@@ -9,35 +9,39 @@
     private static final int SERVICE_UNAVAILABLE = 503;
     private static final int GATEWAY_TIMEOUT = 504;
     private static final Span MIN_RETRY_AFTER = Span.ofMillis(1);
-    private static final byte[] EMPTY = {};
+    private static final byte[] EMPTY_BODY = {};
 
     private final Counters counters;
 
-    /** Creates a responder that counts here. */
+    /** Creates a responder that adds to the given counters. */
     public Responder(Counters counters) {
         this.counters = counters;
     }
 
-    void finished(InFlightTask task, byte[] result) {
+    void sendResult(InFlightTask task, byte[] result) {
         respond(task, Counters.Name.TASKS_FINISHED, OK, null, result);
     }
 
-    /** Rejects a task that never ran or may run again, with a span to retry after; zero to tell none. */
-    void rejected(InFlightTask task, Span retryAfter) {
+    /**
+     * Rejects a task that never ran or may run again.
+     *
+     * @param retryAfter the delay after which the client may retry; zero to send no Retry-After
+     */
+    void sendRejection(InFlightTask task, Span retryAfter) {
         String seconds = retryAfterSeconds(retryAfter);
-        respond(task, Counters.Name.TASKS_REJECTED, SERVICE_UNAVAILABLE, seconds, EMPTY);
+        respond(task, Counters.Name.TASKS_REJECTED, SERVICE_UNAVAILABLE, seconds, EMPTY_BODY);
     }
 
-    /** Returns the value of Retry-After for a span; null where it is too short to tell. */
+    /** Returns the value of Retry-After for a delay; null if the delay is too short to be written. */
     static String retryAfterSeconds(Span retryAfter) {
         return MIN_RETRY_AFTER.longerThan(retryAfter) ? null : retryAfter.seconds();
     }
 
-    void failed(InFlightTask task) {
-        respond(task, Counters.Name.TASKS_FAILED, GATEWAY_TIMEOUT, null, EMPTY);
+    void sendFailure(InFlightTask task) {
+        respond(task, Counters.Name.TASKS_FAILED, GATEWAY_TIMEOUT, null, EMPTY_BODY);
     }
 
-    void clientLeft(InFlightTask task) {
+    void recordClientLeft(InFlightTask task) {
         if (task.markAnswered()) {
             counters.add(Counters.Name.CLIENTS_LEFT);
         }
--- a/src/test/java/rampshift/pipeline/AdmissionWindowTest.java
+++ b/src/test/java/rampshift/pipeline/AdmissionWindowTest.java
@@ -20,12 +20,12 @@
 import rampshift.time.ReadBarrier;
 
 /**
- * How long new tasks may keep the thread. Without a bound, a dispatcher that was offered more than it carries
- * admitted all of it: 2,000 tasks a second at 16 workers, of which 0.1% ended in time.
+ * Tests the limit of the time that new tasks take of the I/O thread. Without it, an overloaded dispatcher
+ * admitted all tasks: 0.1% of 2,000 tasks a second at 16 workers ended in time.
  */
 class AdmissionWindowTest {
     private static final long TASK_MILLIS = 10;
-    private static final long CAUGHT_UP_MILLIS = 1050;
+    private static final long CATCH_UP_MILLIS = 1050;
     private static final long TIMEOUT_SECONDS = 20;
 
     @RegisterExtension
@@ -45,27 +45,27 @@
         });
     }
 
-    /** A hundred and thirty tasks of 10 ms in one go, and more whenever the sockets were polled. */
+    /** Offers 130 tasks of 10 ms each in one window, and more after each poll of the sockets. */
     @Test
-    void aThreadThatStaysBehindTakesTasksForTwentyMillisecondsAPoll() throws Exception {
-        assertFalse(ioThread.call(() -> keepBusy(130)), "behind for 1.3 s");
+    void overloadedThreadAdmitsTasksForTwentyMillisecondsPerPoll() throws Exception {
+        assertFalse(ioThread.call(() -> offerTasks(130)), "overloaded for 1.3 s");
         for (int poll = 0; poll < 3; poll++) {
             assertFalse(afterPoll(() -> {
                 assertTrue(window.isOpen(), "the first task after a poll");
-                return keepBusy(4);
-            }), "still behind");
+                return offerTasks(4);
+            }), "still overloaded");
         }
     }
 
     /**
-     * Of the sockets of one poll, all find the window open. It was opened by a socket too, and clients that
-     * came before that one were turned away, in an overload the same ones at each poll.
+     * All sockets of one poll must find the window open. When the event of a socket reopened it, clients
+     * whose sockets were handled before that one were rejected, in an overload the same ones at every poll.
      */
     @Test
-    void theWindowIsOpenAgainBeforeThePoll() throws Exception {
+    void windowReopensBeforeNextPoll() throws Exception {
         FutureTask<Boolean> beforePoll = new FutureTask<>(window::isOpen);
         ioThread.call(() -> {
-            assertFalse(keepBusy(130), "behind for 1.3 s");
+            assertFalse(offerTasks(130), "overloaded for 1.3 s");
             ioThread.thread().execute(beforePoll);
             return null;
         });
@@ -73,53 +73,57 @@
     }
 
     @Test
-    void aBurstThatIsSoonOverIsTakenWhole() throws Exception {
-        assertTrue(ioThread.call(() -> keepBusy(10)));
+    void shortBurstIsAdmittedWhole() throws Exception {
+        assertTrue(ioThread.call(() -> offerTasks(10)));
         assertTrue(afterPoll(window::isOpen));
     }
 
-    /** Behind no longer, it takes the next burst whole. */
+    /** After the overload has ended, the next burst is admitted whole. */
     @Test
-    void aThreadThatHasCaughtUpTakesTheNextBurst() throws Exception {
-        assertFalse(ioThread.call(() -> keepBusy(130)), "behind for 1.3 s");
+    void burstAfterOverloadIsAdmittedWhole() throws Exception {
+        assertFalse(ioThread.call(() -> offerTasks(130)), "overloaded for 1.3 s");
         afterPoll(() -> {
-            Thread.sleep(CAUGHT_UP_MILLIS);
+            Thread.sleep(CATCH_UP_MILLIS);
             return null;
         });
-        assertTrue(afterPoll(() -> keepBusy(10)));
+        assertTrue(afterPoll(() -> offerTasks(10)));
     }
 
-    /** Responses to what was admitted take 1 s between two windows: none of them is a burst of its own. */
+    /**
+     * The responses to admitted tasks take 1 s between two windows. No window must be taken for the first one
+     * of a new burst.
+     */
     @Test
-    void workBetweenTwoWindowsDoesNotEndAnOverload() throws Exception {
-        List<Boolean> lastWasTaken = new ArrayList<>();
+    void workBetweenWindowsDoesNotEndOverload() throws Exception {
+        List<Boolean> lastWasAdmitted = new ArrayList<>();
         CountDownLatch done = new CountDownLatch(3);
         ioThread.call(() -> {
-            keepBusy(130);
+            offerTasks(130);
             NextTick tick = new NextTick(ioThread.thread());
-            tick.run(() -> respondAndKeepBusy(tick, lastWasTaken, done));
+            tick.run(() -> handleResponsesAndOfferTasks(tick, lastWasAdmitted, done));
             return null;
         });
         assertTrue(done.await(TIMEOUT_SECONDS, TimeUnit.SECONDS));
-        assertEquals(List.of(false, false, false), lastWasTaken, "still behind at each poll");
+        assertEquals(List.of(false, false, false), lastWasAdmitted, "still overloaded at each poll");
     }
 
-    /** Asks for the next poll first, so that none passes without work. */
-    private void respondAndKeepBusy(NextTick tick, List<Boolean> lastWasTaken, CountDownLatch done) {
+    /** Requests the next tick first, so that no poll passes without work. */
+    private void handleResponsesAndOfferTasks(NextTick tick, List<Boolean> lastWasAdmitted,
+            CountDownLatch done) {
         if (done.getCount() > 1) {
-            tick.run(() -> respondAndKeepBusy(tick, lastWasTaken, done));
+            tick.run(() -> handleResponsesAndOfferTasks(tick, lastWasAdmitted, done));
         }
         try {
-            Thread.sleep(CAUGHT_UP_MILLIS);
-            lastWasTaken.add(keepBusy(4));
+            Thread.sleep(CATCH_UP_MILLIS);
+            lastWasAdmitted.add(offerTasks(4));
         } catch (InterruptedException e) {
             throw new IllegalStateException(e);
         }
         done.countDown();
     }
 
-    /** Asks for so many tasks, 10 ms each, and returns whether the last one was taken. */
-    private boolean keepBusy(int tasks) throws InterruptedException {
+    /** Offers tasks that take 10 ms each, and returns whether the last one was admitted. */
+    private boolean offerTasks(int tasks) throws InterruptedException {
         boolean open = true;
         for (int i = 0; i < tasks; i++) {
             open = window.isOpen();
