--- a/src/main/java/rampshift/clients/ClientConnection.java
+++ b/src/main/java/rampshift/clients/ClientConnection.java
@@ -7,7 +7,7 @@
 import rampshift.time.Moment;
 import rampshift.time.Span;
 
-/** One client's connection: its state, and what it reads between the socket and the HTTP server. */
+/** One client connection: its state, and the reading of requests between the socket and the HTTP server. */
 final class ClientConnection {
     private final StreamConnection channel;
     private final StreamSourceConduit socket;
@@ -16,8 +16,8 @@
     private final ReceiveBudget.Reservation reservation;
     private final RequestInput input;
     /**
-     * Since when it has been connected, idle, receiving a request, or closing: its time limits count from
-     * then.
+     * Start of the current phase (connected, idle, receiving a request or closing), from which the time
+     * limits of the connection count.
      */
     private Moment phaseStart;
     private Moment lastInputAt;
@@ -27,12 +27,14 @@
     private boolean hasSentRequest;
     private boolean hasSentTask;
     private boolean watched;
-    /** Nothing more is read as a request: input is discarded until the client has read its response. */
+    /**
+     * Whether input is discarded, until the client has read its response, instead of being read as requests.
+     */
     private boolean closing;
     private boolean peerClosed;
 
     /**
-     * Takes over a channel; what is read from it passes here from now on.
+     * Creates the connection of a channel and routes all reads of the channel through it.
      *
      * @param acceptedAt the earliest time at which the first bytes may have arrived
      */
@@ -53,14 +55,14 @@
         return channel;
     }
 
-    /** Gives back the memory that is reserved for input. */
+    /** Releases the memory that is reserved for input. */
     void releaseMemory() {
         reservation.release();
     }
 
     // ---- state
 
-    /** Returns whether a request is in flight and its response is not fully written. */
+    /** Returns whether a request is in flight, which includes a response that is not fully written. */
     boolean isBusy() {
         return input.hasRequest();
     }
@@ -88,12 +90,15 @@
         return hasSentRequest ? ConnectionState.IDLE_WITHOUT_TASK : ConnectionState.NEW;
     }
 
-    /** Returns the state under which {@link ConnectionTable} lists the connection; null before it does. */
+    /**
+     * Returns the state under which {@link ConnectionTable} lists the connection; null if it is not listed
+     * yet.
+     */
     ConnectionState listedState() {
         return listedState;
     }
 
-    /** Returns since when the connection has been listed under that state. */
+    /** Returns when the connection was listed under that state. */
     Moment listedSince() {
         return listedSince;
     }
@@ -103,12 +108,12 @@
         listedSince = since;
     }
 
-    /** Returns for how long the connection has been connected, idle, receiving a request, or closing. */
+    /** Returns how long the current phase (connected, idle, receiving a request or closing) has lasted. */
     Span phaseLength(Moment now) {
         return now.since(phaseStart);
     }
 
-    /** Returns for how long a closing connection has received nothing. */
+    /** Returns the time since a closing connection last received input. */
     Span quietTime(Moment now) {
         return now.since(lastInputAt);
     }
@@ -118,7 +123,7 @@
         return closing || input.isPipelinedInputDropped();
     }
 
-    /** Returns whether a request is being received, or the first one is still to come. */
+    /** Returns whether a request is being received, or the first one has not begun. */
     boolean isRequestExpected() {
         return !isBusy() && !closing && (!hasSentRequest || hasStartedRequest());
     }
@@ -142,7 +147,8 @@
     }
 
     /**
-     * Returns the request that is told when the client leaves or sends invalid input; null if there is none.
+     * Returns the request that is notified when the client disconnects or sends invalid input; null if there
+     * is none.
      */
     ClientRequest currentRequest() {
         return currentRequest;
@@ -152,14 +158,14 @@
         currentRequest = request;
     }
 
-    /** Returns when the request in flight was complete here; the time of its client counts from then. */
+    /** Returns when the request in flight was completely received; its deadline counts from then. */
     Moment requestReceivedAt() {
         return input.requestReceivedAt();
     }
 
     // ---- transitions
 
-    /** Returns true the first time: the connection is watched for its close from then on. */
+    /** Marks the connection as having a close listener, and returns true on the first call. */
     boolean startWatching() {
         boolean first = !watched;
         watched = true;
@@ -176,12 +182,17 @@
         hasSentRequest = true;
     }
 
-    /** While an interim response is being written, no request is handed on. */
+    /**
+     * Sets whether an interim response is being written; meanwhile no request is passed to the HTTP server.
+     */
     void setInterimResponsePending(boolean pending) {
         input.setInterimResponsePending(pending);
     }
 
-    /** The response to the request in flight is fully written, perhaps as the last one of the connection. */
+    /**
+     * Records that the response to the request in flight is fully written; after the last response the
+     * connection starts to close.
+     */
     void responseSent(boolean last) {
         input.clearRequest();
         phaseStart = context.now();
@@ -191,7 +202,7 @@
         events.stateChanged(this);
     }
 
-    /** From now on input is discarded; the connection is closed once the client has read its response. */
+    /** Starts to discard input; the connection is closed once the client has read its response. */
     void startClosing() {
         closing = true;
         input.clearRequest();
@@ -220,12 +231,17 @@
         return input.readRequestBytes(to);
     }
 
-    /** Keeps the request in flight from the HTTP server: its response is sent without it. */
+    /**
+     * Withholds the request in flight from the HTTP server; its response is written directly to the
+     * connection.
+     */
     void withholdRequest() {
         input.withholdRequest();
     }
 
-    /** Reads on, and returns -1 at the end of the input, else 0. */
+    /**
+     * Reads until a request is complete or no input is left, and returns -1 at the end of the input, else 0.
+     */
     private int readRequest() throws IOException {
         int result = -1;
         try {
@@ -241,8 +257,8 @@
     }
 
     /**
-     * Reads and discards input once: unread bytes would turn the close into a reset, which may swallow the
-     * response.
+     * Reads and discards input once. Unread bytes would turn the close into a TCP reset, after which the
+     * client may lose the response.
      *
      * @return the number of bytes, or -1 at the end of the input
      */
@@ -257,7 +273,7 @@
         return count;
     }
 
-    /** Reads what has arrived, and returns whether the client has closed its side. */
+    /** Reads the available input, and returns whether the client has closed its side. */
     boolean readUntilPeerClosed() throws IOException {
         int result = closing ? discardInput() : readRequest();
         return result < 0;
@@ -267,7 +283,7 @@
         socket.suspendReads();
     }
 
-    /** Has Undertow told when input is there, in the socket or read ahead. */
+    /** Makes XNIO notify Undertow of input, both in the socket and read ahead. */
     void resumeReads() {
         if (!isBusy() && !closing && input.takeContinueExpected()) {
             events.continueExpected(this);
@@ -286,7 +302,7 @@
         return !closing && !isBusy() && !input.isInterimResponsePending() && input.hasUnprocessedInput();
     }
 
-    /** Hands on input that was read ahead, unless it was handed on meanwhile. */
+    /** Wakes up reads for input that was read ahead, unless it has been processed meanwhile. */
     void processWaitingInput() {
         if (hasWaitingInput()) {
             socket.wakeupReads();
--- a/src/main/java/rampshift/clients/ClientLimits.java
+++ b/src/main/java/rampshift/clients/ClientLimits.java
@@ -3,16 +3,17 @@
 import rampshift.time.Span;
 
 /**
- * The limits of what clients may occupy.
+ * Limits on the connections and the memory that clients use.
  *
- * @param connections the most connections that are meant to stay; beyond them idle ones are closed
- * @param extraConnections how many more are accepted where none can be closed; these are closed after their
- *     responses, and further clients wait in the kernel's backlog
- * @param receivingBytes the most memory for requests that are being received, in bytes
- * @param idleTime for how long a connection stays open between tasks
+ * @param connections the number of connections beyond which idle ones are closed
+ * @param extraConnections how many more are accepted when no connection can be closed; while the number is
+ *     over the limit, connections are closed after their responses, and clients beyond both wait in the
+ *     kernel's backlog
+ * @param receivingBytes maximum memory for requests that are being received, in bytes
+ * @param idleTime maximum time for which a connection stays open between tasks
  */
 public record ClientLimits(int connections, int extraConnections, long receivingBytes, Span idleTime) {
-    /** Returns the most connections that are accepted at all. */
+    /** Returns the maximum number of accepted connections. */
     int allConnections() {
         return connections + extraConnections;
     }
--- a/src/main/java/rampshift/clients/ClientListener.java
+++ b/src/main/java/rampshift/clients/ClientListener.java
@@ -19,9 +19,7 @@
 import rampshift.time.Moment;
 import rampshift.time.Span;
 
-/**
- * Accepts clients' connections, and owns the listening socket and all of these. To be used on the I/O thread.
- */
+/** Accepts client connections, and owns them and the listening socket. Used on the I/O thread only. */
 public final class ClientListener {
     private static final int BACKLOG = 1024;
 
@@ -51,7 +49,7 @@
      */
     private record Arrival(StreamConnection channel, Moment acceptedAt, Moment firstBytesAt) {}
 
-    /** Passes what connections report on to those who handle it. */
+    /** Forwards events of connections to the components that handle them. */
     private final class EventRouter implements ConnectionEvents {
         @Override
         public void stateChanged(ClientConnection connection) {
@@ -93,14 +91,15 @@
     /**
      * Creates a listener that does not listen yet.
      *
-     * <p>Connections beyond the limit that can't make room for each other are accepted up to a second limit,
-     * and closed after their responses. They were closed unread at first, and a burst of 900 clients lost the
-     * tasks of 381.
+     * <p>While the number of connections is over the limit and none can be closed, further ones are accepted
+     * up to a second limit, and connections are closed after their responses. Closing them unread loses
+     * tasks: 381 in a burst of 900 clients.
      *
-     * @param handler is passed all requests but those for status pages
+     * @param handler receives all requests except those for status pages
      * @param earlyRejection rejects requests before they reach the handler
-     * @param maxUnreadTime for how long, at most, what is read now may have been in a socket's buffer
-     * @throws IOException if there are no descriptors left
+     * @param maxUnreadTime the longest time for which bytes that are read now may have been in a socket's
+     *     buffer
+     * @throws IOException if no file descriptor is left
      */
     public ClientListener(XnioIoThread thread, ByteBufferPool buffers, Clock clock, Counters counters,
             ClientLimits limits, RequestHandler handler, EarlyRejection earlyRejection,
@@ -127,12 +126,12 @@
         });
     }
 
-    /** Returns whether connections are to be closed after their responses at present. */
+    /** Returns whether connections are currently closed after their responses. */
     private boolean closesAfterResponses() {
         return drainer.isDraining() || limiter.isOverLimit();
     }
 
-    /** Serves a page at a path of its own, for GET and HEAD; the supplier is called for each request. */
+    /** Serves a page at a path, for GET and HEAD; the supplier is called for each request. */
     public void addPage(String path, Supplier<StatusPage> page) {
         receiver.addPage(path, page);
     }
@@ -148,7 +147,8 @@
                 .set(Options.TCP_NODELAY, true)
                 .set(Options.REUSE_ADDRESSES, true)
                 .set(Options.CONNECTION_HIGH_WATER, limits.allConnections())
-                // Lower: otherwise in a burst each close had the accepting thread start and stop once.
+                // Below the high water mark; otherwise each close in a burst would resume and suspend
+                // accepting once.
                 .set(Options.CONNECTION_LOW_WATER, limits.connections() + limits.extraConnections() / 2)
                 .set(Options.BACKLOG, BACKLOG)
                 .getMap());
@@ -156,8 +156,8 @@
     }
 
     /**
-     * Accepts all that wait, since clients in the kernel's backlog count as connected; they are served by the
-     * tick.
+     * Accepts all pending connections, since clients in the kernel's backlog are already connected from their
+     * side; the tick budget then limits how many are served at a time.
      */
     private void acceptAll(AcceptingChannel<StreamConnection> from) {
         try {
@@ -178,7 +178,11 @@
         }
     }
 
-    /** At the limit each is served at the cost of another, whose descriptor is released by the next poll. */
+    /**
+     * Returns whether a connection may be served in this tick. At the limit, each new connection replaces
+     * another one whose descriptor is released only by the next poll, so the extra time of the budget is not
+     * used.
+     */
     private boolean mayServe(Arrival arrival) {
         return limiter.hasRoom() ? tick.tryUse(arrival.acceptedAt()) : tick.tryUse();
     }
@@ -190,7 +194,7 @@
         serveArrivals();
     }
 
-    /** Serves a connection that was accepted elsewhere. */
+    /** Serves a connection that was not accepted by this listener. */
     public void serve(StreamConnection channel) {
         serve(channel, context.earliestArrival());
     }
@@ -203,29 +207,29 @@
     }
 
     /**
-     * The shutdown has begun: everything goes on, but {@link #isUnchangedFor} counts from now on at the
-     * earliest.
+     * Records that the shutdown has begun: clients are still served, but {@link #isUnchangedFor} counts from
+     * now at the earliest.
      */
     public void beginShutdown() {
         table.recordChange();
     }
 
-    /** The shutdown is near its end: connections are closed between requests. May be called again. */
+    /** Closes connections between requests, near the end of the shutdown. May be called repeatedly. */
     public void drain() {
         drainer.drain(tick);
     }
 
-    /** Returns whether no client has connected or left for longer than this. */
+    /** Returns whether no client has connected or disconnected for longer than the span. */
     public boolean isUnchangedFor(Span span) {
         return table.isUnchangedFor(span);
     }
 
-    /** Returns whether there is no connection, neither served nor waiting to be. */
+    /** Returns whether there is no connection, either served or waiting to be served. */
     public boolean isEmpty() {
         return table.size() == 0 && arrivals.isEmpty();
     }
 
-    /** Returns the address on which it listens. */
+    /** Returns the address on which the listener accepts connections. */
     public InetSocketAddress address() {
         return socket.getLocalAddress(InetSocketAddress.class);
     }
--- a/src/main/java/rampshift/clients/ClientRequest.java
+++ b/src/main/java/rampshift/clients/ClientRequest.java
@@ -16,15 +16,21 @@
 import rampshift.time.Span;
 
 /**
- * A complete request whose client waits for the response: what it holds, and the one place where it is
- * answered.
+ * A complete request whose client waits for the response. Gives access to the request and sends its only
+ * response.
  */
 public final class ClientRequest {
-    /** Fields that belong to the connection, or that are written anew for workers. */
+    /**
+     * Header fields that are not forwarded: they apply to one connection only, or are generated anew for
+     * workers.
+     */
     private static final Set<HttpString> HOP_BY_HOP_FIELDS = Set.of(Headers.CONNECTION, Headers.KEEP_ALIVE,
             Headers.PROXY_AUTHENTICATE, Headers.PROXY_AUTHORIZATION, Headers.TE, Headers.TRAILER,
             Headers.TRANSFER_ENCODING, Headers.UPGRADE, Headers.CONTENT_LENGTH, Headers.EXPECT);
-    /** A fifth of the time for which an attempt may still begin after the client has closed. */
+    /**
+     * Minimum interval between reads that detect a disconnect: a fifth of the time for which an attempt may
+     * still begin after the client has closed the connection.
+     */
     private static final Span POLL_INTERVAL = Span.ofMillis(20);
 
     private final Clock clock;
@@ -34,8 +40,8 @@
     private final byte[] body;
     private final Moment receivedAt;
     /**
-     * When the connection was last read since the request was: the client's close may have come with its
-     * bytes.
+     * When the connection was last read after the request. Null before the first such read, since the
+     * client's close may have arrived along with the request.
      */
     private Moment polledAt;
     private Runnable onDisconnect;
@@ -52,8 +58,8 @@
     }
 
     /**
-     * Returns when the last byte was here, perhaps long before the turn of the request; client time counts
-     * from then.
+     * Returns when the last byte was received, which may be long before the request was processed; the
+     * deadline counts from then.
      */
     public Moment receivedAt() {
         return receivedAt;
@@ -75,13 +81,13 @@
         return body;
     }
 
-    /** Returns the only value of a header field; null if the field is absent or has several values. */
+    /** Returns the single value of a header field; null if the field is absent or has several values. */
     public String field(String name) {
         HeaderValues values = exchange.getRequestHeaders().get(name);
         return values == null || values.size() != 1 ? null : values.getFirst();
     }
 
-    /** Returns whether a header field is there, once or more often. */
+    /** Returns whether a header field is present. */
     public boolean hasField(String name) {
         return exchange.getRequestHeaders().contains(name);
     }
@@ -101,16 +107,16 @@
     }
 
     /**
-     * Accepts the request as a task: from now on the connection is watched, and a disconnect is reported
-     * once.
+     * Accepts the request as a task: the connection is monitored from now on, and the listener is run at most
+     * once, when the client disconnects.
      */
     public void onDisconnect(Runnable listener) {
         onDisconnect = listener;
         connection.taskAccepted();
         AbstractServerConnection httpConnection = httpConnection();
-        // Only the read listener is replaced, and Undertow restores its own after the exchange. With the
-        // conduit's
-        // handler replaced it did not, and every second task on a connection was never read.
+        // Replaces only the read listener, since Undertow restores its own after the exchange. It does not
+        // restore a replaced handler of the conduit, and then every second task on a connection is never
+        // read.
         httpConnection.getChannel().getSourceChannel().setReadListener(channel -> poll(httpConnection));
         connection.resumeReads();
     }
@@ -120,7 +126,8 @@
     }
 
     /**
-     * Nothing is expected from a client that waits: an end is a disconnect, bytes belong to its next request.
+     * Reads the connection of a waiting client: the end of the input is a disconnect, and bytes belong to the
+     * next request.
      */
     private void poll(AbstractServerConnection httpConnection) {
         polledAt = clock.now();
@@ -136,8 +143,8 @@
     }
 
     /**
-     * Returns whether the client still waits for its response. Reads what the socket holds, at most once an
-     * interval, since the client may have closed while this thread was busy.
+     * Returns whether the client still waits for its response. Reads the socket first, at most once per
+     * interval, since the client may have closed the connection while this thread was busy.
      */
     public boolean isClientWaiting() {
         if (!completed && (polledAt == null || clock.now().since(polledAt).longerThan(POLL_INTERVAL))) {
@@ -156,11 +163,12 @@
     }
 
     /**
-     * Rejects the request for what came behind it: its declared length was wrong, and the task is given up.
+     * Rejects the request because of invalid input after it: its declared length was wrong, and the task is
+     * canceled.
      */
     void rejectForInvalidInput(int status) {
         Runnable listener = onDisconnect;
-        if (respond(status, "what follows is no call") && listener != null) {
+        if (respond(status, "invalid input after the request") && listener != null) {
             listener.run();
         }
     }
@@ -169,7 +177,7 @@
      * Sends the response.
      *
      * @param retryAfterSeconds the value of Retry-After, or null for none
-     * @return false if the client has left or was answered already
+     * @return false if the client has disconnected or a response was already sent
      */
     public boolean respond(int status, String retryAfterSeconds, byte[] responseBody) {
         if (completed) {
@@ -190,7 +198,8 @@
     }
 
     /**
-     * Sends a response of one line of text, and returns false if the client has left or was answered already.
+     * Sends a response of one line of text, and returns false if the client has disconnected or a response
+     * was already sent.
      */
     public boolean respond(int status, String text) {
         return respond(status, null, (text + "\n").getBytes(StandardCharsets.UTF_8));
--- a/src/main/java/rampshift/clients/ConnectionCloser.java
+++ b/src/main/java/rampshift/clients/ConnectionCloser.java
@@ -3,7 +3,9 @@
 import java.io.IOException;
 import org.xnio.IoUtils;
 
-/** Closes clients' connections, so that no client loses its last response or a request that has arrived. */
+/**
+ * Closes client connections so that no client loses its last response or a request that has already arrived.
+ */
 final class ConnectionCloser {
     private static final int MAX_READS = 16;
 
@@ -21,7 +23,7 @@
         IoUtils.safeClose(connection.channel());
     }
 
-    /** Releases what is kept for a connection that is closed. */
+    /** Releases the resources of a closed connection. */
     void forget(ClientConnection connection) {
         tick.cancelInput(connection);
         table.remove(connection);
@@ -29,13 +31,13 @@
     }
 
     /**
-     * Closes a connection on which no input waits. Bytes that arrive afterwards would turn the close into a
-     * reset, which may swallow the response before it: so the output is shut down first, and input is read
-     * until the client closes.
+     * Closes a connection that has no unread input. Bytes that arrive after a plain close would cause a TCP
+     * reset, and the client may lose the preceding response. Therefore the output is shut down first, and
+     * input is discarded until the client closes its side.
      */
     void closeIdle(ClientConnection connection) {
         if (!connection.hasSentRequest()) {
-            close(connection);      // no response was sent before
+            close(connection);      // no response can be lost
             return;
         }
         connection.startClosing();
@@ -53,14 +55,14 @@
         }
     }
 
-    /** Discards the input of a closing connection whenever some arrives. */
+    /** Discards all further input of a closing connection as it arrives. */
     void keepDiscardingInput(ClientConnection connection) {
         connection.channel().getSourceChannel().setReadListener(channel -> discardInput(connection));
         connection.channel().getSourceChannel().resumeReads();
     }
 
     /**
-     * Discards what a closing connection has received, and closes it if its client has left.
+     * Discards what a closing connection has received, and closes it if the client has closed its side.
      *
      * @return whether any bytes had arrived
      */
@@ -85,10 +87,10 @@
     }
 
     /**
-     * Reads what has arrived, and returns whether the connection need not be closed for being idle or late:
-     * it has received more, or is closed by now. To be asked before each close of a connection that is not
-     * busy. A dispatcher that was stopped for 2.6 s, and one that was late to its reads in a burst, closed
-     * connections whose complete tasks were unread.
+     * Reads the available input, and returns whether the connection is no longer to be closed for being idle
+     * or late: it has received more, or is already closed. Must be called before each close of a connection
+     * that is not busy: after a process pause (2.6 s), or when reads are delayed in a burst, a complete task
+     * may still be unread in the socket.
      */
     boolean hasNewInput(ClientConnection connection) {
         boolean hadStartedRequest = connection.hasStartedRequest();
--- a/src/main/java/rampshift/clients/ConnectionDrainer.java
+++ b/src/main/java/rampshift/clients/ConnectionDrainer.java
@@ -21,9 +21,9 @@
     }
 
     /**
-     * Closes connections between requests, as many as the budget of this tick allows. A client that has just
-     * connected, perhaps since its request crossed such a close, or that is sending a request, may finish
-     * sending it; a client whose request is in flight reads its response first.
+     * Closes connections between requests, as many as the budget of this tick allows. A client that is
+     * sending a request may finish it, and so may one that has just connected, perhaps to resend a request
+     * that an earlier close has lost. A client whose request is in flight receives its response first.
      */
     void drain(TickBudget tick) {
         draining = true;
--- a/src/main/java/rampshift/clients/ConnectionEvents.java
+++ b/src/main/java/rampshift/clients/ConnectionEvents.java
@@ -1,25 +1,25 @@
 package rampshift.clients;
 
-/** What a client's connection reports to its owner while it reads. */
+/** Receives the events of a client connection. */
 interface ConnectionEvents {
-    /** The state of the connection may have changed. */
+    /** Called when the state of the connection may have changed. */
     void stateChanged(ClientConnection connection);
 
-    /** The client waits for "100 Continue" before it sends a body. */
+    /** Called when the client waits for "100 Continue" before it sends a body. */
     void continueExpected(ClientConnection connection);
 
-    /** More input came behind the request in flight than is kept, and was dropped. */
+    /** Called when the input after the request in flight has exceeded the limit and was dropped. */
     void pipelinedInputDropped(ClientConnection connection);
 
-    /** The client has sent what can't be accepted as a request. */
+    /** Called when the client has sent input that is not a valid request. */
     void invalidRequest(ClientConnection connection, InvalidRequestException reason);
 
     /**
-     * A request is complete. Returns whether it is rejected for overload; if so, the response is sent, and
-     * the HTTP server is to read nothing of the request.
+     * Called when a request is complete. Returns whether it is rejected for overload; if so, the
+     * implementation sends the response, and the HTTP server must not read any of the request.
      */
     boolean rejectsForOverload(ClientConnection connection, RequestHead head);
 
-    /** Input that was read already waits, and may be handed on once the other sockets have been polled. */
+    /** Called when input that was read ahead can be processed once the other sockets have been polled. */
     void readOnNextTick(ClientConnection connection);
 }
--- a/src/main/java/rampshift/clients/ConnectionLimiter.java
+++ b/src/main/java/rampshift/clients/ConnectionLimiter.java
@@ -6,17 +6,21 @@
 import rampshift.time.Span;
 
 /**
- * Keeps the number of connections within the limit of descriptors.
+ * Keeps the number of connections within the limit of file descriptors.
  *
- * <p>Connections are closed in the order of {@link ConnectionState}, in each state those first that have been
- * in it the longest, at a cost that does not grow with their number. Before this order hundreds of silent
- * clients held all places while regular ones waited in the backlog, and clients that asked for a page and
- * stayed displaced regular ones. A client within a request comes last: it loses a task, the others nothing.
+ * <p>Connections are closed in the order of {@link ConnectionState}, and within a state the one that has been
+ * in it the longest is closed first, at constant cost. Without this order, hundreds of silent clients can
+ * occupy all connections while regular ones wait in the backlog, and clients that stay connected after
+ * fetching a status page displace regular ones. A client that is sending a request comes last, since closing
+ * its connection loses a task.
  */
 final class ConnectionLimiter {
-    /** Time that any client has to send something, or to read its last response. */
+    /**
+     * Minimum time for which a client may stay connected without sending anything, or take to read its last
+     * response.
+     */
     private static final Span MIN_STAY_NEW = Span.ofMillis(30);
-    /** Time that a client which sends tasks may be idle, or take for a request. */
+    /** Minimum time for which a client that sends tasks may be idle, or take to send a request. */
     private static final Span MIN_STAY_REGULAR = Span.ofMillis(100);
 
     private final ClientLimits limits;
@@ -34,17 +38,17 @@
         this.clock = clock;
     }
 
-    /** Returns whether there are more connections than are meant to stay. */
+    /** Returns whether the number of connections exceeds the limit. */
     boolean isOverLimit() {
         return table.size() > limits.connections();
     }
 
-    /** Returns whether one more connection may stay with all that there are. */
+    /** Returns whether one more connection is within the limit. */
     boolean hasRoom() {
         return table.size() < limits.connections();
     }
 
-    /** Closes connections until the others are within the limit, or none may be closed. */
+    /** Closes connections until the number is within the limit or none of the rest may be closed. */
     void makeRoom() {
         while (isOverLimit()) {
             ClientConnection candidate = nextToClose();
@@ -66,8 +70,9 @@
                 return oldest;
             }
             if (state == ConnectionState.IDLE && isFull()) {
-                // In a burst of clients that leave after their response each waited 30 ms here, and others
-                // behind it.
+                // Closes it before its minimum time: in a burst of clients that disconnect after their
+                // response, each would otherwise occupy its connection for 30 ms and delay those in the
+                // backlog.
                 ClientConnection closing = table.oldest(ConnectionState.CLOSING);
                 if (closing != null) {
                     return closing;
@@ -77,7 +82,7 @@
         return null;
     }
 
-    /** For how long a connection may be in a state, however many others come. */
+    /** Returns the minimum time in a state before a connection may be closed for others. */
     private static Span minStay(ConnectionState state) {
         return switch (state) {
             case CLOSING, NEW -> MIN_STAY_NEW;
@@ -91,8 +96,8 @@
     }
 
     /**
-     * Reads what has arrived on a connection, and returns whether it is not to be closed, or is closed
-     * already.
+     * Reads the available input of a connection, and returns whether the connection may not be closed or is
+     * already closed.
      */
     private boolean mustStay(ClientConnection connection) {
         return switch (connection.listedState()) {
@@ -103,8 +108,8 @@
     }
 
     /**
-     * Whether a closing connection is closed by now, or has just received more and there is still room for
-     * it.
+     * Returns whether a closing connection is already closed, or has just received more input while the
+     * number of connections is below the maximum.
      */
     private boolean isStillReceiving(ClientConnection connection) {
         boolean received = closer.discardInput(connection);
--- a/src/main/java/rampshift/clients/ConnectionState.java
+++ b/src/main/java/rampshift/clients/ConnectionState.java
@@ -1,14 +1,14 @@
 package rampshift.clients;
 
 /**
- * The states of a client's connection, in the order in which connections are closed to make room for others.
+ * The states of a client connection, in the order in which connections are closed to stay within the limit.
  */
 enum ConnectionState {
-    /** The client has closed its side, and the connection is about to be closed here too. */
+    /** The client has closed its side, and the dispatcher is about to close the connection. */
     PEER_CLOSED,
-    /** The last response was written or the client was rejected; it may still be reading. */
+    /** The last response or a rejection was written, and the client may still be reading it. */
     CLOSING,
-    /** The client has had a response, but has never sent a task. */
+    /** The client has received a response, but has never sent a task. */
     IDLE_WITHOUT_TASK,
     /** No byte has been received yet. */
     NEW,
@@ -16,6 +16,6 @@
     IDLE,
     /** A request has been received in part. */
     RECEIVING,
-    /** A request is in flight and its response is not fully written: never closed to make room. */
+    /** A request is in flight or its response is not fully written; never closed for the limit. */
     BUSY
 }
--- a/src/main/java/rampshift/clients/ConnectionTable.java
+++ b/src/main/java/rampshift/clients/ConnectionTable.java
@@ -12,7 +12,7 @@
 import rampshift.time.Moment;
 import rampshift.time.Span;
 
-/** The open connections from clients, and by state those that have been in it the longest first. */
+/** The open client connections, and for each state its connections, longest in the state first. */
 final class ConnectionTable {
     private final Clock clock;
     private final Map<StreamConnection, ClientConnection> connections = new HashMap<>();
@@ -39,17 +39,17 @@
         recordChange();
     }
 
-    /** Records that a client has just connected or left. */
+    /** Records that a client has just connected or disconnected. */
     void recordChange() {
         lastChange = clock.now();
     }
 
-    /** Returns whether no client has connected or left for longer than this. */
+    /** Returns whether no client has connected or disconnected for longer than the span. */
     boolean isUnchangedFor(Span span) {
         return clock.now().since(lastChange).longerThan(span);
     }
 
-    /** Lists a connection by its present state, behind those that have been in that state for longer. */
+    /** Lists a connection under its current state, after those that entered that state earlier. */
     void updateState(ClientConnection connection) {
         ConnectionState state = connection.state();
         if (state != connection.listedState() && contains(connection)) {
@@ -57,7 +57,7 @@
         }
     }
 
-    /** Lists a connection as the latest that has come into a state. */
+    /** Lists a connection as the one that entered a state most recently. */
     void moveToEnd(ClientConnection connection, ConnectionState state) {
         if (connection.listedState() != null) {
             byState.get(connection.listedState()).remove(connection);
@@ -84,7 +84,7 @@
         return connections.size();
     }
 
-    /** Returns a copy, so that connections may be closed while it is walked. */
+    /** Returns a copy of all connections, so that some may be closed during the iteration. */
     List<ClientConnection> all() {
         return new ArrayList<>(connections.values());
     }
--- a/src/main/java/rampshift/clients/ConnectionWriter.java
+++ b/src/main/java/rampshift/clients/ConnectionWriter.java
@@ -4,7 +4,7 @@
 import java.nio.ByteBuffer;
 import org.xnio.conduits.ConduitStreamSinkChannel;
 
-/** Writes to a client outside of an exchange of the HTTP server. */
+/** Writes to a client connection outside an exchange of the HTTP server. */
 final class ConnectionWriter {
     private final ConnectionCloser closer;
 
@@ -12,10 +12,7 @@
         this.closer = closer;
     }
 
-    /**
-     * Writes all bytes, as fast as the client takes them, then runs the completion; closes the connection on
-     * errors.
-     */
+    /** Writes all bytes without blocking, then runs the completion. Closes the connection on errors. */
     void write(ClientConnection connection, ByteBuffer bytes, Runnable completion) {
         ConduitStreamSinkChannel sink = connection.channel().getSinkChannel();
         try {
--- a/src/main/java/rampshift/clients/HttpRequestReceiver.java
+++ b/src/main/java/rampshift/clients/HttpRequestReceiver.java
@@ -18,7 +18,8 @@
 import rampshift.time.Clock;
 
 /**
- * Runs Undertow's HTTP server on clients' connections: serves status pages, and passes all other requests on.
+ * Runs Undertow's HTTP server on client connections: serves status pages, and passes all other requests to
+ * the handler.
  */
 final class HttpRequestReceiver {
     private final Clock clock;
@@ -32,7 +33,7 @@
     /**
      * Creates the receiver.
      *
-     * @param closeAfterResponse whether connections are to be closed after their responses at present
+     * @param closeAfterResponse returns whether connections are currently closed after their responses
      */
     HttpRequestReceiver(ByteBufferPool buffers, Clock clock, ConnectionTable table, ConnectionCloser closer,
             RequestHandler handler, BooleanSupplier closeAfterResponse) {
@@ -45,7 +46,10 @@
         server.setRootHandler(this::handle);
     }
 
-    /** Undertow reads only what has passed RequestReader, whose limits are the narrower ones. */
+    /**
+     * Returns the limits of Undertow, which are wider than those of RequestReader: Undertow reads only
+     * requests that RequestReader has accepted.
+     */
     private static OptionMap options() {
         return OptionMap.builder()
                 .set(UndertowOptions.MAX_ENTITY_SIZE, (long) RequestReader.MAX_REQUEST_BYTES)
@@ -62,7 +66,7 @@
         pages.put(path, page);
     }
 
-    /** Starts to serve a connection that is in the table. */
+    /** Starts serving a connection that is in the table. */
     void serve(StreamConnection channel) {
         server.handleEvent(channel);
     }
@@ -100,7 +104,10 @@
         handler.onRequest(request);
     }
 
-    /** Follows a connection until the whole response is written, or the connection is closed. */
+    /**
+     * Registers listeners for the end of the exchange and for the close of its connection, and returns the
+     * connection.
+     */
     private ClientConnection watch(HttpServerExchange exchange) {
         AbstractServerConnection httpConnection = (AbstractServerConnection) exchange.getConnection();
         ClientConnection connection = table.get(httpConnection.getChannel());
--- a/src/main/java/rampshift/clients/IdleConnectionReaper.java
+++ b/src/main/java/rampshift/clients/IdleConnectionReaper.java
@@ -8,16 +8,19 @@
 import rampshift.time.Span;
 
 /**
- * Closes connections at regular intervals whose time is up: silent, stalled in a request, rejected, or long
- * idle.
+ * Closes connections that have exceeded a time limit, at regular intervals: silent ones, ones stalled within
+ * a request, rejected ones and idle ones.
  */
 final class IdleConnectionReaper {
     private static final Span INTERVAL = Span.ofMillis(50);
-    /** Time without input after which a client has read its last response. */
+    /**
+     * Time without input after which the client of a closing connection is assumed to have read its last
+     * response.
+     */
     private static final Span MAX_QUIET_CLOSING_TIME = Span.ofMillis(500);
     private static final Span MAX_CLOSING_TIME = Span.ofMillis(5000);
     private static final Span MAX_IDLE_TIME_WITHOUT_TASK = Span.ofMillis(1000);
-    /** Time within which a request must be complete. */
+    /** Time within which a request must be completely received. */
     static final Span MAX_REQUEST_TIME = Span.ofMillis(2300);
 
     private final XnioIoThread thread;
@@ -53,7 +56,7 @@
         timer.cancel();
     }
 
-    /** Closes connections whose time is up, as many as the budget of this tick allows. */
+    /** Closes connections that have exceeded a time limit, as many as the budget of this tick allows. */
     void closeExpired(TickBudget tick) {
         Moment now = clock.now();
         for (ClientConnection connection : table.all()) {
@@ -114,7 +117,8 @@
             return;
         }
         if (connection.hasStartedRequest()) {
-            rejecter.reject(connection, new InvalidRequestException(408, "half a call, and no more of it"));
+            rejecter.reject(connection, new InvalidRequestException(408,
+                    "request incomplete at its time limit"));
         } else {
             counters.add(Counters.Name.CLIENTS_TIMED_OUT);
             closer.close(connection);
--- a/src/main/java/rampshift/clients/PipelinedInput.java
+++ b/src/main/java/rampshift/clients/PipelinedInput.java
@@ -4,15 +4,15 @@
 import java.util.ArrayDeque;
 import rampshift.time.Moment;
 
-/** The bytes that a client has sent behind a complete request, each piece with the time of its arrival. */
+/** The bytes that a client has sent after a complete request, each piece with its arrival time. */
 final class PipelinedInput {
     private final ArrayDeque<Piece> pieces = new ArrayDeque<>();
     private int byteCount;
 
-    /** Bytes, and the earliest time at which they may have arrived. */
+    /** A piece of input, and the earliest time at which it may have arrived. */
     private record Piece(ByteBuffer bytes, Moment arrivedAt) {}
 
-    /** Keeps a copy of the remaining bytes. */
+    /** Adds a copy of the remaining bytes. */
     void add(ByteBuffer bytes, Moment arrivedAt) {
         if (bytes.hasRemaining()) {
             byteCount += bytes.remaining();
@@ -22,7 +22,8 @@
     }
 
     /**
-     * Lets a reader take the first piece, up to the end of its request, and returns when that piece arrived.
+     * Passes the first piece to a reader, which reads up to the end of its request, and returns the arrival
+     * time of the piece.
      */
     Moment readFirstPiece(RequestReader reader) throws InvalidRequestException {
         Piece piece = pieces.peek();
--- a/src/main/java/rampshift/clients/ReadContext.java
+++ b/src/main/java/rampshift/clients/ReadContext.java
@@ -6,7 +6,7 @@
 import rampshift.time.Moment;
 import rampshift.time.Span;
 
-/** What all connections of the I/O thread share when they read: the clock, and one buffer. */
+/** The clock and the read buffer that all connections of the I/O thread share. */
 final class ReadContext {
     private static final int BUFFER_BYTES = 16 * 1024;
 
@@ -17,7 +17,8 @@
     /**
      * Creates the context.
      *
-     * @param maxUnreadTime for how long, at most, what is read now may have been in the socket's buffer
+     * @param maxUnreadTime the longest time for which bytes that are read now may have been in the socket's
+     *     buffer
      */
     ReadContext(Clock clock, Supplier<Span> maxUnreadTime) {
         this.clock = clock;
@@ -28,12 +29,12 @@
         return clock.now();
     }
 
-    /** Returns the earliest time at which what is read now may have arrived. */
+    /** Returns the earliest time at which bytes that are read now may have arrived. */
     Moment earliestArrival() {
         return clock.now().minus(maxUnreadTime.get());
     }
 
-    /** Returns the empty buffer for one read; its content is not kept. */
+    /** Returns the shared buffer, cleared, for one read; its content is overwritten by the next read. */
     ByteBuffer buffer() {
         return buffer.clear();
     }
--- a/src/main/java/rampshift/clients/ReceiveBudget.java
+++ b/src/main/java/rampshift/clients/ReceiveBudget.java
@@ -1,6 +1,6 @@
 package rampshift.clients;
 
-/** Bounds the memory for requests that are being received, over all connections. */
+/** Limits the total memory for requests that are being received on all connections. */
 final class ReceiveBudget {
     private final long maxBytes;
     private long reservedBytes;
@@ -14,11 +14,14 @@
         return new Reservation();
     }
 
-    /** The part of the budget that one connection has reserved. */
+    /** The memory that one connection has reserved. */
     final class Reservation {
         private int bytes;
 
-        /** Changes the reservation to so many bytes, and returns false if the budget is exceeded by it. */
+        /**
+         * Sets the reservation to a number of bytes, and returns false if it is above 0 and the budget is
+         * exceeded.
+         */
         boolean resize(int newBytes) {
             reservedBytes += newBytes - bytes;
             bytes = newBytes;
--- a/src/main/java/rampshift/clients/RequestConduit.java
+++ b/src/main/java/rampshift/clients/RequestConduit.java
@@ -9,7 +9,10 @@
 import org.xnio.conduits.Conduits;
 import org.xnio.conduits.StreamSourceConduit;
 
-/** Stands between a client's socket and Undertow, which reads only what {@link ClientConnection} hands on. */
+/**
+ * Filters the input between a client's socket and Undertow, which reads only what {@link ClientConnection}
+ * passes on.
+ */
 final class RequestConduit extends AbstractStreamSourceConduit<StreamSourceConduit> {
     private final ClientConnection connection;
 
@@ -43,7 +46,7 @@
         return Conduits.transfer(this, count, through, target);
     }
 
-    /** Input that was read ahead is announced like input in the socket. */
+    /** Also notifies the read listener of input that was read ahead. */
     @Override
     public void resumeReads() {
         connection.resumeReads();
--- a/src/main/java/rampshift/clients/RequestHandler.java
+++ b/src/main/java/rampshift/clients/RequestHandler.java
@@ -1,8 +1,8 @@
 package rampshift.clients;
 
-/** Receives the clients' requests, on the I/O thread. */
+/** Handles client requests, on the I/O thread. */
 @FunctionalInterface
 public interface RequestHandler {
-    /** A request is complete; the handler responds to it now or later. */
+    /** Handles a complete request; the response may be sent now or later. */
     void onRequest(ClientRequest request);
 }
--- a/src/main/java/rampshift/clients/RequestHead.java
+++ b/src/main/java/rampshift/clients/RequestHead.java
@@ -4,18 +4,20 @@
 import java.util.Locale;
 import java.util.Map;
 
-/** Checks the lines of one request head, and holds its fields and what they say about the body's framing. */
+/**
+ * Checks the lines of one request head, and holds its fields and the framing of the body that they define.
+ */
 public final class RequestHead {
-    /** The most header fields and trailer fields of one request together. */
+    /** Maximum number of header fields and trailer fields of one request together. */
     static final int MAX_FIELDS = 64;
     private static final int MAX_LENGTH_DIGITS = 18;
     private static final int LAST_PRINTABLE_ASCII = '~';
     private static final String TOKEN_SYMBOLS = "!#$%&'*+-.^_`|~";
     private static final long UNKNOWN_LENGTH = -1;
-    /** Stands for the values of a field that is there several times; no value has line ends. */
+    /** Replaces the values of a repeated field. Can't be a real value, since no value contains line ends. */
     private static final String AMBIGUOUS = "\r\n";
 
-    /** By name in lower case. */
+    /** Field values by name in lower case. */
     private final Map<String, String> fields = new HashMap<>();
     private int fieldCount;
     private long contentLength = UNKNOWN_LENGTH;
@@ -24,18 +26,18 @@
     private boolean chunked;
     private boolean continueExpected;
 
-    /** Checks the line of method, target and version. */
+    /** Checks the request line: method, target and version. */
     void requestLine(String line) throws InvalidRequestException {
         int target = line.indexOf(' ') + 1;
         int beforeVersion = line.indexOf(' ', target);
         if (beforeVersion < 0 || line.charAt(target) != '/' || !isPrintableAscii(line)) {
-            throw new InvalidRequestException(400, "no line of method, path and version");
+            throw new InvalidRequestException(400, "invalid request line: expected method, path and version");
         }
         String version = line.substring(beforeVersion + 1);
         http10 = version.equals("HTTP/1.0");
         if (!http10 && !version.equals("HTTP/1.1")) {
             int status = version.matches("HTTP/[0-9.]+") ? 505 : 400;
-            throw new InvalidRequestException(status, "a version other than HTTP/1.1");
+            throw new InvalidRequestException(status, "unsupported protocol version");
         }
         post = line.startsWith("POST ");
     }
@@ -48,10 +50,10 @@
     void field(String line) throws InvalidRequestException {
         int colon = line.indexOf(':');
         if (colon <= 0 || !line.chars().limit(colon).allMatch(RequestHead::isTokenCharacter)) {
-            throw new InvalidRequestException(400, "a header field without a sound name");
+            throw new InvalidRequestException(400, "invalid header field name");
         }
         if (++fieldCount > MAX_FIELDS) {
-            throw new InvalidRequestException(431, "over " + MAX_FIELDS + " header fields");
+            throw new InvalidRequestException(431, "more than " + MAX_FIELDS + " header fields");
         }
         String value = line.substring(colon + 1).trim();
         String name = line.substring(0, colon).toLowerCase(Locale.ROOT);
@@ -82,47 +84,49 @@
         boolean isNumber = !value.isEmpty() && value.length() <= MAX_LENGTH_DIGITS
                 && value.chars().allMatch(RequestHead::isDigit);
         if (contentLength != UNKNOWN_LENGTH || !isNumber) {
-            throw new InvalidRequestException(400, "a length that is no number, or two of them");
+            throw new InvalidRequestException(400, "invalid or repeated Content-Length");
         }
         contentLength = Long.parseLong(value);
     }
 
     private void transferEncoding(String value) throws InvalidRequestException {
         if (chunked || http10) {
-            throw new InvalidRequestException(400, "more than one Transfer-Encoding, or one in HTTP/1.0");
+            throw new InvalidRequestException(400,
+                    "repeated Transfer-Encoding, or Transfer-Encoding in HTTP/1.0");
         }
         if (!value.equalsIgnoreCase("chunked")) {
-            throw new InvalidRequestException(501, "a Transfer-Encoding other than chunked");
+            throw new InvalidRequestException(501, "unsupported Transfer-Encoding: expected chunked");
         }
         chunked = true;
     }
 
     private void expect(String value) throws InvalidRequestException {
         if (!value.equalsIgnoreCase("100-continue")) {
-            throw new InvalidRequestException(417, "an expectation that is not known");
+            throw new InvalidRequestException(417, "unsupported Expect field: expected 100-continue");
         }
         continueExpected = !http10;
     }
 
-    /** Checks, after the last field, that the fields agree on one length of the body. */
+    /** Checks, after the last field, that the fields define the length of the body unambiguously. */
     void end() throws InvalidRequestException {
         if (chunked && contentLength != UNKNOWN_LENGTH) {
-            // Readers that go by different fields see different ends: a second request may hide in such a
-            // body.
-            throw new InvalidRequestException(400, "both Content-Length and Transfer-Encoding");
+            // Prevents request smuggling: parsers that use different fields disagree on the end of the body,
+            // which may contain a second request.
+            throw new InvalidRequestException(400, "both Content-Length and Transfer-Encoding are present");
         }
         if (contentLength > RequestReader.MAX_BODY_BYTES) {
             throw RequestReader.bodyTooLarge();
         }
         if (post && !chunked && contentLength == UNKNOWN_LENGTH) {
-            throw new InvalidRequestException(411, "a POST that does not say how long it is");
+            throw new InvalidRequestException(411,
+                    "POST without Content-Length or chunked Transfer-Encoding");
         }
     }
 
     /** Checks one trailer field. */
     void trailerField(String line) throws InvalidRequestException {
         if (++fieldCount > MAX_FIELDS || line.indexOf(':') <= 0) {
-            throw new InvalidRequestException(400, "a bad trailer");
+            throw new InvalidRequestException(400, "invalid trailer field, or too many fields");
         }
     }
 
@@ -131,13 +135,16 @@
         return post;
     }
 
-    /** Returns the only value of a header field; null if the field is absent or there several times. */
+    /** Returns the single value of a header field; null if the field is absent or repeated. */
     public String value(String name) {
         String value = fields.get(name.toLowerCase(Locale.ROOT));
         return AMBIGUOUS.equals(value) ? null : value;
     }
 
-    /** Returns whether the connection stays open after the response, as far as the client says. */
+    /**
+     * Returns whether the version and the Connection field of the request keep the connection open after the
+     * response.
+     */
     boolean isPersistent() {
         String connection = fields.get("connection");
         return !http10 && (connection == null || connection.equalsIgnoreCase("keep-alive"));
@@ -147,7 +154,7 @@
         return chunked;
     }
 
-    /** Returns the length of a body that is not chunked, in bytes; 0 where there is no body. */
+    /** Returns the length of a body that is not chunked, in bytes; 0 if there is no body. */
     long bodyLength() {
         return Math.max(0, contentLength);
     }
--- a/src/main/java/rampshift/clients/RequestInput.java
+++ b/src/main/java/rampshift/clients/RequestInput.java
@@ -6,8 +6,8 @@
 import rampshift.time.Moment;
 
 /**
- * Reads requests from one client's socket. Only a complete and valid request is handed on, one at a time;
- * what comes behind it is kept up to a bound.
+ * Reads requests from one client's socket. Passes on only complete and valid requests, one at a time; input
+ * after a request is buffered up to a limit.
  */
 final class RequestInput {
     private static final int MAX_PIPELINED_BYTES = RequestReader.MAX_REQUEST_BYTES;
@@ -22,12 +22,15 @@
     private final PipelinedInput pipelined = new PipelinedInput();
     /** The request in flight; null if there is none. */
     private ByteBuffer request;
-    /** Its head until the HTTP server reads it; null then, since idle connections are many. */
+    /**
+     * The head of the request in flight until the HTTP server reads the request; null afterwards, to save
+     * memory on the many idle connections.
+     */
     private RequestHead requestHead;
     private Moment requestReceivedAt;
-    /** The earliest arrival of what is read next; null if it is estimated when it is read. */
+    /** The earliest arrival time of the next bytes; null if it is estimated when they are read. */
     private Moment nextArrival;
-    /** The arrival of the last byte that the reader has taken. */
+    /** The arrival time of the last byte that the reader has consumed. */
     private Moment lastArrival;
     private boolean interimResponsePending;
     private boolean pipelinedInputDropped;
@@ -52,7 +55,7 @@
         return request != null;
     }
 
-    /** Returns whether bytes of the request in flight wait to be read by the HTTP server. */
+    /** Returns whether the HTTP server has not read all bytes of the request in flight yet. */
     boolean hasRequestBytes() {
         return request != null && request.hasRemaining();
     }
@@ -62,18 +65,21 @@
         return requestHead != null;
     }
 
-    /** Returns the head of the request in flight while that is untouched. */
+    /** Returns the head of the request in flight; null if the HTTP server has read any of the request. */
     RequestHead requestHead() {
         return requestHead;
     }
 
-    /** Keeps the request in flight from the HTTP server: its response is sent without it. */
+    /**
+     * Withholds the request in flight from the HTTP server; its response is written directly to the
+     * connection.
+     */
     void withholdRequest() {
         request.position(request.limit());
         requestHead = null;
     }
 
-    /** Moves bytes of the request in flight, as many as fit, and returns their number. */
+    /** Copies as many bytes of the request in flight as fit, and returns their number. */
     int readRequestBytes(ByteBuffer to) {
         requestHead = null;
         int count = Math.min(to.remaining(), request.remaining());
@@ -84,7 +90,8 @@
     }
 
     /**
-     * Returns the arrival of the last byte of the request in flight, however long it has waited for its turn.
+     * Returns the arrival time of the last byte of the request in flight, which includes the time in the
+     * buffer.
      */
     Moment requestReceivedAt() {
         return requestReceivedAt;
@@ -95,7 +102,7 @@
         requestHead = null;
     }
 
-    /** Returns whether a part of a request, or more, has been read that is not handed on yet. */
+    /** Returns whether any part of a request has been read that is not passed on yet. */
     boolean hasStartedRequest() {
         return reader.hasStarted();
     }
@@ -113,12 +120,12 @@
         return interimResponsePending;
     }
 
-    /** While an interim response is being written, no request is handed on. */
+    /** Sets whether an interim response is being written; meanwhile no request is passed on. */
     void setInterimResponsePending(boolean pending) {
         interimResponsePending = pending;
     }
 
-    /** Returns whether the client expects "100 Continue" now; true once for a request. */
+    /** Returns whether the client now expects "100 Continue"; true at most once per request. */
     boolean takeContinueExpected() {
         return reader.takeContinueExpected();
     }
@@ -130,8 +137,8 @@
     /**
      * Reads until a request is complete and none is in flight, or nothing more can be read.
      *
-     * @return 0, or -1 at the end of the input, also where a complete request precedes the end: its client
-     *     has left
+     * @return 0, or -1 at the end of the input, even if a complete request precedes it, since its client has
+     *     disconnected
      * @throws InvalidRequestException if what was read is rejected
      */
     int readRequest() throws IOException, InvalidRequestException {
@@ -169,7 +176,7 @@
         ByteBuffer buffer = context.buffer();
         int count = socket.read(buffer);
         if (count <= 0) {
-            nextArrival = null;     // what is sent from now on was not here when the connection was accepted
+            nextArrival = null;     // later input was not there when the connection was accepted
             return count;
         }
         lastArrival = takeArrival();
@@ -190,16 +197,19 @@
         }
     }
 
-    /** Returns false if the input behind the request in flight was dropped for want of memory. */
+    /**
+     * Reserves memory for the input that is being received. Returns false if the input after the request in
+     * flight was dropped since the budget is exceeded.
+     */
     private boolean reserveMemory() throws InvalidRequestException {
         if (reservation.resize(reader.bodyBytesToReserve() + pipelined.byteCount())) {
             return true;
         }
         if (!hasRequest()) {
-            // Hundreds of clients that stall within large bodies would fill the memory.
-            throw new InvalidRequestException(503, "too many bodies are coming in");
+            // Hundreds of clients that stall within large bodies would exhaust the memory.
+            throw new InvalidRequestException(503, "too many request bodies are being received");
         }
-        // The request in flight may be running, and is not rejected for the next one.
+        // The request in flight may already be executing, and is not rejected because of the next one.
         dropInputBehindRequest();
         return false;
     }
@@ -210,11 +220,14 @@
         requestReceivedAt = lastArrival;
         connection.requestReceived();
         reservation.resize(pipelined.byteCount());
-        readPipelinedInput();       // an invalid request behind this one shows before this one is handed on
+        readPipelinedInput();       // detects invalid input after this request before it is passed on
         return 0;
     }
 
-    /** Reads on while a complete request waits: keeps what follows, and notices the end of the input. */
+    /**
+     * Reads ahead while a complete request waits: buffers the input after it, and detects the end of the
+     * input.
+     */
     private int readAhead() throws IOException {
         for (int i = 0; i < MAX_READS_AHEAD; i++) {
             ByteBuffer buffer = context.buffer();
@@ -239,7 +252,8 @@
     }
 
     /**
-     * From now on what the client sends is thrown away, and its connection is closed after the next response.
+     * Drops the input after the request in flight and all further input; the connection is closed after the
+     * next response.
      */
     private void dropInputBehindRequest() {
         pipelinedInputDropped = true;
--- a/src/main/java/rampshift/clients/RequestReader.java
+++ b/src/main/java/rampshift/clients/RequestReader.java
@@ -5,16 +5,16 @@
 import java.util.Arrays;
 
 /**
- * Reads one request at a time by the letter of HTTP/1.1, as its bytes arrive, and keeps them until it is
+ * Parses one request at a time strictly by HTTP/1.1, as its bytes arrive, and buffers them until it is
  * complete.
  *
- * <p>Undertow parses the request once more afterwards and is not relied on: it took a chunk size that is no
- * number for the end of the body, and such tasks were forwarded to workers, which never answered them.
+ * <p>Undertow parses the request again, but its checks are not sufficient: it treats a chunk size that is not
+ * a number as the end of the body. Such tasks were forwarded to workers, which never responded.
  */
 final class RequestReader {
     static final int MAX_HEAD_BYTES = 16 * 1024;
     static final int MAX_BODY_BYTES = 64 * 1024;
-    /** The most bytes of one request on the connection: the size lines of chunks come on top of the body. */
+    /** Maximum bytes of one request on the connection, which include the size lines of a chunked body. */
     static final int MAX_REQUEST_BYTES = MAX_HEAD_BYTES + 2 * MAX_BODY_BYTES;
     private static final int MAX_CHUNK_LINE_BYTES = 256;
     private static final int MAX_CHUNK_SIZE_DIGITS = 8;
@@ -48,7 +48,7 @@
     private boolean methodComplete;
     private int emptyLines;
     private long chunkedBodyBytes;
-    /** How many bytes of a body of fixed length, or of the current chunk, are missing. */
+    /** Bytes that are still to be read of a body with a fixed length, or of the current chunk. */
     private long remainingBytes;
 
     /** Returns whether any byte of a request has been read. */
@@ -56,12 +56,12 @@
         return length > 0;
     }
 
-    /** Returns whether a whole request has been read. */
+    /** Returns whether a complete request has been read. */
     boolean isComplete() {
         return part == Part.COMPLETE;
     }
 
-    /** Returns how many bytes to reserve for the body: 0 until the end of the head says so. */
+    /** Returns how many bytes to reserve for the body; 0 until the head is complete. */
     int bodyBytesToReserve() {
         if (part.isHead()) {
             return 0;
@@ -70,7 +70,8 @@
     }
 
     /**
-     * Returns whether the client expects "100 Continue" before it sends the body; true once for a request.
+     * Returns whether the client expects "100 Continue" before it sends the body; true at most once per
+     * request.
      */
     boolean takeContinueExpected() {
         return !part.isHead() && part != Part.COMPLETE && head.takeContinueExpected();
@@ -81,7 +82,7 @@
         return head;
     }
 
-    /** Returns the bytes of the request, and starts on the next one. */
+    /** Returns the bytes of the request, and resets the reader for the next one. */
     ByteBuffer takeRequest() {
         ByteBuffer request = ByteBuffer.wrap(bytes, 0, length);
         part = Part.REQUEST_LINE;
@@ -97,9 +98,9 @@
     }
 
     /**
-     * Reads on, at most up to the end of the request.
+     * Reads input, at most up to the end of the request.
      *
-     * @throws InvalidRequestException if the bytes can't be a request, or exceed a limit
+     * @throws InvalidRequestException if the bytes are not a valid request, or exceed a limit
      */
     void read(ByteBuffer in) throws InvalidRequestException {
         while (in.hasRemaining() && part != Part.COMPLETE) {
@@ -132,16 +133,17 @@
         if (next == '\n') {
             endLine();
         } else if (part.isHead() && length > MAX_HEAD_BYTES) {
-            throw new InvalidRequestException(431, "a head over " + MAX_HEAD_BYTES + " bytes");
+            throw new InvalidRequestException(431,
+                    "request head is larger than " + MAX_HEAD_BYTES + " bytes");
         } else if (!part.isHead() && length - lineStart > MAX_CHUNK_LINE_BYTES) {
-            throw new InvalidRequestException(400, "a chunk's size or trailer is too long");
+            throw new InvalidRequestException(400, "chunk size line or trailer line is too long");
         }
     }
 
     private void ensureCapacity(int count) throws InvalidRequestException {
         int needed = length + count;
         if (needed > MAX_REQUEST_BYTES) {
-            throw new InvalidRequestException(413, "a call over " + MAX_REQUEST_BYTES + " bytes");
+            throw new InvalidRequestException(413, "request is larger than " + MAX_REQUEST_BYTES + " bytes");
         }
         if (needed > bytes.length) {
             int doubled = Math.min(MAX_REQUEST_BYTES, Math.max(INITIAL_BUFFER_BYTES, bytes.length * 2));
@@ -150,7 +152,8 @@
     }
 
     /**
-     * Detects by its first bytes what is no request, also where the body before it was longer than declared.
+     * Rejects input that does not begin with a method, such as the rest of a body that is longer than
+     * declared.
      */
     private void checkMethod(byte next) throws InvalidRequestException {
         if (methodComplete) {
@@ -159,7 +162,7 @@
         boolean endsMethod = next == ' ' && methodLetters > 0;
         boolean isLetter = next >= 'A' && next <= 'Z' && methodLetters < MAX_METHOD_LETTERS;
         if (!isLetter && !endsMethod) {
-            throw new InvalidRequestException(400, "no call, or more bytes than its length said");
+            throw new InvalidRequestException(400, "invalid method, or body longer than declared");
         }
         methodComplete = endsMethod;
         methodLetters++;
@@ -180,11 +183,11 @@
     private String currentLine() throws InvalidRequestException {
         int end = length - 2;
         if (end < lineStart || bytes[end] != '\r') {
-            throw new InvalidRequestException(400, "a line that does not end in CR and LF");
+            throw new InvalidRequestException(400, "line does not end in CRLF");
         }
         for (int i = lineStart; i < end; i++) {
             if (isControlCharacter(bytes[i])) {
-                throw new InvalidRequestException(400, "a control character in a line");
+                throw new InvalidRequestException(400, "control character in a line");
             }
         }
         return new String(bytes, lineStart, end - lineStart, StandardCharsets.ISO_8859_1);
@@ -199,7 +202,7 @@
         if (line.isEmpty()) {
             if (++emptyLines > MAX_EMPTY_LINES) {
                 throw new InvalidRequestException(400,
-                        "over " + MAX_EMPTY_LINES + " empty lines before a call");
+                        "more than " + MAX_EMPTY_LINES + " empty lines before a request");
             }
             length = 0;
             lineStart = 0;
@@ -239,7 +242,7 @@
         }
         boolean endsWell = end == line.length() || ";\t ".indexOf(line.charAt(end)) >= 0;
         if (end == 0 || end > MAX_CHUNK_SIZE_DIGITS || !endsWell) {
-            throw new InvalidRequestException(400, "a chunk's size that is no number");
+            throw new InvalidRequestException(400, "invalid chunk size");
         }
         return Long.parseLong(line.substring(0, end), HEXADECIMAL);
     }
@@ -250,7 +253,7 @@
 
     private void endChunk(String line) throws InvalidRequestException {
         if (!line.isEmpty()) {
-            throw new InvalidRequestException(400, "a chunk longer than it said");
+            throw new InvalidRequestException(400, "chunk is longer than its declared size");
         }
         part = Part.CHUNK_SIZE;
     }
@@ -263,8 +266,8 @@
         }
     }
 
-    /** Returns the reason for rejecting a request whose body exceeds {@link #MAX_BODY_BYTES}. */
+    /** Returns the exception for a request whose body exceeds {@link #MAX_BODY_BYTES}. */
     static InvalidRequestException bodyTooLarge() {
-        return new InvalidRequestException(413, "a body over " + MAX_BODY_BYTES + " bytes");
+        return new InvalidRequestException(413, "request body is larger than " + MAX_BODY_BYTES + " bytes");
     }
 }
--- a/src/main/java/rampshift/clients/RequestRejecter.java
+++ b/src/main/java/rampshift/clients/RequestRejecter.java
@@ -7,7 +7,10 @@
 import rampshift.counters.Counters;
 import rampshift.log.Log;
 
-/** Responds to input that never becomes a request: interim responses, and rejections of what is invalid. */
+/**
+ * Writes the responses that don't pass through the HTTP server: interim responses, rejections for overload
+ * and rejections of invalid input.
+ */
 final class RequestRejecter {
     private static final byte[] CONTINUE =
             "HTTP/1.1 100 Continue\r\n\r\n".getBytes(StandardCharsets.ISO_8859_1);
@@ -32,7 +35,7 @@
         return "HTTP/1.1 503 Service Unavailable\r\n" + retryAfter + "Content-Length: 0\r\n\r\n";
     }
 
-    /** Rejects a request of which the HTTP server has read nothing; the connection stays open. */
+    /** Rejects a request for overload before the HTTP server reads it; the connection stays open. */
     void rejectForOverload(ClientConnection connection) {
         connection.withholdRequest();
         writer.write(connection, ByteBuffer.wrap(overloadResponse), () -> {
@@ -41,7 +44,7 @@
         });
     }
 
-    /** Sends "100 Continue"; no request is handed on before all of it is written. */
+    /** Sends "100 Continue"; no request is passed to the HTTP server before it is fully written. */
     void sendContinue(ClientConnection connection) {
         connection.setInterimResponsePending(true);
         writer.write(connection, ByteBuffer.wrap(CONTINUE), () -> {
@@ -50,15 +53,17 @@
         });
     }
 
-    /** Counts and logs that a client sent more behind its request than is kept. */
+    /** Counts and logs that input after a request was dropped. */
     void pipelinedInputDropped(ClientConnection connection) {
         connection.releaseMemory();
         counters.add(Counters.Name.PIPELINED_INPUT_DROPPED);
-        Log.warn("pipelined-input-dropped", "why", "more calls than are kept behind the one in hand",
-                "dropped", "what follows it");
+        Log.warn("pipelined-input-dropped", "why", "input after the request in flight exceeds the limit",
+                "dropped", "all input after the request in flight");
     }
 
-    /** Rejects what a client sent: it is given a response, and its input discarded until it has read that. */
+    /**
+     * Rejects invalid input of a client: sends a response, and discards input until the client has read it.
+     */
     void reject(ClientConnection connection, InvalidRequestException reason) {
         counters.add(Counters.Name.REQUESTS_REFUSED);
         Log.warn("request-refused", "status", reason.status(), "why", reason.getMessage());
@@ -66,7 +71,7 @@
         connection.startClosing();
         connection.releaseMemory();
         if (request == null) {
-            // Later, since Undertow sets its own read listener once more when its present read returns.
+            // Deferred, since Undertow sets its own read listener again when its current read returns.
             thread.execute(() -> writeRejection(connection, reason));
         } else {
             request.rejectForInvalidInput(reason.status());
--- a/src/main/java/rampshift/clients/TickBudget.java
+++ b/src/main/java/rampshift/clients/TickBudget.java
@@ -11,16 +11,18 @@
 import rampshift.time.Span;
 
 /**
- * Bounds the work between two polls of the sockets, and continues it after the next poll.
+ * Limits the connections that are opened or closed between two polls of the sockets, and resumes that work
+ * after the next poll.
  *
- * <p>A burst of idle clients kept the thread at accepting and closing: tasks and responses were not read for
- * over a second, and descriptors that were closed but not released yet exceeded the limit.
+ * <p>Without it, a burst of idle clients keeps the thread accepting and closing connections: tasks and
+ * responses are not read for over a second, and descriptors that are closed but not released yet exceed the
+ * limit.
  */
 final class TickBudget {
     private static final int MAX_OPENED_OR_CLOSED = 16;
-    /** How long a connection may wait before it is opened beyond that number. */
+    /** How long a connection may wait before it may be opened beyond {@link #MAX_OPENED_OR_CLOSED}. */
     private static final Span MAX_WAIT = Span.ofMillis(20);
-    /** How long connections may be opened beyond that number. */
+    /** How long in one tick connections may be opened beyond {@link #MAX_OPENED_OR_CLOSED}. */
     private static final Span MAX_OVERTIME = Span.ofMillis(5);
 
     private final Clock clock;
@@ -34,7 +36,7 @@
     /**
      * Creates the budget of an I/O thread.
      *
-     * @param continuation continues, after a poll, what the budget has stopped
+     * @param continuation resumes the postponed work after the next poll
      */
     TickBudget(XnioIoThread thread, Clock clock, Runnable continuation) throws IOException {
         this.clock = clock;
@@ -43,7 +45,8 @@
     }
 
     /**
-     * Returns whether one more connection may be opened or closed now; if not, the continuation runs later.
+     * Returns whether one more connection may be opened or closed in this tick, and uses up that part of the
+     * budget; if not, the work is left to the continuation.
      */
     boolean tryUse() {
         if (openedOrClosed == MAX_OPENED_OR_CLOSED) {
@@ -57,9 +60,10 @@
     }
 
     /**
-     * Returns the same for a connection that has waited since this moment. While tasks keep the thread for
-     * long between two polls, 16 at each were so few that connections waited for seconds, and their requests
-     * were answered after their deadlines.
+     * Returns the same as {@link #tryUse()} for opening a connection that has waited since a moment; one that
+     * has waited for long may exceed the budget. When tasks keep the thread busy between polls, 16
+     * connections per tick are too few: connections wait for seconds, and requests are answered after their
+     * deadlines.
      */
     boolean tryUse(Moment waitingSince) {
         return tryUse() || tryUseOvertime(waitingSince);
@@ -77,9 +81,9 @@
     }
 
     /**
-     * Has a connection process its waiting input once the other sockets have been polled. XNIO runs what is
-     * woken up before it polls, so a client that sent a thousand requests at once had all of them answered
-     * first.
+     * Makes a connection process its buffered input after the other sockets have been polled. XNIO runs
+     * woken-up listeners before it polls; without the delay, a client that sends a thousand requests at once
+     * has all of them answered before any other client.
      */
     void processInputOnNextTick(ClientConnection connection) {
         waitingInput.add(connection);
@@ -99,7 +103,7 @@
         continuation.run();
     }
 
-    /** Releases the descriptors. */
+    /** Releases the file descriptors. */
     void close() {
         nextTick.close();
     }
--- a/src/test/java/rampshift/serve/ResponseDeliveryTest.java
+++ b/src/test/java/rampshift/serve/ResponseDeliveryTest.java
@@ -194,7 +194,7 @@
         node = node(null, list(true), LIMITS);
         HttpMessage answer = narrowClient(width).write("no call at all\r\n\r\n").read();
         assertEquals(400, answer.status());
-        assertEquals("no call, or more bytes than its length said\n", answer.text());
+        assertEquals("invalid method, or body longer than declared\n", answer.text());
     }
 
     /** Part of an interim response ahead of the response's head would garble both. */
