--- a/src/main/java/rampshift/clients/ClientConnection.java
+++ b/src/main/java/rampshift/clients/ClientConnection.java
@@ -26,7 +26,7 @@
     private ClientRequest currentRequest;
     private boolean hasSentRequest;
     private boolean hasSentTask;
-    private boolean watched;
+    private boolean hasCloseListener;
     /**
      * Whether input is discarded, until the client has read its response, instead of being read as requests.
      */
@@ -166,9 +166,9 @@
     // ---- transitions
 
     /** Marks the connection as having a close listener, and returns true on the first call. */
-    boolean startWatching() {
-        boolean first = !watched;
-        watched = true;
+    boolean markCloseListenerAdded() {
+        boolean first = !hasCloseListener;
+        hasCloseListener = true;
         return first;
     }
 
--- a/src/main/java/rampshift/clients/ClientListener.java
+++ b/src/main/java/rampshift/clients/ClientListener.java
@@ -122,7 +122,7 @@
                 rejecter);
         reaper.start(() -> {
             reaper.closeExpired(tick);
-            limiter.makeRoom();
+            limiter.closeExcess();
         });
     }
 
@@ -184,7 +184,7 @@
      * used.
      */
     private boolean mayServe(Arrival arrival) {
-        return limiter.hasRoom() ? tick.tryUse(arrival.acceptedAt()) : tick.tryUse();
+        return limiter.isBelowLimit() ? tick.tryUse(arrival.acceptedAt()) : tick.tryUse();
     }
 
     private void onNextTick() {
@@ -202,7 +202,7 @@
     private void serve(StreamConnection channel, Moment firstBytesAt) {
         counters.add(Counters.Name.CLIENT_CONNECTIONS);
         table.add(new ClientConnection(channel, events, context, receiveBudget, firstBytesAt));
-        limiter.makeRoom();
+        limiter.closeExcess();
         receiver.serve(channel);
     }
 
--- a/src/main/java/rampshift/clients/ConnectionLimiter.java
+++ b/src/main/java/rampshift/clients/ConnectionLimiter.java
@@ -19,9 +19,9 @@
      * Minimum time for which a client may stay connected without sending anything, or take to read its last
      * response.
      */
-    private static final Span MIN_STAY_NEW = Span.ofMillis(30);
+    private static final Span MIN_TIME_NEW = Span.ofMillis(30);
     /** Minimum time for which a client that sends tasks may be idle, or take to send a request. */
-    private static final Span MIN_STAY_REGULAR = Span.ofMillis(100);
+    private static final Span MIN_TIME_REGULAR = Span.ofMillis(100);
 
     private final ClientLimits limits;
     private final ConnectionTable table;
@@ -44,18 +44,18 @@
     }
 
     /** Returns whether one more connection is within the limit. */
-    boolean hasRoom() {
+    boolean isBelowLimit() {
         return table.size() < limits.connections();
     }
 
     /** Closes connections until the number is within the limit or none of the rest may be closed. */
-    void makeRoom() {
+    void closeExcess() {
         while (isOverLimit()) {
             ClientConnection candidate = nextToClose();
             if (candidate == null) {
                 return;
             }
-            if (!mustStay(candidate)) {
+            if (!mustStayOpen(candidate)) {
                 Log.warn("connection-limit", "connections", table.size());
                 counters.add(Counters.Name.CLIENT_CONNECTIONS_CLOSED_FOR_ROOM);
                 closer.close(candidate);
@@ -66,7 +66,7 @@
     private ClientConnection nextToClose() {
         for (ConnectionState state : ConnectionState.values()) {
             ClientConnection oldest = state == ConnectionState.BUSY ? null : table.oldest(state);
-            if (oldest != null && !minStay(state).longerThan(clock.now().since(oldest.listedSince()))) {
+            if (oldest != null && !minTimeIn(state).longerThan(clock.now().since(oldest.listedSince()))) {
                 return oldest;
             }
             if (state == ConnectionState.IDLE && isFull()) {
@@ -83,10 +83,10 @@
     }
 
     /** Returns the minimum time in a state before a connection may be closed for others. */
-    private static Span minStay(ConnectionState state) {
+    private static Span minTimeIn(ConnectionState state) {
         return switch (state) {
-            case CLOSING, NEW -> MIN_STAY_NEW;
-            case IDLE, RECEIVING -> MIN_STAY_REGULAR;
+            case CLOSING, NEW -> MIN_TIME_NEW;
+            case IDLE, RECEIVING -> MIN_TIME_REGULAR;
             default -> Span.ZERO;
         };
     }
@@ -99,7 +99,7 @@
      * Reads the available input of a connection, and returns whether the connection may not be closed or is
      * already closed.
      */
-    private boolean mustStay(ClientConnection connection) {
+    private boolean mustStayOpen(ClientConnection connection) {
         return switch (connection.listedState()) {
             case CLOSING -> isStillReceiving(connection);
             case PEER_CLOSED -> false;
--- a/src/main/java/rampshift/clients/HttpRequestReceiver.java
+++ b/src/main/java/rampshift/clients/HttpRequestReceiver.java
@@ -72,7 +72,7 @@
     }
 
     private void handle(HttpServerExchange exchange) {
-        ClientConnection connection = watch(exchange);
+        ClientConnection connection = registerListeners(exchange);
         Supplier<StatusPage> page = pages.get(exchange.getRequestURI());
         if (page != null && isGetOrHead(exchange.getRequestMethod())) {
             sendPage(exchange, page.get());
@@ -80,7 +80,7 @@
         }
         exchange.getRequestReceiver().receiveFullBytes(
                 (received, body) -> received.dispatch(SameThreadExecutor.INSTANCE,
-                        () -> passOn(connection, received, body)),
+                        () -> passToHandler(connection, received, body)),
                 (failed, cause) -> {
                     failed.setPersistent(false);
                     failed.setStatusCode(StatusCodes.BAD_REQUEST);
@@ -98,7 +98,7 @@
         exchange.getResponseSender().send(page.text());
     }
 
-    private void passOn(ClientConnection connection, HttpServerExchange exchange, byte[] body) {
+    private void passToHandler(ClientConnection connection, HttpServerExchange exchange, byte[] body) {
         ClientRequest request = new ClientRequest(clock, closeAfterResponse, connection, exchange, body);
         connection.setCurrentRequest(request);
         handler.onRequest(request);
@@ -108,10 +108,10 @@
      * Registers listeners for the end of the exchange and for the close of its connection, and returns the
      * connection.
      */
-    private ClientConnection watch(HttpServerExchange exchange) {
+    private ClientConnection registerListeners(HttpServerExchange exchange) {
         AbstractServerConnection httpConnection = (AbstractServerConnection) exchange.getConnection();
         ClientConnection connection = table.get(httpConnection.getChannel());
-        if (connection.startWatching()) {
+        if (connection.markCloseListenerAdded()) {
             httpConnection.addCloseListener(closed -> connectionClosed(connection));
         }
         exchange.addExchangeCompleteListener((completed, next) -> {
--- a/src/main/java/rampshift/clients/IdleConnectionReaper.java
+++ b/src/main/java/rampshift/clients/IdleConnectionReaper.java
@@ -93,7 +93,7 @@
     private void closeExpired(ClientConnection connection) {
         switch (connection.listedState()) {
             case CLOSING -> closeClosing(connection);
-            case NEW, RECEIVING -> closeLate(connection);
+            case NEW, RECEIVING -> closeTimedOut(connection);
             default -> {
                 if (!connection.channel().isOpen()
                         || connection.listedState() == ConnectionState.PEER_CLOSED) {
@@ -112,7 +112,7 @@
         }
     }
 
-    private void closeLate(ClientConnection connection) {
+    private void closeTimedOut(ClientConnection connection) {
         if (closer.hasNewInput(connection)) {
             return;
         }
--- a/src/main/java/rampshift/clients/RequestInput.java
+++ b/src/main/java/rampshift/clients/RequestInput.java
@@ -29,9 +29,9 @@
     private RequestHead requestHead;
     private Moment requestReceivedAt;
     /** The earliest arrival time of the next bytes; null if it is estimated when they are read. */
-    private Moment nextArrival;
+    private Moment nextArrivalTime;
     /** The arrival time of the last byte that the reader has consumed. */
-    private Moment lastArrival;
+    private Moment lastArrivalTime;
     private boolean interimResponsePending;
     private boolean pipelinedInputDropped;
 
@@ -47,7 +47,7 @@
         this.events = events;
         this.context = context;
         this.reservation = reservation;
-        nextArrival = acceptedAt;
+        nextArrivalTime = acceptedAt;
     }
 
     /** Returns whether a request is in flight whose response is not fully written. */
@@ -162,7 +162,7 @@
                 events.continueExpected(connection);
             }
             if (reader.isComplete()) {
-                return interimResponsePending ? readAhead() : handOn();
+                return interimResponsePending ? readAhead() : deliverRequest();
             }
         }
         return readAhead();
@@ -176,24 +176,24 @@
         ByteBuffer buffer = context.buffer();
         int count = socket.read(buffer);
         if (count <= 0) {
-            nextArrival = null;     // later input was not there when the connection was accepted
+            nextArrivalTime = null;     // later input was not there when the connection was accepted
             return count;
         }
-        lastArrival = takeArrival();
+        lastArrivalTime = takeArrivalTime();
         reader.read(buffer.flip());
-        pipelined.add(buffer, lastArrival);
+        pipelined.add(buffer, lastArrivalTime);
         return count;
     }
 
-    private Moment takeArrival() {
-        Moment arrival = nextArrival == null ? context.earliestArrival() : nextArrival;
-        nextArrival = null;
+    private Moment takeArrivalTime() {
+        Moment arrival = nextArrivalTime == null ? context.earliestArrival() : nextArrivalTime;
+        nextArrivalTime = null;
         return arrival;
     }
 
     private void readPipelinedInput() throws InvalidRequestException {
         while (!reader.isComplete() && !pipelined.isEmpty()) {
-            lastArrival = pipelined.readFirstPiece(reader);
+            lastArrivalTime = pipelined.readFirstPiece(reader);
         }
     }
 
@@ -214,10 +214,10 @@
         return false;
     }
 
-    private int handOn() throws InvalidRequestException {
+    private int deliverRequest() throws InvalidRequestException {
         requestHead = reader.head();
         request = reader.takeRequest();
-        requestReceivedAt = lastArrival;
+        requestReceivedAt = lastArrivalTime;
         connection.requestReceived();
         reservation.resize(pipelined.byteCount());
         readPipelinedInput();       // detects invalid input after this request before it is passed on
@@ -235,17 +235,17 @@
             if (count <= 0) {
                 return count;
             }
-            if (!pipelinedInputDropped && !hasRoomFor(count)) {
+            if (!pipelinedInputDropped && !canBuffer(count)) {
                 dropInputBehindRequest();
             }
             if (!pipelinedInputDropped) {
-                pipelined.add(buffer.flip(), takeArrival());
+                pipelined.add(buffer.flip(), takeArrivalTime());
             }
         }
         return 0;
     }
 
-    private boolean hasRoomFor(int count) {
+    private boolean canBuffer(int count) {
         int pipelinedBytes = pipelined.byteCount() + count;
         return pipelinedBytes <= MAX_PIPELINED_BYTES
                 && reservation.resize(reader.bodyBytesToReserve() + pipelinedBytes);
--- a/src/main/java/rampshift/clients/TickBudget.java
+++ b/src/main/java/rampshift/clients/TickBudget.java
@@ -23,7 +23,7 @@
     /** How long a connection may wait before it may be opened beyond {@link #MAX_OPENED_OR_CLOSED}. */
     private static final Span MAX_WAIT = Span.ofMillis(20);
     /** How long in one tick connections may be opened beyond {@link #MAX_OPENED_OR_CLOSED}. */
-    private static final Span MAX_OVERTIME = Span.ofMillis(5);
+    private static final Span MAX_EXTRA_TIME = Span.ofMillis(5);
 
     private final Clock clock;
     private final NextTick nextTick;
@@ -31,7 +31,7 @@
     /** Connections whose next request has been read already. */
     private final LinkedHashSet<ClientConnection> waitingInput = new LinkedHashSet<>();
     private int openedOrClosed;
-    private Moment overtimeSince;
+    private Moment extraTimeStart;
 
     /**
      * Creates the budget of an I/O thread.
@@ -66,18 +66,18 @@
      * deadlines.
      */
     boolean tryUse(Moment waitingSince) {
-        return tryUse() || tryUseOvertime(waitingSince);
+        return tryUse() || tryUseExtraTime(waitingSince);
     }
 
-    private boolean tryUseOvertime(Moment waitingSince) {
+    private boolean tryUseExtraTime(Moment waitingSince) {
         Moment now = clock.now();
         if (!now.since(waitingSince).longerThan(MAX_WAIT)) {
             return false;
         }
-        if (overtimeSince == null) {
-            overtimeSince = now;
+        if (extraTimeStart == null) {
+            extraTimeStart = now;
         }
-        return !now.since(overtimeSince).longerThan(MAX_OVERTIME);
+        return !now.since(extraTimeStart).longerThan(MAX_EXTRA_TIME);
     }
 
     /**
@@ -96,7 +96,7 @@
 
     private void onNextTick() {
         openedOrClosed = 0;
-        overtimeSince = null;
+        extraTimeStart = null;
         List<ClientConnection> ready = new ArrayList<>(waitingInput);
         waitingInput.clear();
         ready.forEach(ClientConnection::processWaitingInput);
