--- a/src/main/java/rampshift/discovery/EndpointEntry.java
+++ b/src/main/java/rampshift/discovery/EndpointEntry.java
@@ -6,11 +6,16 @@
 import rampshift.settings.Configuration;
 import rampshift.settings.InvalidInputException;
 
-/** One entry of an endpoint list while it is read: collects its fields and checks them once all have come. */
+/**
+ * One entry of an endpoint list while it is parsed: collects the fields, and checks them once all are read.
+ */
 final class EndpointEntry {
     private static final String LOG_EVENT = "endpoint-entry";
     private static final int MAX_UID_LENGTH = 200;
-    /** Numbers outside [0, limit) are taken as not given. */
+    /**
+     * Weights outside [0, WEIGHT_LIMIT) and start times outside [0, START_TIME_LIMIT_MILLIS) are treated as
+     * absent.
+     */
     private static final double WEIGHT_LIMIT = 1e9;
     private static final double START_TIME_LIMIT_MILLIS = 1e15;
 
@@ -51,10 +56,10 @@
         return value >= 0 && value < limit;
     }
 
-    /** The worker, or nothing where the entry does not identify one. */
+    /** Returns the worker; empty if the entry does not identify one. */
     Optional<Endpoint> toEndpoint() {
         if (uid == null || uid.isEmpty() || uid.length() > MAX_UID_LENGTH) {
-            Log.warn(LOG_EVENT, "uid", uid, "left_out", "no usable uid");
+            Log.warn(LOG_EVENT, "uid", uid, "left_out", "uid is missing, empty or too long");
             return Optional.empty();
         }
         Endpoint.State listedState = parseState();
@@ -64,7 +69,7 @@
         } catch (InvalidInputException e) {
             if (listedState == Endpoint.State.READY) {
                 Log.warn(LOG_EVENT, "uid", uid, "not_used", e.getMessage());
-                listedState = Endpoint.State.DRAINING; // nothing new can be sent to it, tasks it has continue
+                listedState = Endpoint.State.DRAINING; // unreachable for new tasks; others continue
             }
         }
         return Optional.of(
--- a/src/main/java/rampshift/discovery/EndpointList.java
+++ b/src/main/java/rampshift/discovery/EndpointList.java
@@ -3,11 +3,12 @@
 import java.util.List;
 
 /**
- * A version of the list of workers, or what changed in it.
+ * A version of the list of workers, or the changes since an earlier version.
  *
- * @param version the version that the discovery agent counts; versions of different agents do not compare
- * @param complete whether workers that are not among the endpoints are removed; otherwise they stay as they
- *     were
+ * @param version the version as counted by the discovery agent; versions of different agents are not
+ *     comparable
+ * @param complete whether the list has all workers, so that those not among the endpoints are removed;
+ *     otherwise these are unchanged
  * @param endpoints the workers, in the order of the list
  */
 public record EndpointList(long version, boolean complete, List<Endpoint> endpoints) {
--- a/src/main/java/rampshift/discovery/EndpointListParser.java
+++ b/src/main/java/rampshift/discovery/EndpointListParser.java
@@ -8,7 +8,7 @@
 import java.util.List;
 import rampshift.settings.InvalidInputException;
 
-/** Reads endpoint lists in the JSON form of the discovery agent. Unknown fields are skipped. */
+/** Parses endpoint lists in the JSON format of the discovery agent. Unknown fields are skipped. */
 public final class EndpointListParser {
     private static final JsonFactory JSON = new JsonFactory();
     private static final String VERSION_FIELD = "rev";
@@ -19,12 +19,12 @@
     private EndpointListParser() {}
 
     /**
-     * Reads a list. Entries that cannot be used are left out, with a log line each.
+     * Parses a list. Unusable entries are left out and logged.
      *
-     * @param bytes holds the list from its first byte on
+     * @param bytes a buffer that holds the list from index 0 on
      * @param length the length of the list in bytes
      * @return the list
-     * @throws InvalidInputException where the bytes are no JSON, or lack the version or the endpoints
+     * @throws InvalidInputException if the bytes are not JSON, or lack the version or the endpoints
      */
     public static EndpointList parse(byte[] bytes, int length) {
         try (JsonParser parser = JSON.createParser(bytes, 0, length)) {
--- a/src/main/java/rampshift/discovery/EndpointWatch.java
+++ b/src/main/java/rampshift/discovery/EndpointWatch.java
@@ -11,21 +11,21 @@
 import rampshift.time.Span;
 
 /**
- * Watches the discovery agent's list of workers: the complete list once, then its changes, poll after poll,
- * through outages. It owns one connection, or one dial, and the timers of the poll and the retry. All on
- * the I/O thread.
+ * Watches the discovery agent's list of workers by long polls: requests the complete list once and then its
+ * changes, and retries during outages. Owns one connection or one dial, and the timers of the poll and the
+ * retry. Used on the I/O thread only.
  */
 public final class EndpointWatch {
     private static final Span CONNECT_TIMEOUT = Span.ofMillis(500);
     private static final Span COMPLETE_LIST_TIMEOUT = Span.ofMillis(500);
     private static final long NO_VERSION = -1;
 
-    /** Receives what the watch observes. */
+    /** Receives the events of a watch. */
     public interface Listener {
-        /** The agent has sent the complete list or what changed in it. */
+        /** Called when the agent has sent the complete list or changes of it. */
         void onList(EndpointList list);
 
-        /** The agent is unavailable; called once an outage. */
+        /** Called once per outage, when it begins. */
         void onUnavailable();
     }
 
@@ -39,18 +39,18 @@
     private InetSocketAddress agent;
     private HttpConnection connection;
     private Dialer.Dial dial;
-    /** The poll that is open; null where there is none. */
+    /** The poll in progress; null if there is none. */
     private LongPoll poll;
     private long version = NO_VERSION;
     private Moment lastReadAt;
     private boolean stopped;
 
     /**
-     * A watch that {@link #start()} begins.
+     * Creates a watch that {@link #start()} starts.
      *
      * @param agent the address of the discovery agent
-     * @param drainGrace how soon after a worker began to drain no task may be sent to it any more; ZERO
-     *     where no grace is stated
+     * @param drainGrace the time after a worker starts draining within which the dispatcher must stop sending
+     *     tasks to it; ZERO if none is configured
      */
     public EndpointWatch(XnioIoThread thread, Dialer dialer, Clock clock, InetSocketAddress agent,
             Span drainGrace,
@@ -66,10 +66,13 @@
         lastReadAt = clock.now();
     }
 
-    /** Connects where there is no connection and polls, unless it does so already or was stopped. */
+    /**
+     * Connects if there is no connection, and polls. Does nothing if a poll or a dial is in progress or the
+     * watch was stopped.
+     */
     public void start() {
         if (stopped || poll != null || dial != null) {
-            return; // a failure that crossed the next poll has started it already
+            return; // an earlier failure has already started the next poll
         }
         if (connection == null) {
             dial = dialer.dial(agent, CONNECT_TIMEOUT, new DialListener());
@@ -79,9 +82,10 @@
     }
 
     /**
-     * Continues with another agent at once. The version that the former one counted means nothing there.
+     * Switches to another agent at once, and requests its complete list, since versions of different agents
+     * are not comparable.
      *
-     * @return false where it is that agent already, or was stopped
+     * @return false if that agent is already in use, or the watch was stopped
      */
     public boolean switchTo(InetSocketAddress newAgent) {
         if (stopped || newAgent.equals(agent)) {
@@ -96,9 +100,9 @@
     }
 
     /**
-     * Reads what the agent has sent and lies unread, if nothing was read lately. A thread with much to do
-     * would find an update only after all else that came with it: 40 tasks were sent by a list that was 0.4
-     * s old.
+     * Reads pending input from the agent, if nothing was read lately. A busy thread would otherwise read an
+     * update only after all other input that arrived with it, and send tasks by an outdated list (40 tasks by
+     * a list that was 0.4 s old).
      */
     public void readPending() {
         Moment now = clock.now();
@@ -108,7 +112,7 @@
         }
     }
 
-    /** Ends the watch for good and gives back all that it owns. */
+    /** Stops the watch permanently and releases its resources. */
     public void stop() {
         stopped = true;
         release();
@@ -135,7 +139,8 @@
         Span timeout;
         if (version == NO_VERSION) {
             request = LongPoll.completeListRequest(agent);
-            // In an outage nobody waits for the list any more, and the agent may be back at any time.
+            // In an outage no task waits for the list, and a shorter timeout reaches an agent that has
+            // returned sooner.
             timeout = backoff.isOutage() ? timings.responseSlack() : COMPLETE_LIST_TIMEOUT;
         } else {
             request = LongPoll.changesRequest(agent, version, timings.pollWait());
@@ -158,7 +163,8 @@
             if (connection != null && !connection.isReusable()) {
                 connection = null;
             }
-            // Before the tasks that waited for the list are sent: another update may come meanwhile.
+            // Polls again before the listener sends the tasks that wait for the list: another update may
+            // arrive meanwhile.
             start();
             listener.onList(list);
         }
@@ -182,7 +188,7 @@
         }
         counters.add(Counters.Name.WATCH_FAILURES);
         if (!backoff.isFailing()) {
-            Log.warn("endpoint-watch", "broken", reason, "kept", "the list as it was");
+            Log.warn("endpoint-watch", "broken", reason, "kept", "the current endpoint list");
         }
         if (backoff.recordFailure()) {
             listener.onUnavailable();
@@ -190,7 +196,7 @@
         backoff.schedule(this::start);
     }
 
-    /** The one place where connection, dial and timers are given back. */
+    /** Releases the connection, the dial and the timers. */
     private void release() {
         backoff.cancel();
         if (poll != null) {
--- a/src/main/java/rampshift/discovery/LongPoll.java
+++ b/src/main/java/rampshift/discovery/LongPoll.java
@@ -14,26 +14,26 @@
 import rampshift.time.Span;
 
 /**
- * One poll of the discovery agent: a request, the timer on its response, and the response. Its listener is
- * called at most once, and not after {@link #cancel()}. All on the I/O thread.
+ * One poll of the discovery agent: a request, the timeout of its response, and the response. The listener is
+ * called at most once, and not after {@link #cancel()}. Used on the I/O thread only.
  */
 final class LongPoll implements ExchangeListener {
     private static final int STATUS_OK = 200;
     /**
-     * How long a response that comes in pieces may take beyond the time for its first one: less than the 2
-     * s after which an observed change counts as overdue.
+     * Maximum time from the timeout of the first piece of a response to its end. It is below the 2 s after
+     * which a change counts as observed too late.
      */
     private static final Span MAX_TRANSFER = Span.ofMillis(1500);
 
-    /** What comes of a poll: exactly one of these, unless it is canceled. */
+    /** Receives the result of a poll: exactly one of these calls, unless the poll is canceled. */
     interface Listener {
-        /** The agent has answered with a list. */
+        /** Called when the agent has responded with a list. */
         void onList(EndpointList list);
 
-        /** The agent has answered with something else than a list. */
+        /** Called when the agent has responded with something that is not a valid list. */
         void onInvalidList(String reason);
 
-        /** No response, or one that is no success. */
+        /** Called when there is no response, or one with another status than 200. */
         void onFailure(String reason);
     }
 
@@ -47,7 +47,10 @@
     private int status;
     private boolean over;
 
-    /** A poll that {@link #start} sends; further pieces of a response may be {@code responseSlack} apart. */
+    /**
+     * Creates a poll that {@link #start} sends; after the first timeout, pieces of the response may be at
+     * most {@code responseSlack} apart.
+     */
     LongPoll(XnioIoThread thread, Clock clock, HttpConnection connection, Span responseSlack,
             Listener listener) {
         this.thread = thread;
@@ -57,12 +60,14 @@
         this.listener = listener;
     }
 
-    /** The request for the complete list. */
+    /** Returns the request for the complete list. */
     static byte[] completeListRequest(InetSocketAddress agent) {
         return request(agent, "/v1/endpoints");
     }
 
-    /** The request for what has changed since a version, which the agent may keep open for {@code wait}. */
+    /**
+     * Returns the request for the changes since a version, which the agent may keep open for {@code wait}.
+     */
     static byte[] changesRequest(InetSocketAddress agent, long sinceVersion, Span wait) {
         return request(agent, "/v1/endpoints?index=" + sinceVersion + "&wait=" + Math.round(wait.millis()));
     }
@@ -73,22 +78,25 @@
         return text.getBytes(StandardCharsets.ISO_8859_1);
     }
 
-    /** Sends the request; the response, or its first piece, has to come within the timeout. */
+    /** Sends the request; the response, or its first piece, must arrive within the timeout. */
     void start(byte[] request, Span timeout) {
         Moment deadline = clock.now().plus(timeout).plus(MAX_TRANSFER);
         timer = IoTimer.in(thread, timeout, () -> onTimeout(deadline));
         connection.exchange(this, ByteBuffer.wrap(request));
     }
 
-    /** Gives back the timer; nothing is reported any more. The connection is its owner's to close. */
+    /**
+     * Cancels the timer and all further calls of the listener. The owner of the connection has to close it.
+     */
     void cancel() {
         over = true;
         timer.cancel();
     }
 
     /**
-     * The response may lie unread, where this thread is what is late, or may be coming in pieces: with one
-     * timeout for all of it, a long list on a slow link was dropped and requested again, forever.
+     * Handles the timeout. First reads pending input, since this thread may be late itself. Then extends the
+     * timer while pieces of the response arrive, up to the deadline: with one timeout for the whole response,
+     * a long list on a slow link would be dropped and requested again forever.
      */
     private void onTimeout(Moment deadline) {
         connection.poll();
@@ -100,7 +108,7 @@
         if (remaining.micros() > 0) {
             timer = IoTimer.notBefore(thread, remaining, () -> onTimeout(deadline));
         } else {
-            fail("no response in time");
+            fail("response timed out");
         }
     }
 
@@ -117,7 +125,7 @@
     @Override
     public void onBody(byte[] piece, int offset, int count) {
         if (!body.append(piece, offset, count)) {
-            fail("endpoint list is over " + ResponseBuffer.MAX_BYTES + " bytes");
+            fail("endpoint list is larger than " + ResponseBuffer.MAX_BYTES + " bytes");
         }
     }
 
--- a/src/main/java/rampshift/discovery/ResponseBuffer.java
+++ b/src/main/java/rampshift/discovery/ResponseBuffer.java
@@ -2,11 +2,11 @@
 
 import java.util.Arrays;
 
-/** The body of one response, collected up to a bound. */
+/** Collects the body of one response, up to a size limit. */
 final class ResponseBuffer {
     /**
-     * 1,024 workers, where an entry with a name of 200 characters and all other fields long, indented, is
-     * under 2 KB.
+     * Maximum size of the body: 1,024 workers of 2 KB each, which is more than an indented entry with a name
+     * of 200 characters and long values in all other fields.
      */
     static final int MAX_BYTES = 1024 * 2048;
     private static final int INITIAL_BYTES = 4096;
@@ -15,8 +15,7 @@
     private int length;
 
     /**
-     * Appends a piece; false, and nothing is appended, where the body would be longer than
-     * {@link #MAX_BYTES}.
+     * Appends a piece. Returns false and appends nothing if the body would be larger than {@link #MAX_BYTES}.
      */
     boolean append(byte[] piece, int offset, int count) {
         int needed = length + count;
@@ -31,7 +30,7 @@
         return true;
     }
 
-    /** The list that the body holds; throws InvalidInputException where it holds none. */
+    /** Parses the body as an endpoint list; throws InvalidInputException if it is not one. */
     EndpointList parse() {
         return EndpointListParser.parse(bytes, length);
     }
--- a/src/main/java/rampshift/discovery/WatchBackoff.java
+++ b/src/main/java/rampshift/discovery/WatchBackoff.java
@@ -4,9 +4,12 @@
 import rampshift.time.IoTimer;
 import rampshift.time.Span;
 
-/** Counts polls that failed in a row and schedules the next one after a constant delay. It owns one timer. */
+/** Counts consecutive failed polls, and schedules the next poll after a constant delay. Owns one timer. */
 final class WatchBackoff {
-    /** Failures in a row that make an outage: a single one may have lost its response to a busy start. */
+    /**
+     * Number of consecutive failures that count as an outage. A single poll may fail because its response was
+     * not read in time while the process was busy starting.
+     */
     private static final int OUTAGE_FAILURES = 2;
 
     private final XnioExecutor thread;
@@ -20,35 +23,35 @@
         this.delay = delay;
     }
 
-    /** Whether the last poll that ended has failed. */
+    /** Returns whether the last completed poll has failed. */
     boolean isFailing() {
         return failing;
     }
 
-    /** Whether so many have failed in a row that the agent counts as unavailable. */
+    /** Returns whether enough consecutive polls have failed for the agent to count as unavailable. */
     boolean isOutage() {
         return failures >= OUTAGE_FAILURES;
     }
 
-    /** A poll has failed; true once an outage, when it begins. */
+    /** Records a failed poll. Returns true once per outage, when it begins. */
     boolean recordFailure() {
         failing = true;
         failures++;
         return failures == OUTAGE_FAILURES;
     }
 
-    /** A poll has brought a list. */
+    /** Records a poll that has received a list. */
     void recordSuccess() {
         failing = false;
         failures = 0;
     }
 
-    /** Begins to count anew, for another agent. */
+    /** Resets the number of failures, for another agent. */
     void resetCount() {
         failures = 0;
     }
 
-    /** Runs an attempt after the delay, unless it is canceled before. */
+    /** Schedules an attempt after the delay, unless it is canceled before. */
     void schedule(Runnable attempt) {
         timer = IoTimer.in(thread, delay, attempt);
     }
--- a/src/main/java/rampshift/discovery/WatchTimings.java
+++ b/src/main/java/rampshift/discovery/WatchTimings.java
@@ -3,20 +3,26 @@
 import rampshift.time.Span;
 
 /**
- * How long the parts of a watch on discovery may take. With a drain grace they are shares of it, so that an
- * agent that was silent while a poll was open is heard within nine tenths of the grace once it is back.
+ * The timings of an endpoint watch. With a drain grace they are shares of it, so that the next list of an
+ * agent that did not respond to an open poll is received within nine tenths of the grace after the agent has
+ * returned.
  *
- * @param pollWait how long the agent may keep a poll open while nothing changes
- * @param responseSlack how late, beyond that, a response or the next piece of it may be
+ * @param pollWait how long the agent may keep a poll open while the list does not change
+ * @param responseSlack how long after that a response may arrive, and how far apart its pieces may be
  * @param retryDelay the pause between a failed poll and the next one
- * @param readInterval how long what the agent has sent may lie unread
+ * @param readInterval the maximum time between reads from the agent while tasks are sent
  */
 record WatchTimings(Span pollWait, Span responseSlack, Span retryDelay, Span readInterval) {
 
-    /** With 20 s a watch that had fallen silent was noticed after 21 s. */
+    /**
+     * Maximum wait of a poll. It bounds the time until a silent failure of the agent or the connection is
+     * detected: 21 s with a wait of 20 s.
+     */
     private static final Span MAX_POLL_WAIT = Span.ofMillis(1000);
     private static final Span MAX_RESPONSE_SLACK = Span.ofMillis(500);
-    /** With 200 ms drains were still observed in time. */
+    /**
+     * Maximum pause between a failed poll and the next one. Drains are still observed in time with 200 ms.
+     */
     private static final Span MAX_RETRY_DELAY = Span.ofMillis(100);
     private static final Span MIN_SPAN = Span.ofMillis(10);
     private static final double POLL_WAIT_SHARE = 0.4;
@@ -25,10 +31,10 @@
     private static final double READ_INTERVAL_SHARE = 0.1;
 
     /**
-     * The timings for a drain grace.
+     * Returns the timings for a drain grace.
      *
-     * @param drainGrace how soon after a worker began to drain no task may be sent to it any more; ZERO
-     *     where no grace is stated
+     * @param drainGrace the time after a worker starts draining within which the dispatcher must stop sending
+     *     tasks to it; ZERO if none is configured
      */
     static WatchTimings forDrainGrace(Span drainGrace) {
         return new WatchTimings(shareOf(drainGrace, POLL_WAIT_SHARE, MAX_POLL_WAIT),
