--- a/src/main/java/rampshift/serve/Dispatcher.java
+++ b/src/main/java/rampshift/serve/Dispatcher.java
@@ -25,9 +25,9 @@
 import rampshift.time.Span;
 import rampshift.workers.ConnectionPool;
 
-/** One set of the parts between clients and workers: builds them, connects them and gives them back. */
+/** Creates, connects and closes the components between clients and workers. */
 final class Dispatcher {
-    /** A client that has been silent for so many times the longest deadline is dropped. */
+    /** An idle client connection is closed after this many times the longest deadline. */
     private static final double CLIENT_IDLE_DEADLINES = 4;
     private static final Span OVERLOAD_RETRY_AFTER = Span.ofMillis(1000);
 
@@ -35,15 +35,17 @@
     final TaskRegistry tasks;
     final PolicyHost policyHost;
     final AdmissionControl admission;
-    /** The longest deadline of all traffic types. */
+    /** The longest timeout of all traffic types. */
     final Span longestDeadline;
-    /** How soon after a worker began to drain no task may be sent to it any more. */
+    /** Time after a worker starts draining within which the dispatcher must stop sending tasks to it. */
     final Span drainGrace;
     private final ConnectionPool pool;
     private final StallDetector stalls;
     final AdmissionWindow admissionWindow;
 
-    /** All parts on one I/O thread, with the descriptors that an extension uses taken off their limits. */
+    /**
+     * Creates the components on one I/O thread. The descriptors that an extension uses reduce their limits.
+     */
     Dispatcher(XnioIoThread thread, ByteBufferPool buffers, Dialer dialer, Clock clock, Counters counters,
             Configuration configuration, int extensionDescriptors) throws IOException {
         Settings settings = configuration.settings().read(configuration.seed());
@@ -73,21 +75,21 @@
                 stalls::maxUnreadTime);
     }
 
-    /** Sets what is called before each first byte to a worker. */
+    /** Sets the action to run before the first byte of each request to a worker. */
     void beforeFirstByte(Runnable action) {
         pool.beforeFirstByte(action);
     }
 
     /**
-     * Rejects whatever still comes and closes connections between requests; called again until all are
-     * closed.
+     * Rejects all further requests, and closes client connections between requests. Called repeatedly until
+     * all are closed.
      */
     void closeToRequests() {
         admission.close();
         clientListener.drain();
     }
 
-    /** Gives back timers, sockets and connections. */
+    /** Releases timers, sockets and connections. */
     void close() {
         stalls.close();
         admissionWindow.close();
--- a/src/main/java/rampshift/serve/DispatcherServer.java
+++ b/src/main/java/rampshift/serve/DispatcherServer.java
@@ -22,8 +22,8 @@
 import rampshift.time.Clock;
 
 /**
- * A dispatcher on sockets, from its start to its end. Its work is done on one I/O thread; the public
- * methods may be called on any other.
+ * A dispatcher that serves on sockets, from its start to its stop. It runs on one I/O thread; the public
+ * methods may be called on any other thread.
  */
 public final class DispatcherServer {
     private static final int BUFFER_BYTES = 16 * 1024;
@@ -45,8 +45,8 @@
     /**
      * Starts a dispatcher without an extension.
      *
-     * @throws IOException where it cannot listen on its address
-     * @throws InvalidInputException where the configuration cannot be used, with one line that says why
+     * @throws IOException if the dispatcher cannot listen on its address
+     * @throws InvalidInputException if the configuration is invalid; the message is one line with the reason
      */
     public DispatcherServer(Configuration configuration) throws IOException {
         this(configuration, null);
@@ -55,9 +55,9 @@
     /**
      * Starts a dispatcher.
      *
-     * @param extension runs beside it; null for none
-     * @throws IOException where it or its extension cannot listen on an address
-     * @throws InvalidInputException where the configuration cannot be used, with one line that says why
+     * @param extension runs along with the dispatcher; null for none
+     * @throws IOException if the dispatcher or its extension cannot listen on an address
+     * @throws InvalidInputException if the configuration is invalid; the message is one line with the reason
      */
     public DispatcherServer(Configuration configuration, ServerExtension extension) throws IOException {
         this.configuration = configuration;
@@ -79,7 +79,9 @@
         }
     }
 
-    /** A dispatcher that serves nobody: it records which classes a start loads. */
+    /**
+     * Starts a dispatcher that has no clients, so that the JVM can archive the classes that a start loads.
+     */
     public static DispatcherServer forClassArchive() throws IOException {
         return new DispatcherServer(WarmUpMessages.configuration());
     }
@@ -115,7 +117,7 @@
                 this::onWarmedUp).start();
     }
 
-    /** Starts with the list that an earlier process had, until the discovery agent answers. */
+    /** Uses the endpoint list of an earlier process until the discovery agent responds. */
     private void useKnownEndpoints() {
         EndpointList known = EndpointListParser.parse(configuration.knownEndpoints(),
                 configuration.knownEndpoints().length);
@@ -147,8 +149,8 @@
     }
 
     /**
-     * Stops it as SIGTERM asks, and waits until it has: it serves on the connections there are for as long
-     * as SIGKILL leaves time, and then ends between tasks.
+     * Stops the dispatcher gracefully, as on SIGTERM, and waits until it has stopped. Existing connections
+     * are served until shortly before SIGKILL, and connections are then closed between tasks.
      */
     public void stop() {
         thread.execute(() -> {
@@ -161,7 +163,7 @@
         awaitStopped();
         Log.info("stopped", counters.pairs());
         Log.flush();
-        worker.shutdownNow(); // its threads ran on in a process that did more than serve
+        worker.shutdownNow(); // otherwise its threads keep running in a process that does not exit
     }
 
     private void release() {
@@ -172,8 +174,9 @@
     }
 
     /**
-     * Continues with the discovery agent that a new configuration names, as SIGHUP asks. The rest of that
-     * configuration takes effect at the next start; no task, client or worker notices.
+     * Switches to the discovery agent of a new configuration, as on SIGHUP. Other changes of the
+     * configuration take effect at the next start. Tasks and connections of clients and workers are not
+     * interrupted.
      */
     public void reload(Configuration next) {
         List<String> atRestart = configuration.restartFor(next);
@@ -187,27 +190,27 @@
         });
     }
 
-    /** What is done before each first byte to a worker. */
+    /** Returns the action to run before the first byte of each request to a worker. */
     Runnable beforeFirstByte() {
         return watch::readPending;
     }
 
-    /** The address on which it listens for clients. */
+    /** Returns the address on which the dispatcher listens for clients. */
     public InetSocketAddress address() {
         return dispatcher.clientListener.address();
     }
 
-    /** Waits until it is warmed up. */
+    /** Waits until the dispatcher is ready. */
     public void awaitReady() {
         await(ready);
     }
 
-    /** Whether it has stopped. */
+    /** Returns whether the dispatcher has stopped. */
     public boolean isStopped() {
         return stopped.getCount() == 0;
     }
 
-    /** Waits until it has stopped. */
+    /** Waits until the dispatcher has stopped. */
     public void awaitStopped() {
         await(stopped);
     }
--- a/src/main/java/rampshift/serve/GracefulShutdown.java
+++ b/src/main/java/rampshift/serve/GracefulShutdown.java
@@ -7,44 +7,52 @@
 import rampshift.time.Span;
 
 /**
- * Stops a dispatcher after SIGTERM, phase by phase, before SIGKILL would. It serves on the connections
- * there are for as long as it can, since clients that lose them may find no other dispatcher, and then ends
- * between tasks. All on the I/O thread.
+ * Stops a dispatcher after SIGTERM, in phases that end before SIGKILL. Existing connections are served for as
+ * long as possible, since clients that lose them may find no other dispatcher, and are then closed between
+ * tasks. Used on the I/O thread only.
  */
 final class GracefulShutdown {
-    /** SIGKILL follows SIGTERM after the longest deadline, counted up to a bound, and this. */
+    /**
+     * Time from SIGTERM to SIGKILL, in addition to the longest deadline up to {@link #MAX_COUNTED_DEADLINE}.
+     */
     private static final Span KILL_DELAY = Span.ofMillis(700);
     private static final Span MAX_COUNTED_DEADLINE = Span.ofMillis(3000);
-    /** Before SIGKILL: from then on tasks are admitted only where they are likely to end sooner. */
+    /**
+     * Time before SIGKILL from which the deadlines of new tasks are limited to the start of the FAILING
+     * phase.
+     */
     private static final Span SHORT_TASKS_BEFORE_KILL = Span.ofMillis(1200);
-    /** Before SIGKILL: from then on no task is admitted. */
+    /** Time before SIGKILL from which no task is admitted. */
     private static final Span CLOSE_BEFORE_KILL = Span.ofMillis(350);
-    /** Before SIGKILL: from then on tasks in flight are failed. */
+    /** Time before SIGKILL from which tasks in flight are failed. */
     private static final Span FAIL_BEFORE_KILL = Span.ofMillis(250);
     /**
-     * Before SIGKILL: from then on it ends as soon as no task is in flight, whatever connections there are.
+     * Time before SIGKILL from which the dispatcher stops as soon as no task is in flight, even if
+     * connections are open.
      */
     private static final Span LEAVE_BEFORE_KILL = Span.ofMillis(120);
-    /** For so long after SIGTERM new clients still connect. */
+    /** Minimum time after SIGTERM for which new clients may still connect. */
     private static final Span MIN_DRAIN = Span.ofMillis(600);
-    /** With no connection left and no new one for this long, the drain ends early. */
+    /**
+     * The drain ends early once no connection is open and no client has connected or disconnected for this
+     * time.
+     */
     private static final Span NO_NEW_CLIENTS = Span.ofMillis(250);
     /**
-     * For so long after a connection was closed between requests, a request that crossed the close may come
-     * again.
+     * Time after the close of a connection during which a client may resend a request that crossed the close.
      */
     private static final Span CROSSED_CLOSE = Span.ofMillis(150);
     private static final Span POLL_INTERVAL = Span.ofMillis(20);
 
-    /** What is done at a time; each phase includes what the one before does. */
+    /** The phases of the shutdown. FAILING includes the actions of CLOSING. */
     private enum Phase {
-        /** Requests are admitted as before; from {@link #shortTasksFrom} on only those that end in time. */
+        /** Requests are admitted as before, but from {@link #shortTasksFrom} on with limited deadlines. */
         DRAINING,
-        /** Requests are rejected, and connections closed between requests. */
+        /** Requests are rejected, and connections are closed between requests. */
         CLOSING,
-        /** Tasks in flight are failed, or rejected where they never ran. */
+        /** Tasks in flight are failed, or rejected if they have not been executed. */
         FAILING,
-        /** All is done. */
+        /** The shutdown is complete. */
         STOPPED
     }
 
@@ -59,7 +67,7 @@
     private final Moment leaveAt;
     private Phase phase = Phase.DRAINING;
 
-    /** Plans the phases from now on; {@code onStopped} is run once nothing is in flight any more. */
+    /** Schedules the phases from now on; {@code onStopped} is run at the end. */
     GracefulShutdown(XnioIoThread thread, Clock clock, Dispatcher dispatcher, Runnable onStopped) {
         this.thread = thread;
         this.clock = clock;
@@ -75,7 +83,7 @@
         leaveAt = killAt.minus(LEAVE_BEFORE_KILL);
     }
 
-    /** Takes the first step; further ones follow by themselves. */
+    /** Runs the first step, which schedules the further ones. */
     void start() {
         dispatcher.admission.limitDeadlines(shortTasksFrom, failAt);
         dispatcher.clientListener.beginShutdown();
@@ -109,7 +117,10 @@
                 && dispatcher.clientListener.isUnchangedFor(NO_NEW_CLIENTS);
     }
 
-    /** Whether no task is in flight, and no client may still send one for which there is time. */
+    /**
+     * Returns whether no task is in flight, and either no client can still send one or no time is left for
+     * it.
+     */
     private boolean isIdle() {
         boolean clientsGone = dispatcher.clientListener.isEmpty()
                 && dispatcher.clientListener.isUnchangedFor(CROSSED_CLOSE);
--- a/src/main/java/rampshift/serve/InProcessOpener.java
+++ b/src/main/java/rampshift/serve/InProcessOpener.java
@@ -11,7 +11,7 @@
 import org.xnio.XnioIoThread;
 import rampshift.connections.Dialer;
 
-/** Opens connections over pipes inside the process; whoever accepts them gets the other end. */
+/** Opens connections over pipes within the process; the acceptor receives the other end. */
 final class InProcessOpener implements Dialer.ChannelOpener {
     private final XnioIoThread thread;
     private final ChannelListener<StreamConnection> acceptor;
--- a/src/main/java/rampshift/serve/IoThreads.java
+++ b/src/main/java/rampshift/serve/IoThreads.java
@@ -6,14 +6,15 @@
 import org.xnio.Xnio;
 import org.xnio.XnioWorker;
 
-/** Makes the threads that a dispatcher runs on. */
+/** Creates the threads of a dispatcher. */
 final class IoThreads {
     private IoThreads() {}
 
-    /** One I/O thread, which does all the work, and the one task thread that XNIO insists on. */
+    /** Creates one I/O thread, which does all the work, and the one task thread that XNIO requires. */
     static XnioWorker create() throws IOException {
-        // XNIO would put beans into the platform's JMX server, which takes 0.15 s of CPU to start. With no
-        // such server it goes on without; nobody here reads them, the counters are for that.
+        // XNIO registers MBeans in the platform's JMX server, whose start takes 0.15 s of CPU. Without that
+        // server XNIO skips the registration. The MBeans are not needed, since the dispatcher has its own
+        // counters.
         System.setProperty("javax.management.builder.initial", "none");
         return Xnio.getInstance(IoThreads.class.getClassLoader())
                 .createWorker(OptionMap.builder().set(Options.WORKER_NAME, "io")
--- a/src/main/java/rampshift/serve/NoExtension.java
+++ b/src/main/java/rampshift/serve/NoExtension.java
@@ -6,7 +6,7 @@
 import rampshift.settings.Configuration;
 import rampshift.time.Clock;
 
-/** The extension of a dispatcher that has none. */
+/** An extension without effect, for a dispatcher that has none. */
 final class NoExtension implements ServerExtension {
     @Override
     public int maxDescriptors(Configuration configuration) {
@@ -41,6 +41,6 @@
 
     @Override
     public void close() {
-        // nothing to give back
+        // nothing to release
     }
 }
--- a/src/main/java/rampshift/serve/Readiness.java
+++ b/src/main/java/rampshift/serve/Readiness.java
@@ -2,7 +2,7 @@
 
 import rampshift.clients.StatusPage;
 
-/** Whether a dispatcher is ready for clients, as its page {@code /ready} says. */
+/** Tracks whether a dispatcher is ready for clients, and serves this as the page {@code /ready}. */
 final class Readiness {
     private static final int STATUS_OK = 200;
     private static final int STATUS_UNAVAILABLE = 503;
@@ -11,7 +11,7 @@
     private boolean warmedUp;
     private boolean stopping;
 
-    /** A list of workers is there. */
+    /** Records that an endpoint list is available. */
     void endpointsKnown() {
         haveEndpoints = true;
     }
--- a/src/main/java/rampshift/serve/ResourceLimits.java
+++ b/src/main/java/rampshift/serve/ResourceLimits.java
@@ -4,31 +4,32 @@
 import rampshift.settings.HostSettings;
 
 /**
- * How the file descriptors and the memory of a dispatcher are shared among its parts.
+ * The division of the file descriptors and the memory of a dispatcher among its components.
  *
- * @param workerConnections connections to workers, at most
- * @param clientConnections connections from clients, at most, before idle ones are closed for new ones
- * @param spareClientConnections further connections from clients, which are closed with their responses
- * @param inFlightTasks tasks in flight, at most
- * @param inFlightBytes bytes that tasks in flight may hold, at most
- * @param receivingBytes bytes of requests that are still being received, at most
+ * @param workerConnections maximum number of connections to workers
+ * @param clientConnections number of client connections above which idle ones are closed
+ * @param spareClientConnections number of further client connections; while any of them is in use,
+ *     connections are closed after their responses
+ * @param inFlightTasks maximum number of tasks in flight
+ * @param inFlightBytes maximum memory of tasks in flight, in bytes
+ * @param receivingBytes maximum memory of requests that are being received, in bytes
  */
 record ResourceLimits(int workerConnections, int clientConnections, int spareClientConnections,
         int inFlightTasks,
         long inFlightBytes, long receivingBytes) {
 
-    /** Descriptors of the JVM, of its files and of discovery. */
+    /** Descriptors reserved for the JVM, its files and discovery. */
     private static final int RESERVED_DESCRIPTORS = 64;
-    /** What is shared out even where fewer are left. */
+    /** Minimum number of descriptors to divide, even if fewer are available. */
     private static final int MIN_DESCRIPTORS = 8;
     private static final double WORKER_DESCRIPTOR_SHARE = 0.4;
-    /** Of the clients' descriptors. */
+    /** Share of the descriptors for clients. */
     private static final double SPARE_CLIENT_SHARE = 0.1;
     private static final double IN_FLIGHT_MEMORY_SHARE = 0.08;
     private static final double RECEIVING_MEMORY_SHARE = 0.08;
     private static final int BYTES_PER_MB = 1 << 20;
 
-    /** Shares out the limits of a configuration, less the descriptors that an extension uses. */
+    /** Divides the limits of a configuration, less the descriptors that an extension uses. */
     static ResourceLimits of(Configuration configuration, HostSettings host, int extensionDescriptors) {
         int free = configuration.sockets() - RESERVED_DESCRIPTORS - extensionDescriptors;
         int descriptors = Math.max(MIN_DESCRIPTORS, free);
--- a/src/main/java/rampshift/serve/ServerExtension.java
+++ b/src/main/java/rampshift/serve/ServerExtension.java
@@ -8,47 +8,51 @@
 import rampshift.time.Clock;
 
 /**
- * What runs beside a dispatcher where an operator's file asks for it. All of it is called on the I/O
- * thread.
+ * An optional component that runs along with a dispatcher if an operator's file enables it. All methods are
+ * called on the I/O thread.
  */
 public interface ServerExtension {
-    /** How many file descriptors it uses at most; the dispatcher makes do with that many fewer. */
+    /**
+     * Returns the maximum number of file descriptors that the extension uses; they reduce the limits of the
+     * dispatcher.
+     */
     int maxDescriptors(Configuration configuration);
 
     /**
-     * Starts it.
+     * Starts the extension.
      *
-     * @param listener is told of workers that accept nothing new, as far as others than the own discovery
-     *     agent know
-     * @throws IOException where it cannot listen on its address
+     * @param listener is notified of workers that accept no new tasks according to sources other than the
+     *     dispatcher's own discovery agent
+     * @throws IOException if the extension cannot listen on its address
      */
     void start(XnioWorker worker, XnioIoThread thread, Clock clock, Configuration configuration,
             EndpointListener listener) throws IOException;
 
     /**
-     * The dispatcher's own discovery agent has sent a list.
+     * Adjusts a list that the dispatcher's own discovery agent has sent.
      *
-     * @return the list that the dispatcher is to use in its place
+     * @return the list that the dispatcher uses instead
      */
     EndpointList adjust(EndpointList ownList);
 
     /**
-     * The discovery agent is another from now on; its versions do not compare with those of the former one.
+     * Called when the dispatcher has switched to another discovery agent, whose versions are not comparable
+     * with those of the former one.
      */
     void onDiscoveryChanged();
 
-    /** The dispatcher is warmed up. */
+    /** Called when the dispatcher is ready. */
     void onReady();
 
-    /** The dispatcher has begun to stop. */
+    /** Called when the dispatcher has begun to stop. */
     void onStopping();
 
-    /** The dispatcher stops: gives back sockets and timers. */
+    /** Releases sockets and timers when the dispatcher stops. */
     void close();
 
-    /** Receives changes of workers that others than the own discovery agent have observed. */
+    /** Receives changes of workers from sources other than the dispatcher's own discovery agent. */
     interface EndpointListener {
-        /** These workers accept nothing new. */
+        /** Called with workers that accept no new tasks. */
         void onEndpoints(EndpointList changes);
     }
 }
--- a/src/main/java/rampshift/serve/WarmUp.java
+++ b/src/main/java/rampshift/serve/WarmUp.java
@@ -20,15 +20,15 @@
 import rampshift.time.Span;
 
 /**
- * Before the dispatcher is ready, sends some tasks through a second set of all its parts, over pipes inside
- * the process: on a quarter of a core the first real tasks otherwise took up to 185 ms to their first
- * attempt, for classes that were not loaded and code that was not compiled yet. It owns that set, one
+ * Warms up the JVM before the dispatcher is ready: sends tasks through a second dispatcher, over pipes within
+ * the process. Without it, the first client tasks take up to 185 ms until their first attempt on a quarter of
+ * a core, since classes are not loaded and code is not compiled yet. Owns the second dispatcher, one
  * connection and one timer.
  */
 final class WarmUp {
-    /** Tasks until the dispatcher is ready: more would keep clients waiting after a restart. */
+    /** Number of tasks until the dispatcher is ready; more would delay clients after a restart. */
     private static final int TASKS_UNTIL_READY = 10;
-    /** Tasks in all, while no real one has come. */
+    /** Maximum number of tasks, if no client task arrives earlier. */
     private static final int MAX_TASKS = 60;
     private static final Span MAX_DURATION = Span.ofMillis(1500);
     private static final int STATUS_OK = 200;
@@ -47,10 +47,10 @@
     private boolean over;
 
     /**
-     * A warm-up that {@link #start()} begins.
+     * Creates a warm-up that {@link #start()} starts.
      *
-     * @param noRealTasks whether the real dispatcher has had no task yet
-     * @param onReady run once, when enough tasks were sent, or when the warm-up has ended before
+     * @param noRealTasks returns whether the main dispatcher has not admitted a task yet
+     * @param onReady run once, when enough tasks were sent or the warm-up has ended earlier
      */
     WarmUp(XnioIoThread thread, ByteBufferPool buffers, Clock clock, BooleanSupplier noRealTasks,
             Runnable onReady)
@@ -100,9 +100,9 @@
             becomeReady();
         }
         if (tasksSent == MAX_TASKS) {
-            finish("all sent");
+            finish("all tasks sent");
         } else if (tasksSent >= TASKS_UNTIL_READY && !noRealTasks.getAsBoolean()) {
-            finish("a real task came");
+            finish("first client task admitted");
         } else {
             sendTask();
         }
--- a/src/main/java/rampshift/serve/WarmUpMessages.java
+++ b/src/main/java/rampshift/serve/WarmUpMessages.java
@@ -7,7 +7,7 @@
 import java.util.List;
 import rampshift.settings.Configuration;
 
-/** The requests and responses that a {@link WarmUp} plays, and the configuration that they belong to. */
+/** The requests and responses of a {@link WarmUp}, and the configuration of its dispatcher. */
 final class WarmUpMessages {
     private static final String CONFIGURATION_RESOURCE = "/rampshift/warm-up.json";
     private static final String TASK_ID_PREFIX = "warm-up";
@@ -19,7 +19,7 @@
 
     private WarmUpMessages() {}
 
-    /** Always the same one: a warm-up does not depend on the deployment. */
+    /** Returns the configuration, which does not depend on the deployment. */
     static Configuration configuration() {
         try (var in = WarmUpMessages.class.getResourceAsStream(CONFIGURATION_RESOURCE)) {
             return Configuration.read(in.readAllBytes());
@@ -28,7 +28,7 @@
         }
     }
 
-    /** The head of a client's request for the task with a number. */
+    /** Returns the head of a client's request for the task with a number. */
     static byte[] requestHead(int number, String trafficType) {
         return ascii("POST /api/" + number % DISTINCT_PATHS + " HTTP/1.1\r\nHost: warm-up\r\nX-Txn: "
                 + taskId(number)
@@ -36,12 +36,12 @@
                 + "Idempotency-Key: " + number + "\r\nContent-Length: " + BODY.length + "\r\n\r\n");
     }
 
-    /** The body of each request. */
+    /** Returns the body of each request. */
     static byte[] requestBody() {
         return BODY;
     }
 
-    /** A worker's response to the task with a number: its progress and its result, in chunks. */
+    /** Returns a worker's response to the task with a number: its progress and its result, in chunks. */
     static byte[] response(int number) {
         ByteArrayOutputStream out = new ByteArrayOutputStream();
         out.writeBytes(ascii("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n"));
--- a/src/main/java/rampshift/serve/WarmUpWorker.java
+++ b/src/main/java/rampshift/serve/WarmUpWorker.java
@@ -8,7 +8,7 @@
 import org.xnio.StreamConnection;
 import org.xnio.channels.StreamSourceChannel;
 
-/** An emulated worker on one end of a pipe: responds once the complete request has come. */
+/** An emulated worker on one end of a pipe: responds once the complete request has been received. */
 final class WarmUpWorker {
     private static final int REQUEST_BYTES = 4096;
 
@@ -21,7 +21,9 @@
         this.response = response;
     }
 
-    /** Accepts connections as a worker that responds with what the supplier has at the time. */
+    /**
+     * Returns an acceptor of connections, on which a worker responds with the current value of the supplier.
+     */
     static ChannelListener<StreamConnection> acceptor(Supplier<byte[]> response) {
         return connection -> new WarmUpWorker(connection, response).start();
     }
