--- a/src/main/java/rampshift/settings/Configuration.java
+++ b/src/main/java/rampshift/settings/Configuration.java
@@ -6,7 +6,7 @@
 import java.util.List;
 import java.util.Map;
 
-/** What a dispatcher on sockets is configured with: the file that {@code NODE_CONFIG} names. */
+/** The configuration of a dispatcher on sockets, read from the file that {@code NODE_CONFIG} names. */
 public final class Configuration {
     private final String name;
     private final InetSocketAddress listen;
@@ -29,70 +29,75 @@
     }
 
     /**
-     * Reads the file that {@code NODE_CONFIG} names. {@code NODE_NAME}, {@code NODE_LISTEN} and {@code
-     * NODE_DISCOVERY} stand in for what the file leaves out. A {@link ConfigurationException} names the
-     * file.
+     * Reads the file that {@code NODE_CONFIG} names. {@code NODE_NAME}, {@code NODE_LISTEN} and
+     * {@code NODE_DISCOVERY} are used for values that the file omits. A {@link ConfigurationException} names
+     * the file.
      */
     public static Configuration read(Map<String, String> environment) {
         return ConfigurationReader.readFile(environment);
     }
 
     /**
-     * Reads a configuration from its bytes alone. Throws a {@link ConfigurationException} for what it must
-     * not hold, and an {@link IOException} with line and column for what is no JSON.
+     * Reads a configuration from bytes, without the environment. Throws a {@link ConfigurationException} for
+     * invalid values, and an {@link IOException} with line and column for invalid JSON.
      */
     public static Configuration read(byte[] bytes) throws IOException {
         return new ConfigurationReader().read(bytes, Map.of());
     }
 
-    /** An address with its port; names are not resolved. The key is named where the text is neither. */
+    /**
+     * Parses an IP address with its port; host names are not resolved. The exception for an invalid address
+     * names the key.
+     */
     public static InetSocketAddress address(String key, String text) {
         return SocketAddressParser.parse(key, text);
     }
 
-    /** The dispatcher's name; "?" where neither file nor environment states one. */
+    /** Returns the dispatcher's name; "?" if neither the file nor the environment has one. */
     public String name() {
         return name;
     }
 
-    /** Where the dispatcher listens for clients. */
+    /** Returns the address on which the dispatcher listens for clients. */
     public InetSocketAddress listen() {
         return listen;
     }
 
-    /** Where the endpoint list is polled. */
+    /** Returns the address of the discovery agent, which serves the endpoint list. */
     public InetSocketAddress discovery() {
         return discovery;
     }
 
-    /** The seed of all random draws. */
+    /** Returns the seed of the random number generators. */
     public long seed() {
         return seed;
     }
 
-    /** How much memory the process may take, in MB. */
+    /** Returns the memory limit of the process, in MB. */
     public int memoryMb() {
         return memoryMb;
     }
 
-    /** How many descriptors the process may have open. */
+    /** Returns the maximum number of open file descriptors of the process. */
     public int sockets() {
         return sockets;
     }
 
-    /** The endpoint list as last received, in discovery's form; null where the file has none. */
+    /**
+     * Returns the last received endpoint list in the JSON format of the discovery agent; null if the file has
+     * none.
+     */
     public byte[] knownEndpoints() {
         return knownEndpoints;
     }
 
-    /** The settings of the dispatch policy and of the host. */
+    /** Returns the reader of the settings of the dispatch policy and of the host. */
     public SettingsReader settings() {
         return settings;
     }
 
     /**
-     * The parts in which the next configuration differs and which take effect only when a dispatcher
-     * starts.
+     * Returns the parts in which the next configuration differs and which take effect only after a restart.
      */
     public List<String> restartFor(Configuration next) {
         List<String> parts = new ArrayList<>();
--- a/src/main/java/rampshift/settings/ConfigurationReader.java
+++ b/src/main/java/rampshift/settings/ConfigurationReader.java
@@ -13,7 +13,7 @@
 import java.nio.file.Path;
 import java.util.Map;
 
-/** Reads one configuration; its fields hold what has been read so far. */
+/** Reads one configuration; its fields hold the values read so far. */
 final class ConfigurationReader {
     private static final String FILE_VARIABLE = "NODE_CONFIG";
     private static final long MAX_FILE_BYTES = 1 << 22;
@@ -41,7 +41,7 @@
         try {
             Path path = Path.of(file);
             if (Files.size(path) > MAX_FILE_BYTES) {
-                // Named here and again below: operators know the message in that form.
+                // The catch block below adds the file name again; operators know the message in that form.
                 throw new ConfigurationException(file + ": over " + MAX_FILE_BYTES + " bytes");
             }
             return new ConfigurationReader().read(Files.readAllBytes(path), environment);
@@ -75,7 +75,7 @@
         if (settings == null) {
             throw ConfigurationException.ofKey("settings", "settings is missing");
         }
-        settings.read(seed);    // a fault in them is found while the file is still known
+        settings.read(seed);    // reports invalid settings while the file name is known
         return new Configuration(this);
     }
 
@@ -134,7 +134,7 @@
         return in.getText();
     }
 
-    /** The bytes of the object at which the parser stands; null, and the value skipped, where it is none. */
+    /** Returns the JSON of the object at the parser's position. Skips any other value and returns null. */
     private static byte[] copyOfObject(JsonParser in) throws IOException {
         if (in.currentToken() != JsonToken.START_OBJECT) {
             in.skipChildren();
--- a/src/main/java/rampshift/settings/HostSettings.java
+++ b/src/main/java/rampshift/settings/HostSettings.java
@@ -4,17 +4,17 @@
 import rampshift.time.Span;
 
 /**
- * What a host on sockets needs of the settings, beside what the dispatch policy reads.
+ * The settings that a host on sockets needs in addition to those of the dispatch policy.
  *
  * @param zones names of the zones, in the order in which they are numbered
  * @param kinds names of the kinds of workers, in that order
  * @param types names of the traffic types, in that order
  * @param tenants names of the tenants, in that order
  * @param dialTimeout how long opening a connection to a worker may take
- * @param connectionIdleTimeout after which idle time a connection to a worker is closed
- * @param maxConnections how many connections to workers may be open at once, 1 or more
- * @param freeSlotsField the field of a load report that holds the free slots; null where there is none
- * @param freeMemoryField the field of a load report that holds the free memory; null where there is none
+ * @param connectionIdleTimeout idle time after which a connection to a worker is closed
+ * @param maxConnections maximum number of open connections to workers, at least 1
+ * @param freeSlotsField the field of a load report that holds the free slots; null if there is none
+ * @param freeMemoryField the field of a load report that holds the free memory; null if there is none
  */
 public record HostSettings(
         List<String> zones,
--- a/src/main/java/rampshift/settings/InvalidInputException.java
+++ b/src/main/java/rampshift/settings/InvalidInputException.java
@@ -1,12 +1,10 @@
 package rampshift.settings;
 
-/**
- * Input that does not have the form which a wire protocol, an endpoint list or a configuration prescribes.
- */
+/** Thrown for input that violates the format of a wire protocol, an endpoint list or a configuration. */
 public class InvalidInputException extends RuntimeException {
     private static final long serialVersionUID = 1L;
 
-    /** The message says in one line what is wrong. */
+    /** Creates the exception with a message of one line that describes the fault. */
     public InvalidInputException(String message) {
         super(message);
     }
--- a/src/main/java/rampshift/settings/JsonTree.java
+++ b/src/main/java/rampshift/settings/JsonTree.java
@@ -14,12 +14,12 @@
 import java.util.List;
 import java.util.Map;
 
-/** JSON as maps and lists that keep their order: for what has to be written again with all that it held. */
+/** Reads JSON into ordered maps and lists, and writes these as JSON without loss. */
 public final class JsonTree {
     private static final JsonFactory JSON = JsonFactory.builder()
             .enable(StreamReadFeature.STRICT_DUPLICATE_DETECTION).build();
 
-    /** Reads the number at which a parser stands, in the form in which the tree is to hold it. */
+    /** Converts the number at a parser's position to the type that the tree holds. */
     interface NumberReader {
         Object read(JsonParser in) throws IOException;
     }
@@ -27,9 +27,9 @@
     private JsonTree() {}
 
     /**
-     * Reads one object; its numbers are held as {@link BigDecimal}, as they were written. Throws a {@link
-     * ConfigurationException} for what is no object, and an {@link IOException} with line and column for
-     * what is no JSON.
+     * Reads one object. Numbers become {@link BigDecimal}, which preserves their notation. Throws a
+     * {@link ConfigurationException} if the input is not one object, and an {@link IOException} with line and
+     * column if it is not JSON.
      */
     public static Map<String, Object> read(byte[] bytes) throws IOException {
         try (JsonParser in = JSON.createParser(bytes)) {
@@ -44,7 +44,7 @@
         }
     }
 
-    /** The tree as indented JSON with a line end after it. */
+    /** Returns the tree as indented JSON that ends with a line feed. */
     public static byte[] write(Map<String, Object> tree) throws IOException {
         ByteArrayOutputStream bytes = new ByteArrayOutputStream();
         try (JsonGenerator out = JSON.createGenerator(bytes)) {
@@ -55,7 +55,7 @@
         return bytes.toByteArray();
     }
 
-    /** The rest of the object in which the parser stands. */
+    /** Reads the rest of the object at the parser's position. */
     static Map<String, Object> object(JsonParser in, NumberReader numbers) throws IOException {
         Map<String, Object> entries = new LinkedHashMap<>();
         while (in.nextToken() != JsonToken.END_OBJECT) {
--- a/src/main/java/rampshift/settings/SettingsObject.java
+++ b/src/main/java/rampshift/settings/SettingsObject.java
@@ -11,13 +11,13 @@
     private final String name;
     private final Map<String, Object> entries;
 
-    /** The name is the key under which it stands; empty for the settings as a whole. */
+    /** Creates the object; its name is the key of the object, or empty for the settings as a whole. */
     SettingsObject(String name, Map<String, Object> entries) {
         this.name = name;
         this.entries = entries;
     }
 
-    /** A value of the settings that has to be an object. */
+    /** Returns a value of the settings that must be an object. */
     @SuppressWarnings("unchecked")
     static SettingsObject of(String name, Object value) {
         if (value instanceof Map) {
@@ -30,12 +30,12 @@
         return name.isEmpty() ? key : name + "." + key;
     }
 
-    /** A fault of the key; the description follows the key's path. */
+    /** Returns the exception for a key; its message is the path of the key and the description. */
     private ConfigurationException fault(String key, String description) {
         return ConfigurationException.ofKey(path(key), "setting " + path(key) + " " + description);
     }
 
-    /** The value as it was read; null where there is none. */
+    /** Returns the value as read; null if there is none. */
     Object get(String key) {
         return entries.get(key);
     }
@@ -44,17 +44,17 @@
         return entries.get(key) != null;
     }
 
-    /** Whether the value is that text. */
+    /** Returns whether the value is this text. */
     boolean is(String key, String text) {
         return text.equals(entries.get(key));
     }
 
-    /** An object within this one; an empty one where there is none. */
+    /** Returns an object within this one; an empty one if there is none. */
     SettingsObject object(String key) {
         return has(key) ? of(key, entries.get(key)) : new SettingsObject(key, Map.of());
     }
 
-    /** An array; an empty one where there is none. */
+    /** Returns an array; an empty one if there is none. */
     @SuppressWarnings("unchecked")
     List<Object> list(String key) {
         Object value = entries.get(key);
@@ -85,7 +85,7 @@
         return number(key, 0);
     }
 
-    /** A number of the minimum or more; it is taken for 0 where there is none. */
+    /** Returns a number that must be at least the minimum; an absent number counts as 0. */
     double numberOfAtLeast(double minimum, String key) {
         double value = number(key, 0);
         if (!(value >= minimum)) {
@@ -95,24 +95,24 @@
         return value;
     }
 
-    /** A number within an array; where there is none at that index, the number for its absence. */
+    /** Returns a number within an array, or the default if there is none at that index. */
     double element(String key, int index, double ifAbsent) {
         List<Object> values = list(key);
         return index < values.size() && values.get(index) instanceof Number number ? number.doubleValue()
                 : ifAbsent;
     }
 
-    /** A number of milliseconds. */
+    /** Returns a number of milliseconds as a span. */
     Span span(String key, double millisIfAbsent) {
         return Span.ofMillis(number(key, millisIfAbsent));
     }
 
-    /** Whether the value is true; anything else counts as false. */
+    /** Returns whether the value is true; any other value counts as false. */
     boolean flag(String key) {
         return Boolean.TRUE.equals(entries.get(key));
     }
 
-    /** True or false; false where there is none, a fault for anything else. */
+    /** Returns a boolean, false if there is none; any other value is a fault. */
     boolean strictFlag(String key) {
         Object value = entries.get(key);
         if (value != null && !(value instanceof Boolean)) {
@@ -122,9 +122,9 @@
     }
 
     /**
-     * Indexes into another list of the settings; null where none are stated.
+     * Returns indexes into another list of the settings; null if the key is absent.
      *
-     * @param size how many elements that list has; 0 where it is not stated
+     * @param size the size of that list; 0 if it is absent
      */
     Set<Integer> indexes(String key, int size) {
         if (!has(key)) {
@@ -135,7 +135,7 @@
             indexes.add(index(key, value, size));
         }
         if (indexes.isEmpty()) {
-            throw fault(key, "is empty: the type could run nowhere");
+            throw fault(key, "is empty: no worker could run the traffic type");
         }
         return indexes;
     }
@@ -147,7 +147,7 @@
             return number.intValue();
         }
         throw fault(key,
-                "holds " + value + ", expected places from 0" + (size > 0 ? " to " + (size - 1) : ""));
+                "holds " + value + ", expected indexes from 0" + (size > 0 ? " to " + (size - 1) : ""));
     }
 
     @Override
--- a/src/main/java/rampshift/settings/SettingsReader.java
+++ b/src/main/java/rampshift/settings/SettingsReader.java
@@ -9,8 +9,8 @@
 import rampshift.time.Span;
 
 /**
- * Reads the settings of one dispatcher: for the dispatch policy and for a host on sockets. Unknown settings
- * are ignored, absent ones have the meaning that the wire gives to their absence.
+ * Reads the settings of one dispatcher, both for the dispatch policy and for a host on sockets. Unknown
+ * settings are ignored, and absent ones have the defaults of the wire format.
  */
 public final class SettingsReader {
     private static final Set<String> LOAD_REPORTING = Set.of("inline", "on_probe", "off");
@@ -19,12 +19,12 @@
 
     private final SettingsObject root;
 
-    /** Takes over the rest of the JSON object in which the parser stands. */
+    /** Reads the rest of the JSON object at the parser's position. */
     public SettingsReader(JsonParser in) throws IOException {
         root = new SettingsObject("", JsonTree.object(in, JsonParser::getDoubleValue));
     }
 
-    /** Whether both were read from the same settings. */
+    /** Returns whether both readers have the same settings. */
     @Override
     public boolean equals(Object other) {
         return other instanceof SettingsReader reader && root.equals(reader.root);
@@ -36,8 +36,8 @@
     }
 
     /**
-     * What the dispatch policy needs. Throws a {@link ConfigurationException} for the first value that
-     * can't be used; the order of reading decides which that is.
+     * Returns the settings of the dispatch policy. Throws a {@link ConfigurationException} for the first
+     * invalid value, in the order of reading.
      */
     public Settings read(long seed) {
         SettingsObject limits = root.object("Limits");
@@ -69,7 +69,7 @@
         int count = root.list("Zones").size();
         if (zone < 0 || (count > 0 && zone >= count)) {
             throw ConfigurationException.ofKey("Zone",
-                    "setting Zone is " + zone + ", and Zones has " + count);
+                    "setting Zone is " + zone + ", but the size of Zones is " + count);
         }
         return zone;
     }
@@ -94,7 +94,7 @@
         settings.reportsLoad = reportsLoad(load);
     }
 
-    /** Whether workers report their load; where nothing is stated they do. */
+    /** Returns whether workers report their load; true if the setting is absent. */
     private static boolean reportsLoad(SettingsObject load) {
         Object how = load.get("How");
         if (how != null && !LOAD_REPORTING.contains(how)) {
@@ -153,7 +153,7 @@
         }
     }
 
-    /** What only a host on sockets needs. */
+    /** Returns the settings that only a host on sockets needs. */
     public HostSettings hostSettings() {
         SettingsObject limits = root.object("Limits");
         return new HostSettings(names("Zones"), names("Kinds"), rowNames("TrafficTypes"), rowNames("Tenants"),
@@ -182,7 +182,9 @@
         return names;
     }
 
-    /** The field of a load report that has this meaning, such as "free slots"; null where there is none. */
+    /**
+     * Returns the field of a load report that has this meaning, such as "free slots"; null if there is none.
+     */
     public String reportField(String meaning) {
         SettingsObject family = root.object("FamilyInfo");
         if (family.is("ReportX0", meaning)) {
--- a/src/main/java/rampshift/settings/SocketAddressParser.java
+++ b/src/main/java/rampshift/settings/SocketAddressParser.java
@@ -6,7 +6,7 @@
 import java.util.regex.Matcher;
 import java.util.regex.Pattern;
 
-/** Reads socket addresses as they stand in configurations and lists. */
+/** Parses the socket addresses of configurations and endpoint lists. */
 final class SocketAddressParser {
     private static final String OCTET = "(?:25[0-5]|2[0-4]\\d|1?\\d?\\d)";
     private static final Pattern ADDRESS = Pattern
@@ -15,7 +15,10 @@
 
     private SocketAddressParser() {}
 
-    /** An IPv4 or bracketed IPv6 address with its port. Names are not resolved: that could block. */
+    /**
+     * Parses an IPv4 or bracketed IPv6 address with its port. Host names are not resolved, since that could
+     * block.
+     */
     static InetSocketAddress parse(String key, String text) {
         if (text == null) {
             throw ConfigurationException.ofKey(key, key + " is missing");
@@ -39,7 +42,7 @@
         try {
             return new InetSocketAddress(InetAddress.getByName(matcher.group(1)), port);
         } catch (IOException e) {
-            return null;        // brackets around what is no IPv6 address
+            return null;        // invalid IPv6 address in brackets
         }
     }
 }
--- a/src/main/java/rampshift/settings/SourcePosition.java
+++ b/src/main/java/rampshift/settings/SourcePosition.java
@@ -3,28 +3,28 @@
 import java.io.Serializable;
 
 /**
- * Where in a file a fault stands.
+ * The position of a fault in a file.
  *
- * @param file its name as the user gave it
- * @param line counted from 1; {@link #UNKNOWN} where the fault is of the whole file
- * @param column counted from 1; {@link #UNKNOWN} where only the line is known
+ * @param file the name of the file as given by the user
+ * @param line the line, counted from 1; {@link #UNKNOWN} if the fault concerns the whole file
+ * @param column the column, counted from 1; {@link #UNKNOWN} if only the line is known
  */
 public record SourcePosition(String file, int line, int column) implements Serializable {
 
-    /** In place of a line or a column that is not known. */
+    /** The value of an unknown line or column. */
     public static final int UNKNOWN = 0;
 
-    /** The file as a whole. */
+    /** Returns the position of the file as a whole. */
     public static SourcePosition ofFile(String file) {
         return new SourcePosition(file, UNKNOWN, UNKNOWN);
     }
 
-    /** A line of the file. */
+    /** Returns the position of a line of the file. */
     public static SourcePosition ofLine(String file, int line) {
         return new SourcePosition(file, line, UNKNOWN);
     }
 
-    /** In the form in which it precedes a message. */
+    /** Returns the position in the form that precedes a message. */
     @Override
     public String toString() {
         if (line == UNKNOWN) {
--- a/src/main/java/rampshift/settings/TrafficTypeReader.java
+++ b/src/main/java/rampshift/settings/TrafficTypeReader.java
@@ -4,7 +4,7 @@
 import rampshift.policy.TrafficType;
 import rampshift.time.Span;
 
-/** Reads rows of the settings' {@code TrafficTypes}. */
+/** Reads the rows of the setting {@code TrafficTypes}. */
 final class TrafficTypeReader {
     private static final int ANY_KIND = -1;
 
@@ -12,7 +12,7 @@
     private final int zoneCount;
     private final int kindCount;
 
-    /** The counts are 0 where the settings name no zones or no kinds. */
+    /** Creates the reader; a count is 0 if the settings have no list of zones or kinds. */
     TrafficTypeReader(SettingsObject family, int zoneCount, int kindCount) {
         this.family = family;
         this.zoneCount = zoneCount;
@@ -34,7 +34,7 @@
                 deduplicationScope(row), deduplicationWindow, zones, kinds);
     }
 
-    /** The kinds of workers that may run the type; null for any. */
+    /** Returns the kinds of workers that may run the type; null for any. */
     private Set<Integer> kinds(int index, SettingsObject row) {
         Set<Integer> allowed = row.indexes("AllowedOn", kindCount);
         int only = (int) family.element("ClassKind", index, ANY_KIND);
@@ -43,7 +43,7 @@
         }
         if (allowed != null && !allowed.contains(only)) {
             throw ConfigurationException.ofKey("TrafficTypes.AllowedOn",
-                    "setting TrafficTypes.AllowedOn lacks the kind " + only + " that ClassKind names");
+                    "setting TrafficTypes.AllowedOn lacks the kind " + only + " that ClassKind requires");
         }
         return Set.of(only);
     }
