--- a/src/main/java/rampshift/ConfiguredCommands.java
+++ b/src/main/java/rampshift/ConfiguredCommands.java
@@ -19,7 +19,7 @@
     private final PrintStream out;
     private final PrintStream err;
 
-    /** The operator's file is null or empty where none is named. */
+    /** Creates the commands; the operator's file is null or empty if none is given. */
     ConfiguredCommands(Map<String, String> environment, String operatorFile, PrintStream out,
             PrintStream err) {
         this.environment = environment;
@@ -28,7 +28,7 @@
         this.err = err;
     }
 
-    /** Runs a command, the first word, with its arguments; the result is the exit status. */
+    /** Runs the command in the first word with the other words as arguments, and returns the exit status. */
     int run(List<String> words) {
         String command = words.get(0);
         try {
@@ -63,7 +63,7 @@
     private String requiredOperatorFile() {
         if (operatorFile == null || operatorFile.isEmpty()) {
             throw new ConfigurationException(
-                    "no operator's file: name one by --operator FILE or RAMPSHIFT_OPERATOR");
+                    "no operator's file: set --operator FILE or RAMPSHIFT_OPERATOR");
         }
         return operatorFile;
     }
--- a/src/main/java/rampshift/ExitStatus.java
+++ b/src/main/java/rampshift/ExitStatus.java
@@ -1,9 +1,9 @@
 package rampshift;
 
-/** Exit statuses of the command line; its help tells them to users. */
+/** Exit statuses of the command line, as documented in its help. */
 final class ExitStatus {
     static final int DONE = 0;
-    /** A wrong command line, file, configuration or environment. */
+    /** The command line, a file, the configuration or the environment is invalid. */
     static final int INVALID_INPUT = 2;
 
     private ExitStatus() {}
--- a/src/main/java/rampshift/Main.java
+++ b/src/main/java/rampshift/Main.java
@@ -15,7 +15,7 @@
 import rampshift.serve.DispatcherServer;
 import rampshift.simulator.SimulatorHost;
 
-/** The command line: finds the command and hands it its arguments. */
+/** The command line: selects the command and passes it its arguments. */
 public final class Main {
     private static final String HELP_RESOURCE = "help.txt";
 
@@ -75,7 +75,10 @@
         };
     }
 
-    /** Starts and stops a dispatcher without a configuration: the JVM archives the classes that it loads. */
+    /**
+     * Starts and stops a dispatcher with a built-in configuration, so that the JVM can archive the classes
+     * that it loads.
+     */
     private static int rehearse() throws IOException {
         DispatcherServer server = DispatcherServer.forClassArchive();
         server.awaitReady();
@@ -90,7 +93,7 @@
         return ExitStatus.DONE;
     }
 
-    /** The version of the jar; the classes of a build that is not packaged yet have none. */
+    /** Returns the version of the jar, or a placeholder for classes that are not packaged. */
     static String version() {
         String version = Main.class.getPackage().getImplementationVersion();
         return version == null ? "(not packaged)" : version;
@@ -102,7 +105,7 @@
     }
 
     private static int invalid(String message, PrintStream err) {
-        err.println("rampshift: " + message + "; rampshift --help tells more");
+        err.println("rampshift: " + message + "; see rampshift --help");
         return ExitStatus.INVALID_INPUT;
     }
 }
--- a/src/main/java/rampshift/OptionalJars.java
+++ b/src/main/java/rampshift/OptionalJars.java
@@ -14,9 +14,9 @@
 import java.util.Set;
 
 /**
- * Loads what a plain {@code serve} never opens from jars beside this program's own: the testbed, and what
- * an operator's file adds. With all of it in one jar the jar's directory, which every start of {@code
- * serve} reads, was half as large again.
+ * Loads code that a plain {@code serve} does not need from separate jars in the folder of this program's jar:
+ * the testbed, and the commands and extensions of an operator's file. In a single jar, the central directory,
+ * which each start of {@code serve} reads, would be larger by half.
  */
 final class OptionalJars {
     /** The commands of the testbed. */
@@ -30,7 +30,7 @@
 
     private OptionalJars() {}
 
-    /** Runs a command of the testbed; the result is its exit status. */
+    /** Runs a command of the testbed, and returns its exit status. */
     static int fleet(String[] args, PrintStream out, PrintStream err) throws IOException {
         try {
             return (int) load(FLEET_ENTRY, List.of(OPERATOR_JAR, FLEET_JAR))
@@ -51,7 +51,7 @@
     }
 
     /**
-     * Calls a method of the operator's commands by its name; unchecked exceptions of its own pass through.
+     * Calls a method of the operator commands by its name; unchecked exceptions of the method are rethrown.
      */
     static Object operator(String method, Object... arguments) throws IOException {
         try {
@@ -75,10 +75,12 @@
     }
 
     private static String mismatch(String jar, String reason) {
-        return jar + " does not fit this program (" + reason + "); build both anew";
+        return jar + " does not match this program (" + reason + "); rebuild both";
     }
 
-    /** Throws the cause where it is unchecked; the result is what to throw otherwise. */
+    /**
+     * Throws the cause if it is unchecked, and otherwise returns the exception that the caller is to throw.
+     */
     private static IOException unchecked(InvocationTargetException thrown, IOException otherwise) {
         if (thrown.getCause() instanceof RuntimeException cause) {
             throw cause;
@@ -105,12 +107,12 @@
         return Class.forName(entry, true, loader);
     }
 
-    /** This program's jar, or the folder of its classes where it runs from the build. */
+    /** Returns this program's jar, or the folder of its classes if it is not packaged. */
     private static Path programFile() throws MissingJarException {
         try {
             return Path.of(Main.class.getProtectionDomain().getCodeSource().getLocation().toURI());
         } catch (URISyntaxException e) {
-            throw new MissingJarException("the program's own place is not to be found");
+            throw new MissingJarException("cannot determine the location of the program");
         }
     }
 
@@ -119,7 +121,7 @@
         for (String name : jars) {
             Path jar = program.resolveSibling(name);
             if (!Files.exists(jar)) {
-                throw new MissingJarException(jar + " is missing; the build makes it");
+                throw new MissingJarException(jar + " is missing; run the build to create it");
             }
             urls.add(jar.toUri().toURL());
         }
--- a/src/main/java/rampshift/ServeCommand.java
+++ b/src/main/java/rampshift/ServeCommand.java
@@ -17,25 +17,26 @@
     private final String operatorFile;
     private final Semaphore hangups = new Semaphore(0);
 
-    /** The operator's file is null or empty where none is named. */
+    /** Creates the command; the operator's file is null or empty if none is given. */
     ServeCommand(Map<String, String> environment, String operatorFile) {
         this.environment = environment;
         this.operatorFile = operatorFile;
     }
 
-    /** No other API of the JDK tells of SIGHUP. */
+    /** Runs an action on SIGHUP. The JDK has no other API for this signal. */
     private static void onHangup(Runnable action) {
         sun.misc.Signal.handle(new sun.misc.Signal("HUP"), signal -> action.run());
     }
 
-    /** Returns when the dispatcher has stopped; throws where it can't start. */
+    /** Runs until the dispatcher has stopped; throws if the dispatcher can't start. */
     void run() throws IOException {
-        // By default the JVM stops on SIGHUP; one that came while it started ended the dispatcher.
+        // Installed first: by default the JVM exits on SIGHUP, and one during the start would end the
+        // dispatcher.
         onHangup(hangups::release);
         Configuration configuration = Configuration.read(environment);
         FutureTask<DispatcherServer> start = new FutureTask<>(() -> start(configuration));
-        // Registered before the start: it accepts clients while it starts, and a SIGTERM meanwhile lost
-        // their tasks.
+        // Registered before the start: the dispatcher accepts clients while it starts, and a SIGTERM at that
+        // time would otherwise lose their tasks.
         Runtime.getRuntime().addShutdownHook(stopper(start));
         start.run();
         reloadUntilEnd(started(start));
@@ -50,26 +51,29 @@
         return new DispatcherServer(configuration, (ServerExtension) extension);
     }
 
-    /** Reads the file on this thread, where nothing waits for the disk. */
+    /**
+     * Reloads the configuration on each SIGHUP until the dispatcher has stopped. The file is read on this
+     * thread, so that the I/O thread does not wait for the disk.
+     */
     private void reloadUntilEnd(DispatcherServer server) {
         while (!server.isStopped()) {
             hangups.acquireUninterruptibly();
-            hangups.drainPermits();     // the file as it is now holds what all signals so far announced
+            hangups.drainPermits();     // one read of the file covers all earlier signals
             try {
                 server.reload(Configuration.read(environment));
             } catch (InvalidInputException e) {
-                Log.warn("reload", "kept", "the configuration as it was", "why", e.getMessage());
+                Log.warn("reload", "kept", "the current configuration", "why", e.getMessage());
             }
         }
     }
 
-    /** The shutdown hook that stops the dispatcher once it has started, if it does. */
+    /** Returns the shutdown hook, which waits for the start of the dispatcher and then stops it. */
     static Thread stopper(FutureTask<DispatcherServer> start) {
         return new Thread(() -> {
             try {
                 started(start).stop();
             } catch (IOException | RuntimeException e) {
-                // It never started; the thread that started it reports why.
+                // The start failed; the thread that ran it reports the reason.
             }
         }, "stop");
     }
--- a/src/main/java/rampshift/StatusClient.java
+++ b/src/main/java/rampshift/StatusClient.java
@@ -14,7 +14,10 @@
 
     private StatusClient() {}
 
-    /** The body of a page as text; it blocks, and throws where the dispatcher does not answer with one. */
+    /**
+     * Returns the body of a page as text. Blocks, and throws if the dispatcher does not respond with the
+     * page.
+     */
     static String page(InetSocketAddress address, String path) throws IOException {
         URL url = new URL("http", address.getHostString(), address.getPort(), path);
         HttpURLConnection connection = (HttpURLConnection) url.openConnection(Proxy.NO_PROXY);
