--- a/src/main/java/rampshift/ServeCommand.java
+++ b/src/main/java/rampshift/ServeCommand.java
@@ -37,7 +37,7 @@
         FutureTask<DispatcherServer> start = new FutureTask<>(() -> start(configuration));
         // Registered before the start: the dispatcher accepts clients while it starts, and a SIGTERM at that
         // time would otherwise lose their tasks.
-        Runtime.getRuntime().addShutdownHook(stopper(start));
+        Runtime.getRuntime().addShutdownHook(shutdownHook(start));
         start.run();
         reloadUntilEnd(started(start));
     }
@@ -68,7 +68,7 @@
     }
 
     /** Returns the shutdown hook, which waits for the start of the dispatcher and then stops it. */
-    static Thread stopper(FutureTask<DispatcherServer> start) {
+    static Thread shutdownHook(FutureTask<DispatcherServer> start) {
         return new Thread(() -> {
             try {
                 started(start).stop();
--- a/src/main/java/rampshift/discovery/LongPoll.java
+++ b/src/main/java/rampshift/discovery/LongPoll.java
@@ -45,7 +45,7 @@
     private final ResponseBuffer body = new ResponseBuffer();
     private IoTimer timer;
     private int status;
-    private boolean over;
+    private boolean finished;
 
     /**
      * Creates a poll that {@link #start} sends; after the first timeout, pieces of the response may be at
@@ -89,7 +89,7 @@
      * Cancels the timer and all further calls of the listener. The owner of the connection has to close it.
      */
     void cancel() {
-        over = true;
+        finished = true;
         timer.cancel();
     }
 
@@ -100,7 +100,7 @@
      */
     private void onTimeout(Moment deadline) {
         connection.poll();
-        if (over) {
+        if (finished) {
             return;
         }
         Span untilDeadline = deadline.since(clock.now());
--- a/src/main/java/rampshift/serve/Dispatcher.java
+++ b/src/main/java/rampshift/serve/Dispatcher.java
@@ -84,7 +84,7 @@
      * Rejects all further requests, and closes client connections between requests. Called repeatedly until
      * all are closed.
      */
-    void closeToRequests() {
+    void stopAcceptingRequests() {
         admission.close();
         clientListener.drain();
     }
--- a/src/main/java/rampshift/serve/DispatcherServer.java
+++ b/src/main/java/rampshift/serve/DispatcherServer.java
@@ -179,10 +179,10 @@
      * interrupted.
      */
     public void reload(Configuration next) {
-        List<String> atRestart = configuration.restartFor(next);
+        List<String> partsRequiringRestart = configuration.partsRequiringRestart(next);
         thread.execute(() -> {
             counters.add(Counters.Name.RELOADS);
-            Log.info("reload", "discovery", next.discovery(), "wait_for_restart", atRestart);
+            Log.info("reload", "discovery", next.discovery(), "wait_for_restart", partsRequiringRestart);
             if (watch.switchTo(next.discovery())) {
                 dispatcher.policyHost.onEndpointListAwaited(false);
                 extension.onDiscoveryChanged();
--- a/src/main/java/rampshift/serve/GracefulShutdown.java
+++ b/src/main/java/rampshift/serve/GracefulShutdown.java
@@ -30,18 +30,18 @@
      * Time before SIGKILL from which the dispatcher stops as soon as no task is in flight, even if
      * connections are open.
      */
-    private static final Span LEAVE_BEFORE_KILL = Span.ofMillis(120);
+    private static final Span EXIT_BEFORE_KILL = Span.ofMillis(120);
     /** Minimum time after SIGTERM for which new clients may still connect. */
     private static final Span MIN_DRAIN = Span.ofMillis(600);
     /**
      * The drain ends early once no connection is open and no client has connected or disconnected for this
      * time.
      */
-    private static final Span NO_NEW_CLIENTS = Span.ofMillis(250);
+    private static final Span QUIET_TIME = Span.ofMillis(250);
     /**
      * Time after the close of a connection during which a client may resend a request that crossed the close.
      */
-    private static final Span CROSSED_CLOSE = Span.ofMillis(150);
+    private static final Span RESEND_TIME = Span.ofMillis(150);
     private static final Span POLL_INTERVAL = Span.ofMillis(20);
 
     /** The phases of the shutdown. FAILING includes the actions of CLOSING. */
@@ -64,7 +64,7 @@
     private final Moment shortTasksFrom;
     private final Moment closeAt;
     private final Moment failAt;
-    private final Moment leaveAt;
+    private final Moment exitAt;
     private Phase phase = Phase.DRAINING;
 
     /** Schedules the phases from now on; {@code onStopped} is run at the end. */
@@ -80,7 +80,7 @@
         shortTasksFrom = killAt.minus(SHORT_TASKS_BEFORE_KILL);
         closeAt = killAt.minus(CLOSE_BEFORE_KILL);
         failAt = killAt.minus(FAIL_BEFORE_KILL);
-        leaveAt = killAt.minus(LEAVE_BEFORE_KILL);
+        exitAt = killAt.minus(EXIT_BEFORE_KILL);
     }
 
     /** Runs the first step, which schedules the further ones. */
@@ -95,7 +95,7 @@
             phase = Phase.CLOSING;
         }
         if (phase != Phase.DRAINING) {
-            dispatcher.closeToRequests();
+            dispatcher.stopAcceptingRequests();
             if (!clock.now().before(failAt)) {
                 phase = Phase.FAILING;
                 dispatcher.policyHost.endAllTasks();
@@ -114,7 +114,7 @@
             return true;
         }
         return !clock.now().before(drainAtLeastUntil) && dispatcher.clientListener.connectionCount() == 0
-                && dispatcher.clientListener.isUnchangedFor(NO_NEW_CLIENTS);
+                && dispatcher.clientListener.isUnchangedFor(QUIET_TIME);
     }
 
     /**
@@ -123,7 +123,7 @@
      */
     private boolean isIdle() {
         boolean clientsGone = dispatcher.clientListener.isEmpty()
-                && dispatcher.clientListener.isUnchangedFor(CROSSED_CLOSE);
-        return dispatcher.tasks.size() == 0 && (clientsGone || !clock.now().before(leaveAt));
+                && dispatcher.clientListener.isUnchangedFor(RESEND_TIME);
+        return dispatcher.tasks.size() == 0 && (clientsGone || !clock.now().before(exitAt));
     }
 }
--- a/src/main/java/rampshift/serve/WarmUp.java
+++ b/src/main/java/rampshift/serve/WarmUp.java
@@ -37,27 +37,27 @@
     private final Clock clock;
     private final Dispatcher dispatcher;
     private final List<String> trafficTypes;
-    private final BooleanSupplier noRealTasks;
+    private final BooleanSupplier noClientTasks;
     private final Runnable onReady;
     private HttpConnection client;
     private IoTimer timer;
     private Moment startedAt;
     private int tasksSent;
     private boolean ready;
-    private boolean over;
+    private boolean finished;
 
     /**
      * Creates a warm-up that {@link #start()} starts.
      *
-     * @param noRealTasks returns whether the main dispatcher has not admitted a task yet
+     * @param noClientTasks returns whether the main dispatcher has not admitted a task yet
      * @param onReady run once, when enough tasks were sent or the warm-up has ended earlier
      */
-    WarmUp(XnioIoThread thread, ByteBufferPool buffers, Clock clock, BooleanSupplier noRealTasks,
+    WarmUp(XnioIoThread thread, ByteBufferPool buffers, Clock clock, BooleanSupplier noClientTasks,
             Runnable onReady)
             throws IOException {
         this.thread = thread;
         this.clock = clock;
-        this.noRealTasks = noRealTasks;
+        this.noClientTasks = noClientTasks;
         this.onReady = onReady;
         Configuration configuration = WarmUpMessages.configuration();
         Dialer toWorkers =
@@ -93,7 +93,7 @@
     }
 
     private void next() {
-        if (over) {
+        if (finished) {
             return;
         }
         if (tasksSent == TASKS_UNTIL_READY) {
@@ -101,7 +101,7 @@
         }
         if (tasksSent == MAX_TASKS) {
             finish("all tasks sent");
-        } else if (tasksSent >= TASKS_UNTIL_READY && !noRealTasks.getAsBoolean()) {
+        } else if (tasksSent >= TASKS_UNTIL_READY && !noClientTasks.getAsBoolean()) {
             finish("first client task admitted");
         } else {
             sendTask();
@@ -135,10 +135,10 @@
     }
 
     private void finish(String reason) {
-        if (over) {
+        if (finished) {
             return;
         }
-        over = true;
+        finished = true;
         timer.cancel();
         if (client != null) {
             client.close();
--- a/src/main/java/rampshift/settings/Configuration.java
+++ b/src/main/java/rampshift/settings/Configuration.java
@@ -99,7 +99,7 @@
     /**
      * Returns the parts in which the next configuration differs and which take effect only after a restart.
      */
-    public List<String> restartFor(Configuration next) {
+    public List<String> partsRequiringRestart(Configuration next) {
         List<String> parts = new ArrayList<>();
         if (!name.equals(next.name)) {
             parts.add("name");
--- a/src/main/java/rampshift/settings/ConfigurationReader.java
+++ b/src/main/java/rampshift/settings/ConfigurationReader.java
@@ -86,7 +86,7 @@
             case "discovery" -> discoveryText = text(in, key);
             case "seed" -> seed = seed(text(in, key));
             case "limits" -> readLimits(in);
-            case "known" -> knownEndpoints = copyOfObject(in);
+            case "known" -> knownEndpoints = copyObject(in);
             case "settings" -> {
                 expectObject(in, key);
                 settings = new SettingsReader(in);
@@ -135,7 +135,7 @@
     }
 
     /** Returns the JSON of the object at the parser's position. Skips any other value and returns null. */
-    private static byte[] copyOfObject(JsonParser in) throws IOException {
+    private static byte[] copyObject(JsonParser in) throws IOException {
         if (in.currentToken() != JsonToken.START_OBJECT) {
             in.skipChildren();
             return null;
--- a/src/main/java/rampshift/settings/SettingsReader.java
+++ b/src/main/java/rampshift/settings/SettingsReader.java
@@ -13,7 +13,7 @@
  * settings are ignored, and absent ones have the defaults of the wire format.
  */
 public final class SettingsReader {
-    private static final Set<String> LOAD_REPORTING = Set.of("inline", "on_probe", "off");
+    private static final Set<String> LOAD_REPORTING_MODES = Set.of("inline", "on_probe", "off");
     private static final double DEFAULT_DIAL_TIMEOUT_MS = 100;
     private static final double DEFAULT_CONNECTION_IDLE_MS = 10_000;
 
@@ -96,12 +96,12 @@
 
     /** Returns whether workers report their load; true if the setting is absent. */
     private static boolean reportsLoad(SettingsObject load) {
-        Object how = load.get("How");
-        if (how != null && !LOAD_REPORTING.contains(how)) {
+        Object mode = load.get("How");
+        if (mode != null && !LOAD_REPORTING_MODES.contains(mode)) {
             throw ConfigurationException.ofKey("LoadInfo.How",
-                    "setting LoadInfo.How is " + how + ", not inline, on_probe or off");
+                    "setting LoadInfo.How is " + mode + ", not inline, on_probe or off");
         }
-        return !"off".equals(how);
+        return !"off".equals(mode);
     }
 
     private void readCosts(Settings settings, SettingsObject costs) {
@@ -124,13 +124,13 @@
     }
 
     private static void readGoal(Settings settings, SettingsObject goal) {
-        double kept = goal.numberOfAtLeast(0, "KeptPromises");
-        if (kept > 0) {
-            double all = kept;
+        double lateShareGoalWeight = goal.numberOfAtLeast(0, "KeptPromises");
+        if (lateShareGoalWeight > 0) {
+            double totalWeight = lateShareGoalWeight;
             for (String part : List.of("Whole", "WorstWindow", "WorstClass", "WorstTenant")) {
-                all += goal.number(part, 0);
+                totalWeight += goal.number(part, 0);
             }
-            settings.lateShareWeight = kept / all;
+            settings.lateShareWeight = lateShareGoalWeight / totalWeight;
             settings.toleratedLateShare = goal.numberOfAtLeast(0, "BorneMisses");
         }
     }
--- a/src/test/java/rampshift/MainAccess.java
+++ b/src/test/java/rampshift/MainAccess.java
@@ -8,7 +8,7 @@
     private MainAccess() {}
 
     /** The shutdown hook of {@code serve}. */
-    public static Thread stopper(FutureTask<DispatcherServer> start) {
-        return ServeCommand.stopper(start);
+    public static Thread shutdownHook(FutureTask<DispatcherServer> start) {
+        return ServeCommand.shutdownHook(start);
     }
 }
--- a/src/test/java/rampshift/serve/ConnectionCloseTest.java
+++ b/src/test/java/rampshift/serve/ConnectionCloseTest.java
@@ -44,7 +44,7 @@
         startServer(worker);
         TestConnection client = client();
         assertEquals(200, client.sendTask("a", NON_IDEMPOTENT, "x").read().status());
-        runBeforeRequestIsRead(client, () -> node.dispatcher.closeToRequests());
+        runBeforeRequestIsRead(client, () -> node.dispatcher.stopAcceptingRequests());
         assertEquals(503, client.read().status());
         assertEquals(1, worker.received.size());
     }
@@ -90,7 +90,7 @@
         until("the connection is accepted", () -> clientConnectionCount() == 1);
         runOnThread(() -> {
             stand(AFTER_CONNECT_MS);
-            node.dispatcher.closeToRequests();
+            node.dispatcher.stopAcceptingRequests();
         });
         client.write(REQUEST_START.substring(begun.length()) + REQUEST_REST);
         assertEquals(503, client.read().status());
--- a/src/test/java/rampshift/serve/ResponseDeliveryTest.java
+++ b/src/test/java/rampshift/serve/ResponseDeliveryTest.java
@@ -173,7 +173,7 @@
                 crossed.countDown();
             };
             if (atShutdown) {
-                node.dispatcher.closeToRequests();
+                node.dispatcher.stopAcceptingRequests();
             }
         });
         crossed.await();
--- a/src/test/java/rampshift/serve/ServerShutdownTest.java
+++ b/src/test/java/rampshift/serve/ServerShutdownTest.java
@@ -33,7 +33,7 @@
     void stopDuringTheStartEndsInOrder() throws Exception {
         TestServer worker = finishingWorker();
         FutureTask<DispatcherServer> start = new FutureTask<>(() -> node(null, listOf(worker), LIMITS));
-        Thread stop = MainAccess.stopper(start);
+        Thread stop = MainAccess.shutdownHook(start);
         stop.start();
         start.run();
         node = start.get();
@@ -75,7 +75,7 @@
         runOnThread(() -> {
             sendStart.countDown();
             stand(ARRIVAL_MS);
-            node.dispatcher.closeToRequests();
+            node.dispatcher.stopAcceptingRequests();
             node.dispatcher.policyHost.endAllTasks();
             sendRest.countDown();
         });
