--- a/src/test/java/rampshift/serve/ClientDepartureTest.java
+++ b/src/test/java/rampshift/serve/ClientDepartureTest.java
@@ -17,31 +17,36 @@
 import rampshift.TestServer;
 
 /**
- * A client leaves while the dispatcher holds its task. Nobody waits for the answer any longer, so an attempt
- * in flight is cancelled and no further one is sent, however the end of the connection was delayed: behind
- * further requests, during a dial, or unread while the I/O thread was busy.
+ * A client disconnects while the dispatcher has its task in flight. An attempt in flight must be canceled and
+ * no further one sent, even if the dispatcher reads the end of the connection late: after pipelined requests,
+ * during a dial, or because the I/O thread was busy.
  */
 class ClientDepartureTest extends ConnectionTestBase {
     private static final int MANY_REQUESTS = 6;
     private static final int LARGE_BODY_BYTES = 60_000;
-    /** A full backlog takes this many connections that nobody accepts. */
+    /** Number of unaccepted connections that fill the backlog. */
     private static final int BACKLOG_CONNECTIONS = 2;
     private static final String ENTRY_AT_PORT =
             "{\"uid\":\"s-1\",\"endpoint\":\"127.0.0.1:PORT\",\"az\":\"a\",\"model\":\"m\","
                     + "\"pod_group\":1,\"state\":\"in_service\",\"capacity_hint\":4.0,\"boot_ms\":0}";
-    /** Longer than it takes until an attempt is due. */
+    /** Longer than the time until an attempt is due. */
     private static final int BUSY_MS = 60;
-    /** Longer than what a client has sent is on its way. */
+    /** Longer than the delay until sent bytes can be read. */
     private static final int ARRIVAL_MS = 20;
-    /** Longer than the last byte of a non-idempotent task is held on a kept connection. */
+    /**
+     * Longer than the time for which the last byte of a non-idempotent task is held on a reused connection.
+     */
     private static final int LAST_BYTE_HOLD_MS = 200;
 
-    /** What a client sends behind its task before it leaves. */
+    /** What a client sends after its task before it disconnects. */
     enum Pipelined {
         NOTHING, PART_OF_A_REQUEST, ONE_REQUEST, MANY_REQUESTS
     }
 
-    /** With a whole request behind the task, the dispatcher once read no further and missed the end. */
+    /**
+     * Guards against a dispatcher that stops reading after a complete pipelined request and misses the
+     * disconnect.
+     */
     @ParameterizedTest
     @CsvSource({"fin,NOTHING", "rst,NOTHING", "fin,PART_OF_A_REQUEST", "fin,ONE_REQUEST", "rst,ONE_REQUEST",
             "fin,MANY_REQUESTS", "rst,MANY_REQUESTS"})
@@ -72,7 +77,7 @@
         }
     }
 
-    /** A task that waits for the first endpoint list is dropped, and the list finds only the next one. */
+    /** A task that waits for the first endpoint list is dropped when its client disconnects. */
     @Test
     void parkedTaskWhoseClientLeftIsNotSent() throws Exception {
         CountDownLatch respond = new CountDownLatch(1);
@@ -85,16 +90,18 @@
         });
         node = new DispatcherServer(parse(TestPeers.configuration(agent, listOf(worker), LIMITS)));
         client().sendTask("t", IDEMPOTENT, "x").disconnect(FIN);
-        until("the dispatcher notices", () -> count("client_gone") == 1);
+        until("the dispatcher detects the disconnect", () -> count("client_gone") == 1);
         assertEquals(0, worker.received.size());
         respond.countDown();
-        until("the list is there", () -> count("lists_whole") > 0);
+        until("the list is received", () -> count("lists_whole") > 0);
         client().sendTask("next", IDEMPOTENT, "x");
         until("the next task is at the worker", () -> !worker.received.isEmpty());
         assertEquals("next", worker.received.get(0).field("X-Txn"));
     }
 
-    /** The worker's backlog is full, so the dial would be answered only once the worker accepts. */
+    /**
+     * The worker's backlog is full, so the dial would complete only after the worker accepts a connection.
+     */
     @Test
     void taskWhoseClientLeftDuringTheDialIsNotSent() throws Exception {
         try (ServerSocket busy = new ServerSocket(0, 1, InetAddress.getByName("127.0.0.1"))) {
@@ -109,12 +116,12 @@
             until("the worker is dialed", () -> count("dialed") == 1);
             assertEquals(0, count("outcome_not_sent"));
             client.disconnect(RST);
-            until("the dial is cancelled", () -> count("outcome_not_sent") == 1);
+            until("the dial is canceled", () -> count("outcome_not_sent") == 1);
             assertEquals(1, count("client_gone"));
         }
     }
 
-    /** The end lies unread: the I/O thread is busy from before the close until an attempt is due. */
+    /** The disconnect is unread: the I/O thread is busy from before the close until an attempt is due. */
     @ParameterizedTest
     @ValueSource(strings = {FIN, RST})
     void noAttemptBeginsOnceItsClientHasLeft(String how) throws Exception {
@@ -133,14 +140,15 @@
     }
 
     /**
-     * Seen with a crowd of idle clients on a quarter of a core: a connection waited in the backlog until its
-     * client had left. Its task was read, and sent 0.66 s after the close, before the end behind it was read.
+     * Guards against sending a task whose client disconnected while its connection waited in the backlog.
+     * With many idle clients on a quarter of a core, the task was read and sent 0.66 s after the close,
+     * before the end of the input was read.
      */
     @Test
     void taskWhoseClientLeftBeforeItWasReadIsNotSent() throws Exception {
         TestServer worker = finishingWorker();
         startServer(worker);
-        // Its connection to the worker is kept, so that the next task could be sent at once.
+        // Opens a worker connection, so that the next task could be sent at once.
         assertEquals(200, client().sendTask("before", IDEMPOTENT, "x").read().status());
         SlowClient client = slowClient();
         client.line().sendTask("t", IDEMPOTENT, "x").disconnect(FIN);
@@ -153,8 +161,8 @@
     }
 
     /**
-     * The last byte of a non-idempotent task is held for a moment on a kept connection, since a late response
-     * might still arrive there. The client leaves in that moment, and the hold ends before the sockets are
+     * The last byte of a non-idempotent task is held briefly on a reused connection, since a late response
+     * might still arrive there. The client disconnects during the hold, which ends before the sockets are
      * read.
      */
     @Test
--- a/src/test/java/rampshift/serve/ClientDepartureTimeTest.java
+++ b/src/test/java/rampshift/serve/ClientDepartureTimeTest.java
@@ -20,13 +20,13 @@
 import rampshift.time.NextTick;
 
 /**
- * How soon the dispatcher drops a task whose client has left. The operators allow 300 ms; what is sent to a
- * worker after that breaks their rule, however many clients leave together.
+ * How soon the dispatcher drops a task whose client has disconnected. The operators allow 300 ms, after which
+ * no attempt may be sent to a worker, however many clients disconnect at the same time.
  */
 class ClientDepartureTimeTest extends ConnectionTestBase {
     private static final int CLIENTS = 300;
     private static final int MAX_POLLS = 2;
-    /** So many at least must have left with a task that had not been rejected for want of time. */
+    /** Minimum number of clients that disconnect with a task that was not rejected for lack of time. */
     private static final int MIN_CLIENTS_GONE = 50;
     private static final int TIMEOUT_SECONDS = 20;
     private static final List<String> KERNEL_TABLES = List.of("/proc/net/tcp", "/proc/net/tcp6");
@@ -41,7 +41,9 @@
     private static final long MAX_MEDIAN_MICROS = 300_000;
     private static final long NANOS_PER_MICRO = 1000;
 
-    /** Counts polls of the sockets until the dispatcher has no task in flight; all on the I/O thread. */
+    /**
+     * Counts polls of the sockets until the dispatcher has no task in flight. Used on the I/O thread only.
+     */
     private final class PollCounter {
         private int polls;
         private final FutureTask<Integer> pollsUntilNoTask = new FutureTask<>(() -> polls);
@@ -58,7 +60,7 @@
         }
     }
 
-    /** Clients leave by the hundred, in both ways, while the dispatcher stops and has much else to do. */
+    /** Hundreds of clients disconnect, by FIN and by RST, while the dispatcher shuts down. */
     @Test
     void hundredsOfLeavingClientsAreNoticedAtOnceAlsoDuringShutdown() throws Exception {
         TestServer worker = holdingWorker();
@@ -71,15 +73,15 @@
         new Thread(node::stop).start();
         until("the dispatcher stops", () -> isStopping(client()));
         int polls = disconnectAndCountPolls(clients);
-        assertTrue(polls <= MAX_POLLS, "all were noticed only at poll " + polls + " of the sockets");
+        assertTrue(polls <= MAX_POLLS, "disconnects were detected only at poll " + polls + " of the sockets");
         assertEquals(CLIENTS, count("client_gone") + count("bounced"));
         long sent = count("assigned");
         until("no attempt is in flight", () -> worker.ended.size() == worker.connections.size());
-        assertTrue(count("client_gone") > MIN_CLIENTS_GONE, "not all had been rejected before");
+        assertTrue(count("client_gone") > MIN_CLIENTS_GONE, "too many tasks were rejected");
         assertEquals(sent, count("assigned"), "no task was sent again");
     }
 
-    /** Has all clients leave in one step of the I/O thread, and counts its polls until no task is left. */
+    /** Disconnects all clients in one step of the I/O thread, and counts its polls until no task is left. */
     private int disconnectAndCountPolls(List<TestConnection> clients) throws Exception {
         Set<Integer> ports = clients.stream().map(TestConnection::port).collect(Collectors.toSet());
         PollCounter counter = new PollCounter();
@@ -87,7 +89,7 @@
             for (int i = 0; i < clients.size(); i++) {
                 clients.get(i).disconnect(wayToLeave(i));
             }
-            until("the kernel has all ends", () -> establishedConnections(ports) == 0);
+            until("the kernel has processed all disconnects", () -> establishedConnections(ports) == 0);
             NextTick created = new NextTick(node.thread);
             counter.countNext(created);
             return created;
@@ -101,7 +103,10 @@
         return index % 2 == 0 ? FIN : RST;
     }
 
-    /** How many of the dispatcher's connections to these ports the kernel holds for established. */
+    /**
+     * Returns how many of the dispatcher's connections to these ports are established according to the
+     * kernel.
+     */
     private int establishedConnections(Set<Integer> ports) throws IOException {
         int count = 0;
         for (String table : KERNEL_TABLES) {
@@ -117,14 +122,14 @@
         return count;
     }
 
-    /** The port of an address as the kernel's tables write it, in hexadecimal digits. */
+    /** Parses the port of an address in the format of the kernel's tables, in hexadecimal digits. */
     private static int port(String address) {
         return Integer.parseInt(address.substring(address.indexOf(':') + 1), 16);
     }
 
     /**
-     * The figure of docs/measurements.md. The median is asserted, since other work on the machine may delay
-     * any single task.
+     * Measures the figure of docs/measurements.md. Asserts the median, since other load on the machine may
+     * delay single tasks.
      */
     @Test
     void taskWhoseClientLeavesIsDroppedPromptly() throws Exception {
@@ -135,7 +140,7 @@
             micros[i] = microsUntilDropped(worker, i);
         }
         Arrays.sort(micros);
-        System.out.println("left to dropped, microseconds: median " + micros[MEDIAN] + ", 90th "
+        System.out.println("disconnect to dropped task, microseconds: median " + micros[MEDIAN] + ", 90th "
                 + micros[PERCENTILE_90] + ", most " + micros[SAMPLES - 1]);
         assertTrue(micros[MEDIAN] < MAX_MEDIAN_MICROS, "median " + micros[MEDIAN]);
     }
--- a/src/test/java/rampshift/serve/ConnectionCloseTest.java
+++ b/src/test/java/rampshift/serve/ConnectionCloseTest.java
@@ -12,14 +12,17 @@
 import rampshift.TestServer;
 
 /**
- * Requests that cross the dispatcher's close of an idle connection, at its shutdown or after an idle
- * timeout. A close over unread bytes is a reset that swallows the request; its client must get an answer
- * instead, there or on its next connection.
+ * Requests that cross the dispatcher's close of an idle connection, at its shutdown or after an idle timeout.
+ * A close with unread bytes would cause a TCP reset and lose the request; the client must get a response, on
+ * the same or on its next connection.
  */
 class ConnectionCloseTest extends ConnectionTestBase {
     /** Longer than the idle timeout of connections in the test configuration. */
     private static final int BEYOND_IDLE_TIMEOUT_MS = 1200;
-    /** Longer than a connection without a request was once kept during a shutdown. */
+    /**
+     * Time between the connect of a client and the close of idle connections; a dispatcher that closes
+     * connections of this age loses requests.
+     */
     private static final int AFTER_CONNECT_MS = 120;
     private static final int STOP_TIMEOUT_MS = 20_000;
     private static final String REQUEST_START = "POST /api HTTP/1.1\r\nHost: a\r\n";
@@ -27,8 +30,8 @@
             "X-Txn: t\r\nX-Lane: look\r\nX-Remaining: 5\r\nContent-Length: 1\r\n\r\nx";
 
     /**
-     * Has the I/O thread wait until the client has written a request, and run a step before it reads
-     * anything.
+     * Blocks the I/O thread until the client has written a request, and runs a step before the thread reads
+     * it.
      */
     private void runBeforeRequestIsRead(TestConnection client, Step step) throws Exception {
         runOnThread(() -> {
@@ -37,7 +40,7 @@
         });
     }
 
-    /** A shutdown once closed idle connections without a last read. */
+    /** Guards against a shutdown that closes idle connections without a final read. */
     @Test
     void unreadRequestIsAnsweredWhenConnectionsAreClosed() throws Exception {
         TestServer worker = finishingWorker();
@@ -49,7 +52,7 @@
         assertEquals(1, worker.received.size());
     }
 
-    /** The I/O thread is busy beyond the idle timeout, and the request arrives in that time. */
+    /** The I/O thread is busy for longer than the idle timeout, and the request arrives in that time. */
     @Test
     void unreadRequestOfAClientThatIdledTooLongIsAnswered() throws Exception {
         TestServer worker = finishingWorker();
@@ -60,7 +63,7 @@
         assertEquals(200, client.read().status());
     }
 
-    /** The listening socket was once closed in the turn that closed the last idle connection. */
+    /** Guards against closing the listening socket in the same tick as the last idle connection. */
     @Test
     void requestThatCrossedAConnectionCloseIsAnsweredOnTheNextOne() throws Exception {
         TestServer worker = finishingWorker();
@@ -78,8 +81,8 @@
     }
 
     /**
-     * A client that had connected 0.1 s before the shutdown closed idle connections was once closed unread,
-     * also in the middle of its request.
+     * Guards against a shutdown that closes a connection unread if its client has connected 0.1 s earlier,
+     * even in the middle of its request.
      */
     @ParameterizedTest
     @ValueSource(strings = {"", REQUEST_START})
--- a/src/test/java/rampshift/serve/ConnectionLimitTest.java
+++ b/src/test/java/rampshift/serve/ConnectionLimitTest.java
@@ -15,23 +15,23 @@
 import rampshift.time.NextTick;
 
 /**
- * Crowds of clients that connect. They must neither keep the I/O thread from the sockets of others nor take
- * the descriptors that workers and the discovery agent need.
+ * Bursts of connecting clients. They must neither delay the I/O thread's polls of other sockets nor use the
+ * file descriptors that workers and the discovery agent need.
  */
 class ConnectionLimitTest extends ConnectionTestBase {
     private static final int BURST = 150;
-    /** While the I/O thread is busy, the accepting thread takes all of the burst. */
+    /** Time for the accepting thread to accept the whole burst while the I/O thread is busy. */
     private static final long ACCEPT_MS = 200;
-    /** 16 are accepted a turn, and 16 more if the poll finds the listener's own pipe first. */
+    /** 16 are accepted per tick, and 16 more if the poll returns the pipe of the listener's tick first. */
     private static final int MAX_ACCEPTED_BEFORE_POLL = 32;
     private static final int IDLE_CLIENTS = 200;
     private static final int CLIENTS_PER_TASK = 20;
-    /** Of {@link #FEW_DESCRIPTORS}. */
+    /** Maximum number of client connections with {@link #FEW_DESCRIPTORS}. */
     private static final int MAX_CONNECTIONS = 24;
 
     /**
-     * Seen with a crowd of idle clients on a quarter of a core: all were accepted, each at the cost of
-     * another, before any socket was polled, so that answers lay unread for 1.8 s.
+     * Guards against serving a whole burst, each connection at the cost of another, before any socket is
+     * polled. With many idle clients on a quarter of a core, responses were left unread for 1.8 s.
      */
     @Test
     void burstOfClientsLeavesTheSocketsTheirTurn() throws Exception {
@@ -54,8 +54,8 @@
     }
 
     /**
-     * Idle clients take all the connections they may while the discovery agent does not answer; all else that
-     * needs a descriptor still has one.
+     * Idle clients use all client connections while the discovery agent does not respond; workers and the
+     * agent must still get descriptors.
      */
     @Test
     void idleClientsMayUseTheirDescriptorsWhileTheAgentIsDown() throws Exception {
@@ -70,17 +70,21 @@
         });
         node = new DispatcherServer(
                 parse(TestPeers.configuration(agent, listOf(worker), FEW_DESCRIPTORS)));
-        until("the known list is used on", () -> count("watch_broken") >= 2);
-        // A type that never ran is rejected where workers look slow by chance (KNOWN-RED.txt).
+        until("the known list stays in use", () -> count("watch_broken") >= 2);
+        // Runs the type once: a type without completed tasks may be rejected if workers seem slow by chance
+        // (KNOWN-RED.txt).
         assertEquals("ok", client().sendTask("first", NON_IDEMPOTENT, "x").read().text());
         connectIdleClients();
         assertTrue(clientConnectionCount() <= MAX_CONNECTIONS);
         agentIsBack.countDown();
-        until("the new list is there", () -> count("lists_whole") == 1);
+        until("the new list is received", () -> count("lists_whole") == 1);
         assertEquals("added", client().sendTask("u", NON_IDEMPOTENT, "x").read().text());
     }
 
-    /** Half of them have sent a request; tasks of other clients among them are answered. */
+    /**
+     * Connects idle clients, half of which have sent a request, and asserts that tasks of other clients are
+     * answered meanwhile.
+     */
     private void connectIdleClients() throws Exception {
         for (int i = 0; i < IDLE_CLIENTS; i++) {
             TestConnection idle = client();
--- a/src/test/java/rampshift/serve/ConnectionTestBase.java
+++ b/src/test/java/rampshift/serve/ConnectionTestBase.java
@@ -12,14 +12,16 @@
 import rampshift.TestServer;
 
 /**
- * What the tests of the connections of a whole dispatcher share: workers that hold an answer back, and steps
- * on the I/O thread. With these a test forces an order of events that is rare otherwise
- * (docs/rare-moments.md).
+ * Base class of the tests of a dispatcher's connections: workers that delay their responses, and steps on the
+ * I/O thread. With these a test forces an order of events that is rare otherwise (docs/rare-moments.md).
  */
 abstract class ConnectionTestBase extends ServerTestBase {
     /** Enough descriptors for several hundred clients and workers. */
     static final String LIMITS = "{\"memory_mb\":192,\"sockets\":1024}";
-    /** With these, 22 clients stay connected, and 2 more while room is made for them. */
+    /**
+     * Few descriptors: the limit of client connections is 22, and 2 more are accepted while others are
+     * closed.
+     */
     static final String FEW_DESCRIPTORS = "{\"memory_mb\":192,\"sockets\":104}";
     static final String IN_SERVICE = "in_service";
     /** A traffic type of idempotent tasks. */
@@ -37,7 +39,7 @@
         void run() throws Exception;
     }
 
-    /** An endpoint list of one worker that is in service. */
+    /** Returns an endpoint list of one worker that is in service. */
     static String listOf(TestServer worker) {
         return list(true, worker.entry("s-1", IN_SERVICE));
     }
@@ -47,19 +49,19 @@
         node = node(null, listOf(worker), LIMITS);
     }
 
-    /** Starts a dispatcher as {@link #startServer} does; its list has the worker under that many ids. */
+    /** Starts a dispatcher as {@link #startServer} does; its list has the worker under a number of ids. */
     void startServer(TestServer worker, int entryCount) throws Exception {
         String[] entries = IntStream.range(0, entryCount)
                 .mapToObj(i -> worker.entry("s-" + i, IN_SERVICE)).toArray(String[]::new);
         node = node(null, list(true, entries), LIMITS);
     }
 
-    /** A worker that begins a response to each task and never ends it. */
+    /** Returns a worker that begins a response to each task and never ends it. */
     TestServer holdingWorker() throws IOException {
         return worker((task, line) -> line.write("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n"));
     }
 
-    /** A worker that finishes tasks with this result, once it is released. */
+    /** Returns a worker that finishes tasks with this result, once it is released. */
     TestServer workerHeldBy(CountDownLatch release, String result) throws IOException {
         return worker((task, line) -> {
             release.await();
@@ -72,19 +74,19 @@
         until("the task is at the worker", () -> worker.received.size() == 1);
     }
 
-    /** The number of connections of clients that the dispatcher has accepted and not closed. */
+    /** Returns the number of open client connections of the dispatcher. */
     int clientConnectionCount() throws Exception {
         return onThread(() -> node.dispatcher.clientListener.connectionCount());
     }
 
-    /** The number of tasks for which the dispatcher holds anything. */
+    /** Returns the number of tasks in flight in the dispatcher. */
     int taskCount() throws Exception {
         return onThread(() -> node.dispatcher.tasks.size());
     }
 
-    /** Waits until the dispatcher has noticed that its one client left, and holds nothing of its task. */
+    /** Waits until the dispatcher has detected the disconnect of its one client, and has removed its task. */
     void awaitClientGone() throws Exception {
-        until("the dispatcher notices", () -> count("client_gone") == 1);
+        until("the dispatcher detects the disconnect", () -> count("client_gone") == 1);
         until("the task is removed", () -> taskCount() == 0);
     }
 
@@ -96,7 +98,7 @@
         });
     }
 
-    /** Runs a step where no checked exception may be thrown. */
+    /** Runs a step, and wraps its checked exceptions. */
     static void runUnchecked(Step step) {
         try {
             step.run();
@@ -106,8 +108,8 @@
     }
 
     /**
-     * Replaces the check that the dispatcher makes before the first byte to a worker. The replacement is
-     * handed the check, to run it before or after steps of its own.
+     * Replaces the check before the first byte to a worker. The replacement receives the original check, and
+     * runs it before or after steps of its own.
      */
     void replaceFirstByteCheck(Consumer<Runnable> replacement) throws Exception {
         runOnThread(() -> {
@@ -116,12 +118,12 @@
         });
     }
 
-    /** Hands the dispatcher the connection of a client, as if it had just been accepted. */
+    /** Passes the connection of a client to the dispatcher as if it had just been accepted. */
     void serve(SlowClient client) throws Exception {
         runOnThread(() -> node.dispatcher.clientListener.serve(client.connection()));
     }
 
-    /** Whether the dispatcher's page for health checks says that it stops. */
+    /** Returns whether the dispatcher's page for health checks reports that it is stopping. */
     static boolean isStopping(TestConnection client) throws IOException {
         return client.write(READY_REQUEST).read().text().equals("stopping\n");
     }
--- a/src/test/java/rampshift/serve/DispatcherServerTest.java
+++ b/src/test/java/rampshift/serve/DispatcherServerTest.java
@@ -21,11 +21,11 @@
 import rampshift.TestPeers;
 import rampshift.TestServer;
 
-/** A whole dispatcher between clients and workers, all on loopback. */
+/** Tests of a whole dispatcher between clients and workers on loopback. */
 class DispatcherServerTest extends ServerTestBase {
     private static final String IN_SERVICE = "in_service";
 
-    // ---- the ordinary path
+    // ---- tasks without failures
 
     @Test
     void taskIsForwardedByteForByte() throws Exception {
@@ -47,13 +47,16 @@
         assertEquals(body, sent.text());
         double remaining = Double.parseDouble(sent.field("X-Remaining"));
         assertTrue(remaining > 3 && remaining <= 4.5, "time left: " + remaining);
-        assertNull(sent.field("Connection"), "it belongs to the client's connection");
+        assertNull(sent.field("Connection"), "the field is for the client's connection only");
         assertEquals(200, answer.status());
         assertEquals("a\u00c3\u00a9\n\u00c3\u00a9\"", answer.text(),
-                "escapes are read, other bytes untouched");
+                "escapes are decoded, other bytes are unchanged");
     }
 
-    /** On the first calm day every second task on a kept-alive connection was never read. */
+    /**
+     * Guards against a read listener that is not restored, so that every second task on a persistent
+     * connection is never read.
+     */
     @Test
     void manyTasksOfOneClientConnectionGoOverOneWorkerConnection() throws Exception {
         TestServer worker = finishingWorker();
@@ -98,7 +101,7 @@
         assertEquals("6", worker.received.get(1).field("Content-Length"));
     }
 
-    /** In a trace of tasks that never began they had no body, and none of their bytes was written. */
+    /** Guards against never writing a request without a body, so that its task never starts. */
     @ParameterizedTest
     @ValueSource(strings = {"look", "sell"})
     void taskWithoutABodyIsSent(String type) throws Exception {
@@ -116,13 +119,13 @@
         });
         startServer(worker.entry("s-1", IN_SERVICE));
         TestConnection client = client().sendTask("a", "look", "1").sendTask("b", "look", "2");
-        until("the first is sent", () -> worker.received.size() == 1);
+        until("the first task is sent", () -> worker.received.size() == 1);
         finish.countDown();
         assertEquals("a", client.read().text());
         assertEquals("b", client.read().text());
     }
 
-    /** At a site with tenants all tasks were counted as the first one's, and held to its quota. */
+    /** Guards against counting the tasks of all tenants against the quota of the first one. */
     @Test
     void eachTenantIsHeldToItsOwnQuota() throws Exception {
         TestServer worker = worker((task, line) -> line.respondStatus(503, "X-Turned-Away: 1\r\n"));
@@ -137,12 +140,12 @@
         }
         int before = worker.received.size();
         assertEquals(503, taskOf("much", "beyond").status());
-        assertEquals(before, worker.received.size(), "capacity is short, and it is beyond its quota");
+        assertEquals(before, worker.received.size(), "capacity is short and the tenant is over its quota");
         assertEquals(503, taskOf("little", "within").status());
-        assertTrue(worker.received.size() > before, "the others' traffic takes nothing off");
+        assertTrue(worker.received.size() > before, "not affected by the traffic of other tenants");
         assertEquals(503, taskOf("nobody", "unknown").status());
         assertEquals("unknown", worker.received.get(worker.received.size() - 1).field("X-Txn"),
-                "who is not named has no quota to go beyond");
+                "a tenant without a quota is never over it");
     }
 
     private HttpMessage taskOf(String tenant, String id) throws IOException {
@@ -150,7 +153,7 @@
                 + "\r\nX-Lane: look\r\nX-Remaining: 5\r\nContent-Length: 0\r\n\r\n").read();
     }
 
-    // ---- never ran, or may have run
+    // ---- tasks that were not executed, and tasks that may have been
 
     @ParameterizedTest
     @ValueSource(strings = {"503", "504", "returned"})
@@ -218,7 +221,7 @@
                 (task, line) -> line.write("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n"));
         startServer(worker.entry("s-1", IN_SERVICE));
         TestConnection client = client().sendTask("t", "look", "x");
-        until("it is sent", () -> worker.received.size() == 1);
+        until("the task is sent", () -> worker.received.size() == 1);
         assertEquals(0, worker.ended.size());
         client.close();
         until("the worker's connection ended", () -> worker.ended.size() == 1);
@@ -234,7 +237,7 @@
         long startedAt = System.nanoTime();
         assertEquals(504, client().sendTask("t", "flash", "").read().status());
         long millis = TimeUnit.NANOSECONDS.toMillis(System.nanoTime() - startedAt);
-        assertTrue(millis > 2000, "it was waited for, less what it may have lain unread: " + millis);
+        assertTrue(millis > 2000, "failed too early: " + millis);
         until("the worker's connection ended", () -> worker.ended.size() == 1);
     }
 
@@ -243,7 +246,7 @@
         TestServer worker = finishingWorker();
         startServer(worker.entry("s-1", IN_SERVICE));
         assertEquals(200, client().sendTask("t", "look", "x").read().status());
-        until("it was closed from this side", () -> worker.ended.size() == 1);
+        until("the dispatcher has closed the connection", () -> worker.ended.size() == 1);
     }
 
     @Test
@@ -251,12 +254,12 @@
         TestServer worker = worker((task, line) -> {});
         startServer(worker.entry("s-1", IN_SERVICE));
         client().sendTask("t", "sell", "x");
-        until("it is sent", () -> worker.received.size() == 1);
+        until("the task is sent", () -> worker.received.size() == 1);
         assertEquals(409, client().sendTask("t", "sell", "x").read().status());
         TestServer other = finishingWorker();
         startServer(other.entry("s-1", IN_SERVICE));
         assertEquals(200, client().sendTask("t", "sell", "x").read().status());
-        assertEquals(409, client().sendTask("t", "sell", "x").read().status(), "nor after its answer");
+        assertEquals(409, client().sendTask("t", "sell", "x").read().status(), "not after its response");
         assertEquals(1, other.received.size());
         assertEquals(405,
                 client().write("PUT /api HTTP/1.1\r\nHost: a\r\nX-Txn: u\r\nContent-Length: 0\r\n\r\n")
--- a/src/test/java/rampshift/serve/FloodTest.java
+++ b/src/test/java/rampshift/serve/FloodTest.java
@@ -25,7 +25,10 @@
 import rampshift.clients.StatusPage;
 import rampshift.time.NextTick;
 
-/** Clients that send much at once: how long one occupies the I/O thread, and what that costs the others. */
+/**
+ * Clients that send many requests or bytes at once: how long one occupies the I/O thread, and how much that
+ * delays the others.
+ */
 class FloodTest extends ServerTestBase {
     private static final String LIMITS = "{\"memory_mb\":192,\"sockets\":1024}";
     private static final ThreadMXBean THREADS = ManagementFactory.getThreadMXBean();
@@ -34,11 +37,11 @@
     private static final int TASKS_PER_PHASE = 200;
     private static final int MAX_READS_PER_TICK = 20;
     private static final int MAX_RESPONSES_PER_TICK = 4;
-    /** The most processor time of the I/O thread between a response that is ready and its last byte. */
+    /** Maximum CPU time of the I/O thread from a ready response to its last byte. */
     private static final double MAX_IO_THREAD_MS = 100;
     private static final double NANOS_PER_MILLI = 1e6;
 
-    /** A source that always has more to read, up to a number of reads, so that the test ends. */
+    /** A source that always has more input, up to a number of reads, so that the test ends. */
     private static final class EndlessSource extends AbstractStreamSourceConduit<StreamSourceConduit> {
         private final String repeated;
         private final AtomicInteger reads;
@@ -63,7 +66,8 @@
     }
 
     /**
-     * Empty lines before a request were once skipped without a bound, and read for as long as they arrived.
+     * Guards against skipping empty lines before a request without a limit, which reads for as long as they
+     * arrive.
      */
     @ParameterizedTest
     @ValueSource(strings = {"\r\n", "x", "GET / HTTP/1.1\r\n\r\n"})
@@ -92,7 +96,7 @@
             return responses + "\n";
         }
 
-        /** To be called after each poll. */
+        /** Called after each poll. */
         void afterPoll(NextTick nextTick) {
             maxBetweenPolls = Math.max(maxBetweenPolls, responses - responsesAtLastPoll);
             responsesAtLastPoll = responses;
@@ -100,7 +104,10 @@
         }
     }
 
-    /** Requests sent at once were once all answered in one tick: each woke the reading of the next. */
+    /**
+     * Guards against answering all requests that were sent at once in one tick, if each response wakes up the
+     * read of the next request.
+     */
     @Test
     void requestsSentAtOnceAreAnsweredAFewPerTick() throws Exception {
         node = node(null, list(true), LIMITS);
@@ -125,12 +132,12 @@
                 counter.maxBetweenPolls + " requests were answered between two polls of the sockets");
     }
 
-    /** When a response was ready, and the processor time of the I/O thread until then. */
+    /** When a response was ready, and the CPU time of the I/O thread until then. */
     private record ReadyTime(long nanos, long cpuNanos) {}
 
     /**
-     * The 99th percentiles from ready responses to their last bytes: of the time, and of the I/O thread's CPU
-     * time.
+     * The 99th percentiles of the elapsed time and of the I/O thread's CPU time from a ready response to its
+     * last byte.
      */
     private record DeliveryTime(double millis, double ioThreadMillis) {}
 
@@ -139,9 +146,8 @@
     private volatile long ioThreadId;
 
     /**
-     * From when the worker has the response ready to its last byte at the client. The time itself is printed;
-     * what is asserted is the I/O thread's processor time within it, which does not grow with the machine's
-     * load.
+     * Measures the time from a ready response at the worker to its last byte at the client. The elapsed time
+     * is printed; the assertion uses the I/O thread's CPU time, which does not depend on the machine's load.
      */
     @Test
     void responsesAreDeliveredInTimeWhileOtherClientsSendMuchAndLeave() throws Exception {
@@ -157,11 +163,11 @@
         DeliveryTime during = measureDelivery("during");
         floods.forEach(Thread::interrupt);
         System.out.printf(
-                "ready answer to last byte, p99: %.2f ms before, %.2f ms beside a flood; "
+                "ready response to last byte, p99: %.2f ms before, %.2f ms during a flood; "
                         + "of the I/O thread: %.2f and %.2f ms%n",
                 before.millis(), during.millis(), before.ioThreadMillis(), during.ioThreadMillis());
         assertTrue(during.ioThreadMillis() < MAX_IO_THREAD_MS,
-                "p99 beside a flood " + during.ioThreadMillis() + " ms, before " + before.ioThreadMillis());
+                "p99 during a flood " + during.ioThreadMillis() + " ms, before " + before.ioThreadMillis());
     }
 
     private ReadyTime now() {
@@ -180,14 +186,14 @@
                 startFlood(incompleteRequest, "fin"), startFlood(manyRequests, "rst"));
     }
 
-    /** Has a client connect, send this and leave, again and again until it is interrupted. */
+    /** Starts a client that repeatedly connects, sends a text and disconnects, until it is interrupted. */
     private Thread startFlood(String sent, String wayToLeave) {
         Thread thread = new Thread(() -> {
             while (!Thread.currentThread().isInterrupted()) {
                 try (TestConnection line = new TestConnection(node)) {
                     line.write(sent).disconnect(wayToLeave);
                 } catch (IOException e) {
-                    // Its connection was closed: it connects again.
+                    // The connection was closed; connects again.
                 }
             }
         });
--- a/src/test/java/rampshift/serve/GracefulShutdownTest.java
+++ b/src/test/java/rampshift/serve/GracefulShutdownTest.java
@@ -12,11 +12,14 @@
 import rampshift.TestConnection;
 import rampshift.TestServer;
 
-/** The end of a whole dispatcher. */
+/** The graceful shutdown of a whole dispatcher. */
 class GracefulShutdownTest extends ServerTestBase {
     private static final String CHUNKED_HEAD = "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n";
 
-    /** On planned restarts clients that lost their connections at once found no other dispatcher. */
+    /**
+     * Guards against closing connections at once: during a planned restart, their clients find no other
+     * dispatcher.
+     */
     @Test
     void stopServesOpenConnectionsThenClosesThemAndLeavesNobodyWithoutAnAnswer() throws Exception {
         CountDownLatch finish = new CountDownLatch(1);
@@ -31,26 +34,26 @@
         startServer(worker.entry("s-1", "in_service"));
         TestConnection idle = client();
         TestConnection before = client().sendTask("a", "sell", "x");
-        until("it is sent", () -> worker.received.size() == 1);
+        until("the first task is sent", () -> worker.received.size() == 1);
         long startedAt = System.nanoTime();
         Thread stop = new Thread(node::stop);
         stop.start();
-        until("it stops", () -> readyStatus(idle) == 503);
+        until("the dispatcher is stopping", () -> readyStatus(idle) == 503);
         assertEquals(503, readyStatus(client()), "new clients are accepted");
         TestConnection late = client().sendTask("late", "sell", "x");
         idle.sendTask("b", "look", "x");
-        until("they are sent too", () -> worker.received.size() == 3);
+        until("the other tasks are sent", () -> worker.received.size() == 3);
         finish.countDown();
         HttpMessage answer = before.read();
         assertEquals(200, answer.status());
-        assertNull(answer.field("Connection"), "the connection stays for now");
+        assertNull(answer.field("Connection"), "the connection stays open");
         assertEquals(200, idle.read().status());
         assertEquals(200, before.sendTask("c", "look", "x").read().status());
-        assertEquals(504, late.read().status(), "answered before the kill");
+        assertEquals(504, late.read().status(), "answered before SIGKILL");
         assertTrue(idle.closedByPeer(), "a connection is closed between tasks");
-        assertTrue(millisSince(startedAt) > 3000, "not sooner than it must");
+        assertTrue(millisSince(startedAt) > 3000, "connections are served for as long as possible");
         stop.join(20_000);
-        assertTrue(millisSince(startedAt) < 3700, "stopped before the kill");
+        assertTrue(millisSince(startedAt) < 3700, "stopped before SIGKILL");
     }
 
     private static long millisSince(long nanos) {
--- a/src/test/java/rampshift/serve/OverloadRejectionTest.java
+++ b/src/test/java/rampshift/serve/OverloadRejectionTest.java
@@ -15,17 +15,23 @@
 import rampshift.pipeline.AdmissionWindow;
 
 /**
- * A dispatcher that is behind rejects tasks, and is kept behind by what that costs: at four times what it
- * carries it finished nothing. So a task is rejected by its head, before the HTTP server parses it. The tests
- * shut the admission window and hand the dispatcher a request before its sockets are polled.
+ * Early rejection during overload. Rejecting decoded tasks is so expensive that a dispatcher at four times
+ * its capacity completes none, so tasks are rejected by their head before the HTTP server parses them. The
+ * tests close the admission window and pass a request to the dispatcher before it polls its sockets.
  */
 class OverloadRejectionTest extends ConnectionTestBase {
-    /** Longer than a window is open. */
+    /** Longer than the time for which an admission window is open. */
     private static final long WINDOW_MS = 25;
-    /** Together longer than an overload is tolerated, each shorter than what ends one. */
+    /**
+     * Number of windows that are together longer than the tolerated overload, while each interval is shorter
+     * than the one that ends an overload.
+     */
     private static final int TOLERATED_WINDOWS = 2;
     private static final long WINDOW_INTERVAL_MS = 600;
-    /** The decoder refuses it: only who never decodes it answers anything but 400. */
+    /**
+     * A task without a traffic type. The decoder responds 400, so any other status shows that the task was
+     * not decoded.
+     */
     private static final String TASK_OF_NO_TYPE =
             "POST /api HTTP/1.1\r\nHost: a\r\nX-Txn: n\r\nX-Remaining: 5\r\nContent-Length: 1\r\n\r\nx";
 
@@ -56,7 +62,7 @@
         assertEquals(200, client.line().sendTask("last", IDEMPOTENT, "x").read().status());
     }
 
-    /** Tasks that a client sends without waiting for responses are each answered, in their order. */
+    /** Pipelined tasks are each answered, in their order. */
     @Test
     void tasksBehindARejectedOneAreAnswered() throws Exception {
         startServer(finishingWorker());
@@ -69,8 +75,8 @@
     }
 
     /**
-     * To reject a task says that it may be sent again. One whose transaction is in flight may run meanwhile,
-     * so it gets the answer of the decoder.
+     * A rejection allows the client to retry. The task of a transaction in flight may already be executing,
+     * so it gets the decoder's response.
      */
     @Test
     void aTransactionInFlightIsNotRejected() throws Exception {
@@ -95,14 +101,14 @@
         assertEquals(200, client.line().read().status());
     }
 
-    /** Many clients say what is the default of HTTP/1.1. */
+    /** Many clients send the default of HTTP/1.1 explicitly. */
     @Test
     void aTaskOfAClientThatAsksToKeepItsConnectionIsRejectedByItsHead() throws Exception {
         startServer(finishingWorker());
         rejectedClient(TASK_OF_NO_TYPE.replace("Host: a", "Host: a\r\nConnection: Keep-Alive"));
     }
 
-    /** Who asks for the end of the connection is served by the HTTP server, which ends it. */
+    /** A request with Connection: close is passed to the HTTP server, which closes the connection. */
     @Test
     void aConnectionThatIsToCloseCloses() throws Exception {
         startServer(finishingWorker());
@@ -119,10 +125,10 @@
         startServer(finishingWorker());
         SlowClient client = rejectedClient(TASK_OF_NO_TYPE);
         client.line().disconnect(FIN);
-        until("its connection is closed", () -> clientConnectionCount() == 0);
+        until("the connection is closed", () -> clientConnectionCount() == 0);
     }
 
-    /** A client whose first request comes in an overload and is rejected. */
+    /** Returns a client whose first request was rejected for overload. */
     private SlowClient rejectedClient(String request) throws Exception {
         SlowClient client = slowClient();
         client.line().write(request);
@@ -145,17 +151,17 @@
     private void inOverload(Step step) throws Exception {
         AdmissionWindow window = node.dispatcher.admissionWindow;
         for (int i = 0; i < TOLERATED_WINDOWS; i++) {
-            assertTrue(onThread(() -> isOpenForLong(window)), "a burst");
+            assertTrue(onThread(() -> isOpenForLong(window)), "a burst is not an overload");
             Thread.sleep(WINDOW_INTERVAL_MS);
         }
         runOnThread(() -> {
-            assertFalse(isOpenForLong(window), "an overload");
+            assertFalse(isOpenForLong(window), "the window stays open in an overload");
             step.run();
         });
     }
 
     private static boolean isOpenForLong(AdmissionWindow window) throws InterruptedException {
-        assertTrue(window.isOpen(), "the first task after a poll");
+        assertTrue(window.isOpen(), "the window is closed for the first task after a poll");
         Thread.sleep(WINDOW_MS);
         return window.isOpen();
     }
--- a/src/test/java/rampshift/serve/PipelinedRequestTest.java
+++ b/src/test/java/rampshift/serve/PipelinedRequestTest.java
@@ -12,14 +12,17 @@
 import rampshift.TestServer;
 
 /**
- * Requests that a client sends before the one ahead of them is answered. They are served in their turn up to
- * a bound on memory, and whatever they are, the task in flight still gets the answer that is true of it.
+ * Requests that a client sends before the preceding one is answered. They are served in order, up to a memory
+ * limit, and must not change the response to the task in flight.
  */
 class PipelinedRequestTest extends ConnectionTestBase {
-    /** The dispatcher keeps two such requests and drops a client that sends more. */
+    /**
+     * Size of a body of which the dispatcher buffers two requests; it stops reading from a client that sends
+     * more.
+     */
     private static final int LARGE_BODY_BYTES = 60_000;
     private static final int EXCESSIVE_REQUESTS = 20;
-    /** Memory that a single request of that size fills. */
+    /** A memory limit that one request of that size uses up. */
     private static final String LITTLE_MEMORY = "{\"memory_mb\":1,\"sockets\":256}";
     private static final String LARGE_REQUEST_UP_TO_ID =
             "POST /api HTTP/1.1\r\nHost: a\r\nX-Lane: look\r\nX-Remaining: 5\r\n"
@@ -29,7 +32,7 @@
             "POST /api HTTP/1.1\r\nHost: a\r\nX-Txn: b\r\nX-Lane: look\r\n"
                     + "X-Remaining: 5\r\nContent-Length: 3\r\nExpect: 100-continue\r\n\r\n";
 
-    /** Beyond the bound the connection ends, but only with the answer to the task in flight. */
+    /** Above the limit the connection is closed, but only after the response to the task in flight. */
     @Test
     void endlessPipeliningIsBoundedAndTheTaskInFlightIsAnswered() throws Exception {
         CountDownLatch release = new CountDownLatch(1);
@@ -43,9 +46,9 @@
         for (int i = 0; i < EXCESSIVE_REQUESTS; i++) {
             client.sendTask("b" + i, IDEMPOTENT, "x".repeat(LARGE_BODY_BYTES));
         }
-        // The worker must answer only now: what the kernel still held by then would be read as the next
+        // The worker must not respond earlier: input that the kernel still buffers would be read as the next
         // request.
-        until("more has come than is kept", () -> count("sent_ahead") == 1);
+        until("the dispatcher has dropped pipelined input", () -> count("sent_ahead") == 1);
         release.countDown();
         HttpMessage answer = client.read();
         assertEquals("t", answer.text());
@@ -55,8 +58,8 @@
     }
 
     /**
-     * When bodies of other clients filled the memory, a non-idempotent task in flight was once answered 503,
-     * as if it had never been sent.
+     * Guards against responding 503 to a non-idempotent task in flight when bodies of other clients use up
+     * the memory: 503 means that the task was not executed.
      */
     @Test
     void taskThatMayHaveRunIsNotRejectedForPipelinedInput() throws Exception {
@@ -76,8 +79,8 @@
     }
 
     /**
-     * The interim response was once counted as sent while the request ahead was in flight, and the client
-     * waited for it in vain.
+     * Guards against marking the interim response as sent while the preceding request is in flight, after
+     * which the client never receives it.
      */
     @Test
     void pipelinedRequestGetsItsContinueWhenItsTurnComes() throws Exception {
--- a/src/test/java/rampshift/serve/RequestDeadlineTest.java
+++ b/src/test/java/rampshift/serve/RequestDeadlineTest.java
@@ -10,28 +10,31 @@
 import rampshift.TestServer;
 
 /**
- * A client states the time that is left for its task when it sends it. The dispatcher must count that time
- * from the arrival of the request: counted from later, the worker is told more than the client has; counted
- * from earlier, less. The tests let the time itself pass, since that is what they measure.
+ * A request has the time that remains for its task. The dispatcher must count that time from the arrival of
+ * the request: counted from later, the worker receives a longer deadline than the client has; counted from
+ * earlier, a shorter one. The tests use real time, since that is what they measure.
  */
 class RequestDeadlineTest extends ConnectionTestBase {
     private static final long DELAY_MS = 400;
-    /** Of a request whose deadline is over within that delay. */
+    /** A request whose deadline expires within the delay. */
     private static final String SHORT_REQUEST = "POST /api HTTP/1.1\r\nHost: a\r\nX-Txn: c\r\n"
             + "X-Lane: look\r\nX-Remaining: 0.3\r\nContent-Length: 1\r\n\r\nx";
-    /** Of the 5 s that {@link TestConnection#sendTask} states, what is left after the delay at most. */
+    /** Maximum that remains of the 5 s of {@link TestConnection#sendTask} after the delay. */
     private static final double MAX_SECONDS_AFTER_DELAY = 4.65;
     private static final long HELD_UP_MS = 180;
     private static final int HELD_UP_ROUNDS = 12;
-    /** The rounds begin at different times after a heartbeat of the I/O thread. */
+    /**
+     * Shortest pause between rounds. Pauses differ, so that rounds begin at different times after a heartbeat
+     * of the I/O thread.
+     */
     private static final long SHORTEST_PAUSE_MS = 200;
     private static final long LONGER_PAUSE_MS = 8;
-    /** Of 5 s, less the time that the thread was held up, with the slack of 0.15 s. */
+    /** Maximum that remains of 5 s less the time of the thread's pause, with the tolerance of 0.15 s. */
     private static final double MAX_SECONDS_AFTER_HELD_UP = 4.97;
-    /** Of the same 5 s, what is left at least where the delay must not count. */
+    /** Minimum that remains of the same 5 s if the delay must not count. */
     private static final double MIN_SECONDS_WITHOUT_DELAY = 4.7;
 
-    /** The time of a pipelined request was once counted from its turn, and the worker was told so. */
+    /** Guards against counting the deadline of a pipelined request from the start of its processing. */
     @Test
     void deadlineOfAPipelinedRequestCountsFromItsArrival() throws Exception {
         CountDownLatch release = new CountDownLatch(1);
@@ -48,10 +51,10 @@
         assertEquals(2, worker.received.size());
         double told = secondsToldToWorker(worker, 1);
         assertTrue(told < MAX_SECONDS_AFTER_DELAY,
-                "of 5 s, 0.4 s after its arrival, the worker is told " + told);
+                "of 5 s, 0.4 s after the arrival, the worker receives " + told);
     }
 
-    /** The time between the connection and its first request was once counted against that request. */
+    /** Guards against counting the time from the connect to the first request against that request. */
     @Test
     void deadlineOfAFirstRequestCountsFromItsBytesNotFromTheConnection() throws Exception {
         TestServer worker = finishingWorker();
@@ -61,13 +64,13 @@
         Thread.sleep(DELAY_MS);
         assertEquals(200, client.sendTask("t", IDEMPOTENT, "x").read().status());
         double told = secondsToldToWorker(worker, 0);
-        assertTrue(told > MIN_SECONDS_WITHOUT_DELAY, "of 5 s the worker is told " + told);
+        assertTrue(told > MIN_SECONDS_WITHOUT_DELAY, "of 5 s the worker receives " + told);
     }
 
     /**
-     * Seen beside load: up to 28 of some 1,900 attempts told their worker 150 to 350 ms more than their
-     * client had left. A request that lies unread while the thread is held up has lost that time, and up to
-     * 200 ms of it were not noticed: the operators allow 150 ms.
+     * Guards against ignoring the time for which a request is unread while the I/O thread is paused. Under
+     * load, up to 28 of some 1,900 attempts had a deadline that was 150 to 350 ms too long, since up to 200
+     * ms of a pause were not detected; the operators allow 150 ms.
      */
     @Test
     void deadlineOfARequestThatLayUnreadCountsFromItsArrival() throws Exception {
@@ -83,7 +86,7 @@
             }).read().status());
             double told = secondsToldToWorker(worker, i);
             assertTrue(told < MAX_SECONDS_AFTER_HELD_UP,
-                    "of 5 s less " + HELD_UP_MS + " ms it is told " + told);
+                    "of 5 s less " + HELD_UP_MS + " ms the worker receives " + told);
             Thread.sleep(SHORTEST_PAUSE_MS + i * LONGER_PAUSE_MS);
         }
     }
--- a/src/test/java/rampshift/serve/ResponseDeliveryTest.java
+++ b/src/test/java/rampshift/serve/ResponseDeliveryTest.java
@@ -30,18 +30,18 @@
 import rampshift.clients.StatusPage;
 
 /**
- * A client reads each response whole, however slowly it takes it and whatever it sends meanwhile. A reset of
- * its connection, or a write that is not continued, would cut the response; the tests force both orders with
- * small buffers and with conduits that stand between the dispatcher and the socket.
+ * A client receives each response completely, however slowly it reads and whatever it sends meanwhile. A
+ * reset of its connection, or a partial write that is not continued, would truncate the response; the tests
+ * force both with small buffers and with conduits between the dispatcher and the socket.
  */
 class ResponseDeliveryTest extends ConnectionTestBase {
-    /** Far more than the buffers of a slow client's connection hold. */
+    /** Far more than the buffers of a slow client's connection. */
     private static final int LARGE_RESPONSE_BYTES = 60_000;
     private static final String LARGE_TEXT = "r".repeat(LARGE_RESPONSE_BYTES);
     private static final int CLIENTS_WITH_ROOM = 22;
-    /** Longer than what a client has sent is on its way. */
+    /** Longer than the delay until sent bytes can be read. */
     private static final int ARRIVAL_MS = 20;
-    /** Longer than a closing connection is kept without further input. */
+    /** Longer than the minimum time for which a closing connection stays open without further input. */
     private static final int BEYOND_LINGER_MS = 40;
     private static final String NO_SUCH_TEXT = "[no such text]";
     private static final int TAIL_CHARS = 20;
@@ -52,7 +52,7 @@
             "POST /api HTTP/1.1\r\nHost: a\r\nX-Txn: ID\r\nX-Lane: look\r\n"
                     + "X-Remaining: 5\r\nContent-Length: 3\r\nExpect: 100-continue\r\n\r\n";
 
-    /** Writes a few bytes at a time, and none every other time, as if the socket took no more. */
+    /** Writes a few bytes at a time, and none every other time, like a socket with a full send buffer. */
     private static final class NarrowSink extends AbstractStreamSinkConduit<StreamSinkConduit> {
         private final int width;
         private boolean full;
@@ -86,7 +86,7 @@
         }
     }
 
-    /** Runs a step once, after a read that found nothing: between the last read and the close. */
+    /** Runs a step once after a read without input, which is between the last read and the close. */
     private static final class StepAfterEmptyRead extends AbstractStreamSourceConduit<StreamSourceConduit> {
         private Step step;
 
@@ -106,7 +106,7 @@
         }
     }
 
-    /** A client to which the dispatcher can write only that many bytes at a time. */
+    /** Returns a client to which the dispatcher can write only a number of bytes at a time. */
     private TestConnection narrowClient(int width) throws Exception {
         SlowClient client = slowClient();
         runOnThread(() -> {
@@ -118,9 +118,8 @@
     }
 
     /**
-     * A client whose last response is under way has to make room for another one. Its connection was once
-     * closed at once, over bytes that it had sent meanwhile: that close is a reset, and the rest of the
-     * response went with it.
+     * A connection that still sends its last response is closed for the connection limit. Guards against
+     * closing it with unread input, which causes a reset, so that the client loses the rest of the response.
      */
     @ParameterizedTest
     @ValueSource(strings = {"", "POST /api HTTP/1.1\r\nHost: a\r\nX-Txn: next\r\n"})
@@ -135,12 +134,12 @@
         for (int i = 1; i < CLIENTS_WITH_ROOM; i++) {
             client();
         }
-        until("there is no more room", () -> clientConnectionCount() == CLIENTS_WITH_ROOM);
+        until("the connection limit is reached", () -> clientConnectionCount() == CLIENTS_WITH_ROOM);
         release.countDown();
         until("the response is written", () -> taskCount() == 0);
         SlowClient next = slowClient();
         runOnThread(() -> {
-            client.line().write(sentMeanwhile);      // nobody reads it before the room is needed
+            client.line().write(sentMeanwhile);      // not read before the next client connects
             stand(BEYOND_LINGER_MS);
             node.dispatcher.clientListener.serve(next.connection());
         });
@@ -148,8 +147,9 @@
     }
 
     /**
-     * A request arrives between the last read of an idle connection and its close. The close was once a
-     * reset, and the client, which was still reading the response before, lost what the kernel held of it.
+     * A request arrives between the last read of an idle connection and its close. Guards against a close by
+     * reset, after which a client that is still reading the preceding response loses the part in the kernel's
+     * buffers.
      */
     @ParameterizedTest
     @ValueSource(booleans = {true, false})
@@ -164,7 +164,7 @@
             node.dispatcher.clientListener.serve(client.connection());
         });
         client.line().write("GET /long HTTP/1.1\r\nHost: a\r\n\r\n");
-        assertEquals("H", client.line().readUntil("H"));     // the kernel has the whole response by then
+        assertEquals("H", client.line().readUntil("H"));     // the kernel has buffered the whole response
         CountDownLatch crossed = new CountDownLatch(1);
         runOnThread(() -> {
             source.step = () -> {
@@ -180,14 +180,17 @@
         String answer = client.line().readUntil(NO_SUCH_TEXT);
         assertTrue(answer.endsWith("\r\n\r\n" + LARGE_TEXT + "[END]"),
                 answer.length() + " bytes, " + tail(answer));
-        assertEquals(0, count("taken"), "what is read after the output was shut is dropped");
+        assertEquals(0, count("taken"), "input after the shutdown of the output is dropped");
     }
 
     private static String tail(String text) {
         return "and it ends in " + text.substring(Math.max(0, text.length() - TAIL_CHARS));
     }
 
-    /** The refusal was once written a single time, and what the socket did not take of it was lost. */
+    /**
+     * Guards against a rejection that is written only once, so that the bytes that the socket does not accept
+     * are lost.
+     */
     @ParameterizedTest
     @ValueSource(ints = {1, 20})
     void refusedClientReadsTheCompleteReason(int width) throws Exception {
@@ -197,22 +200,25 @@
         assertEquals("invalid method, or body longer than declared\n", answer.text());
     }
 
-    /** Part of an interim response ahead of the response's head would garble both. */
+    /**
+     * Guards against writing the head of the response after a part of the interim response, which corrupts
+     * both.
+     */
     @ParameterizedTest
     @ValueSource(ints = {1, 20})
     void clientThatExpectsContinueReadsAllOfItAndThenItsAnswer(int width) throws Exception {
         TestServer worker = finishingWorker();
         startServer(worker);
-        // The body follows at once: the request is complete before the interim response is written.
+        // The client sends the body at once: the request is complete before the interim response is written.
         TestConnection client = narrowClient(width).write(HEAD_THAT_EXPECTS_CONTINUE.replace("ID", "b"))
                 .write("abc");
         HttpMessage first = client.read();
-        if (first.status() == 100) {    // sent only if the head was received by itself
+        if (first.status() == 100) {    // sent only if the head was received without the body
             first = client.read();
         }
         assertEquals(200, first.status());
         assertEquals("ok", first.text());
-        // The body follows once the interim response was begun, and before all of it is written.
+        // The client sends the body after the beginning and before the end of the interim response.
         client.write(HEAD_THAT_EXPECTS_CONTINUE.replace("ID", "c"));
         assertEquals("H", client.readUntil("H"));
         client.write("abc");
@@ -220,7 +226,7 @@
         assertEquals("ok", client.read().text());
     }
 
-    /** With Nagle's algorithm the system holds small writes back, and a reset loses what it holds. */
+    /** Guards against Nagle's algorithm, which delays small writes; a reset loses the delayed bytes. */
     @Test
     void smallWritesAreSentAtOnceOnEverySocket() throws Exception {
         TestServer worker = finishingWorker();
@@ -235,7 +241,7 @@
         }
     }
 
-    /** The sockets of the one client, of the kept connection to the worker, and of the watch. */
+    /** Returns the sockets of the one client, of the idle connection to the worker, and of the watch. */
     private List<StreamConnection> sockets() throws ReflectiveOperationException {
         List<StreamConnection> sockets = new ArrayList<>();
         Map<?, ?> clients = (Map<?, ?>) field(node.dispatcher.clientListener, "table", "connections");
@@ -246,12 +252,12 @@
                 sockets.add((StreamConnection) field(kept, "connection", "channel"));
             }
         }
-        assertEquals(2, sockets.size(), "with that to the worker");
+        assertEquals(2, sockets.size(), "of clients and workers");
         sockets.add((StreamConnection) field(node, "watch", "connection", "channel"));
         return sockets;
     }
 
-    /** The value at the end of a path of fields, private ones too. */
+    /** Returns the value at the end of a path of fields, which may be private. */
     private static Object field(Object start, String... names) throws ReflectiveOperationException {
         Object value = start;
         for (String name : names) {
--- a/src/test/java/rampshift/serve/ServerEndpointListTest.java
+++ b/src/test/java/rampshift/serve/ServerEndpointListTest.java
@@ -25,10 +25,12 @@
 import rampshift.TestServer;
 import rampshift.settings.Configuration;
 
-/** A whole dispatcher, and the endpoint lists that it starts with and is sent. */
+/**
+ * Tests of a whole dispatcher with the endpoint list of its configuration and those of the discovery agent.
+ */
 class ServerEndpointListTest extends ConnectionTestBase {
     private static final String TERMINATING = "terminating";
-    /** Longer than it takes until an endpoint list that was written can be read. */
+    /** Longer than the delay until a sent endpoint list can be read. */
     private static final int ARRIVAL_MS = 50;
 
     private static Configuration configuration(TestServer agent, String known) throws IOException {
@@ -51,7 +53,7 @@
         for (int i = 0; i < 8; i++) {
             client().sendTask("t" + i, "look", "x");
         }
-        until("all were sent", () -> staying.received.size() >= 8);
+        until("all tasks were sent", () -> staying.received.size() >= 8);
         assertEquals(0, drained.received.size());
     }
 
@@ -62,12 +64,12 @@
         node = new DispatcherServer(configuration(silentAgent, list(true, worker.entry("s-1", IN_SERVICE))));
         TestConnection client = client();
         assertEquals(200, client.sendTask("t", "look", "x").read().status());
-        assertTrue(silentAgent.received.size() >= 2, "one failure may be a slow start's");
+        assertTrue(silentAgent.received.size() >= 2, "a single failure does not count as an outage");
     }
 
     /**
-     * What the agent was sent while it was silent counts as observed, and it never answers the poll that
-     * was open.
+     * A drain is observed within the grace after the agent responds again. The agent never answers the poll
+     * that is open while it is silent.
      */
     @ParameterizedTest
     @CsvSource({"start,400", "middle,1000", "reload,400"})
@@ -105,8 +107,8 @@
     }
 
     /**
-     * An agent that lists one of two workers as draining from version 2 on, and answers nothing while it is
-     * silent.
+     * Returns an agent that lists one of two workers as draining from version 2 on, and does not respond
+     * while it is silent.
      */
     private static ServerScript agentWithDrain(TestServer drained, TestServer staying, AtomicBoolean silent,
             AtomicInteger version) {
@@ -155,7 +157,7 @@
         until("ready", () -> readyStatus(client()) == 200);
         assertEquals(200, client().sendTask("a", "look", "x").read().status());
         versions.add(list(false, moved.entry("s-1", IN_SERVICE)));
-        until("the other address is used",
+        until("the new address is used",
                 () -> client().sendTask("b" + System.nanoTime(), "look", "x").read().status() == 200
                         && !moved.received.isEmpty());
         agent.connections.get(agent.connections.size() - 1).close();
@@ -169,7 +171,10 @@
                 () -> client().sendTask("d" + System.nanoTime(), "look", "x").read().status() == 503);
     }
 
-    /** The version that the old agent counted is far above the new one's, where it would hide all changes. */
+    /**
+     * The version of the old agent is far above that of the new one; polled with it, the new agent would
+     * report no changes.
+     */
     @Test
     void reloadSwitchesTheWatchAndNoTaskNotices() throws Exception {
         CountDownLatch finish = new CountDownLatch(1);
@@ -189,16 +194,16 @@
         TestServer newAgent = TestDiscovery.start(versions);
         open.add(newAgent);
         node = node(oldAgent, list(true), SMALL_LIMITS);
-        until("the list", () -> readyStatus(client()) == 200);
+        until("the list is received", () -> readyStatus(client()) == 200);
         TestConnection waiting = client().sendTask("a", "sell", "x");
-        until("it is sent", () -> first.received.size() == 1);
+        until("the task is sent", () -> first.received.size() == 1);
         for (int i = 0; i < 3; i++) {
             node.reload(configuration(newAgent, list(true)));
         }
-        until("the old watch has ended, the new one begun",
+        until("the old watch has ended and the new one has begun",
                 () -> oldAgent.ended.size() == 1 && newAgent.received.size() >= 2);
         versions.add(list(false, first.entry("s-1", TERMINATING), second.entry("s-2", IN_SERVICE)));
-        until("the new agent is followed", () -> hasReceived(newAgent, "index=2"));
+        until("the new agent is watched", () -> hasReceived(newAgent, "index=2"));
         assertEquals(200, client().sendTask("b", "sell", "x").read().status());
         assertEquals(1, second.received.size());
         finish.countDown();
@@ -206,14 +211,14 @@
         assertEquals(3, count("reloads"));
     }
 
-    /** Whether a request line that holds the text has come; further ones may come meanwhile. */
+    /** Returns whether a request line that contains the text was received. */
     private static boolean hasReceived(TestServer agent, String text) {
         synchronized (agent.received) {
             return agent.received.stream().anyMatch(message -> message.startLine().contains(text));
         }
     }
 
-    /** Discovery may send its list in any layout of JSON, with line ends of either kind. */
+    /** The agent may send its list in any layout of JSON, with any line ends. */
     @Test
     void indentedListIsRead() throws Exception {
         TestServer worker = finishingWorker();
@@ -231,8 +236,8 @@
     }
 
     /**
-     * The first list lets a parked task be sent, and before its first byte a newer list is read, in which the
-     * worker drains. The newer list must bind the connection pool and the policy, for that task and later
+     * The first list lets a waiting task be sent, and before its first byte a newer list is read, in which
+     * the worker drains. The connection pool and the policy must apply the newer list to that task and later
      * ones.
      */
     @Test
@@ -260,7 +265,7 @@
         assertEquals(0, worker.received.size());
         assertEquals(1, count("first_byte_held_back"));
         assertEquals(503, client().sendTask("u", "sell", "x").read().status());
-        assertEquals(1, count("assigned"), "the policy knows the newer list too");
+        assertEquals(1, count("assigned"), "the policy has applied the newer list too");
     }
 
     @Test
@@ -280,20 +285,20 @@
         });
         node = node(agent, list(true, known.entry("s-1", IN_SERVICE)), SMALL_LIMITS);
         assertEquals(200, client().sendTask("a", "sell", "x").read().status());
-        until("the good list is used",
+        until("the valid list is used",
                 () -> client().sendTask("b" + System.nanoTime(), "sell", "x").read().status() == 200
                         && !later.received.isEmpty());
-        until("it is watched on", () -> polls.get() > responses.size());
+        until("the agent is still polled", () -> polls.get() > responses.size());
     }
 
     /**
-     * Placement on real connections: the one allowed worker is listed in another zone, while the other zone
-     * has capacity.
+     * Placement on real connections: the only allowed worker moves to another zone in the list, while the
+     * other zone has capacity.
      */
     @Test
     void typeBoundToAZoneIsSentOnlyThereAlsoWhenItsOnlyWorkerIsListedElsewhere() throws Exception {
-        // Starts are not reported: runs of a tenth of a millisecond count as half a tick, each worker would
-        // look five times too slow, and a type that has never run would be rejected.
+        // Workers don't report starts: run times of a tenth of a millisecond would count as half a tick, each
+        // worker would seem five times too slow, and a type without completed tasks would be rejected.
         TestServer here = resultWorker("here");
         TestServer there = resultWorker("there");
         String first = list(true, here.entry("s-1", IN_SERVICE),
@@ -311,7 +316,7 @@
         }
         versions.add(list(false, there.entry("s-2", IN_SERVICE)));
         int[] rejected = {0};
-        until("rejected at once, where no worker is left", () -> {
+        until("tasks are rejected at once when no allowed worker is left", () -> {
             String id = "v" + there.received.size() + "-" + rejected[0];
             HttpMessage answer = client().sendTask(id, "look", "x").read();
             rejected[0] += answer.status() == 503 ? 1 : 0;
@@ -319,7 +324,7 @@
             assertTrue(answer.status() == 503 || stillThere, answer.status() + " " + answer.text());
             return rejected[0] == 10;
         });
-        assertEquals(200, client().sendTask("u", "sell", "x").read().status(), "others go anywhere");
+        assertEquals(200, client().sendTask("u", "sell", "x").read().status(), "other types use any zone");
         assertEquals(0, here.received.stream().filter(task -> "look".equals(task.field("X-Lane"))).count());
     }
 
--- a/src/test/java/rampshift/serve/ServerInputTest.java
+++ b/src/test/java/rampshift/serve/ServerInputTest.java
@@ -20,7 +20,7 @@
 import rampshift.TestConnection;
 import rampshift.TestServer;
 
-/** A whole dispatcher, and clients that send what is wrong, incomplete, too much or nothing. */
+/** Tests of a whole dispatcher with clients that send invalid, incomplete, excessive or no input. */
 class ServerInputTest extends ServerTestBase {
     private static final String IN_SERVICE = "in_service";
 
@@ -28,7 +28,7 @@
         return TimeUnit.NANOSECONDS.toMillis(System.nanoTime() - nanos);
     }
 
-    // ---- requests that are wrong
+    // ---- invalid requests
 
     @ParameterizedTest
     @CsvSource(delimiter = '|', value = {
@@ -75,8 +75,8 @@
     }
 
     /**
-     * With bad clients such requests went to workers, stalled until their senders left, or ended in a
-     * reset.
+     * Guards against forwarding such requests to workers, stalling until the client disconnects, or closing
+     * by a reset.
      */
     @ParameterizedTest
     @CsvSource(delimiter = '|', value = {"400 | Transfer-Encoding: chunked | zz~abc~0~~",
@@ -95,20 +95,21 @@
                         + length + end);
         assertEquals(status, client.read().status());
         assertTrue(client.closedByPeer());
-        assertTrue(millisSince(startedAt) < 3000, "in time");
+        assertTrue(millisSince(startedAt) < 3000, "within the time limit");
         assertEquals(200, client().sendTask("good", "look", "x").read().status());
         assertEquals(1, worker.received.size(), "nothing of the bad one was sent");
     }
 
     /**
-     * On an overloaded core clients were closed as silent whose complete tasks lay unread for want of time.
+     * Guards against closing a client as silent while its complete task is unread, because the I/O thread is
+     * late on an overloaded core.
      */
     @Test
     void clientWhoseTaskLiesUnreadWhileTheThreadIsLateIsAnswered() throws Exception {
         TestServer worker = finishingWorker();
         startServer(worker.entry("s-1", IN_SERVICE));
         TestConnection client = client();
-        until("it is accepted", () -> count("client_connections") >= 2);
+        until("the connection is accepted", () -> count("client_connections") >= 2);
         CountDownLatch late = new CountDownLatch(1);
         XnioIoThread thread = (XnioIoThread) Thread.getAllStackTraces().keySet().stream()
                 .filter(candidate -> candidate.getName().startsWith("io I/O") && candidate.isAlive())
@@ -129,14 +130,14 @@
         TestServer worker = worker((task, line) -> {});
         startServer(worker.entry("s-1", IN_SERVICE));
         TestConnection client = client().sendTask("t", "sell", "x");
-        until("it is sent", () -> worker.received.size() == 1);
+        until("the task is sent", () -> worker.received.size() == 1);
         assertEquals(400, client.write("and more").read().status());
         until("the worker's connection ended", () -> worker.ended.size() == 1);
     }
 
-    // ---- more clients or bytes than there is capacity for
+    // ---- more clients or bytes than the limits allow
 
-    /** With 300 silent clients at a time usual ones waited behind them for seconds. */
+    /** Guards against regular clients that wait for seconds behind 300 silent ones. */
     @Test
     void clientsThatSendNoTasksMakeRoomAtOnceAndAreClosedInTime() throws Exception {
         TestServer worker = finishingWorker();
@@ -149,13 +150,13 @@
         }
         long startedAt = System.nanoTime();
         assertEquals(200, client().sendTask("b", "look", "x").read().status());
-        assertTrue(millisSince(startedAt) < 1000, "it did not wait for them");
+        assertTrue(millisSince(startedAt) < 1000, "the new client did not wait for the silent ones");
         assertEquals(200, usual.sendTask("c", "look", "x").read().status(),
-                "nor was a known one closed for them");
+                "the connection of a client with tasks stays open");
         for (TestConnection line : silent) {
             assertTrue(line.closedByPeer());
         }
-        assertTrue(millisSince(startedAt) < 3000, "in time");
+        assertTrue(millisSince(startedAt) < 3000, "within the time limit");
     }
 
     @ParameterizedTest
@@ -174,7 +175,7 @@
         for (int i = 0; i < 60; i++) {
             clients.add(client().sendTask("t" + i, "sell", "x".repeat(bodyBytes)));
         }
-        until("some were rejected", () -> count("bounced") + count("bounced_full") > 0);
+        until("some tasks were rejected", () -> count("bounced") + count("bounced_full") > 0);
         finish.countDown();
         int rejected = 0;
         for (TestConnection client : clients) {
@@ -186,7 +187,7 @@
         assertEquals(200, client().sendTask("good", "sell", "x").read().status());
     }
 
-    /** With 570 clients that stalled, their half bodies filled the heap. */
+    /** Guards against incomplete bodies that fill the heap, as of 570 stalled clients. */
     @Test
     void bodiesThatStallLeaveRoomForSmallTasks() throws Exception {
         TestServer worker = finishingWorker();
--- a/src/test/java/rampshift/serve/ServerShutdownTest.java
+++ b/src/test/java/rampshift/serve/ServerShutdownTest.java
@@ -14,21 +14,21 @@
 import rampshift.TestServer;
 
 /**
- * The stop of a whole dispatcher: during its start, and while tasks are in flight. Each task gets one final
- * answer that is true of it: 503 only where its client may send it again, 504 where it may have run.
+ * The shutdown of a whole dispatcher during its start and while tasks are in flight. Each task gets one
+ * correct final response: 503 only if its client may retry it, 504 if it may have been executed.
  */
 class ServerShutdownTest extends ConnectionTestBase {
     private static final int STOP_TIMEOUT_MS = 20_000;
     private static final String FINISHED_MESSAGE =
             "{\"id\":\"t\",\"state\":\"done\",\"result\":\"sold\"}\n";
-    /** Within the finished message. */
+    /** A part of the finished message. */
     private static final int BYTES_BEFORE_STOP = 30;
-    /** Longer than those bytes are on their way. */
+    /** Longer than the delay until sent bytes can be read. */
     private static final int ARRIVAL_MS = 20;
-    /** Never in a response, so that all of it is read until the connection ends. */
+    /** Text that is never in a response, so that all input is read until the end of the connection. */
     private static final String NO_SUCH_TEXT = "[no such text]";
 
-    /** The signal once came before the part of the program that acts on it was there. */
+    /** Guards against a SIGTERM that arrives during the start, before its handler is installed. */
     @Test
     void stopDuringTheStartEndsInOrder() throws Exception {
         TestServer worker = finishingWorker();
@@ -45,7 +45,7 @@
         assertTrue(node.isStopped());
     }
 
-    /** Both tasks are at a worker; the client may send the idempotent one again. */
+    /** Both tasks are in flight at a worker; the client may retry the idempotent one. */
     @Test
     void idempotentTaskIsRejectedAtTheEndAndNonIdempotentOneIsFailed() throws Exception {
         TestServer worker = holdingWorker();
@@ -54,15 +54,15 @@
         node.awaitReady();
         TestConnection idempotent = client().sendTask("a", IDEMPOTENT, "x");
         TestConnection nonIdempotent = client().sendTask("b", NON_IDEMPOTENT, "x");
-        until("both are at the worker", () -> worker.received.size() == 2);
+        until("both tasks are at the worker", () -> worker.received.size() == 2);
         runOnThread(() -> node.dispatcher.policyHost.endAllTasks());
         assertEquals(503, idempotent.read().status());
         assertEquals(504, nonIdempotent.read().status());
     }
 
     /**
-     * Half of the worker's last message lies unread when a non-idempotent task is failed, and the rest
-     * arrives after that. The client must read one complete answer, and the message must not be counted.
+     * Half of the worker's last message is unread when a non-idempotent task is failed, and the rest arrives
+     * later. The client must receive one complete response, and the message must not be counted.
      */
     @Test
     void halfAProgressLineAtTheEndChangesNothing() throws Exception {
--- a/src/test/java/rampshift/serve/ServerTestBase.java
+++ b/src/test/java/rampshift/serve/ServerTestBase.java
@@ -24,13 +24,15 @@
 import rampshift.TestServer;
 import rampshift.settings.Configuration;
 
-/** What the tests of a whole dispatcher share: one dispatcher, and peers that end with the test. */
+/**
+ * Base class of the tests of a whole dispatcher: one dispatcher, and peers that are closed after the test.
+ */
 abstract class ServerTestBase {
     static final String SMALL_LIMITS = "{\"memory_mb\":192,\"sockets\":256}";
 
     final List<Closeable> open = new ArrayList<>();
     DispatcherServer node;
-    /** Connections of clients that were accepted and wait for the test to hand them to the dispatcher. */
+    /** Accepted client connections that the test has not passed to the dispatcher yet. */
     private final LinkedBlockingQueue<StreamConnection> accepted = new LinkedBlockingQueue<>();
 
     @AfterEach
@@ -43,7 +45,7 @@
         }
     }
 
-    /** Starts a dispatcher that has these workers and no discovery agent, and waits until it is ready. */
+    /** Starts a dispatcher with these workers and without a discovery agent, and waits until it is ready. */
     void startServer(String... entries) throws Exception {
         node = node(null, list(true, entries), SMALL_LIMITS);
     }
@@ -58,7 +60,7 @@
         return peer;
     }
 
-    /** A worker that finishes each task at once. */
+    /** Returns a worker that finishes each task at once. */
     TestServer finishingWorker() throws IOException {
         return worker((task, line) -> line.respondDone(task, "ok"));
     }
@@ -73,12 +75,12 @@
         return line;
     }
 
-    /** The status of the page that says whether the dispatcher is ready. */
+    /** Returns the status of the readiness page. */
     int readyStatus(TestConnection client) throws IOException {
         return client.write("GET /ready HTTP/1.1\r\nHost: a\r\n\r\n").read().status();
     }
 
-    /** The count under a key of the page of counters; -1 where it has none. */
+    /** Returns the value of a counter on the page of counters; -1 if it is absent. */
     long count(String name) throws IOException {
         try (TestConnection line = new TestConnection(node)) {
             String text = line.write("GET /counters HTTP/1.1\r\nHost: a\r\n\r\n").read().text();
@@ -95,14 +97,14 @@
         return task.get();
     }
 
-    /** Keeps the calling thread busy for so long. */
+    /** Keeps the calling thread busy for a time. */
     static void stand(int millis) {
         for (long end = System.nanoTime() + millis * 1_000_000L; System.nanoTime() < end;) {
             Thread.onSpinWait();
         }
     }
 
-    /** A client whose small buffer holds next to nothing, and the dispatcher's end of its connection. */
+    /** A client with a small receive buffer, and the dispatcher's end of its connection. */
     record SlowClient(TestConnection line, StreamConnection connection) {}
 
     SlowClient slowClient() throws Exception {
--- a/src/test/java/rampshift/serve/SettingsIsolationTest.java
+++ b/src/test/java/rampshift/serve/SettingsIsolationTest.java
@@ -11,11 +11,11 @@
 import rampshift.TestPeers;
 import rampshift.TestServer;
 
-/** Dispatchers of one process share no settings. */
+/** Dispatchers in one process don't share settings. */
 class SettingsIsolationTest extends ConnectionTestBase {
     /**
-     * The names of two traffic types have each other's meaning in the second dispatcher. A task that fails is
-     * retried where its own dispatcher's settings allow that, and not where only the other's do.
+     * The names of two traffic types are swapped in the second dispatcher. A failed task is retried only if
+     * the settings of its own dispatcher allow it.
      */
     @Test
     void settingsOfTwoServersInOneProcessDoNotMix() throws Exception {
--- a/src/test/java/rampshift/serve/SlowDialTest.java
+++ b/src/test/java/rampshift/serve/SlowDialTest.java
@@ -19,13 +19,19 @@
 import rampshift.TestPeers;
 import rampshift.TestServer;
 
-/** Connections to a worker whose backlog is full come up a second late, once it accepts what waits there. */
+/**
+ * Dials of a worker whose backlog is full, which complete a second late, after it has accepted the waiting
+ * connections.
+ */
 class SlowDialTest extends ServerTestBase {
     private static final String LIMITS = "{\"memory_mb\":192,\"sockets\":1024}";
     private static final String SECOND = "{\"uid\":\"s-2\",\"endpoint\":\"127.0.0.1:PORT\",\"az\":\"a\","
             + "\"model\":\"m\",\"pod_group\":1,\"state\":\"in_service\",\"capacity_hint\":4.0,\"boot_ms\":0}";
 
-    /** The first worker fails and drains; the connection to the second is up after the window, or before. */
+    /**
+     * The first worker fails the task and drains; the connection to the second is established after the
+     * deduplication window or within it.
+     */
     @ParameterizedTest
     @CsvSource({"300,cell,504", "300,all,503", "20000,cell,200"})
     void retryIsSentOnlyWithinItsWindowHoweverLateItsConnectionIsUp(int windowMillis, String group,
@@ -39,7 +45,7 @@
             TestConnection client =
                     client().write("POST /api HTTP/1.1\r\nHost: a\r\nX-Txn: t\r\nX-Lane: mark\r\n"
                             + "X-Remaining: 5.0\r\nIdempotency-Key: k\r\nContent-Length: 1\r\n\r\nx");
-            until("the second is dialed", () -> count("dialed") == 2);
+            until("the second worker is dialed", () -> count("dialed") == 2);
             for (int i = 0; i < 2; i++) {
                 open.add(busy.accept());
             }
@@ -49,10 +55,10 @@
             if (status == 200) {
                 HttpMessage task = second.read();
                 double left = Double.parseDouble(task.field("X-Remaining"));
-                assertTrue(left > 1 && left < 4.5, "what is left once its connection is up: " + left);
+                assertTrue(left > 1 && left < 4.5, "remaining time after the dial: " + left);
                 second.respondDone(task, "r");
             } else {
-                assertEquals("[END]", second.readUntil("\n"), "nothing was sent");
+                assertEquals("[END]", second.readUntil("\n"), "nothing may be sent");
             }
             assertEquals(status, client.read().status());
             assertEquals(2, count("dialed"), "each attempt dials once");
@@ -61,8 +67,8 @@
     }
 
     /**
-     * A dispatcher whose first worker fails a task once the second one, at that port, is listed in its
-     * place.
+     * Starts a dispatcher whose first worker fails a task once the list has a second worker, at a port, in
+     * its place.
      */
     private void startServer(int secondPort, int windowMillis, String group) throws Exception {
         String second = SECOND.replace("PORT", String.valueOf(secondPort));
@@ -70,7 +76,7 @@
         TestServer[] first = new TestServer[1];
         first[0] = worker((task, line) -> {
             versions.add(list(false, first[0].entry("s-1", "terminating"), second));
-            until("the list is read", () -> count("lists_changes") == 1);
+            until("the list is received", () -> count("lists_changes") == 1);
             line.write("HTTP/1.1 500 x\r\nContent-Length: 0\r\n\r\n");
         });
         versions.add(list(true, first[0].entry("s-1", "in_service")));
