--- a/src/test/java/rampshift/TestConnection.java
+++ b/src/test/java/rampshift/TestConnection.java
@@ -87,8 +87,8 @@
     }
 
     /** Closes the connection, by RST in place of FIN where "rst" is given. */
-    public void disconnect(String how) throws IOException {
-        socket.setSoLinger(how.equals("rst"), 0);
+    public void disconnect(String closeType) throws IOException {
+        socket.setSoLinger(closeType.equals("rst"), 0);
         socket.close();
     }
 
--- a/src/test/java/rampshift/serve/ClientDepartureTest.java
+++ b/src/test/java/rampshift/serve/ClientDepartureTest.java
@@ -50,13 +50,13 @@
     @ParameterizedTest
     @CsvSource({"fin,NOTHING", "rst,NOTHING", "fin,PART_OF_A_REQUEST", "fin,ONE_REQUEST", "rst,ONE_REQUEST",
             "fin,MANY_REQUESTS", "rst,MANY_REQUESTS"})
-    void leavingClientIsNoticedWhateverItPipelined(String how, Pipelined pipelined) throws Exception {
-        TestServer worker = holdingWorker();
+    void disconnectIsDetectedAfterAnyPipelinedInput(String closeType, Pipelined pipelined) throws Exception {
+        TestServer worker = neverFinishingWorker();
         startServer(worker);
         TestConnection client = client().sendTask("t", NON_IDEMPOTENT, "x");
         awaitFirstTask(worker);
         send(client, pipelined);
-        client.disconnect(how);
+        client.disconnect(closeType);
         until("the worker's connection ended", () -> worker.ended.size() == 1);
         assertEquals(1, worker.received.size(), "pipelined requests are not sent to a worker");
         assertEquals(1, count("client_gone"));
@@ -79,13 +79,13 @@
 
     /** A task that waits for the first endpoint list is dropped when its client disconnects. */
     @Test
-    void parkedTaskWhoseClientLeftIsNotSent() throws Exception {
+    void taskWaitingForTheListIsNotSentAfterADisconnect() throws Exception {
         CountDownLatch respond = new CountDownLatch(1);
-        TestServer worker = holdingWorker();
-        TestServer agent = worker((message, line) -> {
+        TestServer worker = neverFinishingWorker();
+        TestServer agent = worker((message, connection) -> {
             respond.await();
             if (!message.startLine().contains("index=")) {
-                respond(line, listOf(worker).replace("REV", "1"));
+                respond(connection, listOf(worker).replace("REV", "1"));
             }
         });
         node = new DispatcherServer(parse(TestPeers.configuration(agent, listOf(worker), LIMITS)));
@@ -103,10 +103,10 @@
      * The worker's backlog is full, so the dial would complete only after the worker accepts a connection.
      */
     @Test
-    void taskWhoseClientLeftDuringTheDialIsNotSent() throws Exception {
+    void taskIsNotSentAfterADisconnectDuringTheDial() throws Exception {
         try (ServerSocket busy = new ServerSocket(0, 1, InetAddress.getByName("127.0.0.1"))) {
             for (int i = 0; i < BACKLOG_CONNECTIONS; i++) {
-                open.add(new Socket(busy.getInetAddress(), busy.getLocalPort()));
+                closeables.add(new Socket(busy.getInetAddress(), busy.getLocalPort()));
             }
             String entry = ENTRY_AT_PORT.replace("PORT", String.valueOf(busy.getLocalPort()));
             node = new DispatcherServer(parse(TestPeers.configuration(null, list(true, entry), LIMITS)
@@ -124,13 +124,13 @@
     /** The disconnect is unread: the I/O thread is busy from before the close until an attempt is due. */
     @ParameterizedTest
     @ValueSource(strings = {FIN, RST})
-    void noAttemptBeginsOnceItsClientHasLeft(String how) throws Exception {
+    void noAttemptStartsAfterADisconnect(String closeType) throws Exception {
         TestServer worker = finishingWorker();
         startServer(worker);
         TestConnection client = client();
         replaceFirstByteCheck(check -> {
-            runUnchecked(() -> client.disconnect(how));
-            stand(BUSY_MS);
+            runUnchecked(() -> client.disconnect(closeType));
+            busyWait(BUSY_MS);
             check.run();
         });
         client.sendTask("t", IDEMPOTENT, "x");
@@ -145,16 +145,16 @@
      * before the end of the input was read.
      */
     @Test
-    void taskWhoseClientLeftBeforeItWasReadIsNotSent() throws Exception {
+    void taskThatIsReadAfterADisconnectIsNotSent() throws Exception {
         TestServer worker = finishingWorker();
         startServer(worker);
         // Opens a worker connection, so that the next task could be sent at once.
         assertEquals(200, client().sendTask("before", IDEMPOTENT, "x").read().status());
         SlowClient client = slowClient();
-        client.line().sendTask("t", IDEMPOTENT, "x").disconnect(FIN);
+        client.clientEnd().sendTask("t", IDEMPOTENT, "x").disconnect(FIN);
         runOnThread(() -> {
-            stand(ARRIVAL_MS);
-            node.dispatcher.clientListener.serve(client.connection());
+            busyWait(ARRIVAL_MS);
+            node.dispatcher.clientListener.serve(client.serverEnd());
         });
         awaitClientGone();
         assertEquals(1, worker.received.size());
@@ -166,7 +166,7 @@
      * read.
      */
     @Test
-    void lastByteIsNotSentOnceItsClientHasLeft() throws Exception {
+    void lastByteIsNotSentAfterADisconnect() throws Exception {
         TestServer worker = finishingWorker();
         startServer(worker);
         TestConnection client = client();
@@ -174,7 +174,7 @@
             check.run();
             node.thread.execute(() -> {     // runs once all but the last byte has been written
                 runUnchecked(() -> client.disconnect(RST));
-                stand(LAST_BYTE_HOLD_MS);
+                busyWait(LAST_BYTE_HOLD_MS);
             });
         });
         client.sendTask("t", NON_IDEMPOTENT, "x");
--- a/src/test/java/rampshift/serve/ClientDepartureTimeTest.java
+++ b/src/test/java/rampshift/serve/ClientDepartureTimeTest.java
@@ -62,8 +62,8 @@
 
     /** Hundreds of clients disconnect, by FIN and by RST, while the dispatcher shuts down. */
     @Test
-    void hundredsOfLeavingClientsAreNoticedAtOnceAlsoDuringShutdown() throws Exception {
-        TestServer worker = holdingWorker();
+    void hundredsOfDisconnectsDuringShutdownAreDetectedAtOnce() throws Exception {
+        TestServer worker = neverFinishingWorker();
         startServer(worker, CLIENTS);
         List<TestConnection> clients = new ArrayList<>();
         for (int i = 0; i < CLIENTS; i++) {
@@ -87,7 +87,7 @@
         PollCounter counter = new PollCounter();
         NextTick nextTick = onThread(() -> {
             for (int i = 0; i < clients.size(); i++) {
-                clients.get(i).disconnect(wayToLeave(i));
+                clients.get(i).disconnect(closeType(i));
             }
             until("the kernel has processed all disconnects", () -> establishedConnections(ports) == 0);
             NextTick created = new NextTick(node.thread);
@@ -99,7 +99,7 @@
         return polls;
     }
 
-    private static String wayToLeave(int index) {
+    private static String closeType(int index) {
         return index % 2 == 0 ? FIN : RST;
     }
 
@@ -132,8 +132,8 @@
      * delay single tasks.
      */
     @Test
-    void taskWhoseClientLeavesIsDroppedPromptly() throws Exception {
-        TestServer worker = holdingWorker();
+    void taskIsDroppedPromptlyAfterADisconnect() throws Exception {
+        TestServer worker = neverFinishingWorker();
         startServer(worker, MEASURED_WORKERS);
         long[] micros = new long[SAMPLES];
         for (int i = 0; i < micros.length; i++) {
@@ -149,7 +149,7 @@
         int before = worker.received.size();
         TestConnection client = client().sendTask("t" + index, IDEMPOTENT, "x");
         until("the task is at the worker", () -> worker.received.size() > before);
-        client.disconnect(wayToLeave(index));
+        client.disconnect(closeType(index));
         long leftAt = System.nanoTime();
         while (taskCount() > 0) {
             Thread.onSpinWait();
--- a/src/test/java/rampshift/serve/ConnectionCloseTest.java
+++ b/src/test/java/rampshift/serve/ConnectionCloseTest.java
@@ -54,18 +54,18 @@
 
     /** The I/O thread is busy for longer than the idle timeout, and the request arrives in that time. */
     @Test
-    void unreadRequestOfAClientThatIdledTooLongIsAnswered() throws Exception {
+    void unreadRequestAfterTheIdleTimeoutIsAnswered() throws Exception {
         TestServer worker = finishingWorker();
         startServer(worker);
         TestConnection client = client();
         assertEquals(200, readyStatus(client));
-        runBeforeRequestIsRead(client, () -> stand(BEYOND_IDLE_TIMEOUT_MS));
+        runBeforeRequestIsRead(client, () -> busyWait(BEYOND_IDLE_TIMEOUT_MS));
         assertEquals(200, client.read().status());
     }
 
     /** Guards against closing the listening socket in the same tick as the last idle connection. */
     @Test
-    void requestThatCrossedAConnectionCloseIsAnsweredOnTheNextOne() throws Exception {
+    void requestThatCrossedACloseIsAnsweredOnTheNextConnection() throws Exception {
         TestServer worker = finishingWorker();
         node = new DispatcherServer(parse(TestPeers.configuration(null, listOf(worker), LIMITS)
                 .replaceAll("\"ExpiryMs\":\\d+", "\"ExpiryMs\":1500")));
@@ -92,7 +92,7 @@
         TestConnection client = client().write(begun);
         until("the connection is accepted", () -> clientConnectionCount() == 1);
         runOnThread(() -> {
-            stand(AFTER_CONNECT_MS);
+            busyWait(AFTER_CONNECT_MS);
             node.dispatcher.stopAcceptingRequests();
         });
         client.write(REQUEST_START.substring(begun.length()) + REQUEST_REST);
--- a/src/test/java/rampshift/serve/ConnectionLimitTest.java
+++ b/src/test/java/rampshift/serve/ConnectionLimitTest.java
@@ -34,7 +34,7 @@
      * polled. With many idle clients on a quarter of a core, responses were left unread for 1.8 s.
      */
     @Test
-    void burstOfClientsLeavesTheSocketsTheirTurn() throws Exception {
+    void socketsArePolledDuringABurstOfConnections() throws Exception {
         node = node(null, list(true), LIMITS);
         AtomicInteger acceptedAtPoll = new AtomicInteger(-1);
         NextTick nextTick = onThread(() -> {
@@ -58,14 +58,14 @@
      * agent must still get descriptors.
      */
     @Test
-    void idleClientsMayUseTheirDescriptorsWhileTheAgentIsDown() throws Exception {
+    void idleClientsLeaveDescriptorsForWorkersAndTheAgent() throws Exception {
         CountDownLatch agentIsBack = new CountDownLatch(1);
         TestServer worker = finishingWorker();
-        TestServer added = worker((task, line) -> line.respondDone(task, "added"));
-        TestServer agent = worker((message, line) -> {
+        TestServer added = worker((task, connection) -> connection.respondDone(task, "added"));
+        TestServer agent = worker((message, connection) -> {
             agentIsBack.await();
             if (!message.startLine().contains("index=")) {
-                respond(line, list(true, added.entry("s-2", IN_SERVICE)).replace("REV", "9"));
+                respond(connection, list(true, added.entry("s-2", IN_SERVICE)).replace("REV", "9"));
             }
         });
         node = new DispatcherServer(
--- a/src/test/java/rampshift/serve/ConnectionTestBase.java
+++ b/src/test/java/rampshift/serve/ConnectionTestBase.java
@@ -57,15 +57,16 @@
     }
 
     /** Returns a worker that begins a response to each task and never ends it. */
-    TestServer holdingWorker() throws IOException {
-        return worker((task, line) -> line.write("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n"));
+    TestServer neverFinishingWorker() throws IOException {
+        return worker((task, connection) -> connection
+                .write("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n"));
     }
 
     /** Returns a worker that finishes tasks with this result, once it is released. */
-    TestServer workerHeldBy(CountDownLatch release, String result) throws IOException {
-        return worker((task, line) -> {
+    TestServer workerReleasedBy(CountDownLatch release, String result) throws IOException {
+        return worker((task, connection) -> {
             release.await();
-            line.respondDone(task, result);
+            connection.respondDone(task, result);
         });
     }
 
@@ -120,7 +121,7 @@
 
     /** Passes the connection of a client to the dispatcher as if it had just been accepted. */
     void serve(SlowClient client) throws Exception {
-        runOnThread(() -> node.dispatcher.clientListener.serve(client.connection()));
+        runOnThread(() -> node.dispatcher.clientListener.serve(client.serverEnd()));
     }
 
     /** Returns whether the dispatcher's page for health checks reports that it is stopping. */
--- a/src/test/java/rampshift/serve/DispatcherServerTest.java
+++ b/src/test/java/rampshift/serve/DispatcherServerTest.java
@@ -29,7 +29,7 @@
 
     @Test
     void taskIsForwardedByteForByte() throws Exception {
-        TestServer worker = worker((task, line) -> line
+        TestServer worker = worker((task, connection) -> connection
                 .respondWithProgress(
                         "{\"id\":\"t1\",\"state\":\"done\",\"result\":\"a\\u00e9\\n\u00c3\u00a9\\\"\"}"));
         startServer(worker.entry("s-1", IN_SERVICE));
@@ -69,7 +69,7 @@
     }
 
     @Test
-    void bodyThatComesInPiecesOrInChunksIsForwardedComplete() throws Exception {
+    void bodyInSeveralReadsOrChunksIsForwardedComplete() throws Exception {
         TestServer worker = finishingWorker();
         startServer(worker.entry("s-1", IN_SERVICE));
         TestConnection client = client();
@@ -111,11 +111,11 @@
     }
 
     @Test
-    void pipelinedTaskWaitsItsTurn() throws Exception {
+    void pipelinedTaskWaitsForThePrecedingOne() throws Exception {
         CountDownLatch finish = new CountDownLatch(1);
-        TestServer worker = worker((task, line) -> {
+        TestServer worker = worker((task, connection) -> {
             finish.await();
-            line.respondDone(task, task.field("X-Txn"));
+            connection.respondDone(task, task.field("X-Txn"));
         });
         startServer(worker.entry("s-1", IN_SERVICE));
         TestConnection client = client().sendTask("a", "look", "1").sendTask("b", "look", "2");
@@ -127,8 +127,9 @@
 
     /** Guards against counting the tasks of all tenants against the quota of the first one. */
     @Test
-    void eachTenantIsHeldToItsOwnQuota() throws Exception {
-        TestServer worker = worker((task, line) -> line.respondStatus(503, "X-Turned-Away: 1\r\n"));
+    void eachTenantHasItsOwnQuota() throws Exception {
+        TestServer worker =
+                worker((task, connection) -> connection.respondStatus(503, "X-Turned-Away: 1\r\n"));
         String tenants = "\"ExcessEarnings\":0,\"Tenants\":[{\"Name\":\"much\",\"QuotaPerS\":1},"
                 + "{\"Name\":\"little\",\"QuotaPerS\":1}],\"WeightSource\"";
         node = new DispatcherServer(
@@ -157,16 +158,17 @@
 
     @ParameterizedTest
     @ValueSource(strings = {"503", "504", "returned"})
-    void nonIdempotentTaskThatAWorkerRejectedIsRetriedOnTheNext(String how) throws Exception {
+    void nonIdempotentTaskThatAWorkerRejectedIsRetriedOnTheNext(String failure) throws Exception {
         List<String> sent = Collections.synchronizedList(new ArrayList<>());
-        ServerScript script = (task, line) -> {
+        ServerScript script = (task, connection) -> {
             sent.add(task.field("X-Txn"));
             if (sent.size() > 1) {
-                line.respondDone(task, "ok");
-            } else if (how.equals("returned")) {
-                line.respondWithProgress("{\"id\":\"t\",\"state\":\"returned\",\"load\":{\"x0\":0}}");
+                connection.respondDone(task, "ok");
+            } else if (failure.equals("returned")) {
+                connection.respondWithProgress("{\"id\":\"t\",\"state\":\"returned\",\"load\":{\"x0\":0}}");
             } else {
-                line.respondStatus(Integer.parseInt(how), "X-Turned-Away: 1\r\nX-Pressure: {\"x0\":0}\r\n");
+                connection.respondStatus(Integer.parseInt(failure),
+                        "X-Turned-Away: 1\r\nX-Pressure: {\"x0\":0}\r\n");
             }
         };
         startServer(worker(script).entry("s-1", IN_SERVICE), worker(script).entry("s-2", IN_SERVICE));
@@ -177,8 +179,8 @@
     @ParameterizedTest
     @ValueSource(strings = {"500", "503", "429", "404", "failed", "lost", "closes", "half", "no JSON",
             "another task", "no id", "ends early"})
-    void nonIdempotentTaskThatMayHaveRunIsNeitherRetriedNorRejected(String how) throws Exception {
-        ServerScript script = (task, line) -> failTask(how, line);
+    void nonIdempotentTaskThatMayHaveRunIsNeitherRetriedNorRejected(String failure) throws Exception {
+        ServerScript script = (task, connection) -> failTask(failure, connection);
         TestServer first = worker(script);
         TestServer second = worker(script);
         startServer(first.entry("s-1", IN_SERVICE), second.entry("s-2", IN_SERVICE));
@@ -186,26 +188,28 @@
         assertEquals(1, first.received.size() + second.received.size());
     }
 
-    private static void failTask(String how, TestConnection line) throws IOException {
-        switch (how) {
-            case "500", "503", "429", "404" -> line.respondStatus(Integer.parseInt(how), "");
-            case "failed", "lost" -> line.respondWithProgress("{\"id\":\"t\",\"state\":\"" + how + "\"}");
-            case "closes" -> line.close();
+    private static void failTask(String failure, TestConnection connection) throws IOException {
+        switch (failure) {
+            case "500", "503", "429", "404" -> connection.respondStatus(Integer.parseInt(failure), "");
+            case "failed", "lost" ->
+                connection.respondWithProgress("{\"id\":\"t\",\"state\":\"" + failure + "\"}");
+            case "closes" -> connection.close();
             case "half" -> {
-                line.write("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n20\r\n{\"id\":\"t\",\"sta");
-                line.close();
+                connection.write(
+                        "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n20\r\n{\"id\":\"t\",\"sta");
+                connection.close();
             }
-            case "no JSON" -> line.respondWithProgress("{\"id\":\"t\",\"state\"");
+            case "no JSON" -> connection.respondWithProgress("{\"id\":\"t\",\"state\"");
             case "another task" ->
-                line.respondWithProgress("{\"id\":\"u\",\"state\":\"done\",\"result\":\"not yours\"}");
-            case "no id" -> line.respondWithProgress("{\"state\":\"done\",\"result\":\"whose\"}");
-            default -> line.respondWithProgress("{\"id\":\"t\",\"state\":\"started\"}",
+                connection.respondWithProgress("{\"id\":\"u\",\"state\":\"done\",\"result\":\"not yours\"}");
+            case "no id" -> connection.respondWithProgress("{\"state\":\"done\",\"result\":\"whose\"}");
+            default -> connection.respondWithProgress("{\"id\":\"t\",\"state\":\"started\"}",
                     "{\"id\":\"t\",\"state\":\"what\",\"odd\":[1]}");
         }
     }
 
     @Test
-    void taskIsRetriedOnTheNextWorkerWhereNobodyListens() throws Exception {
+    void taskIsRetriedOnTheNextWorkerIfTheConnectionIsRefused() throws Exception {
         TestServer closed = finishingWorker();
         closed.close();
         TestServer listening = finishingWorker();
@@ -216,9 +220,10 @@
     }
 
     @Test
-    void workerConnectionIsClosedWhenTheClientLeaves() throws Exception {
+    void workerConnectionIsClosedWhenTheClientDisconnects() throws Exception {
         TestServer worker = worker(
-                (task, line) -> line.write("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n"));
+                (task, connection) -> connection
+                        .write("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n"));
         startServer(worker.entry("s-1", IN_SERVICE));
         TestConnection client = client().sendTask("t", "look", "x");
         until("the task is sent", () -> worker.received.size() == 1);
@@ -229,7 +234,7 @@
 
     @Test
     void taskIsFailedBeforeItsDeadlineAndItsConnectionClosed() throws Exception {
-        TestServer worker = worker((task, line) -> {});
+        TestServer worker = worker((task, connection) -> {});
         node = new DispatcherServer(
                 parse(TestPeers.configuration(null, list(true, worker.entry("s-1", IN_SERVICE)), SMALL_LIMITS)
                         .replace("\"ExpiryMs\":600", "\"ExpiryMs\":3000")));
@@ -242,7 +247,7 @@
     }
 
     @Test
-    void idleConnectionIsClosedBeforeTheWorkerWould() throws Exception {
+    void idleWorkerConnectionIsClosedByTheDispatcher() throws Exception {
         TestServer worker = finishingWorker();
         startServer(worker.entry("s-1", IN_SERVICE));
         assertEquals(200, client().sendTask("t", "look", "x").read().status());
@@ -251,7 +256,7 @@
 
     @Test
     void taskThatIsInFlightOrAnsweredIsNotAdmittedAgain() throws Exception {
-        TestServer worker = worker((task, line) -> {});
+        TestServer worker = worker((task, connection) -> {});
         startServer(worker.entry("s-1", IN_SERVICE));
         client().sendTask("t", "sell", "x");
         until("the task is sent", () -> worker.received.size() == 1);
--- a/src/test/java/rampshift/serve/FloodTest.java
+++ b/src/test/java/rampshift/serve/FloodTest.java
@@ -76,9 +76,9 @@
         AtomicInteger reads = new AtomicInteger();
         SlowClient client = slowClient();
         int readsInOneTick = onThread(() -> {
-            client.connection().getSourceChannel().setConduit(
-                    new EndlessSource(client.connection().getSourceChannel().getConduit(), repeated, reads));
-            node.dispatcher.clientListener.serve(client.connection());
+            client.serverEnd().getSourceChannel().setConduit(
+                    new EndlessSource(client.serverEnd().getSourceChannel().getConduit(), repeated, reads));
+            node.dispatcher.clientListener.serve(client.serverEnd());
             return reads.get();
         });
         assertTrue(readsInOneTick <= MAX_READS_PER_TICK,
@@ -150,10 +150,10 @@
      * is printed; the assertion uses the I/O thread's CPU time, which does not depend on the machine's load.
      */
     @Test
-    void responsesAreDeliveredInTimeWhileOtherClientsSendMuchAndLeave() throws Exception {
-        TestServer worker = worker((task, line) -> {
+    void responsesAreDeliveredInTimeDuringAFlood() throws Exception {
+        TestServer worker = worker((task, connection) -> {
             readyTimes.put(task.field("X-Txn"), now());
-            line.respondDone(task, "ok");
+            connection.respondDone(task, "ok");
         });
         node = node(null, list(true, worker.entry("s-1", "in_service")), LIMITS);
         ioThreadId = onThread(() -> Thread.currentThread().getId());
@@ -187,11 +187,11 @@
     }
 
     /** Starts a client that repeatedly connects, sends a text and disconnects, until it is interrupted. */
-    private Thread startFlood(String sent, String wayToLeave) {
+    private Thread startFlood(String sent, String closeType) {
         Thread thread = new Thread(() -> {
             while (!Thread.currentThread().isInterrupted()) {
-                try (TestConnection line = new TestConnection(node)) {
-                    line.write(sent).disconnect(wayToLeave);
+                try (TestConnection connection = new TestConnection(node)) {
+                    connection.write(sent).disconnect(closeType);
                 } catch (IOException e) {
                     // The connection was closed; connects again.
                 }
--- a/src/test/java/rampshift/serve/GracefulShutdownTest.java
+++ b/src/test/java/rampshift/serve/GracefulShutdownTest.java
@@ -21,14 +21,14 @@
      * dispatcher.
      */
     @Test
-    void stopServesOpenConnectionsThenClosesThemAndLeavesNobodyWithoutAnAnswer() throws Exception {
+    void stopServesOpenConnectionsThenClosesThemAndAnswersAllTasks() throws Exception {
         CountDownLatch finish = new CountDownLatch(1);
-        TestServer worker = worker((task, line) -> {
+        TestServer worker = worker((task, connection) -> {
             if (task.field("X-Txn").equals("late")) {
-                line.write(CHUNKED_HEAD + "20\r\n{\"id\":\"late\",\"state\":\"started\"}\n\r\n");
+                connection.write(CHUNKED_HEAD + "20\r\n{\"id\":\"late\",\"state\":\"started\"}\n\r\n");
             } else {
                 finish.await();
-                line.respondDone(task, "ok");
+                connection.respondDone(task, "ok");
             }
         });
         startServer(worker.entry("s-1", "in_service"));
--- a/src/test/java/rampshift/serve/OverloadRejectionTest.java
+++ b/src/test/java/rampshift/serve/OverloadRejectionTest.java
@@ -32,18 +32,18 @@
      * A task without a traffic type. The decoder responds 400, so any other status shows that the task was
      * not decoded.
      */
-    private static final String TASK_OF_NO_TYPE =
+    private static final String TASK_WITHOUT_TYPE =
             "POST /api HTTP/1.1\r\nHost: a\r\nX-Txn: n\r\nX-Remaining: 5\r\nContent-Length: 1\r\n\r\nx";
 
     @Test
     void aTaskIsRejectedByItsHeadAndItsConnectionStaysOpen() throws Exception {
         startServer(finishingWorker());
-        SlowClient client = rejectedClient(TASK_OF_NO_TYPE);
+        SlowClient client = rejectedClient(TASK_WITHOUT_TYPE);
         assertEquals(1, count("bounced_full"));
         assertEquals(1, count("bounced"));
         assertEquals(0, count("turned_down"));
-        client.line().sendTask("next", IDEMPOTENT, "x");
-        HttpMessage next = client.line().read();
+        client.clientEnd().sendTask("next", IDEMPOTENT, "x");
+        HttpMessage next = client.clientEnd().read();
         assertEquals("ok", next.text(), "the overload has ended: " + next.startLine());
     }
 
@@ -52,26 +52,27 @@
         startServer(finishingWorker());
         SlowClient client = slowClient();
         serve(client);
-        assertEquals(200, client.line().sendTask("first", IDEMPOTENT, "x").read().status());
-        inOverload(() -> {
-            client.line().write(TASK_OF_NO_TYPE);
-            ConduitStreamSourceChannel source = client.connection().getSourceChannel();
+        assertEquals(200, client.clientEnd().sendTask("first", IDEMPOTENT, "x").read().status());
+        runDuringOverload(() -> {
+            client.clientEnd().write(TASK_WITHOUT_TYPE);
+            ConduitStreamSourceChannel source = client.serverEnd().getSourceChannel();
             ChannelListeners.invokeChannelListener(source, source.getReadListener());
         });
-        assertRejected(client.line().read());
-        assertEquals(200, client.line().sendTask("last", IDEMPOTENT, "x").read().status());
+        assertRejected(client.clientEnd().read());
+        assertEquals(200, client.clientEnd().sendTask("last", IDEMPOTENT, "x").read().status());
     }
 
     /** Pipelined tasks are each answered, in their order. */
     @Test
-    void tasksBehindARejectedOneAreAnswered() throws Exception {
+    void tasksPipelinedAfterARejectedOneAreAnswered() throws Exception {
         startServer(finishingWorker());
         SlowClient client = slowClient();
-        client.line().write(TASK_OF_NO_TYPE).sendTask("a", IDEMPOTENT, "x").sendTask("b", IDEMPOTENT, "x");
-        serveInOverload(client);
-        assertRejected(client.line().read());
-        assertEquals("ok", client.line().read().text());
-        assertEquals("ok", client.line().read().text());
+        client.clientEnd().write(TASK_WITHOUT_TYPE).sendTask("a", IDEMPOTENT, "x")
+                .sendTask("b", IDEMPOTENT, "x");
+        serveDuringOverload(client);
+        assertRejected(client.clientEnd().read());
+        assertEquals("ok", client.clientEnd().read().text());
+        assertEquals("ok", client.clientEnd().read().text());
     }
 
     /**
@@ -81,59 +82,59 @@
     @Test
     void aTransactionInFlightIsNotRejected() throws Exception {
         CountDownLatch release = new CountDownLatch(1);
-        TestServer worker = workerHeldBy(release, "sold");
+        TestServer worker = workerReleasedBy(release, "sold");
         startServer(worker);
         client().sendTask("t", NON_IDEMPOTENT, "x");
         awaitFirstTask(worker);
         SlowClient client = slowClient();
-        client.line().sendTask("t", NON_IDEMPOTENT, "x");
-        serveInOverload(client);
-        assertEquals(409, client.line().read().status());
+        client.clientEnd().sendTask("t", NON_IDEMPOTENT, "x");
+        serveDuringOverload(client);
+        assertEquals(409, client.clientEnd().read().status());
         release.countDown();
     }
 
     @Test
-    void pagesAreServedInAnOverload() throws Exception {
+    void pagesAreServedDuringOverload() throws Exception {
         startServer(finishingWorker());
         SlowClient client = slowClient();
-        client.line().write(READY_REQUEST);
-        serveInOverload(client);
-        assertEquals(200, client.line().read().status());
+        client.clientEnd().write(READY_REQUEST);
+        serveDuringOverload(client);
+        assertEquals(200, client.clientEnd().read().status());
     }
 
     /** Many clients send the default of HTTP/1.1 explicitly. */
     @Test
     void aTaskOfAClientThatAsksToKeepItsConnectionIsRejectedByItsHead() throws Exception {
         startServer(finishingWorker());
-        rejectedClient(TASK_OF_NO_TYPE.replace("Host: a", "Host: a\r\nConnection: Keep-Alive"));
+        rejectedClient(TASK_WITHOUT_TYPE.replace("Host: a", "Host: a\r\nConnection: Keep-Alive"));
     }
 
     /** A request with Connection: close is passed to the HTTP server, which closes the connection. */
     @Test
-    void aConnectionThatIsToCloseCloses() throws Exception {
+    void connectionCloseFieldIsRespectedDuringOverload() throws Exception {
         startServer(finishingWorker());
         SlowClient client = slowClient();
-        client.line().write(TASK_OF_NO_TYPE.replace("Host: a", "Host: a\r\nConnection: close")
+        client.clientEnd().write(TASK_WITHOUT_TYPE.replace("Host: a", "Host: a\r\nConnection: close")
                 .replace("X-Remaining", "X-Lane: look\r\nX-Remaining"));
-        serveInOverload(client);
-        assertEquals(503, client.line().read().status());
-        assertTrue(client.line().closedByPeer());
+        serveDuringOverload(client);
+        assertEquals(503, client.clientEnd().read().status());
+        assertTrue(client.clientEnd().closedByPeer());
     }
 
     @Test
-    void aRejectedClientThatLeavesIsForgotten() throws Exception {
+    void aRejectedClientIsRemovedAfterItsDisconnect() throws Exception {
         startServer(finishingWorker());
-        SlowClient client = rejectedClient(TASK_OF_NO_TYPE);
-        client.line().disconnect(FIN);
+        SlowClient client = rejectedClient(TASK_WITHOUT_TYPE);
+        client.clientEnd().disconnect(FIN);
         until("the connection is closed", () -> clientConnectionCount() == 0);
     }
 
     /** Returns a client whose first request was rejected for overload. */
     private SlowClient rejectedClient(String request) throws Exception {
         SlowClient client = slowClient();
-        client.line().write(request);
-        serveInOverload(client);
-        assertRejected(client.line().read());
+        client.clientEnd().write(request);
+        serveDuringOverload(client);
+        assertRejected(client.clientEnd().read());
         return client;
     }
 
@@ -143,12 +144,12 @@
         assertNull(response.field("Connection"));
     }
 
-    private void serveInOverload(SlowClient client) throws Exception {
-        inOverload(() -> node.dispatcher.clientListener.serve(client.connection()));
+    private void serveDuringOverload(SlowClient client) throws Exception {
+        runDuringOverload(() -> node.dispatcher.clientListener.serve(client.serverEnd()));
     }
 
     /** Runs a step on the I/O thread before it polls, with the admission window shut. */
-    private void inOverload(Step step) throws Exception {
+    private void runDuringOverload(Step step) throws Exception {
         AdmissionWindow window = node.dispatcher.admissionWindow;
         for (int i = 0; i < TOLERATED_WINDOWS; i++) {
             assertTrue(onThread(() -> isOpenForLong(window)), "a burst is not an overload");
--- a/src/test/java/rampshift/serve/PipelinedRequestTest.java
+++ b/src/test/java/rampshift/serve/PipelinedRequestTest.java
@@ -23,7 +23,7 @@
     private static final int LARGE_BODY_BYTES = 60_000;
     private static final int EXCESSIVE_REQUESTS = 20;
     /** A memory limit that one request of that size uses up. */
-    private static final String LITTLE_MEMORY = "{\"memory_mb\":1,\"sockets\":256}";
+    private static final String SMALL_MEMORY_LIMITS = "{\"memory_mb\":1,\"sockets\":256}";
     private static final String LARGE_REQUEST_UP_TO_ID =
             "POST /api HTTP/1.1\r\nHost: a\r\nX-Lane: look\r\nX-Remaining: 5\r\n"
                     + "Content-Length: 60000\r\nX-Txn: ";
@@ -36,9 +36,9 @@
     @Test
     void endlessPipeliningIsBoundedAndTheTaskInFlightIsAnswered() throws Exception {
         CountDownLatch release = new CountDownLatch(1);
-        TestServer worker = worker((task, line) -> {
+        TestServer worker = worker((task, connection) -> {
             release.await();
-            line.respondDone(task, task.field("X-Txn"));
+            connection.respondDone(task, task.field("X-Txn"));
         });
         startServer(worker);
         TestConnection client = client().sendTask("t", NON_IDEMPOTENT, "x");
@@ -64,8 +64,8 @@
     @Test
     void taskThatMayHaveRunIsNotRejectedForPipelinedInput() throws Exception {
         CountDownLatch release = new CountDownLatch(1);
-        TestServer worker = workerHeldBy(release, "sold");
-        node = node(null, list(true, worker.entry("s-1", IN_SERVICE)), LITTLE_MEMORY);
+        TestServer worker = workerReleasedBy(release, "sold");
+        node = node(null, list(true, worker.entry("s-1", IN_SERVICE)), SMALL_MEMORY_LIMITS);
         TestConnection otherClient = client().write(LARGE_REQUEST_UP_TO_ID + "a" + PART_OF_BODY);
         TestConnection client = client().sendTask("t", NON_IDEMPOTENT, "x");
         awaitFirstTask(worker);
@@ -83,9 +83,9 @@
      * which the client never receives it.
      */
     @Test
-    void pipelinedRequestGetsItsContinueWhenItsTurnComes() throws Exception {
+    void pipelinedRequestReceivesContinueAfterThePrecedingResponse() throws Exception {
         CountDownLatch release = new CountDownLatch(1);
-        TestServer worker = workerHeldBy(release, "ok");
+        TestServer worker = workerReleasedBy(release, "ok");
         startServer(worker);
         TestConnection client =
                 client().sendTask("a", IDEMPOTENT, "x").write(HEAD_THAT_EXPECTS_CONTINUE);
--- a/src/test/java/rampshift/serve/RequestDeadlineTest.java
+++ b/src/test/java/rampshift/serve/RequestDeadlineTest.java
@@ -21,16 +21,16 @@
             + "X-Lane: look\r\nX-Remaining: 0.3\r\nContent-Length: 1\r\n\r\nx";
     /** Maximum that remains of the 5 s of {@link TestConnection#sendTask} after the delay. */
     private static final double MAX_SECONDS_AFTER_DELAY = 4.65;
-    private static final long HELD_UP_MS = 180;
-    private static final int HELD_UP_ROUNDS = 12;
+    private static final long THREAD_PAUSE_MS = 180;
+    private static final int THREAD_PAUSE_ROUNDS = 12;
     /**
      * Shortest pause between rounds. Pauses differ, so that rounds begin at different times after a heartbeat
      * of the I/O thread.
      */
-    private static final long SHORTEST_PAUSE_MS = 200;
-    private static final long LONGER_PAUSE_MS = 8;
+    private static final long MIN_ROUND_INTERVAL_MS = 200;
+    private static final long ROUND_INTERVAL_INCREMENT_MS = 8;
     /** Maximum that remains of 5 s less the time of the thread's pause, with the tolerance of 0.15 s. */
-    private static final double MAX_SECONDS_AFTER_HELD_UP = 4.97;
+    private static final double MAX_SECONDS_AFTER_THREAD_PAUSE = 4.97;
     /** Minimum that remains of the same 5 s if the delay must not count. */
     private static final double MIN_SECONDS_WITHOUT_DELAY = 4.7;
 
@@ -38,7 +38,7 @@
     @Test
     void deadlineOfAPipelinedRequestCountsFromItsArrival() throws Exception {
         CountDownLatch release = new CountDownLatch(1);
-        TestServer worker = workerHeldBy(release, "ok");
+        TestServer worker = workerReleasedBy(release, "ok");
         startServer(worker);
         TestConnection client = client().sendTask("a", IDEMPOTENT, "x").sendTask("b", IDEMPOTENT, "x")
                 .write(SHORT_REQUEST);
@@ -49,9 +49,9 @@
         assertEquals(200, client.read().status());
         assertEquals(503, client.read().status());
         assertEquals(2, worker.received.size());
-        double told = secondsToldToWorker(worker, 1);
-        assertTrue(told < MAX_SECONDS_AFTER_DELAY,
-                "of 5 s, 0.4 s after the arrival, the worker receives " + told);
+        double remaining = remainingSecondsAtWorker(worker, 1);
+        assertTrue(remaining < MAX_SECONDS_AFTER_DELAY,
+                "of 5 s, 0.4 s after the arrival, the worker receives " + remaining);
     }
 
     /** Guards against counting the time from the connect to the first request against that request. */
@@ -63,8 +63,8 @@
         until("the connection is accepted", () -> clientConnectionCount() == 1);
         Thread.sleep(DELAY_MS);
         assertEquals(200, client.sendTask("t", IDEMPOTENT, "x").read().status());
-        double told = secondsToldToWorker(worker, 0);
-        assertTrue(told > MIN_SECONDS_WITHOUT_DELAY, "of 5 s the worker receives " + told);
+        double remaining = remainingSecondsAtWorker(worker, 0);
+        assertTrue(remaining > MIN_SECONDS_WITHOUT_DELAY, "of 5 s the worker receives " + remaining);
     }
 
     /**
@@ -73,25 +73,25 @@
      * ms of a pause were not detected; the operators allow 150 ms.
      */
     @Test
-    void deadlineOfARequestThatLayUnreadCountsFromItsArrival() throws Exception {
+    void deadlineOfAnUnreadRequestCountsFromItsArrival() throws Exception {
         TestServer worker = finishingWorker();
         startServer(worker);
         TestConnection client = client();
-        for (int i = 0; i < HELD_UP_ROUNDS; i++) {
+        for (int i = 0; i < THREAD_PAUSE_ROUNDS; i++) {
             String id = "t" + i;
             assertEquals(200, onThread(() -> {
                 client.sendTask(id, IDEMPOTENT, "x");
-                Thread.sleep(HELD_UP_MS);
+                Thread.sleep(THREAD_PAUSE_MS);
                 return client;
             }).read().status());
-            double told = secondsToldToWorker(worker, i);
-            assertTrue(told < MAX_SECONDS_AFTER_HELD_UP,
-                    "of 5 s less " + HELD_UP_MS + " ms the worker receives " + told);
-            Thread.sleep(SHORTEST_PAUSE_MS + i * LONGER_PAUSE_MS);
+            double remaining = remainingSecondsAtWorker(worker, i);
+            assertTrue(remaining < MAX_SECONDS_AFTER_THREAD_PAUSE,
+                    "of 5 s less " + THREAD_PAUSE_MS + " ms the worker receives " + remaining);
+            Thread.sleep(MIN_ROUND_INTERVAL_MS + i * ROUND_INTERVAL_INCREMENT_MS);
         }
     }
 
-    private static double secondsToldToWorker(TestServer worker, int index) {
+    private static double remainingSecondsAtWorker(TestServer worker, int index) {
         return Double.parseDouble(worker.received.get(index).field("X-Remaining"));
     }
 }
--- a/src/test/java/rampshift/serve/ResponseDeliveryTest.java
+++ b/src/test/java/rampshift/serve/ResponseDeliveryTest.java
@@ -38,11 +38,11 @@
     /** Far more than the buffers of a slow client's connection. */
     private static final int LARGE_RESPONSE_BYTES = 60_000;
     private static final String LARGE_TEXT = "r".repeat(LARGE_RESPONSE_BYTES);
-    private static final int CLIENTS_WITH_ROOM = 22;
+    private static final int MAX_CLIENT_CONNECTIONS = 22;
     /** Longer than the delay until sent bytes can be read. */
     private static final int ARRIVAL_MS = 20;
     /** Longer than the minimum time for which a closing connection stays open without further input. */
-    private static final int BEYOND_LINGER_MS = 40;
+    private static final int BEYOND_MIN_CLOSING_TIME_MS = 40;
     private static final String NO_SUCH_TEXT = "[no such text]";
     private static final int TAIL_CHARS = 20;
     private static final String TASK_ON_LAST_REQUEST =
@@ -53,13 +53,13 @@
                     + "X-Remaining: 5\r\nContent-Length: 3\r\nExpect: 100-continue\r\n\r\n";
 
     /** Writes a few bytes at a time, and none every other time, like a socket with a full send buffer. */
-    private static final class NarrowSink extends AbstractStreamSinkConduit<StreamSinkConduit> {
-        private final int width;
+    private static final class PartialWriteSink extends AbstractStreamSinkConduit<StreamSinkConduit> {
+        private final int maxBytes;
         private boolean full;
 
-        NarrowSink(StreamSinkConduit next, int width) {
+        PartialWriteSink(StreamSinkConduit next, int maxBytes) {
             super(next);
-            this.width = width;
+            this.maxBytes = maxBytes;
         }
 
         @Override
@@ -69,7 +69,7 @@
                 return 0;
             }
             int limit = from.limit();
-            from.limit(Math.min(limit, from.position() + width));
+            from.limit(Math.min(limit, from.position() + maxBytes));
             int count = next.write(from);
             from.limit(limit);
             return count;
@@ -107,14 +107,15 @@
     }
 
     /** Returns a client to which the dispatcher can write only a number of bytes at a time. */
-    private TestConnection narrowClient(int width) throws Exception {
+    private TestConnection partialWriteClient(int maxBytes) throws Exception {
         SlowClient client = slowClient();
         runOnThread(() -> {
-            client.connection().getSinkChannel()
-                    .setConduit(new NarrowSink(client.connection().getSinkChannel().getConduit(), width));
-            node.dispatcher.clientListener.serve(client.connection());
+            client.serverEnd().getSinkChannel()
+                    .setConduit(new PartialWriteSink(client.serverEnd().getSinkChannel().getConduit(),
+                            maxBytes));
+            node.dispatcher.clientListener.serve(client.serverEnd());
         });
-        return client.line();
+        return client.clientEnd();
     }
 
     /**
@@ -123,27 +124,27 @@
      */
     @ParameterizedTest
     @ValueSource(strings = {"", "POST /api HTTP/1.1\r\nHost: a\r\nX-Txn: next\r\n"})
-    void clientThatMakesRoomStillReadsItsCompleteAnswer(String sentMeanwhile) throws Exception {
+    void clientClosedForTheLimitReadsItsCompleteResponse(String sentMeanwhile) throws Exception {
         CountDownLatch release = new CountDownLatch(1);
-        TestServer worker = workerHeldBy(release, LARGE_TEXT);
+        TestServer worker = workerReleasedBy(release, LARGE_TEXT);
         node = node(null, listOf(worker), FEW_DESCRIPTORS);
         SlowClient client = slowClient();
         serve(client);
-        client.line().write(TASK_ON_LAST_REQUEST);
+        client.clientEnd().write(TASK_ON_LAST_REQUEST);
         awaitFirstTask(worker);
-        for (int i = 1; i < CLIENTS_WITH_ROOM; i++) {
+        for (int i = 1; i < MAX_CLIENT_CONNECTIONS; i++) {
             client();
         }
-        until("the connection limit is reached", () -> clientConnectionCount() == CLIENTS_WITH_ROOM);
+        until("the connection limit is reached", () -> clientConnectionCount() == MAX_CLIENT_CONNECTIONS);
         release.countDown();
         until("the response is written", () -> taskCount() == 0);
         SlowClient next = slowClient();
         runOnThread(() -> {
-            client.line().write(sentMeanwhile);      // not read before the next client connects
-            stand(BEYOND_LINGER_MS);
-            node.dispatcher.clientListener.serve(next.connection());
+            client.clientEnd().write(sentMeanwhile);      // not read before the next client connects
+            busyWait(BEYOND_MIN_CLOSING_TIME_MS);
+            node.dispatcher.clientListener.serve(next.serverEnd());
         });
-        assertEquals(LARGE_TEXT, client.line().read().text());
+        assertEquals(LARGE_TEXT, client.clientEnd().read().text());
     }
 
     /**
@@ -153,23 +154,23 @@
      */
     @ParameterizedTest
     @ValueSource(booleans = {true, false})
-    void requestThatCrossesTheCloseLeavesTheAnswerBeforeItComplete(boolean atShutdown) throws Exception {
+    void requestThatCrossesTheCloseDoesNotTruncateThePrecedingResponse(boolean atShutdown) throws Exception {
         node = node(null, list(true), LIMITS);
         SlowClient client = slowClient();
         StepAfterEmptyRead source =
-                new StepAfterEmptyRead(client.connection().getSourceChannel().getConduit());
+                new StepAfterEmptyRead(client.serverEnd().getSourceChannel().getConduit());
         runOnThread(() -> {
             node.dispatcher.clientListener.addPage("/long", () -> new StatusPage(200, LARGE_TEXT));
-            client.connection().getSourceChannel().setConduit(source);
-            node.dispatcher.clientListener.serve(client.connection());
+            client.serverEnd().getSourceChannel().setConduit(source);
+            node.dispatcher.clientListener.serve(client.serverEnd());
         });
-        client.line().write("GET /long HTTP/1.1\r\nHost: a\r\n\r\n");
-        assertEquals("H", client.line().readUntil("H"));     // the kernel has buffered the whole response
+        client.clientEnd().write("GET /long HTTP/1.1\r\nHost: a\r\n\r\n");
+        assertEquals("H", client.clientEnd().readUntil("H"));     // the kernel has the whole response
         CountDownLatch crossed = new CountDownLatch(1);
         runOnThread(() -> {
             source.step = () -> {
-                client.line().sendTask("t", IDEMPOTENT, "x");
-                stand(ARRIVAL_MS);
+                client.clientEnd().sendTask("t", IDEMPOTENT, "x");
+                busyWait(ARRIVAL_MS);
                 crossed.countDown();
             };
             if (atShutdown) {
@@ -177,7 +178,7 @@
             }
         });
         crossed.await();
-        String answer = client.line().readUntil(NO_SUCH_TEXT);
+        String answer = client.clientEnd().readUntil(NO_SUCH_TEXT);
         assertTrue(answer.endsWith("\r\n\r\n" + LARGE_TEXT + "[END]"),
                 answer.length() + " bytes, " + tail(answer));
         assertEquals(0, count("taken"), "input after the shutdown of the output is dropped");
@@ -193,9 +194,9 @@
      */
     @ParameterizedTest
     @ValueSource(ints = {1, 20})
-    void refusedClientReadsTheCompleteReason(int width) throws Exception {
+    void rejectedClientReadsTheCompleteReason(int maxBytes) throws Exception {
         node = node(null, list(true), LIMITS);
-        HttpMessage answer = narrowClient(width).write("no call at all\r\n\r\n").read();
+        HttpMessage answer = partialWriteClient(maxBytes).write("no call at all\r\n\r\n").read();
         assertEquals(400, answer.status());
         assertEquals("invalid method, or body longer than declared\n", answer.text());
     }
@@ -206,11 +207,12 @@
      */
     @ParameterizedTest
     @ValueSource(ints = {1, 20})
-    void clientThatExpectsContinueReadsAllOfItAndThenItsAnswer(int width) throws Exception {
+    void interimResponseIsCompleteBeforeTheFinalResponse(int maxBytes) throws Exception {
         TestServer worker = finishingWorker();
         startServer(worker);
         // The client sends the body at once: the request is complete before the interim response is written.
-        TestConnection client = narrowClient(width).write(HEAD_THAT_EXPECTS_CONTINUE.replace("ID", "b"))
+        TestConnection client = partialWriteClient(maxBytes)
+                .write(HEAD_THAT_EXPECTS_CONTINUE.replace("ID", "b"))
                 .write("abc");
         HttpMessage first = client.read();
         if (first.status() == 100) {    // sent only if the head was received without the body
@@ -228,10 +230,10 @@
 
     /** Guards against Nagle's algorithm, which delays small writes; a reset loses the delayed bytes. */
     @Test
-    void smallWritesAreSentAtOnceOnEverySocket() throws Exception {
+    void nagleAlgorithmIsDisabledOnEverySocket() throws Exception {
         TestServer worker = finishingWorker();
         TestServer agent = TestDiscovery.start(List.of(listOf(worker)));
-        open.add(agent);
+        closeables.add(agent);
         node = node(agent, listOf(worker), LIMITS);
         node.awaitReady();
         assertEquals(200, client().sendTask("t", IDEMPOTENT, "x").read().status());
@@ -248,8 +250,8 @@
         clients.keySet().forEach(socket -> sockets.add((StreamConnection) socket));
         assertEquals(1, sockets.size(), "of clients");
         for (Object endpoint : ((Map<?, ?>) field(node.dispatcher, "pool", "endpoints")).values()) {
-            for (Object kept : (Collection<?>) field(endpoint, "idleConnections")) {
-                sockets.add((StreamConnection) field(kept, "connection", "channel"));
+            for (Object idleConnection : (Collection<?>) field(endpoint, "idleConnections")) {
+                sockets.add((StreamConnection) field(idleConnection, "connection", "channel"));
             }
         }
         assertEquals(2, sockets.size(), "of clients and workers");
--- a/src/test/java/rampshift/serve/ServerEndpointListTest.java
+++ b/src/test/java/rampshift/serve/ServerEndpointListTest.java
@@ -40,13 +40,14 @@
     // ---- the first list
 
     @Test
-    void afterRestartNoTaskIsSentByTheKnownList() throws Exception {
+    void tasksWaitForTheFirstListAfterARestart() throws Exception {
         TestServer drained = finishingWorker();
         TestServer staying = finishingWorker();
-        TestServer slowAgent = worker((message, line) -> {
+        TestServer slowAgent = worker((message, connection) -> {
             Thread.sleep(message.startLine().contains("index=") ? 900 : 400);
-            respond(line, list(true, drained.entry("s-1", TERMINATING), staying.entry("s-2", IN_SERVICE))
-                    .replace("REV", "9"));
+            respond(connection,
+                    list(true, drained.entry("s-1", TERMINATING), staying.entry("s-2", IN_SERVICE))
+                            .replace("REV", "9"));
         });
         node = new DispatcherServer(configuration(slowAgent,
                 list(true, drained.entry("s-1", IN_SERVICE), staying.entry("s-2", IN_SERVICE))));
@@ -58,9 +59,9 @@
     }
 
     @Test
-    void knownListIsUsedWhereNoAgentAnswers() throws Exception {
+    void knownListIsUsedIfNoAgentResponds() throws Exception {
         TestServer worker = finishingWorker();
-        TestServer silentAgent = worker((message, line) -> {});
+        TestServer silentAgent = worker((message, connection) -> {});
         node = new DispatcherServer(configuration(silentAgent, list(true, worker.entry("s-1", IN_SERVICE))));
         TestConnection client = client();
         assertEquals(200, client.sendTask("t", "look", "x").read().status());
@@ -73,13 +74,13 @@
      */
     @ParameterizedTest
     @CsvSource({"start,400", "middle,1000", "reload,400"})
-    void agentThatWasSilentIsHeardWithinTheDrainGrace(String when, int graceMillis) throws Exception {
+    void drainIsObservedInTimeAfterTheAgentWasSilent(String when, int graceMillis) throws Exception {
         TestServer drained = finishingWorker();
         TestServer staying = finishingWorker();
         AtomicBoolean silent = new AtomicBoolean(!when.equals("middle"));
         AtomicInteger version = new AtomicInteger(1);
         TestServer agent = worker(agentWithDrain(drained, staying, silent, version));
-        TestServer otherAgent = worker((message, line) -> {});
+        TestServer otherAgent = worker((message, connection) -> {});
         String known = list(true, drained.entry("s-1", IN_SERVICE), staying.entry("s-2", IN_SERVICE));
         node = new DispatcherServer(
                 withDrainGrace(when.equals("reload") ? otherAgent : agent, known, graceMillis));
@@ -112,7 +113,7 @@
      */
     private static ServerScript agentWithDrain(TestServer drained, TestServer staying, AtomicBoolean silent,
             AtomicInteger version) {
-        return (message, line) -> {
+        return (message, connection) -> {
             String request = message.startLine();
             boolean forChanges = request.contains("index=");
             int known = forChanges ? Integer.parseInt(request.replaceAll(".*index=(\\d+).*", "$1")) : 0;
@@ -125,7 +126,7 @@
                 return;
             }
             String state = version.get() == 1 ? IN_SERVICE : TERMINATING;
-            respond(line,
+            respond(connection,
                     list(true, drained.entry("s-1", state), staying.entry("s-2", IN_SERVICE)).replace("REV",
                             version.toString()));
         };
@@ -152,7 +153,7 @@
         List<String> versions = Collections.synchronizedList(new ArrayList<>());
         versions.add(list(true, old.entry("s-1", IN_SERVICE)));
         TestServer agent = TestDiscovery.start(versions);
-        open.add(agent);
+        closeables.add(agent);
         node = node(agent, list(true), SMALL_LIMITS);
         until("ready", () -> readyStatus(client()) == 200);
         assertEquals(200, client().sendTask("a", "look", "x").read().status());
@@ -176,23 +177,23 @@
      * report no changes.
      */
     @Test
-    void reloadSwitchesTheWatchAndNoTaskNotices() throws Exception {
+    void reloadSwitchesTheWatchWithoutInterruptingTasks() throws Exception {
         CountDownLatch finish = new CountDownLatch(1);
-        TestServer first = worker((task, line) -> {
+        TestServer first = worker((task, connection) -> {
             finish.await();
-            line.respondDone(task, "ok");
+            connection.respondDone(task, "ok");
         });
         TestServer second = finishingWorker();
         String oldList = list(true, first.entry("s-1", IN_SERVICE)).replace("REV", "5");
         List<String> versions = Collections
                 .synchronizedList(new ArrayList<>(List.of(list(true, first.entry("s-1", IN_SERVICE)))));
-        TestServer oldAgent = worker((message, line) -> {
+        TestServer oldAgent = worker((message, connection) -> {
             if (!message.startLine().contains("index=")) {
-                respond(line, oldList);
+                respond(connection, oldList);
             }
         });
         TestServer newAgent = TestDiscovery.start(versions);
-        open.add(newAgent);
+        closeables.add(newAgent);
         node = node(oldAgent, list(true), SMALL_LIMITS);
         until("the list is received", () -> readyStatus(client()) == 200);
         TestConnection waiting = client().sendTask("a", "sell", "x");
@@ -225,9 +226,9 @@
         String indented = listOf(worker).replace("REV", "3")
                 .replace("{", "{\r\n  ").replace(",", " ,\n\t").replace(":", " : ")
                 .replace("127.0.0.1 : ", "127.0.0.1:").replace("]", "\n]\n");
-        TestServer agent = worker((message, line) -> {
+        TestServer agent = worker((message, connection) -> {
             if (!message.startLine().contains("index=")) {
-                respond(line, indented);
+                respond(connection, indented);
             }
         });
         node = new DispatcherServer(parse(TestPeers.configuration(agent, list(true), LIMITS)));
@@ -241,15 +242,15 @@
      * ones.
      */
     @Test
-    void listReadWhileAnOlderOneIsAppliedWins() throws Exception {
+    void listReadWhileAnOlderOneIsAppliedTakesPrecedence() throws Exception {
         TestServer worker = finishingWorker();
         CountDownLatch respond = new CountDownLatch(1);
-        TestServer agent = worker((message, line) -> {
+        TestServer agent = worker((message, connection) -> {
             respond.await();
             boolean isFirst = !message.startLine().contains("index=");
             if (isFirst || message.startLine().contains("index=1")) {
                 String entry = worker.entry("s-1", isFirst ? IN_SERVICE : TERMINATING);
-                respond(line, list(true, entry).replace("REV", isFirst ? "1" : "2"));
+                respond(connection, list(true, entry).replace("REV", isFirst ? "1" : "2"));
             }
         });
         node = new DispatcherServer(parse(TestPeers.configuration(agent, listOf(worker), LIMITS)
@@ -257,7 +258,7 @@
         TestConnection client = client().sendTask("t", "sell", "x");
         until("the task is accepted", () -> count("taken") == 1);
         replaceFirstByteCheck(check -> {
-            stand(ARRIVAL_MS);
+            busyWait(ARRIVAL_MS);
             check.run();
         });
         respond.countDown();
@@ -269,7 +270,7 @@
     }
 
     @Test
-    void agentThatSendsNonsenseIsPolledAgainAndTheListStays() throws Exception {
+    void agentWithInvalidListsIsPolledAgainAndTheListStays() throws Exception {
         TestServer known = finishingWorker();
         TestServer later = finishingWorker();
         String badAddress = known.entry("s-1", IN_SERVICE).replace("127.0.0.1", "nowhere");
@@ -277,10 +278,10 @@
                 list(true, "7", "{}", known.entry("s-1", IN_SERVICE)),
                 list(true, later.entry("s-2", IN_SERVICE), later.entry("s-3", "what"), badAddress));
         AtomicInteger polls = new AtomicInteger();
-        TestServer agent = worker((message, line) -> {
+        TestServer agent = worker((message, connection) -> {
             int number = polls.getAndIncrement();
             if (number < responses.size()) {
-                respond(line, responses.get(number).replace("REV", "1"));
+                respond(connection, responses.get(number).replace("REV", "1"));
             }
         });
         node = node(agent, list(true, known.entry("s-1", IN_SERVICE)), SMALL_LIMITS);
@@ -296,7 +297,7 @@
      * other zone has capacity.
      */
     @Test
-    void typeBoundToAZoneIsSentOnlyThereAlsoWhenItsOnlyWorkerIsListedElsewhere() throws Exception {
+    void typeRestrictedToAZoneIsNotSentElsewhereWhenItsOnlyWorkerMoves() throws Exception {
         // Workers don't report starts: run times of a tenth of a millisecond would count as half a tick, each
         // worker would seem five times too slow, and a type without completed tasks would be rejected.
         TestServer here = resultWorker("here");
@@ -305,7 +306,7 @@
                 there.entry("s-2", IN_SERVICE).replace("\"az\":\"a\"", "\"az\":\"b\""));
         List<String> versions = Collections.synchronizedList(new ArrayList<>(List.of(first)));
         TestServer agent = TestDiscovery.start(versions);
-        open.add(agent);
+        closeables.add(agent);
         node = new DispatcherServer(
                 parse(TestPeers.configuration(agent, first, LIMITS)
                         .replace("\"Zones\":[\"a\"]", "\"Zones\":[\"a\",\"b\"]")
@@ -329,7 +330,7 @@
     }
 
     private TestServer resultWorker(String result) throws IOException {
-        return worker((task, line) -> line.respondWithProgress("{\"id\":\"" + task.field("X-Txn")
+        return worker((task, connection) -> connection.respondWithProgress("{\"id\":\"" + task.field("X-Txn")
                 + "\",\"state\":\"done\",\"result\":\"" + result + "\"}"));
     }
 }
--- a/src/test/java/rampshift/serve/ServerInputTest.java
+++ b/src/test/java/rampshift/serve/ServerInputTest.java
@@ -48,7 +48,8 @@
             "413 | Content-Length: 9999999   | X-Lane: look | X-Remaining: 5",
             "400 | Content-Length: many      | X-Lane: look | X-Remaining: 5",
             "501 | Transfer-Encoding: chunks | X-Lane: look | X-Remaining: 5",})
-    void wrongFieldsAreRefusedAndTheNextTaskIsAnswered(int status, String first, String second, String third)
+    void invalidFieldsAreRejectedAndTheNextTaskIsAnswered(int status, String first, String second,
+            String third)
             throws Exception {
         TestServer worker = finishingWorker();
         startServer(worker.entry("s-1", IN_SERVICE));
@@ -67,7 +68,7 @@
     @ParameterizedTest
     @ValueSource(strings = {"\u0000\u0001\u0002 nonsense\r\n\r\n", "GET\r\n\r\n",
             "POST /api HTTP/1.1\r\nno colon\r\n\r\n", "POST /a"})
-    void inputThatIsNoHttpDoesNoHarm(String bytes) throws Exception {
+    void nonHttpInputDoesNotAffectOtherClients(String bytes) throws Exception {
         TestServer worker = finishingWorker();
         startServer(worker.entry("s-1", IN_SERVICE));
         client().write(bytes);
@@ -105,7 +106,7 @@
      * late on an overloaded core.
      */
     @Test
-    void clientWhoseTaskLiesUnreadWhileTheThreadIsLateIsAnswered() throws Exception {
+    void taskThatIsUnreadWhileTheThreadIsLateIsAnswered() throws Exception {
         TestServer worker = finishingWorker();
         startServer(worker.entry("s-1", IN_SERVICE));
         TestConnection client = client();
@@ -126,8 +127,8 @@
     }
 
     @Test
-    void bytesBehindARequestInFlightEndIt() throws Exception {
-        TestServer worker = worker((task, line) -> {});
+    void invalidInputAfterARequestInFlightCancelsIt() throws Exception {
+        TestServer worker = worker((task, connection) -> {});
         startServer(worker.entry("s-1", IN_SERVICE));
         TestConnection client = client().sendTask("t", "sell", "x");
         until("the task is sent", () -> worker.received.size() == 1);
@@ -139,7 +140,7 @@
 
     /** Guards against regular clients that wait for seconds behind 300 silent ones. */
     @Test
-    void clientsThatSendNoTasksMakeRoomAtOnceAndAreClosedInTime() throws Exception {
+    void clientsWithoutTasksAreClosedFirstAndInTime() throws Exception {
         TestServer worker = finishingWorker();
         startServer(worker.entry("s-1", IN_SERVICE));
         TestConnection usual = client();
@@ -153,21 +154,21 @@
         assertTrue(millisSince(startedAt) < 1000, "the new client did not wait for the silent ones");
         assertEquals(200, usual.sendTask("c", "look", "x").read().status(),
                 "the connection of a client with tasks stays open");
-        for (TestConnection line : silent) {
-            assertTrue(line.closedByPeer());
+        for (TestConnection connection : silent) {
+            assertTrue(connection.closedByPeer());
         }
         assertTrue(millisSince(startedAt) < 3000, "within the time limit");
     }
 
     @ParameterizedTest
     @CsvSource({"192,104,1", "1,256,60000"})
-    void tasksBeyondTheLimitsAreRejectedAndNobodyIsLeftWithoutAnAnswer(int memoryMb, int sockets,
+    void tasksBeyondTheLimitsAreRejectedAndAllClientsAreAnswered(int memoryMb, int sockets,
             int bodyBytes)
             throws Exception {
         CountDownLatch finish = new CountDownLatch(1);
-        TestServer worker = worker((task, line) -> {
+        TestServer worker = worker((task, connection) -> {
             finish.await();
-            line.respondDone(task, "ok");
+            connection.respondDone(task, "ok");
         });
         node = node(null, list(true, worker.entry("s-1", IN_SERVICE)),
                 "{\"memory_mb\":" + memoryMb + ",\"sockets\":" + sockets + "}");
@@ -189,7 +190,7 @@
 
     /** Guards against incomplete bodies that fill the heap, as of 570 stalled clients. */
     @Test
-    void bodiesThatStallLeaveRoomForSmallTasks() throws Exception {
+    void stalledBodiesLeaveMemoryForSmallTasks() throws Exception {
         TestServer worker = finishingWorker();
         node = node(null, list(true, worker.entry("s-1", IN_SERVICE)), "{\"memory_mb\":1,\"sockets\":256}");
         String head = "POST /api HTTP/1.1\r\nHost: a\r\nX-Lane: sell\r\nX-Remaining: 5\r\n"
--- a/src/test/java/rampshift/serve/ServerShutdownTest.java
+++ b/src/test/java/rampshift/serve/ServerShutdownTest.java
@@ -30,7 +30,7 @@
 
     /** Guards against a SIGTERM that arrives during the start, before its handler is installed. */
     @Test
-    void stopDuringTheStartEndsInOrder() throws Exception {
+    void stopDuringTheStartIsGraceful() throws Exception {
         TestServer worker = finishingWorker();
         FutureTask<DispatcherServer> start = new FutureTask<>(() -> node(null, listOf(worker), LIMITS));
         Thread stop = MainAccess.shutdownHook(start);
@@ -47,8 +47,8 @@
 
     /** Both tasks are in flight at a worker; the client may retry the idempotent one. */
     @Test
-    void idempotentTaskIsRejectedAtTheEndAndNonIdempotentOneIsFailed() throws Exception {
-        TestServer worker = holdingWorker();
+    void idempotentTaskIsRejectedAtShutdownAndNonIdempotentOneIsFailed() throws Exception {
+        TestServer worker = neverFinishingWorker();
         node = new DispatcherServer(parse(TestPeers.configuration(null, listOf(worker), LIMITS)
                 .replaceAll("\"ExpiryMs\":\\d+", "\"ExpiryMs\":1500")));
         node.awaitReady();
@@ -65,7 +65,7 @@
      * later. The client must receive one complete response, and the message must not be counted.
      */
     @Test
-    void halfAProgressLineAtTheEndChangesNothing() throws Exception {
+    void partialProgressMessageAtShutdownIsIgnored() throws Exception {
         CountDownLatch sendStart = new CountDownLatch(1);
         CountDownLatch sendRest = new CountDownLatch(1);
         TestServer worker = workerThatFinishesInTwoParts(sendStart, sendRest);
@@ -74,7 +74,7 @@
         awaitFirstTask(worker);
         runOnThread(() -> {
             sendStart.countDown();
-            stand(ARRIVAL_MS);
+            busyWait(ARRIVAL_MS);
             node.dispatcher.stopAcceptingRequests();
             node.dispatcher.policyHost.endAllTasks();
             sendRest.countDown();
@@ -89,12 +89,12 @@
             throws Exception {
         String chunk = Integer.toHexString(FINISHED_MESSAGE.length()) + "\r\n" + FINISHED_MESSAGE
                 + "\r\n0\r\n\r\n";
-        return worker((task, line) -> {
-            line.write("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n");
+        return worker((task, connection) -> {
+            connection.write("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n");
             sendStart.await();
-            line.write(chunk.substring(0, BYTES_BEFORE_STOP));
+            connection.write(chunk.substring(0, BYTES_BEFORE_STOP));
             sendRest.await();
-            line.write(chunk.substring(BYTES_BEFORE_STOP));
+            connection.write(chunk.substring(BYTES_BEFORE_STOP));
         });
     }
 }
--- a/src/test/java/rampshift/serve/ServerTestBase.java
+++ b/src/test/java/rampshift/serve/ServerTestBase.java
@@ -30,14 +30,14 @@
 abstract class ServerTestBase {
     static final String SMALL_LIMITS = "{\"memory_mb\":192,\"sockets\":256}";
 
-    final List<Closeable> open = new ArrayList<>();
+    final List<Closeable> closeables = new ArrayList<>();
     DispatcherServer node;
     /** Accepted client connections that the test has not passed to the dispatcher yet. */
     private final LinkedBlockingQueue<StreamConnection> accepted = new LinkedBlockingQueue<>();
 
     @AfterEach
     void end() throws IOException {
-        for (Closeable closeable : open) {
+        for (Closeable closeable : closeables) {
             closeable.close();
         }
         if (node != null) {
@@ -56,23 +56,23 @@
 
     TestServer worker(ServerScript script) throws IOException {
         TestServer peer = new TestServer(script);
-        open.add(peer);
+        closeables.add(peer);
         return peer;
     }
 
     /** Returns a worker that finishes each task at once. */
     TestServer finishingWorker() throws IOException {
-        return worker((task, line) -> line.respondDone(task, "ok"));
+        return worker((task, connection) -> connection.respondDone(task, "ok"));
     }
 
-    static void respond(TestConnection line, String body) throws IOException {
-        line.write("HTTP/1.1 200 OK\r\nContent-Length: " + body.length() + "\r\n\r\n" + body);
+    static void respond(TestConnection connection, String body) throws IOException {
+        connection.write("HTTP/1.1 200 OK\r\nContent-Length: " + body.length() + "\r\n\r\n" + body);
     }
 
     TestConnection client() throws IOException {
-        TestConnection line = new TestConnection(node);
-        open.add(line);
-        return line;
+        TestConnection connection = new TestConnection(node);
+        closeables.add(connection);
+        return connection;
     }
 
     /** Returns the status of the readiness page. */
@@ -82,8 +82,8 @@
 
     /** Returns the value of a counter on the page of counters; -1 if it is absent. */
     long count(String name) throws IOException {
-        try (TestConnection line = new TestConnection(node)) {
-            String text = line.write("GET /counters HTTP/1.1\r\nHost: a\r\n\r\n").read().text();
+        try (TestConnection connection = new TestConnection(node)) {
+            String text = connection.write("GET /counters HTTP/1.1\r\nHost: a\r\n\r\n").read().text();
             String prefix = name + " ";
             return text.lines().filter(row -> row.startsWith(prefix))
                     .mapToLong(row -> Long.parseLong(row.substring(prefix.length()))).findFirst().orElse(-1);
@@ -98,14 +98,14 @@
     }
 
     /** Keeps the calling thread busy for a time. */
-    static void stand(int millis) {
+    static void busyWait(int millis) {
         for (long end = System.nanoTime() + millis * 1_000_000L; System.nanoTime() < end;) {
             Thread.onSpinWait();
         }
     }
 
     /** A client with a small receive buffer, and the dispatcher's end of its connection. */
-    record SlowClient(TestConnection line, StreamConnection connection) {}
+    record SlowClient(TestConnection clientEnd, StreamConnection serverEnd) {}
 
     SlowClient slowClient() throws Exception {
         ChannelListener<AcceptingChannel<StreamConnection>> listener = from -> {
@@ -116,15 +116,15 @@
             }
         };
         InetSocketAddress address = new InetSocketAddress(InetAddress.getLoopbackAddress(), 0);
-        AcceptingChannel<StreamConnection> door = onThread(() -> node.thread.getWorker()
+        AcceptingChannel<StreamConnection> acceptingChannel = onThread(() -> node.thread.getWorker()
                 .createStreamConnectionServer(address, listener, OptionMap.EMPTY));
-        open.add(door);
-        door.resumeAccepts();
+        closeables.add(acceptingChannel);
+        acceptingChannel.resumeAccepts();
         Socket socket = new Socket();
         socket.setReceiveBufferSize(2048);
-        socket.connect(door.getLocalAddress(InetSocketAddress.class));
-        TestConnection line = new TestConnection(socket);
-        open.add(line);
-        return new SlowClient(line, accepted.take());
+        socket.connect(acceptingChannel.getLocalAddress(InetSocketAddress.class));
+        TestConnection connection = new TestConnection(socket);
+        closeables.add(connection);
+        return new SlowClient(connection, accepted.take());
     }
 }
--- a/src/test/java/rampshift/serve/SettingsIsolationTest.java
+++ b/src/test/java/rampshift/serve/SettingsIsolationTest.java
@@ -19,7 +19,7 @@
      */
     @Test
     void settingsOfTwoServersInOneProcessDoNotMix() throws Exception {
-        ServerScript fails = (task, line) -> line.respondStatus(500, "");
+        ServerScript fails = (task, connection) -> connection.respondStatus(500, "");
         TestServer one = worker(fails);
         TestServer two = worker(fails);
         String known = list(true, one.entry("s-1", IN_SERVICE), two.entry("s-2", IN_SERVICE));
--- a/src/test/java/rampshift/serve/SlowDialTest.java
+++ b/src/test/java/rampshift/serve/SlowDialTest.java
@@ -39,7 +39,7 @@
             throws Exception {
         try (ServerSocket busy = new ServerSocket(0, 1, InetAddress.getByName("127.0.0.1"))) {
             for (int i = 0; i < 2; i++) {
-                open.add(new Socket(busy.getInetAddress(), busy.getLocalPort()));
+                closeables.add(new Socket(busy.getInetAddress(), busy.getLocalPort()));
             }
             startServer(busy.getLocalPort(), windowMillis, group);
             TestConnection client =
@@ -47,11 +47,11 @@
                             + "X-Remaining: 5.0\r\nIdempotency-Key: k\r\nContent-Length: 1\r\n\r\nx");
             until("the second worker is dialed", () -> count("dialed") == 2);
             for (int i = 0; i < 2; i++) {
-                open.add(busy.accept());
+                closeables.add(busy.accept());
             }
             busy.setSoTimeout(20_000);
             TestConnection second = new TestConnection(busy.accept());
-            open.add(second);
+            closeables.add(second);
             if (status == 200) {
                 HttpMessage task = second.read();
                 double left = Double.parseDouble(task.field("X-Remaining"));
@@ -74,14 +74,14 @@
         String second = SECOND.replace("PORT", String.valueOf(secondPort));
         List<String> versions = Collections.synchronizedList(new ArrayList<>());
         TestServer[] first = new TestServer[1];
-        first[0] = worker((task, line) -> {
+        first[0] = worker((task, connection) -> {
             versions.add(list(false, first[0].entry("s-1", "terminating"), second));
             until("the list is received", () -> count("lists_changes") == 1);
-            line.write("HTTP/1.1 500 x\r\nContent-Length: 0\r\n\r\n");
+            connection.write("HTTP/1.1 500 x\r\nContent-Length: 0\r\n\r\n");
         });
         versions.add(list(true, first[0].entry("s-1", "in_service")));
         TestServer agent = TestDiscovery.start(versions);
-        open.add(agent);
+        closeables.add(agent);
         String window = "\"" + group + "\",\"WindowMs\":" + windowMillis;
         node = new DispatcherServer(parse(TestPeers.configuration(agent, list(true), LIMITS)
                 .replace("\"DialTimeoutMs\":500", "\"DialTimeoutMs\":20000")
