--- a/src/test/java/rampshift/EventSimulation.java
+++ b/src/test/java/rampshift/EventSimulation.java
@@ -4,7 +4,10 @@
 import java.util.PriorityQueue;
 import java.util.function.BooleanSupplier;
 
-/** Simulated time for tests of many processes: runs events in order of time, then of scheduling. */
+/**
+ * Simulated time for tests of many processes. Runs events in the order of their time, and those of the same
+ * time in the order of scheduling.
+ */
 public class EventSimulation {
     private static final double MICROS_PER_SECOND = 1_000_000;
     private static final double TIMED_OUT = -1;
@@ -15,18 +18,18 @@
     private final PriorityQueue<Event> events = new PriorityQueue<>(
             Comparator.comparingLong(Event::time).thenComparingLong(Event::number));
     private long scheduled;
-    /** Microseconds since the start. */
+    /** Current time in microseconds since the start. */
     protected long now;
-    /** How many events have run. */
+    /** Number of events that have run. */
     public long played;
 
-    /** Runs the action at that time, in microseconds since the start. */
+    /** Schedules an action at a time in microseconds since the start. */
     protected final void schedule(long time, Runnable action) {
         scheduled++;
         events.add(new Event(time, scheduled, action));
     }
 
-    /** Runs what is due within so many seconds. */
+    /** Advances the time by a number of seconds, and runs the events that are due. */
     public void advance(double seconds) {
         long end = now + Math.round(seconds * MICROS_PER_SECOND);
         while (!events.isEmpty() && events.peek().time <= end) {
@@ -41,7 +44,7 @@
     /**
      * Advances until the condition holds, which is tested after each step. All times are in seconds.
      *
-     * @return how long it took, or -1 where it does not hold within the limit
+     * @return the time until the condition holds, or -1 if it does not hold within the limit
      */
     public double advanceUntil(double limit, double step, BooleanSupplier condition) {
         long start = now;
--- a/src/test/java/rampshift/FileCompatibilityTest.java
+++ b/src/test/java/rampshift/FileCompatibilityTest.java
@@ -20,7 +20,7 @@
 import rampshift.testbed.plan.FleetPlan;
 import rampshift.testbed.plan.FleetPlanReader;
 
-/** Files that version 0f49a4a ships or writes, copied as they were, are still read and mean the same. */
+/** Tests that unchanged copies of files of version 0f49a4a are still read with the same meaning. */
 class FileCompatibilityTest {
     private static final Path FILES = Path.of("src/test/resources/rampshift/compatibility");
 
@@ -30,7 +30,7 @@
         assertEquals("valle", file.membership().fleet());
         assertEquals(new InetSocketAddress("127.0.0.1", 7946), file.membership().listen());
         assertEquals(List.of("127.0.0.1:7947"), file.membership().seeds());
-        assertNull(file.leases(), "its section is a comment");
+        assertNull(file.leases(), "the section is commented out");
         assertEquals(List.of(), file.periodicJobs());
     }
 
@@ -62,7 +62,7 @@
         assertArrayEquals("{\"rev\":1,".getBytes(StandardCharsets.UTF_8), Arrays.copyOf(known, 9));
     }
 
-    /** Dispatchers and workers as version 0f49a4a counts them. */
+    /** The numbers of dispatchers and workers are those of version 0f49a4a. */
     @ParameterizedTest
     @CsvSource(textBlock = """
             alike, 2, 8
--- a/src/test/java/rampshift/HttpMessage.java
+++ b/src/test/java/rampshift/HttpMessage.java
@@ -9,26 +9,26 @@
 import java.util.List;
 
 /**
- * One HTTP/1.1 message as it was received.
+ * One received HTTP/1.1 message.
  *
- * @param head its start line and header lines, without their ends
- * @param body the bytes that Content-Length counts; empty where there is no such header
+ * @param head the start line and the header lines, without line ends
+ * @param body the body by its Content-Length; empty if there is no such field
  */
 public record HttpMessage(List<String> head, byte[] body) {
     private static final int STATUS_START = 9;
     private static final int STATUS_END = 12;
 
-    /** The request line or the status line. */
+    /** Returns the request line or the status line. */
     public String startLine() {
         return head.get(0);
     }
 
-    /** The status code of a response. */
+    /** Returns the status code of a response. */
     public int status() {
         return Integer.parseInt(startLine().substring(STATUS_START, STATUS_END));
     }
 
-    /** The value of the first header of that name; null where there is none. */
+    /** Returns the value of the first header field of a name; null if there is none. */
     public String field(String name) {
         String prefix = name + ": ";
         for (String line : head) {
@@ -39,13 +39,13 @@
         return null;
     }
 
-    /** The body, a character a byte. */
+    /** Returns the body as text, one character per byte. */
     public String text() {
         return new String(body, StandardCharsets.ISO_8859_1);
     }
 
     /**
-     * Blocks until the next message is there as a whole; an {@link EOFException} where the stream ends
+     * Blocks until the next complete message is received; throws an {@link EOFException} if the stream ends
      * before.
      */
     static HttpMessage read(InputStream in) throws IOException {
@@ -56,7 +56,7 @@
         }
         byte[] body = in.readNBytes(Integer.parseInt(length));
         if (body.length < Integer.parseInt(length)) {
-            throw new EOFException();   // cut short, perhaps on purpose
+            throw new EOFException();   // truncated, perhaps intentionally
         }
         return new HttpMessage(head, body);
     }
--- a/src/test/java/rampshift/IoThreadExtension.java
+++ b/src/test/java/rampshift/IoThreadExtension.java
@@ -11,7 +11,7 @@
 import org.xnio.XnioIoThread;
 import org.xnio.XnioWorker;
 
-/** Runs each test with an XNIO I/O thread of its own. */
+/** Provides each test with its own XNIO I/O thread. */
 public final class IoThreadExtension implements BeforeEachCallback, AfterEachCallback {
     private XnioWorker worker;
 
@@ -26,12 +26,12 @@
         worker.shutdownNow();
     }
 
-    /** Returns the thread of the present test. */
+    /** Returns the thread of the current test. */
     public XnioIoThread thread() {
         return worker.getIoThread(0);
     }
 
-    /** Runs a step on the thread, and waits for what it returns. */
+    /** Runs a step on the thread, and returns its result. */
     public <T> T call(Callable<T> step) throws Exception {
         FutureTask<T> task = new FutureTask<>(step);
         thread().execute(task);
--- a/src/test/java/rampshift/KnownRedTest.java
+++ b/src/test/java/rampshift/KnownRedTest.java
@@ -15,9 +15,9 @@
 import org.junit.jupiter.api.Tag;
 import org.junit.jupiter.api.Test;
 
-/** The tests that the build passes over are those of KNOWN-RED.txt, and no others. */
+/** Tests that the build skips exactly the tests that are listed in KNOWN-RED.txt. */
 class KnownRedTest {
-    /** The test, the command that runs it, what was seen, and the issue. */
+    /** The test, the command that runs it, the observed failure, and the issue. */
     private static final Pattern ENTRY = Pattern.compile("([\\w.]+)#(\\w+): mvn [^;]+; .+; issue \\d+");
     private static final String KNOWN_RED = "known-red";
 
@@ -27,12 +27,12 @@
         List<String> lines = Files.exists(list) ? Files.readAllLines(list) : List.of();
         for (String line : lines) {
             Matcher entry = ENTRY.matcher(line);
-            assertTrue(entry.matches(), "test, command, what was seen, issue: " + line);
+            assertTrue(entry.matches(), "expected test, command, observed failure and issue: " + line);
             assertEquals(KNOWN_RED,
                     testMethod(entry.group(1), entry.group(2)).getAnnotation(Tag.class).value(),
                     line);
         }
-        assertEquals(lines.size(), countTags(), "each of them stands in KNOWN-RED.txt");
+        assertEquals(lines.size(), countTags(), "each tagged test is listed in KNOWN-RED.txt");
     }
 
     private static Method testMethod(String className, String name) throws ClassNotFoundException {
--- a/src/test/java/rampshift/MainTest.java
+++ b/src/test/java/rampshift/MainTest.java
@@ -20,7 +20,7 @@
     private final ByteArrayOutputStream out = new ByteArrayOutputStream();
     private final ByteArrayOutputStream err = new ByteArrayOutputStream();
 
-    /** By default SIGHUP ends a JVM; one in mid-start was left stopping. */
+    /** Guards against a SIGHUP that ends the JVM, which is its default, also during the start. */
     @Test
     void sighupReloadsTheConfigurationAndTheDispatcherKeepsRunning(@TempDir Path folder) throws Exception {
         try (TestServer one = TestDiscovery.start(List.of());
@@ -36,22 +36,23 @@
             builder.environment().put("NODE_CONFIG", file.toString());
             Process process = builder.start();
             try {
-                TestPeers.until("it watches", () -> one.received.size() > 0);
+                TestPeers.until("the agent is polled", () -> one.received.size() > 0);
                 TestPeers.until("warmed up", () -> Files.readString(log).contains(" INFO warmed-up "));
                 assertTrue(Files.readString(log).indexOf(" INFO ready ") < Files.readString(log)
-                        .indexOf(" INFO warmed-up "), "ready sooner");
+                        .indexOf(" INFO warmed-up "), "ready before the warm-up has ended");
                 assertTrue(Files.readString(log).contains(" INFO ready "));
                 Files.writeString(file, "{half");
                 signal("HUP", process);
-                TestPeers.until("a plain line", () -> Files.readString(log).contains(" WARN reload kept="));
+                TestPeers.until("the fault is logged",
+                        () -> Files.readString(log).contains(" WARN reload kept="));
                 Files.writeString(file, TestPeers.configuration(other, TestPeers.list(true), limits));
                 signal("HUP", process);
                 signal("HUP", process);
-                TestPeers.until("it watches elsewhere", () -> other.received.size() > 0);
+                TestPeers.until("the other agent is polled", () -> other.received.size() > 0);
                 signal("TERM", process);
                 signal("HUP", process);
-                assertEquals(143, process.waitFor(), "it ends by SIGTERM alone");
-                assertTrue(Files.readString(log).contains(" INFO stopped "), "and in good order");
+                assertEquals(143, process.waitFor(), "the exit status is that of SIGTERM");
+                assertTrue(Files.readString(log).contains(" INFO stopped "), "the shutdown was graceful");
                 assertFalse(Files.readString(log).contains("Exception"));
             } finally {
                 process.destroyForcibly();
@@ -60,8 +61,8 @@
     }
 
     /**
-     * Where no other program may be started, 93 of 93 dispatchers that were granted 160 MB had the heap of
-     * 192, and nothing said so.
+     * Guards against a start script that silently uses the heap size for 192 MB with a limit of 160 MB, if no
+     * other program can be started (93 of 93 dispatchers).
      */
     @ParameterizedTest
     @CsvSource({
--- a/src/test/java/rampshift/TestConnection.java
+++ b/src/test/java/rampshift/TestConnection.java
@@ -7,25 +7,23 @@
 import java.nio.charset.StandardCharsets;
 import rampshift.serve.DispatcherServer;
 
-/**
- * One end of a connection: a client's to a dispatcher, or an emulated server's to whoever connected to it.
- */
+/** One end of a connection: that of a client of a dispatcher, or that of an emulated server. */
 public final class TestConnection implements Closeable {
     private final Socket socket;
 
-    /** Of a socket that is connected. */
+    /** Creates the end of a connected socket. */
     public TestConnection(Socket socket) throws IOException {
         this.socket = socket;
         socket.setSoTimeout(TestPeers.TIMEOUT_MS);
         socket.setTcpNoDelay(true);
     }
 
-    /** Connects to a dispatcher, as a client does. */
+    /** Connects to a dispatcher as a client. */
     public TestConnection(DispatcherServer server) throws IOException {
         this(new Socket(server.address().getAddress(), server.address().getPort()));
     }
 
-    /** Sends a text, a byte a character. */
+    /** Sends a text, one byte per character. */
     public TestConnection write(String text) throws IOException {
         socket.getOutputStream().write(text.getBytes(StandardCharsets.ISO_8859_1));
         return this;
@@ -37,8 +35,8 @@
     }
 
     /**
-     * Reads up to a text, that one included. Where it does not come, what did come is followed by "[END]"
-     * (the peer closed the connection), "[SILENCE]" (timeout) or "[RESET]".
+     * Reads up to and including a text. If it is not received, the received text is followed by "[END]" (the
+     * peer closed the connection), "[SILENCE]" (timeout) or "[RESET]".
      */
     public String readUntil(String text) throws IOException {
         StringBuilder received = new StringBuilder();
@@ -58,13 +56,13 @@
         return received.toString();
     }
 
-    /** How long reads wait from now on. */
+    /** Sets the timeout of further reads. */
     public TestConnection readTimeout(int millis) throws IOException {
         socket.setSoTimeout(millis);
         return this;
     }
 
-    /** Whether the peer closes the connection before the timeout; what it still sends is skipped. */
+    /** Returns whether the peer closes the connection before the timeout; its input is skipped. */
     public boolean closedByPeer() {
         try {
             return socket.getInputStream().skip(Long.MAX_VALUE) >= 0 && socket.getInputStream().read() < 0;
@@ -75,24 +73,24 @@
         }
     }
 
-    /** The port of this end. */
+    /** Returns the local port. */
     public int port() {
         return socket.getLocalPort();
     }
 
-    /** Sends a task of the traffic type of that name. */
+    /** Sends a task of a traffic type. */
     public TestConnection sendTask(String id, String type, String body) throws IOException {
         return write("POST /api HTTP/1.1\r\nHost: a\r\nX-Txn: " + id + "\r\nX-Lane: " + type
                 + "\r\nX-Remaining: 5.0\r\nContent-Length: " + body.length() + "\r\n\r\n" + body);
     }
 
-    /** Closes the connection, by RST in place of FIN where "rst" is given. */
+    /** Closes the connection by RST if the type is "rst", else by FIN. */
     public void disconnect(String closeType) throws IOException {
         socket.setSoLinger(closeType.equals("rst"), 0);
         socket.close();
     }
 
-    /** Sends a worker's response: progress messages of a task, one a chunk. */
+    /** Sends a worker's response: progress messages of a task, one per chunk. */
     public void respondWithProgress(String... messages) throws IOException {
         StringBuilder text = new StringBuilder("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n");
         for (String message : messages) {
@@ -102,14 +100,14 @@
         write(text + "0\r\n\r\n");
     }
 
-    /** Sends a worker's response: the task has started and finished with that result. */
+    /** Sends a worker's response: the task has started and finished with a result. */
     public void respondDone(HttpMessage task, String result) throws IOException {
         String id = "{\"id\":\"" + task.field("X-Txn") + "\",";
         respondWithProgress(id + "\"state\":\"started\"}",
                 id + "\"state\":\"done\",\"result\":\"" + result + "\"}");
     }
 
-    /** Sends a response without a body; the header lines each have their end. */
+    /** Sends a response without a body; each header line includes its line end. */
     public void respondStatus(int status, String headerLines) throws IOException {
         write("HTTP/1.1 " + status + " x\r\n" + headerLines + "Content-Length: 0\r\n\r\n");
     }
--- a/src/test/java/rampshift/TestDiscovery.java
+++ b/src/test/java/rampshift/TestDiscovery.java
@@ -5,9 +5,7 @@
 import java.util.regex.Matcher;
 import java.util.regex.Pattern;
 
-/**
- * An emulated endpoint list service: answers polls with the next version of a list as soon as there is one.
- */
+/** An emulated discovery agent: responds to polls with the next version of a list as soon as there is one. */
 public final class TestDiscovery {
     private static final Pattern INDEX = Pattern.compile("index=(\\d+)&");
     private static final Pattern WAIT = Pattern.compile("wait=(\\d+)");
@@ -17,10 +15,10 @@
     private TestDiscovery() {}
 
     /**
-     * Starts it. A poll without an index gets the last version at once; a poll with one gets the version
-     * after it, or, after the time for which the poll waits, an empty change.
+     * Starts the agent. It responds to a poll without an index with the last version at once; to a poll with
+     * an index with the version after it, or, after the wait of the poll, with an empty change.
      *
-     * @param versions endpoint lists with REV in place of their version; it may grow while the service runs
+     * @param versions endpoint lists with REV in place of their version; may grow while the agent runs
      */
     public static TestServer start(List<String> versions) throws IOException {
         return new TestServer((message, connection) -> {
--- a/src/test/java/rampshift/TestPeers.java
+++ b/src/test/java/rampshift/TestPeers.java
@@ -5,13 +5,13 @@
 import rampshift.serve.DispatcherServer;
 import rampshift.settings.Configuration;
 
-/** Dispatchers and endpoint lists for tests with emulated workers, and waiting for what other threads do. */
+/** Dispatchers and endpoint lists for tests with emulated workers, and waiting for conditions. */
 public final class TestPeers {
-    /** Far beyond what anything in the tests takes. */
+    /** Timeout of waits in tests, far longer than any of them takes. */
     static final int TIMEOUT_MS = 20_000;
     private static final long NANOS_PER_MILLI = 1_000_000;
     private static final long POLL_MS = 2;
-    /** Where nothing listens. */
+    /** A port on which no process listens. */
     private static final int UNUSED_PORT = 1;
     private static final String SETTINGS = """
             "Zones":["a"],"Kinds":["m"],"Zone":0,"PeersTotal":1,"FamilyInfo":{"TellsStart":true,
@@ -28,7 +28,7 @@
 
     private TestPeers() {}
 
-    /** Waits until the condition holds; fails with its description after a long time. */
+    /** Waits until a condition holds; fails with its description after the timeout. */
     public static void until(String description, Callable<Boolean> condition) throws Exception {
         long deadlineNanos = System.nanoTime() + TIMEOUT_MS * NANOS_PER_MILLI;
         while (!condition.call()) {
@@ -39,7 +39,7 @@
         }
     }
 
-    /** An endpoint list as discovery sends it, with REV in place of its version. */
+    /** Returns an endpoint list in the format of the discovery agent, with REV in place of its version. */
     public static String list(boolean complete, String... entries) {
         return "{\"rev\":REV,\"all\":" + complete + ",\"targets\":[" + String.join(",", entries) + "]}";
     }
@@ -53,12 +53,12 @@
     }
 
     /**
-     * A configuration with the types look (idempotent), sell and flash (non-idempotent) and mark (with an
-     * idempotency key).
+     * Returns a configuration with the traffic types look (idempotent), sell and flash (non-idempotent) and
+     * mark (with an idempotency key).
      *
-     * @param discovery null for none
+     * @param discovery the discovery agent; null for none
      * @param known the endpoint list to start with
-     * @param limits the JSON object of that name
+     * @param limits the JSON object of the key limits
      */
     public static String configuration(TestServer discovery, String known, String limits) {
         int discoveryPort = discovery == null ? UNUSED_PORT : discovery.port();
--- a/src/test/java/rampshift/TestServer.java
+++ b/src/test/java/rampshift/TestServer.java
@@ -8,7 +8,7 @@
 import java.util.Collections;
 import java.util.List;
 
-/** An emulated worker, endpoint list service or dispatcher on loopback, with a thread for each connection. */
+/** An emulated worker, discovery agent or dispatcher on loopback, with a thread for each connection. */
 public final class TestServer implements Closeable {
     private static final int BACKLOG = 50;
 
@@ -16,12 +16,12 @@
     private final ServerScript script;
     /** All messages, in the order in which they were received. */
     public final List<HttpMessage> received = Collections.synchronizedList(new ArrayList<>());
-    /** Connections that have ended. */
+    /** The connections that have ended. */
     public final List<TestConnection> ended = Collections.synchronizedList(new ArrayList<>());
-    /** All connections that were accepted. */
+    /** All accepted connections. */
     public final List<TestConnection> connections = Collections.synchronizedList(new ArrayList<>());
 
-    /** Starts it on a free port. */
+    /** Starts the server on a free port. */
     public TestServer(ServerScript script) throws IOException {
         this(0, script);
     }
@@ -32,7 +32,7 @@
         startThread(this::accept);
     }
 
-    /** Starts it on a port that was named before it listened. */
+    /** Starts the server on a given port. */
     public static TestServer at(int port, ServerScript script) throws IOException {
         return new TestServer(port, script);
     }
@@ -74,12 +74,12 @@
         thread.start();
     }
 
-    /** The port on which it listens. */
+    /** Returns the port on which the server listens. */
     public int port() {
         return socket.getLocalPort();
     }
 
-    /** Its entry in an endpoint list, as a worker of zone a, kind m and cell 1. */
+    /** Returns the entry of the server in an endpoint list, as a worker of zone a, kind m and cell 1. */
     public String entry(String uid, String state) {
         return "{\"uid\":\"" + uid + "\",\"endpoint\":\"127.0.0.1:" + port()
                 + "\",\"az\":\"a\",\"model\":\"m\","
--- a/src/test/java/rampshift/clients/RequestReaderTest.java
+++ b/src/test/java/rampshift/clients/RequestReaderTest.java
@@ -12,13 +12,11 @@
 import org.junit.jupiter.params.provider.CsvSource;
 import org.junit.jupiter.params.provider.ValueSource;
 
-/** Which bytes are a complete request, and which are rejected. */
+/** Tests which bytes are a complete request and which are rejected. */
 class RequestReaderTest {
     private static final String CHUNKED = "POST /a HTTP/1.1\r\nTransfer-Encoding: chunked\r\n\r\n";
 
-    /**
-     * Expands the short forms that the cases below use for line ends, control characters and a common head.
-     */
+    /** Expands the placeholders of the test cases for line ends, control characters and a common head. */
     private static String expand(String template) {
         return template.replace("~", "\r\n").replace("^", "\u0000").replace("@", "\t")
                 .replace("CHUNKED", CHUNKED);
@@ -55,7 +53,8 @@
     }
 
     /**
-     * Most of these were once forwarded to workers as tasks without a body, or waited until the client left.
+     * Guards against forwarding invalid requests to workers as tasks without a body, and against waiting for
+     * the rest of them until the client disconnects.
      */
     @ParameterizedTest
     @CsvSource(delimiter = '|', quoteCharacter = '"', value = {
--- a/src/test/java/rampshift/clients/TickBudgetTest.java
+++ b/src/test/java/rampshift/clients/TickBudgetTest.java
@@ -12,9 +12,10 @@
 import rampshift.time.Span;
 
 /**
- * How many connections are opened between two polls. At 6,000 tasks a second, one and a half times what a
- * core carries, a poll came every 25 ms and 16 connections were opened at each: of 7,000 that clients had
- * opened many waited for over 5 s, and 2,769 of 36,004 requests were answered past their deadline.
+ * The number of connections that are opened between two polls. With a fixed number of 16, connections wait
+ * for too long during overload: at 6,000 tasks a second, one and a half times the capacity of a core, there
+ * is one poll every 25 ms, many of 7,000 connections wait for over 5 s, and 2,769 of 36,004 requests are
+ * answered after their deadline.
  */
 class TickBudgetTest {
     private static final int PER_POLL = 16;
@@ -36,9 +37,9 @@
         ioThread.call(() -> {
             Moment longAgo = clock.now().minus(LONG_WAIT);
             useUp();
-            assertTrue(budget.tryUse(longAgo), "beyond the number");
+            assertTrue(budget.tryUse(longAgo), "a connection that has waited may exceed the number");
             Thread.sleep(LONGER_THAN_OVERTIME_MS);
-            assertFalse(budget.tryUse(longAgo), "beyond the time");
+            assertFalse(budget.tryUse(longAgo), "not after the extra time");
             return null;
         });
     }
@@ -55,7 +56,7 @@
 
     private void useUp() {
         for (int i = 0; i < PER_POLL; i++) {
-            assertTrue(budget.tryUse(), "within the number");
+            assertTrue(budget.tryUse(), "the budget is not used up");
         }
     }
 }
--- a/src/test/java/rampshift/discovery/EndpointWatchFaultTest.java
+++ b/src/test/java/rampshift/discovery/EndpointWatchFaultTest.java
@@ -21,16 +21,16 @@
 import rampshift.TestConnection;
 import rampshift.TestServer;
 
-/** The watch on an agent that is slow, sends too much, misbehaves or is not there. */
+/** The watch of an agent that is slow, sends too much, sends invalid responses or is unreachable. */
 class EndpointWatchFaultTest extends EndpointWatchTestBase {
     private static final String CHUNKED = "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n";
     private static final String LAST_CHUNK = "0\r\n\r\n";
-    /** A change counts as overdue so long after the agent had it and could be reached. */
+    /** A change counts as overdue this long after the agent has it and is reachable. */
     private static final long OVERDUE_MILLIS = 6000;
 
     EndpointWatchFaultTest() throws IOException {}
 
-    /** A watch that stops with the list of a version; to be called on the I/O thread. */
+    /** Starts a watch that stops after the list of a version; called on the I/O thread. */
     private void startWatchUntil(long version, int port, int drainGraceMillis) {
         startWatch(port, drainGraceMillis, () -> {
             if (observed.contains(version)) {
@@ -39,7 +39,7 @@
         });
     }
 
-    /** A watch that stops with the first list. */
+    /** Starts a watch that stops after the first list. */
     private void watchOnce(TestServer agent, int drainGraceMillis) throws Exception {
         onThread(() -> startWatch(agent.port(), drainGraceMillis, () -> watch.stop()));
     }
@@ -63,8 +63,8 @@
     }
 
     /**
-     * The bound is met while bytes of the response are handed out: nothing more of it counts, and the next
-     * one does.
+     * The size limit is exceeded in the middle of a response: the rest of it is ignored, and the next
+     * response is read.
      */
     @Test
     void responseOverTheBoundIsDroppedAndTheNextOneIsRead() throws Exception {
@@ -80,15 +80,15 @@
     }
 
     /**
-     * One timeout spanned the whole response, so a list on a slow link was dropped and requested again,
-     * forever.
+     * Guards against one timeout for the whole response, with which a list on a slow link is dropped and
+     * requested again forever.
      */
     @Test
     void listThatComesInPiecesIsReadHoweverLongItTakes() throws Exception {
         AtomicInteger polls = new AtomicInteger();
         try (TestServer agent = new TestServer((message, line) -> {
             if (polls.getAndIncrement() == 0) {
-                // With a grace of 2 s a response may be 0.6 s late; all of this one takes 0.8 s.
+                // With a grace of 2 s the response slack is 0.6 s; this whole response takes 0.8 s.
                 writeInSingleBytes(line, version(7), 25);
             }
         })) {
@@ -100,7 +100,7 @@
     }
 
     /**
-     * Pieces without end are no list: the next response is waited for no longer than an update may be late.
+     * A response without end is dropped early enough for the next one to arrive before an update is overdue.
      */
     @Test
     void responseThatNeverEndsIsDropped() throws Exception {
@@ -118,18 +118,18 @@
         })) {
             long startedAt = System.nanoTime();
             watchOnce(agent, 2000);
-            until("the next one is observed", () -> !observed.isEmpty());
+            until("the next list is observed", () -> !observed.isEmpty());
             assertEquals(List.of(8L), observed);
             long millis = millisSince(startedAt);
             assertTrue(millis < OVERDUE_MILLIS, "the list came after " + millis + " ms");
         }
     }
 
-    /** A list over 1 MiB was refused, forever. */
+    /** Guards against rejecting every list over 1 MiB. */
     @Test
     void listOfThousandWorkersWithTheLongestEntriesIndentedIsRead() throws Exception {
         String body = longestList();
-        assertTrue(body.length() > 1 << 20, "it is over the former bound: " + body.length());
+        assertTrue(body.length() > 1 << 20, "the list is not over 1 MiB: " + body.length());
         try (TestServer agent = new TestServer((message, line) -> {
             if (!message.startLine().contains("index=")) {
                 respond(line, body);
@@ -158,7 +158,7 @@
         return body.append("\n        ]\n}\n").toString();
     }
 
-    /** What an agent does to a poll before it has the update. */
+    /** Responds to a poll with a fault, before the agent has the update. */
     private static void misbehave(String how, TestConnection line) throws Exception {
         String head = "HTTP/1.1 200 OK\r\nContent-Length: ";
         switch (how) {
@@ -182,9 +182,9 @@
     }
 
     /**
-     * A change counts as overdue 6 s after discovery had it and could be reached, whatever failed before.
-     * Here the agent misbehaves through four polls, has the update from then on, and the watch is switched
-     * to another address (as at SIGHUP) in the midst of the misbehavior, or not.
+     * A change counts as overdue 6 s after the agent has it and is reachable, whatever failed before. The
+     * agent fails four polls and then has the update. In the second run, the watch is switched to another
+     * address (as on SIGHUP) between the faults.
      */
     @ParameterizedTest
     @CsvSource({"silent", "503", "ended", "reset", "cut in the head", "cut in the body", "stuck in the body",
@@ -203,7 +203,7 @@
             };
             try (TestServer first = new TestServer(script); TestServer second = new TestServer(script)) {
                 onThread(() -> startWatchUntil(9, first.port(), 250));
-                until("it fails", () -> polls.get() >= 3);
+                until("the polls fail", () -> polls.get() >= 3);
                 long failingSince = System.nanoTime();
                 if (switches) {
                     onThread(() -> watch.switchTo(local(second.port())));
@@ -216,7 +216,7 @@
         }
     }
 
-    /** Nobody listens there, or connections hang: the outage ends between two attempts. */
+    /** Dials are refused or hang, and the outage ends between two attempts. */
     @ParameterizedTest
     @ValueSource(booleans = {false, true})
     void updateIsObservedInTimeAfterDialsHadFailed(boolean hangs) throws Exception {
@@ -228,7 +228,7 @@
         List<Socket> waiting = new ArrayList<>();
         ServerSocket full = hangs ? new ServerSocket(port, 1, loopback) : null;
         for (int i = 0; hangs && i < 2; i++) {
-            waiting.add(new Socket("127.0.0.1", port)); // its backlog is full: the next dial hangs
+            waiting.add(new Socket("127.0.0.1", port)); // fills the backlog, so that the next dial hangs
         }
         onThread(() -> startWatch(port, 250, () -> watch.stop()));
         until("two attempts have failed", () -> failures() >= 2);
@@ -243,7 +243,7 @@
             until("the update is observed", () -> observed.contains(9L));
             long millis = millisSince(outageEndedAt);
             assertTrue(millis < OVERDUE_MILLIS,
-                    "the outage was over, and the update came after " + millis + " ms");
+                    "the outage had ended, and the update came after " + millis + " ms");
         }
     }
 }
--- a/src/test/java/rampshift/discovery/EndpointWatchTest.java
+++ b/src/test/java/rampshift/discovery/EndpointWatchTest.java
@@ -14,7 +14,7 @@
 import rampshift.TestDiscovery;
 import rampshift.TestServer;
 
-/** The watch on a thread that has much else to do, or is told to continue elsewhere. */
+/** The watch on a busy thread, and the switch to another agent. */
 class EndpointWatchTest extends EndpointWatchTestBase {
     private final List<String> versions = Collections.synchronizedList(new ArrayList<>(List.of(list(true))));
     private final TestServer agent = TestDiscovery.start(versions);
@@ -39,18 +39,16 @@
         startWatch(4000, EndpointWatchTestBase::doNothing);
         awaitOpenPoll();
         onThread(() -> {
-            stall(450); // nothing was read for a tenth of the grace
+            stall(450); // longer than a tenth of the grace, the minimum interval of reads
             versions.add(list(false));
             stall(300);
             assertEquals(List.of(1L), observed);
             watch.readPending();
-            assertEquals(List.of(1L, 2L), observed, "and the thread has not left what it does");
+            assertEquals(List.of(1L, 2L), observed, "the update is read without leaving the current step");
         });
     }
 
-    /**
-     * Tasks that waited for a list are sent in one go, which took 84 ms; the next poll was sent after that.
-     */
+    /** Guards against polling only after the tasks that wait for the list are sent, which can take 84 ms. */
     @Test
     void nextPollIsSentBeforeTheListIsHandedOn() throws Exception {
         List<Long> meanwhile = Collections.synchronizedList(new ArrayList<>());
@@ -68,21 +66,21 @@
     }
 
     /**
-     * Its response was there in time: it is not polled again on a new connection because this thread was
-     * late.
+     * The response arrived in time, so the agent must not be polled again on a new connection because this
+     * thread was late.
      */
     @Test
     void unreadResponseIsNoTimeout() throws Exception {
         startWatch(2000, EndpointWatchTestBase::doNothing);
         awaitOpenPoll();
         onThread(() -> stall(1800));
-        until("it is watched on", () -> agent.received.size() > 2);
+        until("the agent is still polled", () -> agent.received.size() > 2);
         assertEquals(0, failures());
     }
 
     /**
-     * Reading what is pending and the timeout of the poll were due in one turn of the thread: the response
-     * was read, the next poll was sent, and then the timeout of the former one failed it.
+     * Reading pending input and the timeout of the poll are due in the same tick. Guards against a timeout of
+     * the former poll that fails the next one, which is sent when the response is read.
      */
     @Test
     void timeoutOfAnAnsweredPollDoesNotFailTheNextOne() throws Exception {
@@ -90,15 +88,15 @@
         awaitOpenPoll();
         onThread(() -> {
             thread.executeAfter(() -> watch.readPending(), 1, TimeUnit.MILLISECONDS);
-            stall(1800); // the response, that nothing changed, came after 800; the timeout was due after 1400
+            stall(1800); // the response arrives after 800 ms, the timeout is due after 1400 ms
         });
-        until("it is watched on", () -> agent.received.size() > 2);
+        until("the agent is still polled", () -> agent.received.size() > 2);
         assertEquals(0, failures());
     }
 
     /**
-     * SIGHUP twice before the first connection is up: what the first and the second dial bring is not used
-     * any more.
+     * SIGHUP arrives twice before the first connection is established: the connections of the first and the
+     * second dial are not used.
      */
     @Test
     void lastOfSeveralSwitchesIsTheOneWatched() throws Exception {
@@ -111,7 +109,7 @@
                 watch.switchTo(local(second.port()));
                 watch.switchTo(local(third.port()));
             });
-            until("the last one is watched", () -> third.received.size() > 1);
+            until("the last agent is watched", () -> third.received.size() > 1);
             onThread(EndpointWatchTestBase::doNothing);
             assertEquals(List.of(30L), observed);
             assertEquals(0, agent.received.size() + second.received.size());
--- a/src/test/java/rampshift/discovery/EndpointWatchTestBase.java
+++ b/src/test/java/rampshift/discovery/EndpointWatchTestBase.java
@@ -19,8 +19,8 @@
 import rampshift.time.Span;
 
 /**
- * What the tests of the watch share: an I/O thread, a watch on it, and the versions of the lists it has
- * observed.
+ * Base class of the tests of the watch: an I/O thread, a watch on it, and the versions of the lists that it
+ * has observed.
  */
 abstract class EndpointWatchTestBase {
     final XnioIoThread thread;
@@ -47,7 +47,7 @@
         task.get();
     }
 
-    /** Keeps the calling thread from all else. */
+    /** Blocks the calling thread. */
     static void stall(int millis) {
         try {
             Thread.sleep(millis);
@@ -56,7 +56,7 @@
         }
     }
 
-    /** The action of a test that only looks at what was observed. */
+    /** The action of a test that only checks the observed versions. */
     static void doNothing() {
         // nothing to do
     }
@@ -65,7 +65,7 @@
         return new InetSocketAddress("127.0.0.1", port);
     }
 
-    /** A watch that runs the action with each list; to be called on the I/O thread. */
+    /** Starts a watch that runs the action with each list; called on the I/O thread. */
     void startWatch(int port, int drainGraceMillis, Runnable onList) {
         EndpointWatch.Listener listener = new EndpointWatch.Listener() {
             @Override
@@ -76,7 +76,7 @@
 
             @Override
             public void onUnavailable() {
-                // looked at through the counters
+                // checked by the counters
             }
         };
         watch = new EndpointWatch(thread, new Dialer(thread), new Clock(), local(port),
--- a/src/test/java/rampshift/settings/ConfigurationTest.java
+++ b/src/test/java/rampshift/settings/ConfigurationTest.java
@@ -159,7 +159,7 @@
                 .startsWith("/no/such/file: cannot be read"));
     }
 
-    /** The file may be read on SIGHUP while somebody writes it. */
+    /** The file may be read on SIGHUP while it is being written. */
     @Test
     void readsOrRejectsAnyBytesWithAMessageOfOneLine() {
         byte[] valid = VALID.getBytes(StandardCharsets.UTF_8);
@@ -172,7 +172,7 @@
             } catch (ConfigurationException e) {
                 assertFalse(e.getMessage().contains("\n"), e.getMessage());
             } catch (IOException e) {
-                // No JSON: the message of one line is made where the file is named.
+                // Invalid JSON; the caller that knows the file creates the message of one line.
             }
         }
     }
--- a/src/test/java/rampshift/settings/SiteSettingsTest.java
+++ b/src/test/java/rampshift/settings/SiteSettingsTest.java
@@ -23,7 +23,10 @@
 import rampshift.policy.Settings;
 import rampshift.policy.TrafficType;
 
-/** The sites under deploy/sites: the program names none of them, and reads the settings of each as stated. */
+/**
+ * Tests that the program contains no names of the sites under deploy/sites, and reads the settings of each
+ * correctly.
+ */
 class SiteSettingsTest {
     private static final JsonMapper JSON = new JsonMapper();
 
@@ -34,7 +37,7 @@
                 sites.add(new TomlMapper().readTree(Files.readString(file)));
             }
         }
-        assertTrue(sites.size() >= 2, "two of them at least");
+        assertTrue(sites.size() >= 2, "at least two sites");
         return sites;
     }
 
@@ -64,11 +67,11 @@
             main.filter(Files::isRegularFile).forEach(files::add);
         }
         for (Path file : files) {
-            assertFalse(quoted.matcher(Files.readString(file)).find(), file + " names what is one site's");
+            assertFalse(quoted.matcher(Files.readString(file)).find(), file + " contains a site name");
         }
     }
 
-    /** Sites differ in what a row or a number means; each has to be read by its own. */
+    /** Sites differ in the meaning of rows and numbers, so each is read with its own settings. */
     @Test
     void readsTheSettingsOfEachSite() throws IOException {
         for (JsonNode site : sites()) {
@@ -86,7 +89,7 @@
         }
     }
 
-    /** The settings as the site's own file states them. */
+    /** Returns the settings of the site's file in the format of a configuration. */
     private static ObjectNode settingsOf(JsonNode site) {
         ObjectNode settings = JSON.createObjectNode();
         settings.set("Zones", site.path("net").path("zones"));
