--- a/src/test/java/rampshift/EventSimulation.java
+++ b/src/test/java/rampshift/EventSimulation.java
@@ -21,7 +21,7 @@
     /** Current time in microseconds since the start. */
     protected long now;
     /** Number of events that have run. */
-    public long played;
+    public long eventCount;
 
     /** Schedules an action at a time in microseconds since the start. */
     protected final void schedule(long time, Runnable action) {
@@ -36,7 +36,7 @@
             Event next = events.poll();
             now = next.time;
             next.action.run();
-            played++;
+            eventCount++;
         }
         now = end;
     }
--- a/src/test/java/rampshift/KnownRedTest.java
+++ b/src/test/java/rampshift/KnownRedTest.java
@@ -22,7 +22,7 @@
     private static final String KNOWN_RED = "known-red";
 
     @Test
-    void justTheListedTestsAreTagged() throws Exception {
+    void onlyTheListedTestsAreTagged() throws Exception {
         Path list = Path.of("KNOWN-RED.txt");
         List<String> lines = Files.exists(list) ? Files.readAllLines(list) : List.of();
         for (String line : lines) {
--- a/src/test/java/rampshift/MainTest.java
+++ b/src/test/java/rampshift/MainTest.java
@@ -72,7 +72,7 @@
             "'{\"old_memory_mb\":8,\"limits\":{\"x_memory_mb\":8,~\"memory_mb\":160}}',-Xmx72m,false",
             "'{\"limits\":{\"memory_mb\":1.6e2}}',-Xmx86m,true", "'{\"memory_mb\":160}',-Xmx86m,true",
             "'',-Xmx86m,true"})
-    void heapSizeFollowsTheConfiguredMemory(String config, String heap, boolean tells,
+    void heapSizeFollowsTheConfiguredMemory(String config, String heap, boolean expectsWarning,
             @TempDir Path folder) throws Exception {
         Path path = Files.createDirectory(folder.resolve("path"));
         Path java = path.resolve("java");
@@ -86,10 +86,11 @@
             builder.environment().put("PATH", path.toString());
             builder.environment().put("NODE_CONFIG", folder.resolve("config.json").toString());
             Process process = builder.start();
-            String told = new String(process.getInputStream().readAllBytes(), StandardCharsets.UTF_8);
-            assertTrue(told.contains(" " + heap + " ") && told.trim().endsWith(" serve"), told);
-            String warned = new String(process.getErrorStream().readAllBytes(), StandardCharsets.UTF_8);
-            assertEquals(tells, warned.contains("WARN memory: limits.memory_mb"), warned);
+            String commandLine = new String(process.getInputStream().readAllBytes(), StandardCharsets.UTF_8);
+            assertTrue(commandLine.contains(" " + heap + " ") && commandLine.trim().endsWith(" serve"),
+                    commandLine);
+            String errorOutput = new String(process.getErrorStream().readAllBytes(), StandardCharsets.UTF_8);
+            assertEquals(expectsWarning, errorOutput.contains("WARN memory: limits.memory_mb"), errorOutput);
         }
     }
 
--- a/src/test/java/rampshift/clients/RequestReaderTest.java
+++ b/src/test/java/rampshift/clients/RequestReaderTest.java
@@ -37,7 +37,7 @@
             "GET /ready HTTP/1.1~~", "~POST /a HTTP/1.0~Content-Length: 0~~", "CHUNKED0~~",
             "POST /a?b=%20 HTTP/1.1~Content-Length: 3~X-Odd: \u00e9@~~abc", "CHUNKED3;x=y~abc~00~Odd: 1~~",
             "CHUNKEDa ~0123456789~0~~"})
-    void validRequestIsCompleteAtItsLastByteHoweverItArrives(String template) throws Exception {
+    void validRequestIsCompleteAtItsLastByte(String template) throws Exception {
         String text = expand(template);
         RequestReader reader = new RequestReader();
         for (int i = 0; i < text.length(); i++) {
--- a/src/test/java/rampshift/clients/TickBudgetTest.java
+++ b/src/test/java/rampshift/clients/TickBudgetTest.java
@@ -19,7 +19,7 @@
  */
 class TickBudgetTest {
     private static final int PER_POLL = 16;
-    private static final long LONGER_THAN_OVERTIME_MS = 8;
+    private static final long LONGER_THAN_EXTRA_TIME_MS = 8;
     private static final Span LONG_WAIT = Span.ofMillis(1000);
 
     private final Clock clock = new Clock();
@@ -33,19 +33,19 @@
     }
 
     @Test
-    void connectionsThatHaveWaitedAreOpenedForSomeTimeMore() throws Exception {
+    void waitingConnectionsAreOpenedForSomeExtraTime() throws Exception {
         ioThread.call(() -> {
             Moment longAgo = clock.now().minus(LONG_WAIT);
             useUp();
             assertTrue(budget.tryUse(longAgo), "a connection that has waited may exceed the number");
-            Thread.sleep(LONGER_THAN_OVERTIME_MS);
+            Thread.sleep(LONGER_THAN_EXTRA_TIME_MS);
             assertFalse(budget.tryUse(longAgo), "not after the extra time");
             return null;
         });
     }
 
     @Test
-    void connectionsThatHaveJustComeWaitForThePoll() throws Exception {
+    void newConnectionsWaitForTheNextPoll() throws Exception {
         ioThread.call(() -> {
             Moment later = clock.now().plus(LONG_WAIT);
             useUp();
--- a/src/test/java/rampshift/discovery/EndpointWatchFaultTest.java
+++ b/src/test/java/rampshift/discovery/EndpointWatchFaultTest.java
@@ -52,14 +52,14 @@
         return TimeUnit.NANOSECONDS.toMillis(System.nanoTime() - nanos);
     }
 
-    private static void writeInSingleBytes(TestConnection line, String body, int pauseMillis)
+    private static void writeInSingleBytes(TestConnection connection, String body, int pauseMillis)
             throws Exception {
-        line.write(CHUNKED);
+        connection.write(CHUNKED);
         for (int i = 0; i < body.length(); i++) {
             Thread.sleep(pauseMillis);
-            line.write("1\r\n" + body.charAt(i) + "\r\n");
+            connection.write("1\r\n" + body.charAt(i) + "\r\n");
         }
-        line.write(LAST_CHUNK);
+        connection.write(LAST_CHUNK);
     }
 
     /**
@@ -67,10 +67,10 @@
      * response is read.
      */
     @Test
-    void responseOverTheBoundIsDroppedAndTheNextOneIsRead() throws Exception {
+    void responseOverTheSizeLimitIsDroppedAndTheNextOneIsRead() throws Exception {
         AtomicInteger polls = new AtomicInteger();
         try (TestServer agent = new TestServer(
-                (message, line) -> respond(line,
+                (message, connection) -> respond(connection,
                         polls.getAndIncrement() == 0 ? " ".repeat(3 << 20) : version(7)))) {
             watchOnce(agent, 2000);
             until("a list is observed", () -> !observed.isEmpty());
@@ -84,12 +84,12 @@
      * requested again forever.
      */
     @Test
-    void listThatComesInPiecesIsReadHoweverLongItTakes() throws Exception {
+    void listThatArrivesInPiecesOverALongTimeIsRead() throws Exception {
         AtomicInteger polls = new AtomicInteger();
-        try (TestServer agent = new TestServer((message, line) -> {
+        try (TestServer agent = new TestServer((message, connection) -> {
             if (polls.getAndIncrement() == 0) {
                 // With a grace of 2 s the response slack is 0.6 s; this whole response takes 0.8 s.
-                writeInSingleBytes(line, version(7), 25);
+                writeInSingleBytes(connection, version(7), 25);
             }
         })) {
             watchOnce(agent, 2000);
@@ -105,15 +105,15 @@
     @Test
     void responseThatNeverEndsIsDropped() throws Exception {
         AtomicInteger polls = new AtomicInteger();
-        try (TestServer agent = new TestServer((message, line) -> {
+        try (TestServer agent = new TestServer((message, connection) -> {
             if (polls.getAndIncrement() > 0) {
-                respond(line, version(8));
+                respond(connection, version(8));
                 return;
             }
-            line.write(CHUNKED);
+            connection.write(CHUNKED);
             while (true) {
                 Thread.sleep(10);
-                line.write("1\r\n \r\n");
+                connection.write("1\r\n \r\n");
             }
         })) {
             long startedAt = System.nanoTime();
@@ -130,9 +130,9 @@
     void listOfThousandWorkersWithTheLongestEntriesIndentedIsRead() throws Exception {
         String body = longestList();
         assertTrue(body.length() > 1 << 20, "the list is not over 1 MiB: " + body.length());
-        try (TestServer agent = new TestServer((message, line) -> {
+        try (TestServer agent = new TestServer((message, connection) -> {
             if (!message.startLine().contains("index=")) {
-                respond(line, body);
+                respond(connection, body);
             }
         })) {
             watchOnce(agent, 2000);
@@ -159,25 +159,26 @@
     }
 
     /** Responds to a poll with a fault, before the agent has the update. */
-    private static void misbehave(String how, TestConnection line) throws Exception {
+    private static void respondWithFault(String fault, TestConnection connection) throws Exception {
         String head = "HTTP/1.1 200 OK\r\nContent-Length: ";
-        switch (how) {
+        switch (fault) {
             case "silent" -> {
                 // the poll stays open
             }
-            case "503" -> line.respondStatus(503, "");
-            case "ended" -> line.close();
-            case "reset" -> line.disconnect("rst");
-            case "cut in the head" -> line.write("HTTP/1.1 200 O").close();
-            case "cut in the body" -> line.write(head + "500\r\n\r\n{\"rev\":5,\"all\":true,\"targ").close();
-            case "stuck in the body" -> line.write(head + "500\r\n\r\n{\"rev\":5,\"all\":true,\"targ");
-            case "no json" -> line.write(head + "3\r\n\r\n{]}");
-            case "no list" -> line.write(head + "2\r\n\r\n{}");
-            case "two lengths" -> line
+            case "503" -> connection.respondStatus(503, "");
+            case "ended" -> connection.close();
+            case "reset" -> connection.disconnect("rst");
+            case "cut in the head" -> connection.write("HTTP/1.1 200 O").close();
+            case "cut in the body" ->
+                connection.write(head + "500\r\n\r\n{\"rev\":5,\"all\":true,\"targ").close();
+            case "stuck in the body" -> connection.write(head + "500\r\n\r\n{\"rev\":5,\"all\":true,\"targ");
+            case "no json" -> connection.write(head + "3\r\n\r\n{]}");
+            case "no list" -> connection.write(head + "2\r\n\r\n{}");
+            case "two lengths" -> connection
                     .write("HTTP/1.1 200 OK\r\nContent-Length: 2\r\nContent-Length: 3\r\n\r\n{}");
-            case "no http" -> line.write("no such thing\r\n\r\n");
-            case "single bytes" -> writeInSingleBytes(line, list(false).replace("REV", "1"), 0);
-            default -> throw new IllegalArgumentException(how);
+            case "no http" -> connection.write("no such thing\r\n\r\n");
+            case "single bytes" -> writeInSingleBytes(connection, list(false).replace("REV", "1"), 0);
+            default -> throw new IllegalArgumentException(fault);
         }
     }
 
@@ -189,16 +190,16 @@
     @ParameterizedTest
     @CsvSource({"silent", "503", "ended", "reset", "cut in the head", "cut in the body", "stuck in the body",
             "no json", "no list", "two lengths", "no http", "single bytes"})
-    void updateIsObservedInTimeWhateverFailedBefore(String how) throws Exception {
+    void updateIsObservedInTimeAfterFaults(String fault) throws Exception {
         for (boolean switches : new boolean[]{false, true}) {
             observed.clear();
             AtomicInteger polls = new AtomicInteger();
-            ServerScript script = (message, line) -> {
+            ServerScript script = (message, connection) -> {
                 int number = polls.incrementAndGet();
                 if (number > 1 && number <= 5) {
-                    misbehave(how, line);
+                    respondWithFault(fault, connection);
                 } else {
-                    respond(line, version(number == 1 ? 1 : 9));
+                    respond(connection, version(number == 1 ? 1 : 9));
                 }
             };
             try (TestServer first = new TestServer(script); TestServer second = new TestServer(script)) {
@@ -219,7 +220,7 @@
     /** Dials are refused or hang, and the outage ends between two attempts. */
     @ParameterizedTest
     @ValueSource(booleans = {false, true})
-    void updateIsObservedInTimeAfterDialsHadFailed(boolean hangs) throws Exception {
+    void updateIsObservedInTimeAfterFailedDials(boolean hangs) throws Exception {
         InetAddress loopback = InetAddress.getByName("127.0.0.1");
         int port;
         try (ServerSocket free = new ServerSocket(0, 1, loopback)) {
@@ -239,7 +240,8 @@
         if (hangs) {
             full.close();
         }
-        try (TestServer back = TestServer.at(port, (message, line) -> respond(line, version(9)))) {
+        try (TestServer restarted = TestServer.at(port,
+                (message, connection) -> respond(connection, version(9)))) {
             until("the update is observed", () -> observed.contains(9L));
             long millis = millisSince(outageEndedAt);
             assertTrue(millis < OVERDUE_MILLIS,
--- a/src/test/java/rampshift/discovery/EndpointWatchTest.java
+++ b/src/test/java/rampshift/discovery/EndpointWatchTest.java
@@ -50,7 +50,7 @@
 
     /** Guards against polling only after the tasks that wait for the list are sent, which can take 84 ms. */
     @Test
-    void nextPollIsSentBeforeTheListIsHandedOn() throws Exception {
+    void nextPollIsSentBeforeTheListIsPassedToTheListener() throws Exception {
         List<Long> meanwhile = Collections.synchronizedList(new ArrayList<>());
         startWatch(2000, () -> {
             if (observed.size() == 1) {
@@ -70,7 +70,7 @@
      * thread was late.
      */
     @Test
-    void unreadResponseIsNoTimeout() throws Exception {
+    void unreadResponseDoesNotTimeOut() throws Exception {
         startWatch(2000, EndpointWatchTestBase::doNothing);
         awaitOpenPoll();
         onThread(() -> stall(1800));
@@ -99,7 +99,7 @@
      * second dial are not used.
      */
     @Test
-    void lastOfSeveralSwitchesIsTheOneWatched() throws Exception {
+    void lastOfSeveralSwitchesTakesEffect() throws Exception {
         try (TestServer second =
                 TestDiscovery.start(new ArrayList<>(List.of(list(true).replace("REV", "20"))));
                 TestServer third =
--- a/src/test/java/rampshift/discovery/EndpointWatchTestBase.java
+++ b/src/test/java/rampshift/discovery/EndpointWatchTestBase.java
@@ -88,7 +88,7 @@
         return counters.get(Counters.Name.WATCH_FAILURES);
     }
 
-    static void respond(TestConnection line, String body) throws IOException {
-        line.write("HTTP/1.1 200 OK\r\nContent-Length: " + body.length() + "\r\n\r\n" + body);
+    static void respond(TestConnection connection, String body) throws IOException {
+        connection.write("HTTP/1.1 200 OK\r\nContent-Length: " + body.length() + "\r\n\r\n" + body);
     }
 }
--- a/src/test/java/rampshift/leases/RandomFaultRun.java
+++ b/src/test/java/rampshift/leases/RandomFaultRun.java
@@ -105,7 +105,7 @@
     /** What was drawn and played, for whoever looks into a seed. */
     @Override
     public String toString() {
-        return dispatcherCount + " dispatchers, " + simulation.played + " events, " + simulation.takeovers
+        return dispatcherCount + " dispatchers, " + simulation.eventCount + " events, " + simulation.takeovers
                 + " takeovers, " + simulation.lossRate + " " + simulation.maxLatencyMillis + " "
                 + simulation.syncMillis;
     }
--- a/src/test/java/rampshift/settings/ConfigurationTest.java
+++ b/src/test/java/rampshift/settings/ConfigurationTest.java
@@ -125,7 +125,7 @@
     }
 
     @Test
-    void readsRetryBudgetDrainRuleAndTailGoalWhereStated() throws Exception {
+    void readsRetryBudgetDrainRuleAndTailGoal() throws Exception {
         String more = """
                 "Rules":{"ExtraFloor":2,"RepeatRatio":0.1,"RatioSpanMs":5000,"OnlyDrainingBinds":true},\
                 "Goal":{"Whole":0.6,"KeptPromises":0.2,"BorneMisses":0.02},""";
