--- a/src/main/java/rampshift/clients/ConnectionLimiter.java
+++ b/src/main/java/rampshift/clients/ConnectionLimiter.java
@@ -70,9 +70,9 @@
                 return oldest;
             }
             if (state == ConnectionState.IDLE && isFull()) {
-                // Closes it before its minimum time: in a burst of clients that disconnect after their
-                // response, each would otherwise occupy its connection for 30 ms and delay those in the
-                // backlog.
+                // A full table overrides the minimum time of closing connections: in a burst of clients that
+                // disconnect after their response, each would otherwise occupy a connection for 30 ms and
+                // delay those in the backlog.
                 ClientConnection closing = table.oldest(ConnectionState.CLOSING);
                 if (closing != null) {
                     return closing;
--- a/src/main/java/rampshift/clients/TickBudget.java
+++ b/src/main/java/rampshift/clients/TickBudget.java
@@ -60,10 +60,10 @@
     }
 
     /**
-     * Returns the same as {@link #tryUse()} for opening a connection that has waited since a moment; one that
-     * has waited for long may exceed the budget. When tasks keep the thread busy between polls, 16
-     * connections per tick are too few: connections wait for seconds, and requests are answered after their
-     * deadlines.
+     * Returns the same as {@link #tryUse()} for opening a connection, but lets one that has waited for longer
+     * than {@link #MAX_WAIT} exceed the budget for a limited time. When tasks keep the thread busy between
+     * polls, 16 connections per tick are too few: connections wait for seconds, and requests are answered
+     * after their deadlines.
      */
     boolean tryUse(Moment waitingSince) {
         return tryUse() || tryUseExtraTime(waitingSince);
--- a/src/main/java/rampshift/serve/GracefulShutdown.java
+++ b/src/main/java/rampshift/serve/GracefulShutdown.java
@@ -50,7 +50,7 @@
         DRAINING,
         /** Requests are rejected, and connections are closed between requests. */
         CLOSING,
-        /** Tasks in flight are failed, or rejected if they have not been executed. */
+        /** Tasks in flight are failed, or rejected if their clients may retry them. */
         FAILING,
         /** The shutdown is complete. */
         STOPPED
