--- a/src/main/java/rampshift/discovery/EndpointEntry.java
+++ b/src/main/java/rampshift/discovery/EndpointEntry.java
@@ -69,7 +69,7 @@
         } catch (InvalidInputException e) {
             if (listedState == Endpoint.State.READY) {
                 Log.warn(LOG_EVENT, "uid", uid, "not_used", e.getMessage());
-                listedState = Endpoint.State.DRAINING; // unreachable for new tasks; others continue
+                listedState = Endpoint.State.DRAINING; // no new tasks without an address; others continue
             }
         }
         return Optional.of(
--- a/src/main/java/rampshift/discovery/EndpointWatch.java
+++ b/src/main/java/rampshift/discovery/EndpointWatch.java
@@ -139,8 +139,8 @@
         Span timeout;
         if (version == NO_VERSION) {
             request = LongPoll.completeListRequest(agent);
-            // In an outage no task waits for the list, and a shorter timeout reaches an agent that has
-            // returned sooner.
+            // In an outage no task waits for the list, and with a shorter timeout an agent that has returned
+            // is polled sooner.
             timeout = backoff.isOutage() ? timings.responseSlack() : COMPLETE_LIST_TIMEOUT;
         } else {
             request = LongPoll.changesRequest(agent, version, timings.pollWait());
--- a/src/main/java/rampshift/discovery/LongPoll.java
+++ b/src/main/java/rampshift/discovery/LongPoll.java
@@ -21,7 +21,7 @@
     private static final int STATUS_OK = 200;
     /**
      * Maximum time from the timeout of the first piece of a response to its end. It is below the 2 s after
-     * which a change counts as observed too late.
+     * which an observed change counts as overdue.
      */
     private static final Span MAX_TRANSFER = Span.ofMillis(1500);
 
--- a/src/main/java/rampshift/discovery/WatchTimings.java
+++ b/src/main/java/rampshift/discovery/WatchTimings.java
@@ -10,7 +10,7 @@
  * @param pollWait how long the agent may keep a poll open while the list does not change
  * @param responseSlack how long after that a response may arrive, and how far apart its pieces may be
  * @param retryDelay the pause between a failed poll and the next one
- * @param readInterval the maximum time between reads from the agent while tasks are sent
+ * @param readInterval how long input from the agent may be unread while tasks are sent
  */
 record WatchTimings(Span pollWait, Span responseSlack, Span retryDelay, Span readInterval) {
 
--- a/src/main/java/rampshift/serve/DispatcherServer.java
+++ b/src/main/java/rampshift/serve/DispatcherServer.java
@@ -149,8 +149,8 @@
     }
 
     /**
-     * Stops the dispatcher gracefully, as on SIGTERM, and waits until it has stopped. Existing connections
-     * are served until shortly before SIGKILL, and connections are then closed between tasks.
+     * Stops the dispatcher gracefully, as on SIGTERM, and waits until it has stopped. Connections are served
+     * until shortly before SIGKILL, and then closed between tasks.
      */
     public void stop() {
         thread.execute(() -> {
--- a/src/test/java/rampshift/serve/PipelinedRequestTest.java
+++ b/src/test/java/rampshift/serve/PipelinedRequestTest.java
@@ -17,8 +17,8 @@
  */
 class PipelinedRequestTest extends ConnectionTestBase {
     /**
-     * Size of a body of which the dispatcher buffers two requests; it stops reading from a client that sends
-     * more.
+     * Size of a request body. The dispatcher buffers two such requests; it drops the input of a client that
+     * sends more, and closes the connection after the next response.
      */
     private static final int LARGE_BODY_BYTES = 60_000;
     private static final int EXCESSIVE_REQUESTS = 20;
--- a/src/test/java/rampshift/serve/ServerShutdownTest.java
+++ b/src/test/java/rampshift/serve/ServerShutdownTest.java
@@ -15,7 +15,8 @@
 
 /**
  * The shutdown of a whole dispatcher during its start and while tasks are in flight. Each task gets one
- * correct final response: 503 only if its client may retry it, 504 if it may have been executed.
+ * correct final response: 503 only if its client may retry it, 504 if it may have been executed and is not
+ * idempotent.
  */
 class ServerShutdownTest extends ConnectionTestBase {
     private static final int STOP_TIMEOUT_MS = 20_000;
