--- a/src/main/java/rampshift/clients/HttpRequestReceiver.java
+++ b/src/main/java/rampshift/clients/HttpRequestReceiver.java
@@ -18,7 +18,8 @@
 import rampshift.time.Clock;
 
 /**
- * Runs Undertow's HTTP server on clients' connections: serves status pages, and passes all other requests on.
+ * Runs Undertow's HTTP server on client connections: serves status pages, and passes all other requests to
+ * the handler.
  */
 final class HttpRequestReceiver {
     private final Clock clock;
@@ -32,7 +33,7 @@
     /**
      * Creates the receiver.
      *
-     * @param closeAfterResponse whether connections are to be closed after their responses at present
+     * @param closeAfterResponse returns whether connections are currently closed after their responses
      */
     HttpRequestReceiver(ByteBufferPool buffers, Clock clock, ConnectionTable table, ConnectionCloser closer,
             RequestHandler handler, BooleanSupplier closeAfterResponse) {
@@ -45,7 +46,10 @@
         server.setRootHandler(this::handle);
     }
 
-    /** Undertow reads only what has passed RequestReader, whose limits are the narrower ones. */
+    /**
+     * Returns the limits of Undertow, which are wider than those of RequestReader: Undertow reads only
+     * requests that RequestReader has accepted.
+     */
     private static OptionMap options() {
         return OptionMap.builder()
                 .set(UndertowOptions.MAX_ENTITY_SIZE, (long) RequestReader.MAX_REQUEST_BYTES)
@@ -62,13 +66,13 @@
         pages.put(path, page);
     }
 
-    /** Starts to serve a connection that is in the table. */
+    /** Starts serving a connection that is in the table. */
     void serve(StreamConnection channel) {
         server.handleEvent(channel);
     }
 
     private void handle(HttpServerExchange exchange) {
-        ClientConnection connection = watch(exchange);
+        ClientConnection connection = registerListeners(exchange);
         Supplier<StatusPage> page = pages.get(exchange.getRequestURI());
         if (page != null && isGetOrHead(exchange.getRequestMethod())) {
             sendPage(exchange, page.get());
@@ -76,7 +80,7 @@
         }
         exchange.getRequestReceiver().receiveFullBytes(
                 (received, body) -> received.dispatch(SameThreadExecutor.INSTANCE,
-                        () -> passOn(connection, received, body)),
+                        () -> passToHandler(connection, received, body)),
                 (failed, cause) -> {
                     failed.setPersistent(false);
                     failed.setStatusCode(StatusCodes.BAD_REQUEST);
@@ -94,17 +98,20 @@
         exchange.getResponseSender().send(page.text());
     }
 
-    private void passOn(ClientConnection connection, HttpServerExchange exchange, byte[] body) {
+    private void passToHandler(ClientConnection connection, HttpServerExchange exchange, byte[] body) {
         ClientRequest request = new ClientRequest(clock, closeAfterResponse, connection, exchange, body);
         connection.setCurrentRequest(request);
         handler.onRequest(request);
     }
 
-    /** Follows a connection until the whole response is written, or the connection is closed. */
-    private ClientConnection watch(HttpServerExchange exchange) {
+    /**
+     * Registers listeners for the end of the exchange and for the close of its connection, and returns the
+     * connection.
+     */
+    private ClientConnection registerListeners(HttpServerExchange exchange) {
         AbstractServerConnection httpConnection = (AbstractServerConnection) exchange.getConnection();
         ClientConnection connection = table.get(httpConnection.getChannel());
-        if (connection.startWatching()) {
+        if (connection.markCloseListenerAdded()) {
             httpConnection.addCloseListener(closed -> connectionClosed(connection));
         }
         exchange.addExchangeCompleteListener((completed, next) -> {
--- a/src/test/java/rampshift/clients/TickBudgetTest.java
+++ b/src/test/java/rampshift/clients/TickBudgetTest.java
@@ -12,13 +12,14 @@
 import rampshift.time.Span;
 
 /**
- * How many connections are opened between two polls. At 6,000 tasks a second, one and a half times what a
- * core carries, a poll came every 25 ms and 16 connections were opened at each: of 7,000 that clients had
- * opened many waited for over 5 s, and 2,769 of 36,004 requests were answered past their deadline.
+ * The number of connections that are opened between two polls. With a fixed number of 16, connections wait
+ * for too long during overload: at 6,000 tasks a second, one and a half times the capacity of a core, there
+ * is one poll every 25 ms, many of 7,000 connections wait for over 5 s, and 2,769 of 36,004 requests are
+ * answered after their deadline.
  */
 class TickBudgetTest {
     private static final int PER_POLL = 16;
-    private static final long LONGER_THAN_OVERTIME_MS = 8;
+    private static final long LONGER_THAN_EXTRA_TIME_MS = 8;
     private static final Span LONG_WAIT = Span.ofMillis(1000);
 
     private final Clock clock = new Clock();
@@ -32,19 +33,19 @@
     }
 
     @Test
-    void connectionsThatHaveWaitedAreOpenedForSomeTimeMore() throws Exception {
+    void waitingConnectionsAreOpenedForSomeExtraTime() throws Exception {
         ioThread.call(() -> {
             Moment longAgo = clock.now().minus(LONG_WAIT);
             useUp();
-            assertTrue(budget.tryUse(longAgo), "beyond the number");
-            Thread.sleep(LONGER_THAN_OVERTIME_MS);
-            assertFalse(budget.tryUse(longAgo), "beyond the time");
+            assertTrue(budget.tryUse(longAgo), "a connection that has waited may exceed the number");
+            Thread.sleep(LONGER_THAN_EXTRA_TIME_MS);
+            assertFalse(budget.tryUse(longAgo), "not after the extra time");
             return null;
         });
     }
 
     @Test
-    void connectionsThatHaveJustComeWaitForThePoll() throws Exception {
+    void newConnectionsWaitForTheNextPoll() throws Exception {
         ioThread.call(() -> {
             Moment later = clock.now().plus(LONG_WAIT);
             useUp();
@@ -55,7 +56,7 @@
 
     private void useUp() {
         for (int i = 0; i < PER_POLL; i++) {
-            assertTrue(budget.tryUse(), "within the number");
+            assertTrue(budget.tryUse(), "the budget is not used up");
         }
     }
 }
--- a/src/test/java/rampshift/discovery/EndpointWatchFaultTest.java
+++ b/src/test/java/rampshift/discovery/EndpointWatchFaultTest.java
@@ -21,16 +21,16 @@
 import rampshift.TestConnection;
 import rampshift.TestServer;
 
-/** The watch on an agent that is slow, sends too much, misbehaves or is not there. */
+/** The watch of an agent that is slow, sends too much, sends invalid responses or is unreachable. */
 class EndpointWatchFaultTest extends EndpointWatchTestBase {
     private static final String CHUNKED = "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n";
     private static final String LAST_CHUNK = "0\r\n\r\n";
-    /** A change counts as overdue so long after the agent had it and could be reached. */
+    /** A change counts as overdue this long after the agent has it and is reachable. */
     private static final long OVERDUE_MILLIS = 6000;
 
     EndpointWatchFaultTest() throws IOException {}
 
-    /** A watch that stops with the list of a version; to be called on the I/O thread. */
+    /** Starts a watch that stops after the list of a version; called on the I/O thread. */
     private void startWatchUntil(long version, int port, int drainGraceMillis) {
         startWatch(port, drainGraceMillis, () -> {
             if (observed.contains(version)) {
@@ -39,7 +39,7 @@
         });
     }
 
-    /** A watch that stops with the first list. */
+    /** Starts a watch that stops after the first list. */
     private void watchOnce(TestServer agent, int drainGraceMillis) throws Exception {
         onThread(() -> startWatch(agent.port(), drainGraceMillis, () -> watch.stop()));
     }
@@ -52,25 +52,25 @@
         return TimeUnit.NANOSECONDS.toMillis(System.nanoTime() - nanos);
     }
 
-    private static void writeInSingleBytes(TestConnection line, String body, int pauseMillis)
+    private static void writeInSingleBytes(TestConnection connection, String body, int pauseMillis)
             throws Exception {
-        line.write(CHUNKED);
+        connection.write(CHUNKED);
         for (int i = 0; i < body.length(); i++) {
             Thread.sleep(pauseMillis);
-            line.write("1\r\n" + body.charAt(i) + "\r\n");
+            connection.write("1\r\n" + body.charAt(i) + "\r\n");
         }
-        line.write(LAST_CHUNK);
+        connection.write(LAST_CHUNK);
     }
 
     /**
-     * The bound is met while bytes of the response are handed out: nothing more of it counts, and the next
-     * one does.
+     * The size limit is exceeded in the middle of a response: the rest of it is ignored, and the next
+     * response is read.
      */
     @Test
-    void responseOverTheBoundIsDroppedAndTheNextOneIsRead() throws Exception {
+    void responseOverTheSizeLimitIsDroppedAndTheNextOneIsRead() throws Exception {
         AtomicInteger polls = new AtomicInteger();
         try (TestServer agent = new TestServer(
-                (message, line) -> respond(line,
+                (message, connection) -> respond(connection,
                         polls.getAndIncrement() == 0 ? " ".repeat(3 << 20) : version(7)))) {
             watchOnce(agent, 2000);
             until("a list is observed", () -> !observed.isEmpty());
@@ -80,16 +80,16 @@
     }
 
     /**
-     * One timeout spanned the whole response, so a list on a slow link was dropped and requested again,
-     * forever.
+     * Guards against one timeout for the whole response, with which a list on a slow link is dropped and
+     * requested again forever.
      */
     @Test
-    void listThatComesInPiecesIsReadHoweverLongItTakes() throws Exception {
+    void listThatArrivesInPiecesOverALongTimeIsRead() throws Exception {
         AtomicInteger polls = new AtomicInteger();
-        try (TestServer agent = new TestServer((message, line) -> {
+        try (TestServer agent = new TestServer((message, connection) -> {
             if (polls.getAndIncrement() == 0) {
-                // With a grace of 2 s a response may be 0.6 s late; all of this one takes 0.8 s.
-                writeInSingleBytes(line, version(7), 25);
+                // With a grace of 2 s the response slack is 0.6 s; this whole response takes 0.8 s.
+                writeInSingleBytes(connection, version(7), 25);
             }
         })) {
             watchOnce(agent, 2000);
@@ -100,39 +100,39 @@
     }
 
     /**
-     * Pieces without end are no list: the next response is waited for no longer than an update may be late.
+     * A response without end is dropped early enough for the next one to arrive before an update is overdue.
      */
     @Test
     void responseThatNeverEndsIsDropped() throws Exception {
         AtomicInteger polls = new AtomicInteger();
-        try (TestServer agent = new TestServer((message, line) -> {
+        try (TestServer agent = new TestServer((message, connection) -> {
             if (polls.getAndIncrement() > 0) {
-                respond(line, version(8));
+                respond(connection, version(8));
                 return;
             }
-            line.write(CHUNKED);
+            connection.write(CHUNKED);
             while (true) {
                 Thread.sleep(10);
-                line.write("1\r\n \r\n");
+                connection.write("1\r\n \r\n");
             }
         })) {
             long startedAt = System.nanoTime();
             watchOnce(agent, 2000);
-            until("the next one is observed", () -> !observed.isEmpty());
+            until("the next list is observed", () -> !observed.isEmpty());
             assertEquals(List.of(8L), observed);
             long millis = millisSince(startedAt);
             assertTrue(millis < OVERDUE_MILLIS, "the list came after " + millis + " ms");
         }
     }
 
-    /** A list over 1 MiB was refused, forever. */
+    /** Guards against rejecting every list over 1 MiB. */
     @Test
     void listOfThousandWorkersWithTheLongestEntriesIndentedIsRead() throws Exception {
         String body = longestList();
-        assertTrue(body.length() > 1 << 20, "it is over the former bound: " + body.length());
-        try (TestServer agent = new TestServer((message, line) -> {
+        assertTrue(body.length() > 1 << 20, "the list is not over 1 MiB: " + body.length());
+        try (TestServer agent = new TestServer((message, connection) -> {
             if (!message.startLine().contains("index=")) {
-                respond(line, body);
+                respond(connection, body);
             }
         })) {
             watchOnce(agent, 2000);
@@ -158,52 +158,53 @@
         return body.append("\n        ]\n}\n").toString();
     }
 
-    /** What an agent does to a poll before it has the update. */
-    private static void misbehave(String how, TestConnection line) throws Exception {
+    /** Responds to a poll with a fault, before the agent has the update. */
+    private static void respondWithFault(String fault, TestConnection connection) throws Exception {
         String head = "HTTP/1.1 200 OK\r\nContent-Length: ";
-        switch (how) {
+        switch (fault) {
             case "silent" -> {
                 // the poll stays open
             }
-            case "503" -> line.respondStatus(503, "");
-            case "ended" -> line.close();
-            case "reset" -> line.disconnect("rst");
-            case "cut in the head" -> line.write("HTTP/1.1 200 O").close();
-            case "cut in the body" -> line.write(head + "500\r\n\r\n{\"rev\":5,\"all\":true,\"targ").close();
-            case "stuck in the body" -> line.write(head + "500\r\n\r\n{\"rev\":5,\"all\":true,\"targ");
-            case "no json" -> line.write(head + "3\r\n\r\n{]}");
-            case "no list" -> line.write(head + "2\r\n\r\n{}");
-            case "two lengths" -> line
+            case "503" -> connection.respondStatus(503, "");
+            case "ended" -> connection.close();
+            case "reset" -> connection.disconnect("rst");
+            case "cut in the head" -> connection.write("HTTP/1.1 200 O").close();
+            case "cut in the body" ->
+                connection.write(head + "500\r\n\r\n{\"rev\":5,\"all\":true,\"targ").close();
+            case "stuck in the body" -> connection.write(head + "500\r\n\r\n{\"rev\":5,\"all\":true,\"targ");
+            case "no json" -> connection.write(head + "3\r\n\r\n{]}");
+            case "no list" -> connection.write(head + "2\r\n\r\n{}");
+            case "two lengths" -> connection
                     .write("HTTP/1.1 200 OK\r\nContent-Length: 2\r\nContent-Length: 3\r\n\r\n{}");
-            case "no http" -> line.write("no such thing\r\n\r\n");
-            case "single bytes" -> writeInSingleBytes(line, list(false).replace("REV", "1"), 0);
-            default -> throw new IllegalArgumentException(how);
+            case "no http" -> connection.write("no such thing\r\n\r\n");
+            case "single bytes" -> writeInSingleBytes(connection, list(false).replace("REV", "1"), 0);
+            default -> throw new IllegalArgumentException(fault);
         }
     }
 
     /**
-     * A change counts as overdue 6 s after discovery had it and could be reached, whatever failed before.
-     * Here the agent misbehaves through four polls, has the update from then on, and the watch is switched
-     * to another address (as at SIGHUP) in the midst of the misbehavior, or not.
+     * A change counts as overdue 6 s after the agent has it and is reachable, whatever failed before. The
+     * agent fails four polls and then has the update. In the second run, the watch is switched to another
+     * address (as on SIGHUP) between the faults.
      */
     @ParameterizedTest
     @CsvSource({"silent", "503", "ended", "reset", "cut in the head", "cut in the body", "stuck in the body",
             "no json", "no list", "two lengths", "no http", "single bytes"})
-    void updateIsObservedInTimeWhateverFailedBefore(String how) throws Exception {
+    void updateIsObservedInTimeAfterFaults(String fault) throws Exception {
         for (boolean switches : new boolean[]{false, true}) {
             observed.clear();
             AtomicInteger polls = new AtomicInteger();
-            ServerScript script = (message, line) -> {
+            ServerScript script = (message, connection) -> {
                 int number = polls.incrementAndGet();
                 if (number > 1 && number <= 5) {
-                    misbehave(how, line);
+                    respondWithFault(fault, connection);
                 } else {
-                    respond(line, version(number == 1 ? 1 : 9));
+                    respond(connection, version(number == 1 ? 1 : 9));
                 }
             };
             try (TestServer first = new TestServer(script); TestServer second = new TestServer(script)) {
                 onThread(() -> startWatchUntil(9, first.port(), 250));
-                until("it fails", () -> polls.get() >= 3);
+                until("the polls fail", () -> polls.get() >= 3);
                 long failingSince = System.nanoTime();
                 if (switches) {
                     onThread(() -> watch.switchTo(local(second.port())));
@@ -216,10 +217,10 @@
         }
     }
 
-    /** Nobody listens there, or connections hang: the outage ends between two attempts. */
+    /** Dials are refused or hang, and the outage ends between two attempts. */
     @ParameterizedTest
     @ValueSource(booleans = {false, true})
-    void updateIsObservedInTimeAfterDialsHadFailed(boolean hangs) throws Exception {
+    void updateIsObservedInTimeAfterFailedDials(boolean hangs) throws Exception {
         InetAddress loopback = InetAddress.getByName("127.0.0.1");
         int port;
         try (ServerSocket free = new ServerSocket(0, 1, loopback)) {
@@ -228,7 +229,7 @@
         List<Socket> waiting = new ArrayList<>();
         ServerSocket full = hangs ? new ServerSocket(port, 1, loopback) : null;
         for (int i = 0; hangs && i < 2; i++) {
-            waiting.add(new Socket("127.0.0.1", port)); // its backlog is full: the next dial hangs
+            waiting.add(new Socket("127.0.0.1", port)); // fills the backlog, so that the next dial hangs
         }
         onThread(() -> startWatch(port, 250, () -> watch.stop()));
         until("two attempts have failed", () -> failures() >= 2);
@@ -239,11 +240,12 @@
         if (hangs) {
             full.close();
         }
-        try (TestServer back = TestServer.at(port, (message, line) -> respond(line, version(9)))) {
+        try (TestServer restarted = TestServer.at(port,
+                (message, connection) -> respond(connection, version(9)))) {
             until("the update is observed", () -> observed.contains(9L));
             long millis = millisSince(outageEndedAt);
             assertTrue(millis < OVERDUE_MILLIS,
-                    "the outage was over, and the update came after " + millis + " ms");
+                    "the outage had ended, and the update came after " + millis + " ms");
         }
     }
 }
--- a/src/test/java/rampshift/leases/RandomFaultRun.java
+++ b/src/test/java/rampshift/leases/RandomFaultRun.java
@@ -104,7 +104,7 @@
     /** Describes the drawn simulation, to analyse a seed. */
     @Override
     public String toString() {
-        return dispatcherCount + " dispatchers, " + simulation.played + " events, " + simulation.takeovers
+        return dispatcherCount + " dispatchers, " + simulation.eventCount + " events, " + simulation.takeovers
                 + " takeovers, " + simulation.lossRate + " " + simulation.maxLatencyMillis + " "
                 + simulation.syncMillis;
     }
--- a/src/test/java/rampshift/serve/OverloadRejectionTest.java
+++ b/src/test/java/rampshift/serve/OverloadRejectionTest.java
@@ -15,29 +15,35 @@
 import rampshift.pipeline.AdmissionWindow;
 
 /**
- * A dispatcher that is behind rejects tasks, and is kept behind by what that costs: at four times what it
- * carries it finished nothing. So a task is rejected by its head, before the HTTP server parses it. The tests
- * shut the admission window and hand the dispatcher a request before its sockets are polled.
+ * Early rejection during overload. Rejecting decoded tasks is so expensive that a dispatcher at four times
+ * its capacity completes none, so tasks are rejected by their head before the HTTP server parses them. The
+ * tests close the admission window and pass a request to the dispatcher before it polls its sockets.
  */
 class OverloadRejectionTest extends ConnectionTestBase {
-    /** Longer than a window is open. */
+    /** Longer than the time for which an admission window is open. */
     private static final long WINDOW_MS = 25;
-    /** Together longer than an overload is tolerated, each shorter than what ends one. */
+    /**
+     * Number of windows that are together longer than the tolerated overload, while each interval is shorter
+     * than the one that ends an overload.
+     */
     private static final int TOLERATED_WINDOWS = 2;
     private static final long WINDOW_INTERVAL_MS = 600;
-    /** The decoder refuses it: only who never decodes it answers anything but 400. */
-    private static final String TASK_OF_NO_TYPE =
+    /**
+     * A task without a traffic type. The decoder responds 400, so any other status shows that the task was
+     * not decoded.
+     */
+    private static final String TASK_WITHOUT_TYPE =
             "POST /api HTTP/1.1\r\nHost: a\r\nX-Txn: n\r\nX-Remaining: 5\r\nContent-Length: 1\r\n\r\nx";
 
     @Test
     void aTaskIsRejectedByItsHeadAndItsConnectionStaysOpen() throws Exception {
         startServer(finishingWorker());
-        SlowClient client = rejectedClient(TASK_OF_NO_TYPE);
+        SlowClient client = rejectedClient(TASK_WITHOUT_TYPE);
         assertEquals(1, count("bounced_full"));
         assertEquals(1, count("bounced"));
         assertEquals(0, count("turned_down"));
-        client.line().sendTask("next", IDEMPOTENT, "x");
-        HttpMessage next = client.line().read();
+        client.clientEnd().sendTask("next", IDEMPOTENT, "x");
+        HttpMessage next = client.clientEnd().read();
         assertEquals("ok", next.text(), "the overload has ended: " + next.startLine());
     }
 
@@ -46,88 +52,89 @@
         startServer(finishingWorker());
         SlowClient client = slowClient();
         serve(client);
-        assertEquals(200, client.line().sendTask("first", IDEMPOTENT, "x").read().status());
-        inOverload(() -> {
-            client.line().write(TASK_OF_NO_TYPE);
-            ConduitStreamSourceChannel source = client.connection().getSourceChannel();
+        assertEquals(200, client.clientEnd().sendTask("first", IDEMPOTENT, "x").read().status());
+        runDuringOverload(() -> {
+            client.clientEnd().write(TASK_WITHOUT_TYPE);
+            ConduitStreamSourceChannel source = client.serverEnd().getSourceChannel();
             ChannelListeners.invokeChannelListener(source, source.getReadListener());
         });
-        assertRejected(client.line().read());
-        assertEquals(200, client.line().sendTask("last", IDEMPOTENT, "x").read().status());
+        assertRejected(client.clientEnd().read());
+        assertEquals(200, client.clientEnd().sendTask("last", IDEMPOTENT, "x").read().status());
     }
 
-    /** Tasks that a client sends without waiting for responses are each answered, in their order. */
+    /** Pipelined tasks are each answered, in their order. */
     @Test
-    void tasksBehindARejectedOneAreAnswered() throws Exception {
+    void tasksPipelinedAfterARejectedOneAreAnswered() throws Exception {
         startServer(finishingWorker());
         SlowClient client = slowClient();
-        client.line().write(TASK_OF_NO_TYPE).sendTask("a", IDEMPOTENT, "x").sendTask("b", IDEMPOTENT, "x");
-        serveInOverload(client);
-        assertRejected(client.line().read());
-        assertEquals("ok", client.line().read().text());
-        assertEquals("ok", client.line().read().text());
+        client.clientEnd().write(TASK_WITHOUT_TYPE).sendTask("a", IDEMPOTENT, "x")
+                .sendTask("b", IDEMPOTENT, "x");
+        serveDuringOverload(client);
+        assertRejected(client.clientEnd().read());
+        assertEquals("ok", client.clientEnd().read().text());
+        assertEquals("ok", client.clientEnd().read().text());
     }
 
     /**
-     * To reject a task says that it may be sent again. One whose transaction is in flight may run meanwhile,
-     * so it gets the answer of the decoder.
+     * A rejection allows the client to retry. The task of a transaction in flight may already be executing,
+     * so it gets the decoder's response.
      */
     @Test
     void aTransactionInFlightIsNotRejected() throws Exception {
         CountDownLatch release = new CountDownLatch(1);
-        TestServer worker = workerHeldBy(release, "sold");
+        TestServer worker = workerReleasedBy(release, "sold");
         startServer(worker);
         client().sendTask("t", NON_IDEMPOTENT, "x");
         awaitFirstTask(worker);
         SlowClient client = slowClient();
-        client.line().sendTask("t", NON_IDEMPOTENT, "x");
-        serveInOverload(client);
-        assertEquals(409, client.line().read().status());
+        client.clientEnd().sendTask("t", NON_IDEMPOTENT, "x");
+        serveDuringOverload(client);
+        assertEquals(409, client.clientEnd().read().status());
         release.countDown();
     }
 
     @Test
-    void pagesAreServedInAnOverload() throws Exception {
+    void pagesAreServedDuringOverload() throws Exception {
         startServer(finishingWorker());
         SlowClient client = slowClient();
-        client.line().write(READY_REQUEST);
-        serveInOverload(client);
-        assertEquals(200, client.line().read().status());
+        client.clientEnd().write(READY_REQUEST);
+        serveDuringOverload(client);
+        assertEquals(200, client.clientEnd().read().status());
     }
 
-    /** Many clients say what is the default of HTTP/1.1. */
+    /** Many clients send the default of HTTP/1.1 explicitly. */
     @Test
     void aTaskOfAClientThatAsksToKeepItsConnectionIsRejectedByItsHead() throws Exception {
         startServer(finishingWorker());
-        rejectedClient(TASK_OF_NO_TYPE.replace("Host: a", "Host: a\r\nConnection: Keep-Alive"));
+        rejectedClient(TASK_WITHOUT_TYPE.replace("Host: a", "Host: a\r\nConnection: Keep-Alive"));
     }
 
-    /** Who asks for the end of the connection is served by the HTTP server, which ends it. */
+    /** A request with Connection: close is passed to the HTTP server, which closes the connection. */
     @Test
-    void aConnectionThatIsToCloseCloses() throws Exception {
+    void connectionCloseFieldIsRespectedDuringOverload() throws Exception {
         startServer(finishingWorker());
         SlowClient client = slowClient();
-        client.line().write(TASK_OF_NO_TYPE.replace("Host: a", "Host: a\r\nConnection: close")
+        client.clientEnd().write(TASK_WITHOUT_TYPE.replace("Host: a", "Host: a\r\nConnection: close")
                 .replace("X-Remaining", "X-Lane: look\r\nX-Remaining"));
-        serveInOverload(client);
-        assertEquals(503, client.line().read().status());
-        assertTrue(client.line().closedByPeer());
+        serveDuringOverload(client);
+        assertEquals(503, client.clientEnd().read().status());
+        assertTrue(client.clientEnd().closedByPeer());
     }
 
     @Test
-    void aRejectedClientThatLeavesIsForgotten() throws Exception {
+    void aRejectedClientIsRemovedAfterItsDisconnect() throws Exception {
         startServer(finishingWorker());
-        SlowClient client = rejectedClient(TASK_OF_NO_TYPE);
-        client.line().disconnect(FIN);
-        until("its connection is closed", () -> clientConnectionCount() == 0);
+        SlowClient client = rejectedClient(TASK_WITHOUT_TYPE);
+        client.clientEnd().disconnect(FIN);
+        until("the connection is closed", () -> clientConnectionCount() == 0);
     }
 
-    /** A client whose first request comes in an overload and is rejected. */
+    /** Returns a client whose first request was rejected for overload. */
     private SlowClient rejectedClient(String request) throws Exception {
         SlowClient client = slowClient();
-        client.line().write(request);
-        serveInOverload(client);
-        assertRejected(client.line().read());
+        client.clientEnd().write(request);
+        serveDuringOverload(client);
+        assertRejected(client.clientEnd().read());
         return client;
     }
 
@@ -137,25 +144,25 @@
         assertNull(response.field("Connection"));
     }
 
-    private void serveInOverload(SlowClient client) throws Exception {
-        inOverload(() -> node.dispatcher.clientListener.serve(client.connection()));
+    private void serveDuringOverload(SlowClient client) throws Exception {
+        runDuringOverload(() -> node.dispatcher.clientListener.serve(client.serverEnd()));
     }
 
     /** Runs a step on the I/O thread before it polls, with the admission window shut. */
-    private void inOverload(Step step) throws Exception {
+    private void runDuringOverload(Step step) throws Exception {
         AdmissionWindow window = node.dispatcher.admissionWindow;
         for (int i = 0; i < TOLERATED_WINDOWS; i++) {
-            assertTrue(onThread(() -> isOpenForLong(window)), "a burst");
+            assertTrue(onThread(() -> isOpenForLong(window)), "a burst is not an overload");
             Thread.sleep(WINDOW_INTERVAL_MS);
         }
         runOnThread(() -> {
-            assertFalse(isOpenForLong(window), "an overload");
+            assertFalse(isOpenForLong(window), "the window stays open in an overload");
             step.run();
         });
     }
 
     private static boolean isOpenForLong(AdmissionWindow window) throws InterruptedException {
-        assertTrue(window.isOpen(), "the first task after a poll");
+        assertTrue(window.isOpen(), "the window is closed for the first task after a poll");
         Thread.sleep(WINDOW_MS);
         return window.isOpen();
     }
--- a/src/test/java/rampshift/serve/ServerEndpointListTest.java
+++ b/src/test/java/rampshift/serve/ServerEndpointListTest.java
@@ -25,10 +25,12 @@
 import rampshift.TestServer;
 import rampshift.settings.Configuration;
 
-/** A whole dispatcher, and the endpoint lists that it starts with and is sent. */
+/**
+ * Tests of a whole dispatcher with the endpoint list of its configuration and those of the discovery agent.
+ */
 class ServerEndpointListTest extends ConnectionTestBase {
     private static final String TERMINATING = "terminating";
-    /** Longer than it takes until an endpoint list that was written can be read. */
+    /** Longer than the delay until a sent endpoint list can be read. */
     private static final int ARRIVAL_MS = 50;
 
     private static Configuration configuration(TestServer agent, String known) throws IOException {
@@ -38,46 +40,47 @@
     // ---- the first list
 
     @Test
-    void afterRestartNoTaskIsSentByTheKnownList() throws Exception {
+    void tasksWaitForTheFirstListAfterARestart() throws Exception {
         TestServer drained = finishingWorker();
         TestServer staying = finishingWorker();
-        TestServer slowAgent = worker((message, line) -> {
+        TestServer slowAgent = worker((message, connection) -> {
             Thread.sleep(message.startLine().contains("index=") ? 900 : 400);
-            respond(line, list(true, drained.entry("s-1", TERMINATING), staying.entry("s-2", IN_SERVICE))
-                    .replace("REV", "9"));
+            respond(connection,
+                    list(true, drained.entry("s-1", TERMINATING), staying.entry("s-2", IN_SERVICE))
+                            .replace("REV", "9"));
         });
         node = new DispatcherServer(configuration(slowAgent,
                 list(true, drained.entry("s-1", IN_SERVICE), staying.entry("s-2", IN_SERVICE))));
         for (int i = 0; i < 8; i++) {
             client().sendTask("t" + i, "look", "x");
         }
-        until("all were sent", () -> staying.received.size() >= 8);
+        until("all tasks were sent", () -> staying.received.size() >= 8);
         assertEquals(0, drained.received.size());
     }
 
     @Test
-    void knownListIsUsedWhereNoAgentAnswers() throws Exception {
+    void knownListIsUsedIfNoAgentResponds() throws Exception {
         TestServer worker = finishingWorker();
-        TestServer silentAgent = worker((message, line) -> {});
+        TestServer silentAgent = worker((message, connection) -> {});
         node = new DispatcherServer(configuration(silentAgent, list(true, worker.entry("s-1", IN_SERVICE))));
         TestConnection client = client();
         assertEquals(200, client.sendTask("t", "look", "x").read().status());
-        assertTrue(silentAgent.received.size() >= 2, "one failure may be a slow start's");
+        assertTrue(silentAgent.received.size() >= 2, "a single failure does not count as an outage");
     }
 
     /**
-     * What the agent was sent while it was silent counts as observed, and it never answers the poll that
-     * was open.
+     * A drain is observed within the grace after the agent responds again. The agent never answers the poll
+     * that is open while it is silent.
      */
     @ParameterizedTest
     @CsvSource({"start,400", "middle,1000", "reload,400"})
-    void agentThatWasSilentIsHeardWithinTheDrainGrace(String when, int graceMillis) throws Exception {
+    void drainIsObservedInTimeAfterTheAgentWasSilent(String when, int graceMillis) throws Exception {
         TestServer drained = finishingWorker();
         TestServer staying = finishingWorker();
         AtomicBoolean silent = new AtomicBoolean(!when.equals("middle"));
         AtomicInteger version = new AtomicInteger(1);
         TestServer agent = worker(agentWithDrain(drained, staying, silent, version));
-        TestServer otherAgent = worker((message, line) -> {});
+        TestServer otherAgent = worker((message, connection) -> {});
         String known = list(true, drained.entry("s-1", IN_SERVICE), staying.entry("s-2", IN_SERVICE));
         node = new DispatcherServer(
                 withDrainGrace(when.equals("reload") ? otherAgent : agent, known, graceMillis));
@@ -105,12 +108,12 @@
     }
 
     /**
-     * An agent that lists one of two workers as draining from version 2 on, and answers nothing while it is
-     * silent.
+     * Returns an agent that lists one of two workers as draining from version 2 on, and does not respond
+     * while it is silent.
      */
     private static ServerScript agentWithDrain(TestServer drained, TestServer staying, AtomicBoolean silent,
             AtomicInteger version) {
-        return (message, line) -> {
+        return (message, connection) -> {
             String request = message.startLine();
             boolean forChanges = request.contains("index=");
             int known = forChanges ? Integer.parseInt(request.replaceAll(".*index=(\\d+).*", "$1")) : 0;
@@ -123,7 +126,7 @@
                 return;
             }
             String state = version.get() == 1 ? IN_SERVICE : TERMINATING;
-            respond(line,
+            respond(connection,
                     list(true, drained.entry("s-1", state), staying.entry("s-2", IN_SERVICE)).replace("REV",
                             version.toString()));
         };
@@ -150,12 +153,12 @@
         List<String> versions = Collections.synchronizedList(new ArrayList<>());
         versions.add(list(true, old.entry("s-1", IN_SERVICE)));
         TestServer agent = TestDiscovery.start(versions);
-        open.add(agent);
+        closeables.add(agent);
         node = node(agent, list(true), SMALL_LIMITS);
         until("ready", () -> readyStatus(client()) == 200);
         assertEquals(200, client().sendTask("a", "look", "x").read().status());
         versions.add(list(false, moved.entry("s-1", IN_SERVICE)));
-        until("the other address is used",
+        until("the new address is used",
                 () -> client().sendTask("b" + System.nanoTime(), "look", "x").read().status() == 200
                         && !moved.received.isEmpty());
         agent.connections.get(agent.connections.size() - 1).close();
@@ -169,36 +172,39 @@
                 () -> client().sendTask("d" + System.nanoTime(), "look", "x").read().status() == 503);
     }
 
-    /** The version that the old agent counted is far above the new one's, where it would hide all changes. */
+    /**
+     * The version of the old agent is far above that of the new one; polled with it, the new agent would
+     * report no changes.
+     */
     @Test
-    void reloadSwitchesTheWatchAndNoTaskNotices() throws Exception {
+    void reloadSwitchesTheWatchWithoutInterruptingTasks() throws Exception {
         CountDownLatch finish = new CountDownLatch(1);
-        TestServer first = worker((task, line) -> {
+        TestServer first = worker((task, connection) -> {
             finish.await();
-            line.respondDone(task, "ok");
+            connection.respondDone(task, "ok");
         });
         TestServer second = finishingWorker();
         String oldList = list(true, first.entry("s-1", IN_SERVICE)).replace("REV", "5");
         List<String> versions = Collections
                 .synchronizedList(new ArrayList<>(List.of(list(true, first.entry("s-1", IN_SERVICE)))));
-        TestServer oldAgent = worker((message, line) -> {
+        TestServer oldAgent = worker((message, connection) -> {
             if (!message.startLine().contains("index=")) {
-                respond(line, oldList);
+                respond(connection, oldList);
             }
         });
         TestServer newAgent = TestDiscovery.start(versions);
-        open.add(newAgent);
+        closeables.add(newAgent);
         node = node(oldAgent, list(true), SMALL_LIMITS);
-        until("the list", () -> readyStatus(client()) == 200);
+        until("the list is received", () -> readyStatus(client()) == 200);
         TestConnection waiting = client().sendTask("a", "sell", "x");
-        until("it is sent", () -> first.received.size() == 1);
+        until("the task is sent", () -> first.received.size() == 1);
         for (int i = 0; i < 3; i++) {
             node.reload(configuration(newAgent, list(true)));
         }
-        until("the old watch has ended, the new one begun",
+        until("the old watch has ended and the new one has begun",
                 () -> oldAgent.ended.size() == 1 && newAgent.received.size() >= 2);
         versions.add(list(false, first.entry("s-1", TERMINATING), second.entry("s-2", IN_SERVICE)));
-        until("the new agent is followed", () -> hasReceived(newAgent, "index=2"));
+        until("the new agent is watched", () -> hasReceived(newAgent, "index=2"));
         assertEquals(200, client().sendTask("b", "sell", "x").read().status());
         assertEquals(1, second.received.size());
         finish.countDown();
@@ -206,23 +212,23 @@
         assertEquals(3, count("reloads"));
     }
 
-    /** Whether a request line that holds the text has come; further ones may come meanwhile. */
+    /** Returns whether a request line that contains the text was received. */
     private static boolean hasReceived(TestServer agent, String text) {
         synchronized (agent.received) {
             return agent.received.stream().anyMatch(message -> message.startLine().contains(text));
         }
     }
 
-    /** Discovery may send its list in any layout of JSON, with line ends of either kind. */
+    /** The agent may send its list in any layout of JSON, with any line ends. */
     @Test
     void indentedListIsRead() throws Exception {
         TestServer worker = finishingWorker();
         String indented = listOf(worker).replace("REV", "3")
                 .replace("{", "{\r\n  ").replace(",", " ,\n\t").replace(":", " : ")
                 .replace("127.0.0.1 : ", "127.0.0.1:").replace("]", "\n]\n");
-        TestServer agent = worker((message, line) -> {
+        TestServer agent = worker((message, connection) -> {
             if (!message.startLine().contains("index=")) {
-                respond(line, indented);
+                respond(connection, indented);
             }
         });
         node = new DispatcherServer(parse(TestPeers.configuration(agent, list(true), LIMITS)));
@@ -231,20 +237,20 @@
     }
 
     /**
-     * The first list lets a parked task be sent, and before its first byte a newer list is read, in which the
-     * worker drains. The newer list must bind the connection pool and the policy, for that task and later
+     * The first list lets a waiting task be sent, and before its first byte a newer list is read, in which
+     * the worker drains. The connection pool and the policy must apply the newer list to that task and later
      * ones.
      */
     @Test
-    void listReadWhileAnOlderOneIsAppliedWins() throws Exception {
+    void listReadWhileAnOlderOneIsAppliedTakesPrecedence() throws Exception {
         TestServer worker = finishingWorker();
         CountDownLatch respond = new CountDownLatch(1);
-        TestServer agent = worker((message, line) -> {
+        TestServer agent = worker((message, connection) -> {
             respond.await();
             boolean isFirst = !message.startLine().contains("index=");
             if (isFirst || message.startLine().contains("index=1")) {
                 String entry = worker.entry("s-1", isFirst ? IN_SERVICE : TERMINATING);
-                respond(line, list(true, entry).replace("REV", isFirst ? "1" : "2"));
+                respond(connection, list(true, entry).replace("REV", isFirst ? "1" : "2"));
             }
         });
         node = new DispatcherServer(parse(TestPeers.configuration(agent, listOf(worker), LIMITS)
@@ -252,7 +258,7 @@
         TestConnection client = client().sendTask("t", "sell", "x");
         until("the task is accepted", () -> count("taken") == 1);
         replaceFirstByteCheck(check -> {
-            stand(ARRIVAL_MS);
+            busyWait(ARRIVAL_MS);
             check.run();
         });
         respond.countDown();
@@ -260,11 +266,11 @@
         assertEquals(0, worker.received.size());
         assertEquals(1, count("first_byte_held_back"));
         assertEquals(503, client().sendTask("u", "sell", "x").read().status());
-        assertEquals(1, count("assigned"), "the policy knows the newer list too");
+        assertEquals(1, count("assigned"), "the policy has applied the newer list too");
     }
 
     @Test
-    void agentThatSendsNonsenseIsPolledAgainAndTheListStays() throws Exception {
+    void agentWithInvalidListsIsPolledAgainAndTheListStays() throws Exception {
         TestServer known = finishingWorker();
         TestServer later = finishingWorker();
         String badAddress = known.entry("s-1", IN_SERVICE).replace("127.0.0.1", "nowhere");
@@ -272,35 +278,35 @@
                 list(true, "7", "{}", known.entry("s-1", IN_SERVICE)),
                 list(true, later.entry("s-2", IN_SERVICE), later.entry("s-3", "what"), badAddress));
         AtomicInteger polls = new AtomicInteger();
-        TestServer agent = worker((message, line) -> {
+        TestServer agent = worker((message, connection) -> {
             int number = polls.getAndIncrement();
             if (number < responses.size()) {
-                respond(line, responses.get(number).replace("REV", "1"));
+                respond(connection, responses.get(number).replace("REV", "1"));
             }
         });
         node = node(agent, list(true, known.entry("s-1", IN_SERVICE)), SMALL_LIMITS);
         assertEquals(200, client().sendTask("a", "sell", "x").read().status());
-        until("the good list is used",
+        until("the valid list is used",
                 () -> client().sendTask("b" + System.nanoTime(), "sell", "x").read().status() == 200
                         && !later.received.isEmpty());
-        until("it is watched on", () -> polls.get() > responses.size());
+        until("the agent is still polled", () -> polls.get() > responses.size());
     }
 
     /**
-     * Placement on real connections: the one allowed worker is listed in another zone, while the other zone
-     * has capacity.
+     * Placement on real connections: the only allowed worker moves to another zone in the list, while the
+     * other zone has capacity.
      */
     @Test
-    void typeBoundToAZoneIsSentOnlyThereAlsoWhenItsOnlyWorkerIsListedElsewhere() throws Exception {
-        // Starts are not reported: runs of a tenth of a millisecond count as half a tick, each worker would
-        // look five times too slow, and a type that has never run would be rejected.
+    void typeRestrictedToAZoneIsNotSentElsewhereWhenItsOnlyWorkerMoves() throws Exception {
+        // Workers don't report starts: run times of a tenth of a millisecond would count as half a tick, each
+        // worker would seem five times too slow, and a type without completed tasks would be rejected.
         TestServer here = resultWorker("here");
         TestServer there = resultWorker("there");
         String first = list(true, here.entry("s-1", IN_SERVICE),
                 there.entry("s-2", IN_SERVICE).replace("\"az\":\"a\"", "\"az\":\"b\""));
         List<String> versions = Collections.synchronizedList(new ArrayList<>(List.of(first)));
         TestServer agent = TestDiscovery.start(versions);
-        open.add(agent);
+        closeables.add(agent);
         node = new DispatcherServer(
                 parse(TestPeers.configuration(agent, first, LIMITS)
                         .replace("\"Zones\":[\"a\"]", "\"Zones\":[\"a\",\"b\"]")
@@ -311,7 +317,7 @@
         }
         versions.add(list(false, there.entry("s-2", IN_SERVICE)));
         int[] rejected = {0};
-        until("rejected at once, where no worker is left", () -> {
+        until("tasks are rejected at once when no allowed worker is left", () -> {
             String id = "v" + there.received.size() + "-" + rejected[0];
             HttpMessage answer = client().sendTask(id, "look", "x").read();
             rejected[0] += answer.status() == 503 ? 1 : 0;
@@ -319,12 +325,12 @@
             assertTrue(answer.status() == 503 || stillThere, answer.status() + " " + answer.text());
             return rejected[0] == 10;
         });
-        assertEquals(200, client().sendTask("u", "sell", "x").read().status(), "others go anywhere");
+        assertEquals(200, client().sendTask("u", "sell", "x").read().status(), "other types use any zone");
         assertEquals(0, here.received.stream().filter(task -> "look".equals(task.field("X-Lane"))).count());
     }
 
     private TestServer resultWorker(String result) throws IOException {
-        return worker((task, line) -> line.respondWithProgress("{\"id\":\"" + task.field("X-Txn")
+        return worker((task, connection) -> connection.respondWithProgress("{\"id\":\"" + task.field("X-Txn")
                 + "\",\"state\":\"done\",\"result\":\"" + result + "\"}"));
     }
 }
--- a/src/test/java/rampshift/serve/ServerInputTest.java
+++ b/src/test/java/rampshift/serve/ServerInputTest.java
@@ -20,7 +20,7 @@
 import rampshift.TestConnection;
 import rampshift.TestServer;
 
-/** A whole dispatcher, and clients that send what is wrong, incomplete, too much or nothing. */
+/** Tests of a whole dispatcher with clients that send invalid, incomplete, excessive or no input. */
 class ServerInputTest extends ServerTestBase {
     private static final String IN_SERVICE = "in_service";
 
@@ -28,7 +28,7 @@
         return TimeUnit.NANOSECONDS.toMillis(System.nanoTime() - nanos);
     }
 
-    // ---- requests that are wrong
+    // ---- invalid requests
 
     @ParameterizedTest
     @CsvSource(delimiter = '|', value = {
@@ -48,7 +48,8 @@
             "413 | Content-Length: 9999999   | X-Lane: look | X-Remaining: 5",
             "400 | Content-Length: many      | X-Lane: look | X-Remaining: 5",
             "501 | Transfer-Encoding: chunks | X-Lane: look | X-Remaining: 5",})
-    void wrongFieldsAreRefusedAndTheNextTaskIsAnswered(int status, String first, String second, String third)
+    void invalidFieldsAreRejectedAndTheNextTaskIsAnswered(int status, String first, String second,
+            String third)
             throws Exception {
         TestServer worker = finishingWorker();
         startServer(worker.entry("s-1", IN_SERVICE));
@@ -67,7 +68,7 @@
     @ParameterizedTest
     @ValueSource(strings = {"\u0000\u0001\u0002 nonsense\r\n\r\n", "GET\r\n\r\n",
             "POST /api HTTP/1.1\r\nno colon\r\n\r\n", "POST /a"})
-    void inputThatIsNoHttpDoesNoHarm(String bytes) throws Exception {
+    void nonHttpInputDoesNotAffectOtherClients(String bytes) throws Exception {
         TestServer worker = finishingWorker();
         startServer(worker.entry("s-1", IN_SERVICE));
         client().write(bytes);
@@ -75,8 +76,8 @@
     }
 
     /**
-     * With bad clients such requests went to workers, stalled until their senders left, or ended in a
-     * reset.
+     * Guards against forwarding such requests to workers, stalling until the client disconnects, or closing
+     * by a reset.
      */
     @ParameterizedTest
     @CsvSource(delimiter = '|', value = {"400 | Transfer-Encoding: chunked | zz~abc~0~~",
@@ -95,20 +96,21 @@
                         + length + end);
         assertEquals(status, client.read().status());
         assertTrue(client.closedByPeer());
-        assertTrue(millisSince(startedAt) < 3000, "in time");
+        assertTrue(millisSince(startedAt) < 3000, "within the time limit");
         assertEquals(200, client().sendTask("good", "look", "x").read().status());
         assertEquals(1, worker.received.size(), "nothing of the bad one was sent");
     }
 
     /**
-     * On an overloaded core clients were closed as silent whose complete tasks lay unread for want of time.
+     * Guards against closing a client as silent while its complete task is unread, because the I/O thread is
+     * late on an overloaded core.
      */
     @Test
-    void clientWhoseTaskLiesUnreadWhileTheThreadIsLateIsAnswered() throws Exception {
+    void taskThatIsUnreadWhileTheThreadIsLateIsAnswered() throws Exception {
         TestServer worker = finishingWorker();
         startServer(worker.entry("s-1", IN_SERVICE));
         TestConnection client = client();
-        until("it is accepted", () -> count("client_connections") >= 2);
+        until("the connection is accepted", () -> count("client_connections") >= 2);
         CountDownLatch late = new CountDownLatch(1);
         XnioIoThread thread = (XnioIoThread) Thread.getAllStackTraces().keySet().stream()
                 .filter(candidate -> candidate.getName().startsWith("io I/O") && candidate.isAlive())
@@ -125,20 +127,20 @@
     }
 
     @Test
-    void bytesBehindARequestInFlightEndIt() throws Exception {
-        TestServer worker = worker((task, line) -> {});
+    void invalidInputAfterARequestInFlightCancelsIt() throws Exception {
+        TestServer worker = worker((task, connection) -> {});
         startServer(worker.entry("s-1", IN_SERVICE));
         TestConnection client = client().sendTask("t", "sell", "x");
-        until("it is sent", () -> worker.received.size() == 1);
+        until("the task is sent", () -> worker.received.size() == 1);
         assertEquals(400, client.write("and more").read().status());
         until("the worker's connection ended", () -> worker.ended.size() == 1);
     }
 
-    // ---- more clients or bytes than there is capacity for
+    // ---- more clients or bytes than the limits allow
 
-    /** With 300 silent clients at a time usual ones waited behind them for seconds. */
+    /** Guards against regular clients that wait for seconds behind 300 silent ones. */
     @Test
-    void clientsThatSendNoTasksMakeRoomAtOnceAndAreClosedInTime() throws Exception {
+    void clientsWithoutTasksAreClosedFirstAndInTime() throws Exception {
         TestServer worker = finishingWorker();
         startServer(worker.entry("s-1", IN_SERVICE));
         TestConnection usual = client();
@@ -149,24 +151,24 @@
         }
         long startedAt = System.nanoTime();
         assertEquals(200, client().sendTask("b", "look", "x").read().status());
-        assertTrue(millisSince(startedAt) < 1000, "it did not wait for them");
+        assertTrue(millisSince(startedAt) < 1000, "the new client did not wait for the silent ones");
         assertEquals(200, usual.sendTask("c", "look", "x").read().status(),
-                "nor was a known one closed for them");
-        for (TestConnection line : silent) {
-            assertTrue(line.closedByPeer());
+                "the connection of a client with tasks stays open");
+        for (TestConnection connection : silent) {
+            assertTrue(connection.closedByPeer());
         }
-        assertTrue(millisSince(startedAt) < 3000, "in time");
+        assertTrue(millisSince(startedAt) < 3000, "within the time limit");
     }
 
     @ParameterizedTest
     @CsvSource({"192,104,1", "1,256,60000"})
-    void tasksBeyondTheLimitsAreRejectedAndNobodyIsLeftWithoutAnAnswer(int memoryMb, int sockets,
+    void tasksBeyondTheLimitsAreRejectedAndAllClientsAreAnswered(int memoryMb, int sockets,
             int bodyBytes)
             throws Exception {
         CountDownLatch finish = new CountDownLatch(1);
-        TestServer worker = worker((task, line) -> {
+        TestServer worker = worker((task, connection) -> {
             finish.await();
-            line.respondDone(task, "ok");
+            connection.respondDone(task, "ok");
         });
         node = node(null, list(true, worker.entry("s-1", IN_SERVICE)),
                 "{\"memory_mb\":" + memoryMb + ",\"sockets\":" + sockets + "}");
@@ -174,7 +176,7 @@
         for (int i = 0; i < 60; i++) {
             clients.add(client().sendTask("t" + i, "sell", "x".repeat(bodyBytes)));
         }
-        until("some were rejected", () -> count("bounced") + count("bounced_full") > 0);
+        until("some tasks were rejected", () -> count("bounced") + count("bounced_full") > 0);
         finish.countDown();
         int rejected = 0;
         for (TestConnection client : clients) {
@@ -186,9 +188,9 @@
         assertEquals(200, client().sendTask("good", "sell", "x").read().status());
     }
 
-    /** With 570 clients that stalled, their half bodies filled the heap. */
+    /** Guards against incomplete bodies that fill the heap, as of 570 stalled clients. */
     @Test
-    void bodiesThatStallLeaveRoomForSmallTasks() throws Exception {
+    void stalledBodiesLeaveMemoryForSmallTasks() throws Exception {
         TestServer worker = finishingWorker();
         node = node(null, list(true, worker.entry("s-1", IN_SERVICE)), "{\"memory_mb\":1,\"sockets\":256}");
         String head = "POST /api HTTP/1.1\r\nHost: a\r\nX-Lane: sell\r\nX-Remaining: 5\r\n"
--- a/src/test/java/rampshift/serve/ServerTestBase.java
+++ b/src/test/java/rampshift/serve/ServerTestBase.java
@@ -24,18 +24,20 @@
 import rampshift.TestServer;
 import rampshift.settings.Configuration;
 
-/** What the tests of a whole dispatcher share: one dispatcher, and peers that end with the test. */
+/**
+ * Base class of the tests of a whole dispatcher: one dispatcher, and peers that are closed after the test.
+ */
 abstract class ServerTestBase {
     static final String SMALL_LIMITS = "{\"memory_mb\":192,\"sockets\":256}";
 
-    final List<Closeable> open = new ArrayList<>();
+    final List<Closeable> closeables = new ArrayList<>();
     DispatcherServer node;
-    /** Connections of clients that were accepted and wait for the test to hand them to the dispatcher. */
+    /** Accepted client connections that the test has not passed to the dispatcher yet. */
     private final LinkedBlockingQueue<StreamConnection> accepted = new LinkedBlockingQueue<>();
 
     @AfterEach
     void end() throws IOException {
-        for (Closeable closeable : open) {
+        for (Closeable closeable : closeables) {
             closeable.close();
         }
         if (node != null) {
@@ -43,7 +45,7 @@
         }
     }
 
-    /** Starts a dispatcher that has these workers and no discovery agent, and waits until it is ready. */
+    /** Starts a dispatcher with these workers and without a discovery agent, and waits until it is ready. */
     void startServer(String... entries) throws Exception {
         node = node(null, list(true, entries), SMALL_LIMITS);
     }
@@ -54,34 +56,34 @@
 
     TestServer worker(ServerScript script) throws IOException {
         TestServer peer = new TestServer(script);
-        open.add(peer);
+        closeables.add(peer);
         return peer;
     }
 
-    /** A worker that finishes each task at once. */
+    /** Returns a worker that finishes each task at once. */
     TestServer finishingWorker() throws IOException {
-        return worker((task, line) -> line.respondDone(task, "ok"));
+        return worker((task, connection) -> connection.respondDone(task, "ok"));
     }
 
-    static void respond(TestConnection line, String body) throws IOException {
-        line.write("HTTP/1.1 200 OK\r\nContent-Length: " + body.length() + "\r\n\r\n" + body);
+    static void respond(TestConnection connection, String body) throws IOException {
+        connection.write("HTTP/1.1 200 OK\r\nContent-Length: " + body.length() + "\r\n\r\n" + body);
     }
 
     TestConnection client() throws IOException {
-        TestConnection line = new TestConnection(node);
-        open.add(line);
-        return line;
+        TestConnection connection = new TestConnection(node);
+        closeables.add(connection);
+        return connection;
     }
 
-    /** The status of the page that says whether the dispatcher is ready. */
+    /** Returns the status of the readiness page. */
     int readyStatus(TestConnection client) throws IOException {
         return client.write("GET /ready HTTP/1.1\r\nHost: a\r\n\r\n").read().status();
     }
 
-    /** The count under a key of the page of counters; -1 where it has none. */
+    /** Returns the value of a counter on the page of counters; -1 if it is absent. */
     long count(String name) throws IOException {
-        try (TestConnection line = new TestConnection(node)) {
-            String text = line.write("GET /counters HTTP/1.1\r\nHost: a\r\n\r\n").read().text();
+        try (TestConnection connection = new TestConnection(node)) {
+            String text = connection.write("GET /counters HTTP/1.1\r\nHost: a\r\n\r\n").read().text();
             String prefix = name + " ";
             return text.lines().filter(row -> row.startsWith(prefix))
                     .mapToLong(row -> Long.parseLong(row.substring(prefix.length()))).findFirst().orElse(-1);
@@ -95,15 +97,15 @@
         return task.get();
     }
 
-    /** Keeps the calling thread busy for so long. */
-    static void stand(int millis) {
+    /** Keeps the calling thread busy for a time. */
+    static void busyWait(int millis) {
         for (long end = System.nanoTime() + millis * 1_000_000L; System.nanoTime() < end;) {
             Thread.onSpinWait();
         }
     }
 
-    /** A client whose small buffer holds next to nothing, and the dispatcher's end of its connection. */
-    record SlowClient(TestConnection line, StreamConnection connection) {}
+    /** A client with a small receive buffer, and the dispatcher's end of its connection. */
+    record SlowClient(TestConnection clientEnd, StreamConnection serverEnd) {}
 
     SlowClient slowClient() throws Exception {
         ChannelListener<AcceptingChannel<StreamConnection>> listener = from -> {
@@ -114,15 +116,15 @@
             }
         };
         InetSocketAddress address = new InetSocketAddress(InetAddress.getLoopbackAddress(), 0);
-        AcceptingChannel<StreamConnection> door = onThread(() -> node.thread.getWorker()
+        AcceptingChannel<StreamConnection> acceptingChannel = onThread(() -> node.thread.getWorker()
                 .createStreamConnectionServer(address, listener, OptionMap.EMPTY));
-        open.add(door);
-        door.resumeAccepts();
+        closeables.add(acceptingChannel);
+        acceptingChannel.resumeAccepts();
         Socket socket = new Socket();
         socket.setReceiveBufferSize(2048);
-        socket.connect(door.getLocalAddress(InetSocketAddress.class));
-        TestConnection line = new TestConnection(socket);
-        open.add(line);
-        return new SlowClient(line, accepted.take());
+        socket.connect(acceptingChannel.getLocalAddress(InetSocketAddress.class));
+        TestConnection connection = new TestConnection(socket);
+        closeables.add(connection);
+        return new SlowClient(connection, accepted.take());
     }
 }
--- a/src/test/java/rampshift/settings/ConfigurationTest.java
+++ b/src/test/java/rampshift/settings/ConfigurationTest.java
@@ -78,17 +78,18 @@
             | setting Goal.KeptPromises is -1.0, expected 0.0
             "TrafficTypes" | "Goal":{"KeptPromises":1,"BorneMisses":-1},"TrafficTypes" \
             | setting Goal.BorneMisses is -1.0, expected 0.0
-            "TrafficTypes" | "Zone":2,"Zones":["a","b"],"TrafficTypes" | setting Zone is 2, and Zones has 2
+            "TrafficTypes" | "Zone":2,"Zones":["a","b"],"TrafficTypes" \
+            | setting Zone is 2, but the size of Zones is 2
             "TrafficTypes" | "Zone":-1,"TrafficTypes" | setting Zone is -1
             "TrafficTypes" | "Zone":"a","TrafficTypes" | setting Zone is not a number
             "DueTimeMs" | "RunsIn":[],"DueTimeMs" | setting TrafficTypes.RunsIn is empty
             "DueTimeMs" | "AllowedOn":3,"DueTimeMs" | setting AllowedOn is not an array
             "DueTimeMs" | "AllowedOn":[0.5],"DueTimeMs" \
-            | setting TrafficTypes.AllowedOn holds 0.5, expected places from 0
+            | setting TrafficTypes.AllowedOn holds 0.5, expected indexes from 0
             "DueTimeMs" | "RunsIn":["a"],"DueTimeMs" | setting TrafficTypes.RunsIn holds a, expected
             "DueTimeMs" | "RunsIn":[-1],"DueTimeMs" | setting TrafficTypes.RunsIn holds -1.0, expected
             "TrafficTypes":[{ | "Zones":["a"],"TrafficTypes":[{"RunsIn":[1], \
-            | setting TrafficTypes.RunsIn holds 1.0, expected places from 0 to 0
+            | setting TrafficTypes.RunsIn holds 1.0, expected indexes from 0 to 0
             "TrafficTypes":[{ \
             | "Kinds":["a","b"],"FamilyInfo":{"ClassKind":[1]},"TrafficTypes":[{"AllowedOn":[0], \
             | AllowedOn lacks the kind 1
@@ -124,7 +125,7 @@
     }
 
     @Test
-    void readsRetryBudgetDrainRuleAndTailGoalWhereStated() throws Exception {
+    void readsRetryBudgetDrainRuleAndTailGoal() throws Exception {
         String more = """
                 "Rules":{"ExtraFloor":2,"RepeatRatio":0.1,"RatioSpanMs":5000,"OnlyDrainingBinds":true},\
                 "Goal":{"Whole":0.6,"KeptPromises":0.2,"BorneMisses":0.02},""";
@@ -158,7 +159,7 @@
                 .startsWith("/no/such/file: cannot be read"));
     }
 
-    /** The file may be read on SIGHUP while somebody writes it. */
+    /** The file may be read on SIGHUP while it is being written. */
     @Test
     void readsOrRejectsAnyBytesWithAMessageOfOneLine() {
         byte[] valid = VALID.getBytes(StandardCharsets.UTF_8);
@@ -171,7 +172,7 @@
             } catch (ConfigurationException e) {
                 assertFalse(e.getMessage().contains("\n"), e.getMessage());
             } catch (IOException e) {
-                // No JSON: the message of one line is made where the file is named.
+                // Invalid JSON; the caller that knows the file creates the message of one line.
             }
         }
     }
