--- a/src/test/java/rampshift/policy/EndpointListPolicyTest.java
+++ b/src/test/java/rampshift/policy/EndpointListPolicyTest.java
@@ -70,7 +70,7 @@
         host.after(240).task(NON_IDEMPOTENT);
         assertEquals(1, host.count("forward"));
         host.after(20).task(NON_IDEMPOTENT);
-        assertEquals(1, host.count("forward"), "the list of the new source may be in force by now");
+        assertEquals(1, host.count("forward"), "the list of the new source may apply by now");
         host.relist(1, true, 0);
         assertEquals(2, host.count("forward"));
     }
--- a/src/test/java/rampshift/policy/ExpectedValueTest.java
+++ b/src/test/java/rampshift/policy/ExpectedValueTest.java
@@ -90,7 +90,7 @@
             long id = host.after(1).task(NON_IDEMPOTENT, i % 2);
             host.started(id, 0).finished(id, 0, AttemptOutcome.FINISHED);
         }
-        assertEquals(0, host.count("reject"), "1,000 a second here are not 11,000 in all");
+        assertEquals(0, host.count("reject"), "1,000 tasks a second here are not 11,000 at all dispatchers");
     }
 
     @Test
--- a/src/test/java/rampshift/policy/FakeHost.java
+++ b/src/test/java/rampshift/policy/FakeHost.java
@@ -10,7 +10,7 @@
  * A host of the policy for tests: a clock that tests advance, and a record of the decisions, one line each.
  */
 final class FakeHost implements Decisions {
-    /** Indexes of the default traffic types: idempotent, keyed within a cell, not idempotent. */
+    /** Indexes of the default traffic types; the last one, at index 3, is keyed over all workers. */
     static final int IDEMPOTENT = 0;
     static final int KEYED = 1;
     static final int NON_IDEMPOTENT = 2;
@@ -107,17 +107,17 @@
         return task(type, tenant, 5000);
     }
 
-    /** Hands in a task whose client waits for this time; returns its id. */
+    /** Submits a task whose client waits for this time; returns its id. */
     long task(int type, int tenant, double remainingMs) {
         return arrive(new TaskRequest(type, tenant, Span.ZERO, 1, 0, Span.ofMillis(remainingMs)));
     }
 
-    /** Hands in a task with a hint of its running time; returns its id. */
+    /** Submits a task with a hint of its running time; returns its id. */
     long hintedTask(int type, double hintMs, double remainingMs) {
         return arrive(new TaskRequest(type, 0, Span.ofMillis(hintMs), 1, 0, Span.ofMillis(remainingMs)));
     }
 
-    /** Hands in a task that takes this many slots; returns its id. */
+    /** Submits a task that takes this many slots; returns its id. */
     long wideTask(int type, double slots) {
         return arrive(new TaskRequest(type, 0, Span.ZERO, slots, 0, Span.ofMillis(5000)));
     }
@@ -151,7 +151,7 @@
         return decide();
     }
 
-    /** Advances the clock without firing timers, as while the host is held up. */
+    /** Advances the clock without firing timers, as while the host is delayed. */
     FakeHost advanceWithoutTimer(double elapsedMs) {
         clockMs += elapsedMs;
         return this;
--- a/src/test/java/rampshift/policy/RetryPolicyTest.java
+++ b/src/test/java/rampshift/policy/RetryPolicyTest.java
@@ -24,7 +24,7 @@
         FakeHost host = new FakeHost();
         host.settings.wastedWorkCost = 0.5;
         host.fleet(6).runTasks(IDEMPOTENT, 200, 50);
-        assertTrue(host.count("forward") <= 200 + 200 / 5 / 5, "a tenth of the fifth");
+        assertTrue(host.count("forward") <= 200 + 200 / 5 / 5, "a hedge takes ten tokens");
         long id = host.task(IDEMPOTENT);
         host.after(40);
         assertEquals(2, host.count("forward " + id + " "), "a second attempt that queues wastes nothing");
@@ -53,9 +53,9 @@
     }
 
     /**
-     * Guards against timers that fire by any event while the dispatcher is late: the start message is still
-     * unread behind another task, so that each attempt counts as not started and is repeated, which delays
-     * the dispatcher further.
+     * Guards against timers that fire on any event while the dispatcher lags behind: a start message is still
+     * unread when another task arrives, so that the attempt counts as not started and is repeated, which
+     * delays the dispatcher further.
      */
     @Test
     void aStartThatIsReadLateButBeforeTheTimerKeepsTheAttemptFromBeingRepeated() {
--- a/src/test/java/rampshift/policy/UnreportedLoadTest.java
+++ b/src/test/java/rampshift/policy/UnreportedLoadTest.java
@@ -114,7 +114,7 @@
                 .count();
         long all = host.count("forward");
         assertTrue(large > all * 0.35 && large < all * 0.65,
-                "half of the fleet's size: " + large + " of " + all);
+                "worker 1 has half of the listed weight of the fleet: " + large + " of " + all);
     }
 
     @Test
