--- a/src/main/java/rampshift/policy/Admission.java
+++ b/src/main/java/rampshift/policy/Admission.java
@@ -12,16 +12,16 @@
      */
     private static final double MIN_IN_TIME_PROBABILITY = 0.25;
     /**
-     * Ratio of late arrivals to given-up tasks that had arrived in time, above which the former are not
-     * retries.
+     * Ratio of tasks that arrived late to tasks that were given up though they had arrived in time. Above it,
+     * late arrivals are not taken for retries of given-up tasks.
      */
     private static final double MAX_LATE_ARRIVALS_PER_REJECTION = 2;
 
     /**
-     * Notes whether the task arrived too late to end in time by the time that it has left. It may be a retry,
-     * or its client has a short timeout. Where far more tasks arrive so than were rejected they are not
-     * retries, and their latency objective counts from their arrival; taken for hopeless retries, two thirds
-     * of all tasks were rejected.
+     * Records whether the task arrived when its latency objective had already passed, by the time left until
+     * its deadline. Such a task is a retry, or its client has a short timeout. If far more tasks arrive late
+     * than were given up, they can't be retries, and the objective counts from the arrival of the task.
+     * Treated as hopeless retries, two thirds of all tasks were rejected.
      */
     void onTaskArrived(Task task) {
         task.arrivedLate = value.timeLeft(task).micros() < 0;
@@ -40,8 +40,8 @@
     }
 
     /**
-     * Returns whether other tasks would earn more with the capacity that the task takes. The opportunity cost
-     * rises with the share of attempts rejected as full.
+     * Returns whether the task may be rejected and other tasks would earn more with the capacity that it
+     * takes. The opportunity cost rises with the share of attempts rejected as full.
      */
     boolean opportunityCostExceedsValue(Task task) {
         double opportunityCost = rejectedAsFullShare() * context.history.values.mean(0)
@@ -49,7 +49,12 @@
         return eligibility.mayReject(task) && opportunityCost > value.ofTask(task);
     }
 
-    /** Returns whether the task is rejected rather than sent to the worker, where it has the given value. */
+    /**
+     * Returns whether the task is rejected rather than sent to the worker.
+     *
+     * @param attemptValue the score of the best candidate, see {@link Candidate}; not above zero where every
+     * attempt costs more than it earns
+     */
     boolean rejects(Task task, Worker worker, double attemptValue, boolean isLastSample) {
         return eligibility.mayReject(task) && !(isLastSample && isExploration(task)) && (attemptValue <= 0
                 || value.inTimeProbabilityByStarts(task, worker) < MIN_IN_TIME_PROBABILITY
@@ -57,9 +62,9 @@
     }
 
     /**
-     * Returns whether the task is sent although it may be late because no task of its type was sent for long.
-     * A type rejected for one long run would otherwise never run again, and its short runs would not be
-     * measured.
+     * Returns whether the task is sent to measure its type's running time, although it may be late: it
+     * arrived in time, and no task of the type was sent for a long time. A type rejected because of one long
+     * run would otherwise never run again, and its shorter runs would not be measured.
      */
     private boolean isExploration(Task task) {
         return !task.arrivedLate && context.runs.isUnsentWithin(task, estimates.longTerm(), context.now());
--- a/src/main/java/rampshift/policy/Attempt.java
+++ b/src/main/java/rampshift/policy/Attempt.java
@@ -17,11 +17,14 @@
     Moment progressAt;
     /** The share of the work that is done, 0 to 1, by the last progress message. */
     double progress;
-    /** Load reports said that it would start at once, and it is not known yet whether they were right. */
+    /** Whether it was sent on a load report of an idle slot that is neither confirmed nor refuted yet. */
     boolean sentOnIdleReport;
-    /** Progress messages are overdue, and no answer came. */
+    /** Whether its progress messages are overdue. */
     boolean lost;
-    /** The cost for which credit was earned for cold workers when it was sent, in mean runs of one slot. */
+    /**
+     * The cost for which slow-start credit was earned when it was sent, in mean runs of one slot; 0 if
+     * another attempt at the task was open.
+     */
     double creditedCostMeanRuns;
     boolean ended;
     boolean neverRan;
@@ -73,7 +76,8 @@
     }
 
     /**
-     * Returns the expected total running time in milliseconds, by the reported progress; at least the age.
+     * Returns the expected total running time in milliseconds, extrapolated from the reported progress; the
+     * age, which is the time since the start, if that is longer or no progress was reported.
      */
     double expectedRunMs(double ageMs) {
         return progress > 0 ? Math.max(ageMs, progressAt.since(startedAt).millis() / progress) : ageMs;
--- a/src/main/java/rampshift/policy/AttemptOutcome.java
+++ b/src/main/java/rampshift/policy/AttemptOutcome.java
@@ -1,6 +1,9 @@
 package rampshift.policy;
 
-/** How an attempt ended. */
+/**
+ * How an attempt ended: with a result, an error or a rejection as full from the worker; by a timeout; by a
+ * connection that could not be opened or broke; cancelled; or not sent by this dispatcher.
+ */
 public enum AttemptOutcome {
     FINISHED(false), ERRED(false), FULL(true), TIMED_OUT(false), NO_CONNECTION(true), BROKEN(
             false), CALLED_OFF(false), NOT_SENT(true),
--- a/src/main/java/rampshift/policy/CandidateSampler.java
+++ b/src/main/java/rampshift/policy/CandidateSampler.java
@@ -17,8 +17,8 @@
     /** Factor on the sample size for a task that can't be hedged while workers report no load. */
     private static final int SINGLE_ATTEMPT_SAMPLE_FACTOR = 3;
     /**
-     * Exponent of the load ratio between workers of constrained types and the others, in the probability with
-     * which an unconstrained task samples the former.
+     * Exponent by which the probability that an unconstrained task samples a worker of constrained types
+     * falls with the load of such workers over that of the others.
      */
     private static final double LOAD_RATIO_EXPONENT = 4;
 
--- a/src/main/java/rampshift/policy/DispatchPolicy.java
+++ b/src/main/java/rampshift/policy/DispatchPolicy.java
@@ -155,7 +155,7 @@
     /**
      * Records that an attempt has ended.
      *
-     * @param terminal whether its task has its final answer with it
+     * @param terminal whether its task has its final answer by now
      */
     public void onAttemptEnded(long id, int number, AttemptOutcome outcome, boolean terminal) {
         Attempt attempt = tasks.find(id, number);
@@ -212,9 +212,9 @@
     }
 
     /**
-     * Makes the timers up to now due. The host calls it at the moment that {@link Decisions#wakeAt} asked
-     * for, once it has reported all events observed before: one of them may be what a timer waits for. No
-     * other event makes timers due.
+     * Makes the timers up to now due; no other event does. The host calls it at the moment requested by
+     * {@link Decisions#wakeAt}, after it has reported all events observed before: one of them may be the
+     * event whose absence a timer detects.
      */
     public void onTimer() {
         wakeAt = null;
@@ -264,8 +264,8 @@
             decisions.probe(probe.worker().id);
         } else if (action instanceof TaskAction.GiveUp giveUp) {
             if (giveUp.noWorkerPermitted()) {
-                // Credit is earned without an attempt, since a fleet of cold workers only would otherwise
-                // never be sent to.
+                // Credit is earned without an attempt: a fleet that consists of cold workers would otherwise
+                // never be sent a task.
                 slowStart.earnCredit(context.runs.costInMeanRuns(task));
             }
             giveUp(task, decisions);
--- a/src/main/java/rampshift/policy/Eligibility.java
+++ b/src/main/java/rampshift/policy/Eligibility.java
@@ -31,10 +31,10 @@
     }
 
     /**
-     * Returns whether the retry budget has room for a further attempt at the task. One attempt in the window
-     * is reserved for each type that has had none yet, against types of less priority and types that have had
-     * theirs, so that a burst of one type's retries does not use up the budget of another. Types are compared
-     * by identity, since two of them may have equal rows.
+     * Returns whether the retry budget allows a further attempt at the task. One attempt in the window is
+     * reserved for each type that has had none yet: types of lower priority, and types that have had one
+     * already, may not use it. Thus a burst of one type's retries does not use up the budget of another.
+     * Types are compared by identity, since two of them may have equal rows.
      */
     @SuppressWarnings("ReferenceEquality")
     private boolean isWithinRetryBudget(Task task) {
@@ -102,7 +102,7 @@
         return task.type.mayRepeat() && !task.type.mayRepeatAnywhere() && task.mayHaveRun();
     }
 
-    /** Returns whether a further attempt could be allowed at any worker. */
+    /** Returns whether a task in flight may get a further attempt, at some workers at least. */
     boolean mayRetry(Task task) {
         return mayHedge(task) && hasAttemptsLeft(task) && (task.type.isIdempotent()
                 || task.attempts.stream()
@@ -114,14 +114,14 @@
         return task.type.mayRepeatAnywhere() || !task.mayHaveRun();
     }
 
-    /** Makes a removed worker that is heard from ready again where removal is advisory. */
+    /** Makes a removed worker ready again once it is heard from, where removal is advisory. */
     void onContact(Worker worker) {
         if (context.settings.removalIsAdvisory && worker.removed && !worker.ready) {
             context.workers.setReady(worker, true);
         }
     }
 
-    /** Withdraws a removed worker that had become ready again: its failure confirms the endpoint list. */
+    /** Makes a removed worker that was ready again not ready: the failure confirms the endpoint list. */
     void onConnectionFailure(Worker worker) {
         if (worker.removed && worker.ready) {
             context.workers.setReady(worker, false);
--- a/src/main/java/rampshift/policy/EndpointListPolicy.java
+++ b/src/main/java/rampshift/policy/EndpointListPolicy.java
@@ -9,7 +9,8 @@
  */
 final class EndpointListPolicy {
     /**
-     * Mean delay of a new subscription as a share of the allowed delay; jitter adds or subtracts up to half.
+     * Mean delay of a new subscription as a share of the allowed delay; jitter adds or subtracts up to half
+     * of it.
      */
     private static final double RESUBSCRIBE_DELAY_SHARE = 0.2;
 
@@ -26,10 +27,10 @@
     }
 
     /**
-     * Makes tasks wait for the next endpoint list, or for the news that none comes: at once if the known list
-     * may be outdated, else after the drain grace period. Workers may have drained while the dispatcher or
-     * its discovery service changed, as when a whole fleet restarts, and must not be sent to by the old list.
-     * Drawback: a discovery service that does not answer delays all tasks.
+     * Makes tasks wait for the next endpoint list, or for the report that none comes: at once if the known
+     * list may be outdated, else after the drain grace period. Workers may have drained while the dispatcher
+     * or its discovery service changed, as in a restart of the whole fleet, and must not be sent tasks by the
+     * old list. Drawback: a discovery service that does not answer delays all tasks.
      */
     void onListAwaited(boolean mayBeOutdated) {
         awaitedFrom = mayBeOutdated ? context.now() : context.after(context.settings.drainGrace);
--- a/src/main/java/rampshift/policy/ExpectedValue.java
+++ b/src/main/java/rampshift/policy/ExpectedValue.java
@@ -9,7 +9,7 @@
  */
 record ExpectedValue(PolicyContext context, WorkerEstimates estimates, Eligibility eligibility) {
 
-    /** Share of the task's value that an attempt has to be worth at a good candidate. */
+    /** Minimum value of an attempt at a good candidate, as a share of the task's value. */
     static final double GOOD_VALUE_SHARE = 0.5;
     /** Spread of the error of a predicted run, as a share of that run. */
     private static final double RUN_SPREAD_SHARE = 0.2;
@@ -20,7 +20,7 @@
      * one slot.
      */
     private static final double MAX_QUEUE_COST_MEAN_VALUES = 4;
-    /** Cost of latency as a share of the task's value, for each latency objective until the answer. */
+    /** Cost of latency as a share of the task's value, for each latency objective that the answer takes. */
     private static final double LATENCY_COST_SHARE = 0.02;
     /** Number of latency objectives after which the cost of latency no longer grows. */
     private static final double LATENCY_COST_MAX_OBJECTIVES = 5;
@@ -77,7 +77,10 @@
                         * Math.min(LATENCY_COST_MAX_OBJECTIVES, end.over(task.type.latencyObjective()));
     }
 
-    /** Returns how likely an attempt is to be answered, by recent failures, message loss and lost types. */
+    /**
+     * Returns how likely an attempt is to be answered: by the worker's recent failures, message loss in its
+     * zone, and whether the worker lost an attempt of the same type.
+     */
     private double successProbability(Task task, Worker worker) {
         double share = 1 - worker.failureScores.sum() / (worker.failureScores.count() + 2);
         // Messages are lost on the link between zones, which is not the worker's fault. The zone is compared
@@ -107,8 +110,8 @@
     private double queueCost(Task task, Span wait) {
         double share = wait.over(wait.plus(context.runs.mean()));
         if (!context.settings.reportsLoad) {
-            // The delays of recent tasks limit the wait: estimated by own slots alone, it made idle workers
-            // reject tasks of several slots.
+            // The start delays of recent tasks limit the wait. Estimated by the slots of this dispatcher's
+            // attempts alone, it led to the rejection of tasks of several slots while workers were idle.
             double recentDelayMs = estimates.shortTermMean(context.history.startDelaysMs, 0);
             Span recentDelay = wait.orShorter(Span.ofMillis(recentDelayMs));
             Span objective = Span.ofMillis(
@@ -151,8 +154,9 @@
     }
 
     /**
-     * Returns the probability that the task ends in time. Where workers report no load, it goes by recent
-     * start delays: of all tasks that may queue anywhere for such a task, else of workers of the same kind.
+     * Returns the probability that the task ends in time. Where workers report no load, it is derived from
+     * recent start delays: for a task that may queue at any second worker, from those of all such tasks; for
+     * other tasks, from those at workers of the same kind.
      */
     double inTimeProbabilityByStarts(Task task, Worker worker) {
         Span run = estimates.run(worker, task);
--- a/src/main/java/rampshift/policy/FleetLoad.java
+++ b/src/main/java/rampshift/policy/FleetLoad.java
@@ -14,12 +14,15 @@
         (worker.servesConstrainedTypes ? constrainedTypeWorkers : otherWorkers).put(loadPerSlot);
     }
 
-    /** Returns the mean load for each slot in the own zone, or in all others. */
+    /** Returns the mean load per slot in the own zone, or in all others. */
     double mean(boolean ofOwnZone) {
         return (ofOwnZone ? ownZone : otherZones).mean(0);
     }
 
-    /** Returns the ratio of load between workers that serve constrained types and the others; 1 if equal. */
+    /**
+     * Returns how much more loaded workers that serve constrained types are than the others: one plus the
+     * load per slot of the former, over one plus that of the latter; 1 if equal.
+     */
     double constrainedLoadRatio() {
         double isPlacementConstrained = constrainedTypeWorkers.mean(0);
         return (1 + isPlacementConstrained) / (1 + otherWorkers.mean(isPlacementConstrained));
--- a/src/main/java/rampshift/policy/FleetSweep.java
+++ b/src/main/java/rampshift/policy/FleetSweep.java
@@ -1,7 +1,8 @@
 package rampshift.policy;
 
 /**
- * Counts, at intervals, the ready workers that are ejected or silent and the share of capacity that is cold.
+ * Counts, at intervals, the ready workers that are ejected or silent, and computes the present capacity of
+ * cold workers as a share of that of the whole fleet when warm.
  */
 final class FleetSweep {
     private final PolicyContext context;
--- a/src/main/java/rampshift/policy/OutlierEjection.java
+++ b/src/main/java/rampshift/policy/OutlierEjection.java
@@ -30,11 +30,11 @@
     private final PolicyContext context;
     private final WorkerEstimates estimates;
     private final SampleWindow crossZoneFailures = new SampleWindow(CROSS_ZONE_FAILURE_LIMIT);
-    /** For each of the last tasks that went on after an error: 1 if the next worker failed too, else 0. */
+    /** For the last tasks sent to another worker after an error: 1 if that worker failed too, else 0. */
     private final DecayingSamples repeatedErrors = new DecayingSamples(16);
     private Moment otherZonesUnreachableUntil;
     private Moment sweptAt;
-    /** Whether most ready workers look bad, so that none is left out. */
+    /** Whether most ready workers are ejected or silent, so that none is left out of samples. */
     private boolean ejectionSuspended;
 
     OutlierEjection(PolicyContext context, WorkerEstimates estimates) {
@@ -115,8 +115,8 @@
     }
 
     /**
-     * Returns whether the worker may be sampled for the task. While most workers look bad, all may be: the
-     * fault is then more likely that of the dispatcher.
+     * Returns whether the worker may be sampled for the task. While most workers are ejected or silent, all
+     * may be sampled: the fault is then more likely that of the dispatcher.
      */
     boolean admits(Worker worker, Task task) {
         return ejectionSuspended
--- a/src/main/java/rampshift/policy/PolicyContext.java
+++ b/src/main/java/rampshift/policy/PolicyContext.java
@@ -33,7 +33,7 @@
         return now;
     }
 
-    /** Returns the moment that comes after the span. */
+    /** Returns the present time plus the span. */
     Moment after(Span span) {
         return now.plus(span);
     }
--- a/src/main/java/rampshift/policy/RedundantToIdleQueue.java
+++ b/src/main/java/rampshift/policy/RedundantToIdleQueue.java
@@ -133,8 +133,8 @@
 
     /**
      * Returns the worker of the first attempt: the best candidate, or a random one of the idle candidates
-     * where workers report no load and the task may be hedged. The random choice is weighted by the size of
-     * workers of the candidate's kind and by its value share.
+     * where workers report no load and the task may be hedged. The random choice is weighted by the greatest
+     * listed weight of the candidate's kind and by the candidate's value share.
      */
     private Worker chooseWorker(Task task, Candidate best) {
         boolean anyIdle = best.score() > value.ofTask(task);
@@ -154,7 +154,7 @@
         return idle.get(context.random.nextIndex(weights));
     }
 
-    /** Adds hedged copies to the other tested candidates for which they pay. */
+    /** Queues a hedged copy to each other tested candidate that qualifies for one. */
     private void addHedgedCopies(Task task, Worker first) {
         for (Worker worker : task.testedCandidates()) {
             if (worker != first && retries.shouldHedge(task, worker)) {
--- a/src/main/java/rampshift/policy/RetryPolicy.java
+++ b/src/main/java/rampshift/policy/RetryPolicy.java
@@ -56,8 +56,8 @@
     }
 
     /**
-     * Returns whether a hedged copy to the sampled worker pays: the worker is idle and good, or ejected with
-     * nothing in flight, which the copy then tests for recovery.
+     * Returns whether a hedged copy should go to the sampled worker: the worker is idle and good, or it is
+     * ejected with nothing in flight, and the copy tests whether it has recovered.
      */
     boolean shouldHedge(Task task, Worker worker) {
         boolean crossingIsCostly = context.settings.crossZoneCost > HEDGE_MAX_CROSS_ZONE_COST;
@@ -89,9 +89,10 @@
     }
 
     /**
-     * Reviews a task in flight, and schedules its next review. A task all of whose open attempts are overdue
-     * is retried; one that no attempt can answer any more, or that only holds slots without value, is given
-     * up.
+     * Reviews a task in flight, and schedules its next review. The task is retried if all its open attempts
+     * are overdue or at silent workers, as far as a retry is allowed and there are tokens for it. It is given
+     * up if no open attempt is expected to be answered and no retry is allowed, or if it only holds slots
+     * without value.
      */
     Review review(Task task) {
         boolean allStuck = true;
@@ -122,8 +123,8 @@
 
     /**
      * Marks an attempt as lost once its progress messages stop. A lost attempt must not count towards the
-     * load and the speed of its worker: counted as slow runs on full workers, lost attempts made half of all
-     * tasks rejected.
+     * load and the speed of its worker: counted as slow runs on full workers, lost attempts led to the
+     * rejection of half of all tasks.
      */
     private void detectLoss(Attempt attempt) {
         Span interval = context.settings.progressInterval;
--- a/src/main/java/rampshift/policy/Review.java
+++ b/src/main/java/rampshift/policy/Review.java
@@ -4,7 +4,7 @@
 enum Review {
     /** Its attempts continue. */
     KEEP,
-    /** Another attempt is due, if a sampled worker makes it pay. */
+    /** Another attempt is sent if its value at one of the workers sampled anew is above zero. */
     RETRY,
     /** No useful answer is expected, and it gets its final answer now. */
     GIVE_UP
--- a/src/main/java/rampshift/policy/RunTimes.java
+++ b/src/main/java/rampshift/policy/RunTimes.java
@@ -11,7 +11,7 @@
     /** Default running time as a share of the time until the task is due; the rest is left for queueing. */
     private static final double DEFAULT_RUN_SHARE = 0.5;
 
-    /** Running times of the last tasks of all types, in milliseconds. */
+    /** Running times of the last tasks of all types in milliseconds: hinted, else measured. */
     private final SampleWindow recentRunsMs = new SampleWindow(64);
     /** By traffic type, measured running times of the last tasks, in milliseconds. */
     private final SampleWindow[] byType;
@@ -74,8 +74,8 @@
     }
 
     /**
-     * Returns the running time that is the default share of the time until the task is due; at most the
-     * objective.
+     * Returns the running time that is the default share of the time until the task is due, which is the
+     * latency objective plus the slack for that running time; at most the objective.
      */
     private static Span defaultRun(TrafficType type) {
         double dueShareLeft = 1 / DEFAULT_RUN_SHARE - type.latencySlackFactor();
--- a/src/main/java/rampshift/policy/Settings.java
+++ b/src/main/java/rampshift/policy/Settings.java
@@ -53,7 +53,7 @@
     /** Time within which a dispatcher that lost its subscription has to subscribe again; zero or more. */
     public Span maxSubscribeDelay = Span.ZERO;
     /**
-     * How long a worker may still be sent to after the endpoint list has said that it drains or is removed.
+     * How long a worker may still be sent tasks after the endpoint list has listed it as draining or removed.
      * The known list stays in use for that long after its source has changed.
      */
     public Span drainGrace = Span.ZERO;
@@ -72,10 +72,11 @@
      */
     public boolean removalIsAdvisory;
     /**
-     * Weight, in the goal of the policy, of the part that falls while too many tasks are late, from 0 to 1.
+     * Weight, in the goal of the policy, of the term that falls as the share of late tasks exceeds the
+     * tolerated one, from 0 to 1.
      */
     public double lateShareWeight;
-    /** Share of late tasks up to which that part of the goal does not fall, from 0 to 1. */
+    /** Share of late tasks up to which that term of the goal does not fall, from 0 to 1. */
     public double toleratedLateShare;
     /**
      * Share of its full speed that a worker has when it starts, from 0 to 1; 1 where there is no slow start.
--- a/src/main/java/rampshift/policy/SlowStart.java
+++ b/src/main/java/rampshift/policy/SlowStart.java
@@ -10,7 +10,10 @@
  * Summed over all dispatchers, cold workers get that factor of the load that they may be sent.
  */
 final class SlowStart {
-    /** Load of a cold worker if all dispatchers send at once, as a multiple of the allowed load multiple. */
+    /**
+     * Expected load of a cold worker in a burst of all dispatchers, as a multiple of the load that it may be
+     * sent; sets the probability with which it joins samples.
+     */
     private static final double BURST_LOAD_FACTOR = 2.5;
     /** Share of the allowed load multiple for which credit is earned. */
     private static final double USED_LOAD_MULTIPLE_SHARE = 0.5;
@@ -44,7 +47,7 @@
         return warmUpFactor(worker) >= 1 || creditMeanRuns > 0;
     }
 
-    /** Sets the probability of cold workers in a sample that takes one in the given number of workers. */
+    /** Sets the probability with which cold workers join a sample that takes one of this many workers. */
     void beginSample(double workersPerCandidate, double acceptedShare) {
         double multiple = BURST_LOAD_FACTOR * context.settings.slowStartMaxLoadMultiple;
         sampleProbability = multiple * workersPerCandidate / context.workers.readyCount() * acceptedShare;
@@ -57,8 +60,8 @@
     }
 
     /**
-     * Earns the credit of a first attempt that was sent. An attempt that never ran earns nothing: its credit
-     * is taken back by a negative cost.
+     * Earns the credit of an attempt that was sent while no other attempt at its task was open. An attempt
+     * that never ran earns nothing: its credit is taken back by a negative cost.
      */
     void earnCredit(double costMeanRuns) {
         double earned = USED_LOAD_MULTIPLE_SHARE * context.settings.slowStartMaxLoadMultiple
--- a/src/main/java/rampshift/policy/Task.java
+++ b/src/main/java/rampshift/policy/Task.java
@@ -15,7 +15,10 @@
     final Span runHint;
     final double slots;
     final double memory;
-    /** When the client first sent the request, derived from the time that is left of the type's timeout. */
+    /**
+     * When the client first sent the request, derived from the time that is left of the type's timeout; when
+     * the task arrived, if its client counts as one with a short timeout.
+     */
     Moment firstRequestedAt;
     Moment deadline;
     /** All attempts, in the order of their numbers. */
@@ -27,7 +30,7 @@
     final ArrayDeque<Worker> probeTargets = new ArrayDeque<>();
     /** Workers that a hedged copy is still to be sent to. */
     final ArrayDeque<Worker> hedgeTargets = new ArrayDeque<>();
-    /** Whether it arrived too late to end in time, by the time that was left. */
+    /** Whether its latency objective had passed when it arrived, by the time that was left. */
     boolean arrivedLate;
     /** Share of its value, 0 to 1, that is deducted as its tenant exceeds the quota. */
     double quotaDiscount;
--- a/src/main/java/rampshift/policy/TaskHistory.java
+++ b/src/main/java/rampshift/policy/TaskHistory.java
@@ -12,9 +12,12 @@
     final DecayingSamples startDelaysMs = new DecayingSamples(32);
     /** For the last attempts that reached a worker: 0 if rejected as full, else 1. */
     final DecayingSamples accepted = new DecayingSamples(32);
-    /** For the last tasks: 1 if it arrived too late to end in time, by the time that was left, else 0. */
+    /** For the last tasks: 1 if its latency objective had passed when it arrived, else 0. */
     final SampleWindow arrivedLate = new SampleWindow(32);
-    /** For the last tasks with a final answer: 1 if it was given up though it had arrived in time, else 0. */
+    /**
+     * For the last final answers: 1 if the task was given up though it had arrived in time, else 0. Each end
+     * of an attempt after or with the final answer of its task adds a 0, too.
+     */
     final SampleWindow givenUpInTime = new SampleWindow(32);
 
     /** Records a task that arrived, with its value. */
@@ -29,7 +32,7 @@
         }
     }
 
-    /** Records a task that was answered by a worker. */
+    /** Records the end of an attempt whose task has its final answer by now. */
     void onTaskAnswered() {
         givenUpInTime.put(0);
     }
--- a/src/main/java/rampshift/policy/TenantQuotas.java
+++ b/src/main/java/rampshift/policy/TenantQuotas.java
@@ -28,8 +28,8 @@
     }
 
     /**
-     * Returns the share of the tenant's tasks beyond its share of the quotas, times the value that these
-     * lose.
+     * Returns the share of the tenant's tasks that exceeds its share of the quotas, times the share of value
+     * that such tasks lose.
      */
     private double overQuotaDiscount(int tenant, Moment now) {
         // The tenant's share of the arrivals at this dispatcher is compared with its share of the quotas. Its
--- a/src/main/java/rampshift/policy/TrafficType.java
+++ b/src/main/java/rampshift/policy/TrafficType.java
@@ -8,7 +8,8 @@
  *
  * @param priorityWeight value of a task that ends within its latency objective, 0 or more
  * @param lateValueShare share of that value if the task ends later but within its deadline, from 0 to 1
- * @param latencyObjective time from the first request to the end of a task in time, without slack; above zero
+ * @param latencyObjective longest time from the first request to the end of a task that is in time, without
+ * slack; above zero
  * @param latencySlackFactor multiple of the task's running time that is added to the objective, 0 or more
  * @param timeout time from the first request to the client's deadline; above zero
  * @param effect the effect of a second run
--- a/src/main/java/rampshift/policy/Worker.java
+++ b/src/main/java/rampshift/policy/Worker.java
@@ -39,13 +39,13 @@
     Moment loadReportedAt;
     /** For the last attempts sent on a report of an idle slot: 1 if it found one, else 0. */
     final DecayingSamples idleReportAccuracy = new DecayingSamples(4);
-    /** Total number of slots, by the last reports. */
+    /** Total number of slots, by the last reports; free slots where reports lack the running ones. */
     final SampleWindow capacities = new SampleWindow(12);
     /** Delays from send to start of the last attempts, in milliseconds. */
     final DecayingSamples startDelaysMs = new DecayingSamples(8);
     /** Free memory by the last report; NaN where none was reported. */
     double freeMemory = Double.NaN;
-    /** Whether its reports hold both free and running slots. */
+    /** Whether one of its reports held both free and running slots. */
     boolean capacityReported;
     /** Whether a load report came since its process started. */
     boolean hasReported;
@@ -123,7 +123,7 @@
         probeUnanswered = false;
     }
 
-    /** Returns whether a connection to the worker is idle that was in use within the timeout. */
+    /** Drops the connections that were idle for the timeout; returns whether an idle one is left. */
     boolean hasIdleConnection(Moment now, Span idleTimeout) {
         while (!idleConnections.isEmpty() && !idleTimeout.longerThan(now.since(idleConnections.peek()))) {
             idleConnections.poll();
--- a/src/main/java/rampshift/policy/WorkerEstimates.java
+++ b/src/main/java/rampshift/policy/WorkerEstimates.java
@@ -103,7 +103,8 @@
 
     /**
      * Returns the expected running time of the task at the worker. A default is not scaled by the worker's
-     * speed: a type that is rejected for it would never run, and its running time would never be measured.
+     * speed: a type rejected because of a scaled default would never run, and its running time would never be
+     * measured.
      */
     Span run(Worker worker, Task task) {
         Span expected = context.runs.expected(task);
@@ -125,7 +126,8 @@
 
     /**
      * Returns the capacity in slots by load reports. A worker with few reports takes that of its kind; a kind
-     * without reports takes its weight in the endpoint list. Where workers report no load, it is the largest
+     * without reports takes its weight in the endpoint list. Where reports lack the running slots, it is the
+     * largest capacity recorded for the worker or its kind. Where workers report no load, it is the largest
      * number of slots in which own attempts were seen to run at once on a worker of the kind.
      */
     private double observedCapacity(Worker worker, double started) {
@@ -144,8 +146,9 @@
     }
 
     /**
-     * Returns how many slots are in use or queued for. Without a recent report it tends to the mean load of
-     * the own zone, or of the other zones.
+     * Returns how many slots are in use or queued for. The slots of other dispatchers are the mean of the
+     * worker's reports, weighted by their age, with the mean load of the own zone or of the other zones as a
+     * prior. Reports that are not trusted are ignored.
      */
     private double load(Worker worker) {
         Span decayTime = context.runs.mean().times(REPORT_DECAY_MEAN_RUNS);
@@ -219,8 +222,8 @@
 
     /**
      * Tests whether the worker is idle. One that was not heard from, or whose reports are not trusted, counts
-     * as idle with the probability that a trusted candidate of the task is, which prevents a herd at that
-     * worker.
+     * as idle with the probability that a trusted candidate of the task is, so that not all dispatchers
+     * choose it at once. It also needs room for the task beside this dispatcher's own attempts.
      */
     boolean isIdle(Worker worker, Task task) {
         if (isTrusted(worker)) {
@@ -249,7 +252,8 @@
 
     /**
      * Tests the idleness of a trusted worker by its load reports. A worker that has reported none is idle
-     * without own attempts; where workers report no load, own slots and the expected start delay decide.
+     * without own attempts, unless it rejected one as full when it was last heard from. Where workers report
+     * no load, own slots and the expected start delay decide.
      */
     private boolean passesIdlenessTest(Worker worker, Task task) {
         if (worker.probeUnanswered) {
--- a/src/main/java/rampshift/policy/WorkerObserver.java
+++ b/src/main/java/rampshift/policy/WorkerObserver.java
@@ -62,8 +62,8 @@
             worker.recordRun(expectedMs, ranMs, slowStart.warmUpFactor(worker) >= 1);
         }
         worker.typesLostAt.remove(attempt.task.typeIndex);
-        // The attempt was not overdue before. Where starts are not reported, only its end confirms an idle
-        // report.
+        // An overdue start would have refuted the idle report by now. Where starts are not reported, only the
+        // end confirms it.
         onIdleReportChecked(attempt, true);
     }
 
@@ -102,7 +102,10 @@
         }
     }
 
-    /** Records a load report, in slots and units of memory; values that it lacks are NaN. */
+    /**
+     * Records a load report, in slots and units of memory; values that it lacks are NaN. The load is the
+     * running slots; where these are not reported, the capacity less the free slots, plus the queue.
+     */
     void onLoadReport(Worker worker, double free, double queued, double running, double freeMemory) {
         worker.onLoadReport(free, running, freeMemory);
         double queue = Double.isNaN(queued) ? 0 : queued;
@@ -114,8 +117,8 @@
     }
 
     /**
-     * Derives the load of a worker from its live weight, which is its full weight over 1 + its load per core.
-     * A core counts as a slot of capacity here. All dispatchers see the same weights.
+     * Derives the load of a worker from its live weight, which is its full weight over 1 + its load per slot.
+     * The full weight is the greatest listed one of its kind. All dispatchers see the same weights.
      */
     void onListedWeight(Worker worker, double weight) {
         if (context.settings.liveWeights && weight > 0 && worker.kindStatistics.capacities.count() > 0) {
@@ -123,7 +126,7 @@
         }
     }
 
-    /** Records the slots in use or queued for at a worker, less those of own attempts. */
+    /** Records the load of a worker in slots, less the slots of this dispatcher's attempts. */
     private void onLoad(Worker worker, double slots) {
         if (estimates.isReportDue(worker)) {
             double others = Math.max(0, slots - worker.ownSlots());
--- a/src/main/java/rampshift/policy/WorkerTable.java
+++ b/src/main/java/rampshift/policy/WorkerTable.java
@@ -44,7 +44,7 @@
         return byType.get(typeIndex);
     }
 
-    /** Returns the worker, or null where none of this id was ever listed. */
+    /** Returns the worker with the id, or null if it was never listed. */
     Worker get(long id) {
         return byId.get(id);
     }
@@ -57,7 +57,10 @@
         return ready.get(0).size() + ready.get(1).size();
     }
 
-    /** Begins a full list: marks all workers as removed until it names them. */
+    /**
+     * Begins a full list: marks all workers as not ready, and as removed unless they drain, until it names
+     * them.
+     */
     void beginFullList() {
         for (Worker worker : all) {
             worker.ready = false;
