--- a/src/main/java/rampshift/policy/Admission.java
+++ b/src/main/java/rampshift/policy/Admission.java
@@ -26,7 +26,7 @@
     void onTaskArrived(Task task) {
         task.arrivedLate = value.timeLeft(task).micros() < 0;
         if (task.arrivedLate && context.history.arrivedLate.mean(0) > MAX_LATE_ARRIVALS_PER_REJECTION
-                * context.history.givenUpInTime.mean(0)) {
+                * context.history.inTimeArrivalsGivenUp.mean(0)) {
             task.firstRequestedAt = context.now();
         }
         context.history.arrivedLate.put(task.arrivedLate ? 1 : 0);
@@ -52,11 +52,11 @@
     /**
      * Returns whether the task is rejected rather than sent to the worker.
      *
-     * @param attemptValue the score of the best candidate, see {@link Candidate}; not above zero where every
+     * @param bestScore the score of the best candidate, see {@link Candidate}; not above zero where every
      * attempt costs more than it earns
      */
-    boolean rejects(Task task, Worker worker, double attemptValue, boolean isLastSample) {
-        return eligibility.mayReject(task) && !(isLastSample && isExploration(task)) && (attemptValue <= 0
+    boolean rejects(Task task, Worker worker, double bestScore, boolean isLastSample) {
+        return eligibility.mayReject(task) && !(isLastSample && isExploration(task)) && (bestScore <= 0
                 || value.inTimeProbabilityByStarts(task, worker) < MIN_IN_TIME_PROBABILITY
                         + context.settings.lateShareWeight);
     }
--- a/src/main/java/rampshift/policy/FleetLoad.java
+++ b/src/main/java/rampshift/policy/FleetLoad.java
@@ -24,7 +24,7 @@
      * load per slot of the former, over one plus that of the latter; 1 if equal.
      */
     double constrainedLoadRatio() {
-        double isPlacementConstrained = constrainedTypeWorkers.mean(0);
-        return (1 + isPlacementConstrained) / (1 + otherWorkers.mean(isPlacementConstrained));
+        double constrainedLoad = constrainedTypeWorkers.mean(0);
+        return (1 + constrainedLoad) / (1 + otherWorkers.mean(constrainedLoad));
     }
 }
--- a/src/main/java/rampshift/policy/FleetSweep.java
+++ b/src/main/java/rampshift/policy/FleetSweep.java
@@ -16,7 +16,7 @@
     }
 
     void runIfDue() {
-        if (!ejection.sweepDue()) {
+        if (!ejection.isSweepDue()) {
             return;
         }
         int ready = 0;
--- a/src/main/java/rampshift/policy/OutlierEjection.java
+++ b/src/main/java/rampshift/policy/OutlierEjection.java
@@ -157,7 +157,7 @@
         return false;
     }
 
-    boolean sweepDue() {
+    boolean isSweepDue() {
         return sweptAt == null
                 || context.since(sweptAt).micros() >= context.runs.mean().micros() / SWEEPS_PER_MEAN_RUN;
     }
--- a/src/main/java/rampshift/policy/RunTimes.java
+++ b/src/main/java/rampshift/policy/RunTimes.java
@@ -78,8 +78,8 @@
      * latency objective plus the slack for that running time; at most the objective.
      */
     private static Span defaultRun(TrafficType type) {
-        double dueShareLeft = 1 / DEFAULT_RUN_SHARE - type.latencySlackFactor();
-        return type.latencyObjective().times(1 / Math.max(1, dueShareLeft));
+        double objectiveInRuns = 1 / DEFAULT_RUN_SHARE - type.latencySlackFactor();
+        return type.latencyObjective().times(1 / Math.max(1, objectiveInRuns));
     }
 
     /**
--- a/src/main/java/rampshift/policy/TaskHistory.java
+++ b/src/main/java/rampshift/policy/TaskHistory.java
@@ -18,7 +18,7 @@
      * For the last final answers: 1 if the task was given up though it had arrived in time, else 0. Each end
      * of an attempt after or with the final answer of its task adds a 0, too.
      */
-    final SampleWindow givenUpInTime = new SampleWindow(32);
+    final SampleWindow inTimeArrivalsGivenUp = new SampleWindow(32);
 
     /** Records a task that arrived, with its value. */
     void onTaskArrived(Task task, double value) {
@@ -34,10 +34,10 @@
 
     /** Records the end of an attempt whose task has its final answer by now. */
     void onTaskAnswered() {
-        givenUpInTime.put(0);
+        inTimeArrivalsGivenUp.put(0);
     }
 
     void onTaskGivenUp(Task task) {
-        givenUpInTime.put(task.arrivedLate ? 0 : 1);
+        inTimeArrivalsGivenUp.put(task.arrivedLate ? 0 : 1);
     }
 }
--- a/src/test/java/rampshift/policy/OutlierEjectionTest.java
+++ b/src/test/java/rampshift/policy/OutlierEjectionTest.java
@@ -148,7 +148,7 @@
     }
 
     @Test
-    void aWorkerIsSilentOnceNothingWasHeardForSeveralPredictedSpans() {
+    void aWorkerIsSilentOnceNothingWasHeardForSeveralPredictedDurations() {
         Settings settings = new Settings();
         settings.types.add(new TrafficType(1, 0, Span.ofMillis(100), 3, Span.ofMillis(5000),
                 TrafficType.Effect.IDEMPOTENT, TrafficType.DeduplicationScope.ALL, Span.ZERO, null, null));
--- a/src/test/java/rampshift/policy/SimulatedWorker.java
+++ b/src/test/java/rampshift/policy/SimulatedWorker.java
@@ -17,7 +17,7 @@
     static final double WINDOW_MILLIS = 1500;
     /** Allowed number of tasks for a cold worker, in multiples of those that it can run in the window. */
     static final double MAX_CAPACITY_MULTIPLE = 4;
-    private static final double LONG_WARM = 0;
+    private static final double ALWAYS_WARM = 0;
 
     final long id;
     /** When it was started; 0 for one that was always warm. */
@@ -37,7 +37,7 @@
 
     /** Creates a worker that was started long ago. */
     static SimulatedWorker warm(FleetSimulation simulation, long id) {
-        return new SimulatedWorker(simulation, id, LONG_WARM);
+        return new SimulatedWorker(simulation, id, ALWAYS_WARM);
     }
 
     /** Creates a worker that is started now. */
@@ -47,7 +47,7 @@
 
     /** Returns the present speed as a share of that of a warm worker, up to 1. */
     double speed() {
-        if (startedAt == LONG_WARM) {
+        if (startedAt == ALWAYS_WARM) {
             return 1;
         }
         double age = simulation.now() - startedAt;
--- a/src/test/java/rampshift/policy/TaskQueueTest.java
+++ b/src/test/java/rampshift/policy/TaskQueueTest.java
@@ -35,7 +35,7 @@
      * then on.
      */
     @Test
-    void aTaskIsReviewedOnceHoweverOftenItsReviewIsAskedFor() {
+    void aTaskIsReviewedOnceHoweverOftenItsReviewIsRequested() {
         Task task = task(1);
         Moment start = new Moment(0);
         queue.reviewAt(new Moment(10), start, task);
@@ -50,7 +50,7 @@
     }
 
     @Test
-    void anEarlierReviewIsNotPutOff() {
+    void anEarlierReviewIsNotPostponed() {
         Task task = task(1);
         queue.reviewAt(new Moment(20), new Moment(0), task);
         queue.reviewAt(new Moment(10), new Moment(0), task);
