--- a/src/main/java/rampshift/policy/Decisions.java
+++ b/src/main/java/rampshift/policy/Decisions.java
@@ -8,6 +8,8 @@
     /**
      * Sends an attempt at the task to the worker. A task's attempts are numbered from 0 in the order of these
      * calls.
+     *
+     * @param timeout time from the start of the attempt after which the host ends it; zero for no timeout
      */
     void forward(long task, long worker, Span timeout);
 
--- a/src/main/java/rampshift/policy/RedundantToIdleQueue.java
+++ b/src/main/java/rampshift/policy/RedundantToIdleQueue.java
@@ -73,8 +73,8 @@
     }
 
     /**
-     * Probes those of the next candidates whose last contact is not fresh, and sets the timeout for the
-     * answers. Where no probe is needed, all candidates count as tested.
+     * Queues probes of those of the next candidates that are trusted and were not heard from lately, and sets
+     * the timeout for the answers. Where candidates are not probed, all of them count as tested at once.
      */
     private void startIdlenessTests(Task task) {
         int from = task.testedCount;
--- a/src/main/java/rampshift/policy/RetryPolicy.java
+++ b/src/main/java/rampshift/policy/RetryPolicy.java
@@ -11,8 +11,8 @@
     /** Tokens that hedges leave to retries. */
     private static final double RETRY_RESERVE_TOKENS = 2;
     /**
-     * Cost of a wasted run, in values of a mean task, for each token that a hedge takes; at least one is
-     * taken.
+     * Cost of a wasted run, in values of a mean task, for which a hedge takes one token; a hedge takes at
+     * least one.
      */
     private static final double WASTED_WORK_COST_PER_TOKEN = 0.05;
     /**
--- a/src/main/java/rampshift/policy/Settings.java
+++ b/src/main/java/rampshift/policy/Settings.java
@@ -67,8 +67,8 @@
      */
     public double retryBudgetRatio;
     /**
-     * Whether a worker that the endpoint list calls removed, or lacks, may be sent to again once it is heard
-     * from, unless it was draining.
+     * Whether a worker that the endpoint list calls removed, or lacks, may be sent tasks again once it is
+     * heard from, unless it was draining.
      */
     public boolean removalIsAdvisory;
     /**
--- a/src/main/java/rampshift/policy/SlowStart.java
+++ b/src/main/java/rampshift/policy/SlowStart.java
@@ -5,9 +5,10 @@
 /**
  * Slow start of cold workers: limits how often they are sampled and, by a credit, how much they are sent.
  *
- * <p>Dispatchers share no state. Each of them may send to cold workers, of all that it sends, the share of
- * the warm fleet's capacity that cold workers have, times the allowed load multiple, times a safety factor.
- * Summed over all dispatchers, cold workers get that factor of the load that they may be sent.
+ * <p>Dispatchers share no state. Each of them may send to cold workers a share of all that it sends: the
+ * present capacity of cold workers over that of the whole fleet when warm, times the allowed load multiple,
+ * times a safety factor. Summed over all dispatchers, cold workers are sent that factor of the load that is
+ * allowed.
  */
 final class SlowStart {
     /**
@@ -15,7 +16,7 @@
      * sent; sets the probability with which it joins samples.
      */
     private static final double BURST_LOAD_FACTOR = 2.5;
-    /** Share of the allowed load multiple for which credit is earned. */
+    /** Share of the allowed load multiple for which credit is earned: the safety factor. */
     private static final double USED_LOAD_MULTIPLE_SHARE = 0.5;
     /** Limit of the credit, in mean runs of one slot. */
     private static final double MAX_CREDIT_MEAN_RUNS = 1;
--- a/src/main/java/rampshift/policy/WorkerEstimates.java
+++ b/src/main/java/rampshift/policy/WorkerEstimates.java
@@ -251,9 +251,10 @@
     }
 
     /**
-     * Tests the idleness of a trusted worker by its load reports. A worker that has reported none is idle
-     * without own attempts, unless it rejected one as full when it was last heard from. Where workers report
-     * no load, own slots and the expected start delay decide.
+     * Tests the idleness of a trusted worker by its load reports and their free memory; one that did not
+     * answer its probe is busy. A worker that has reported none is idle without own attempts, unless it
+     * rejected one as full when it was last heard from. Where workers report no load, own slots and the
+     * expected start delay decide.
      */
     private boolean passesIdlenessTest(Worker worker, Task task) {
         if (worker.probeUnanswered) {
--- a/src/test/java/rampshift/policy/SlowStartFleetTest.java
+++ b/src/test/java/rampshift/policy/SlowStartFleetTest.java
@@ -38,7 +38,7 @@
             double burstDelayMillis) {
     }
 
-    /** A third of the fleet restarts cold at once, as a burst of half as much traffic again begins. */
+    /** A third of the fleet restarts cold at once, and the traffic rises by half at the same time. */
     @ParameterizedTest
     @CsvSource({"3, 12, 0.7, 0", "20, 12, 0.6, 0", "30, 12, 0.7, 0.7", "120, 30, 0.8, 0"})
     void allDispatchersTogetherKeepToTheBoundOfEachColdWorker(int dispatchers, int workers, double load,
