--- a/src/main/java/rampshift/policy/SlowStart.java
+++ b/src/main/java/rampshift/policy/SlowStart.java
@@ -5,14 +5,18 @@
 /**
  * Slow start of cold workers: limits how often they are sampled and, by a credit, how much they are sent.
  *
- * <p>Dispatchers share no state. Each of them may send to cold workers, of all that it sends, the share of
- * the warm fleet's capacity that cold workers have, times the allowed load multiple, times a safety factor.
- * Summed over all dispatchers, cold workers get that factor of the load that they may be sent.
+ * <p>Dispatchers share no state. Each of them may send to cold workers a share of all that it sends: the
+ * present capacity of cold workers over that of the whole fleet when warm, times the allowed load multiple,
+ * times a safety factor. Summed over all dispatchers, cold workers are sent that factor of the load that is
+ * allowed.
  */
 final class SlowStart {
-    /** Load of a cold worker if all dispatchers send at once, as a multiple of the allowed load multiple. */
+    /**
+     * Expected load of a cold worker in a burst of all dispatchers, as a multiple of the load that it may be
+     * sent; sets the probability with which it joins samples.
+     */
     private static final double BURST_LOAD_FACTOR = 2.5;
-    /** Share of the allowed load multiple for which credit is earned. */
+    /** Share of the allowed load multiple for which credit is earned: the safety factor. */
     private static final double USED_LOAD_MULTIPLE_SHARE = 0.5;
     /** Limit of the credit, in mean runs of one slot. */
     private static final double MAX_CREDIT_MEAN_RUNS = 1;
@@ -44,7 +48,7 @@
         return warmUpFactor(worker) >= 1 || creditMeanRuns > 0;
     }
 
-    /** Sets the probability of cold workers in a sample that takes one in the given number of workers. */
+    /** Sets the probability with which cold workers join a sample that takes one of this many workers. */
     void beginSample(double workersPerCandidate, double acceptedShare) {
         double multiple = BURST_LOAD_FACTOR * context.settings.slowStartMaxLoadMultiple;
         sampleProbability = multiple * workersPerCandidate / context.workers.readyCount() * acceptedShare;
@@ -57,8 +61,8 @@
     }
 
     /**
-     * Earns the credit of a first attempt that was sent. An attempt that never ran earns nothing: its credit
-     * is taken back by a negative cost.
+     * Earns the credit of an attempt that was sent while no other attempt at its task was open. An attempt
+     * that never ran earns nothing: its credit is taken back by a negative cost.
      */
     void earnCredit(double costMeanRuns) {
         double earned = USED_LOAD_MULTIPLE_SHARE * context.settings.slowStartMaxLoadMultiple
