--- a/src/main/java/rampshift/testbed/workers/EffectGuard.java
+++ b/src/main/java/rampshift/testbed/workers/EffectGuard.java
@@ -15,8 +15,8 @@
      * Creates a guard.
      *
      * @param types the types of the plan
-     * @param keys for each type the keys that this worker remembers together with others
-     * @param fencingTokens the tokens that all workers have received
+     * @param keys the idempotency keys by type, shared with the other workers of the type's group
+     * @param fencingTokens the highest tokens that any worker has received
      * @param events receives the decisions
      */
     EffectGuard(List<FleetPlan.TrafficType> types, List<IdempotencyKeys> keys, FencingTokens fencingTokens,
@@ -27,7 +27,7 @@
         this.events = events;
     }
 
-    /** Whether a task that starts now has its effect: it is no repetition, and its token is not refused. */
+    /** Returns whether a task that starts now has its effect: it is not repeated, nor its token refused. */
     boolean permits(Task task, Moment now) {
         FleetPlan.TrafficType type = types.get(task.type());
         boolean repeated = type.effect() == FleetPlan.TrafficType.Effect.FINGERPRINTED
--- a/src/main/java/rampshift/testbed/workers/EmulatedWorker.java
+++ b/src/main/java/rampshift/testbed/workers/EmulatedWorker.java
@@ -14,19 +14,19 @@
 import rampshift.time.Span;
 
 /**
- * An emulated worker: it runs the tasks of its connections on the model of a machine, with the faults that it
- * has now. It is used on the I/O thread alone.
+ * An emulated worker. It runs the tasks of its connections on the model of a machine, subject to the faults
+ * that are active. Used on the I/O thread only.
  */
 final class EmulatedWorker {
     private static final long MICROS_PER_MILLI = 1000;
 
-    /** What became of a job that was offered to a worker. */
+    /** The result of offering a job to a worker. */
     enum Admission {
-        /** It runs or waits, or is over already. */
+        /** The job is queued or running, or has already ended. */
         ACCEPTED,
-        /** There was no room for it. */
+        /** The worker had no capacity for the job. */
         REJECTED,
-        /** The worker has crashed under it. */
+        /** The job overloaded the worker, which has crashed. */
         CRASHED
     }
 
@@ -38,12 +38,12 @@
     private boolean down;
 
     /**
-     * Creates a worker that is warm and has no links.
+     * Creates a warm worker without links.
      *
-     * @param fleet what all workers share
-     * @param identity which worker it is
-     * @param keys for each type of the plan the keys that it remembers together with others
-     * @param random decides whom its faults affect
+     * @param fleet the context that all workers share
+     * @param identity the identity of the worker
+     * @param keys the idempotency keys by type of the plan, shared with the other workers of the type's group
+     * @param random the source of randomness for faults
      */
     EmulatedWorker(FleetContext fleet, WorkerIdentity identity, List<IdempotencyKeys> keys,
             UniformRandomProvider random) {
@@ -62,17 +62,17 @@
         return context.identity();
     }
 
-    /** The links to it, by the index of the dispatcher. */
+    /** Returns the links to the worker, by the index of the dispatcher. */
     List<Link> links() {
         return links;
     }
 
-    /** Whether its process has ended and was not restarted. */
+    /** Returns whether the worker's process has ended and was not restarted. */
     boolean isDown() {
         return down;
     }
 
-    /** The weight that discovery tells: its capacity, reduced while it holds jobs if the plan says so. */
+    /** Returns the weight for endpoint lists: the capacity, reduced by current jobs if the plan says so. */
     double weight() {
         double capacity = context.model().nominalCapacity();
         int slots = identity().machine().slots();
@@ -87,7 +87,7 @@
         connection.start();
     }
 
-    /** Forgets a connection that has ended. */
+    /** Removes a connection that has ended. */
     void remove(WorkerConnection connection) {
         connections.remove(connection);
     }
@@ -103,18 +103,18 @@
         update();
     }
 
-    /** Ends its process: all jobs are lost, connections are reset and new ones refused. */
+    /** Ends the worker's process: all jobs are lost, connections are reset and new ones refused. */
     void crash() {
         down = true;
         context.model().restart(EventClock.now());
-        // Links reset the connections that they know; release() makes them forget one.
+        // Links reset only registered connections, so they must shut down before release() unregisters them.
         links.forEach(Link::shutDown);
         for (WorkerConnection connection : new ArrayList<>(connections)) {
             connection.release();
         }
     }
 
-    /** Starts its process again, cold and at the same addresses. */
+    /** Restarts the worker's process, cold and at the same addresses. */
     void restart() {
         down = false;
         Moment now = EventClock.now();
@@ -124,7 +124,7 @@
         update();
     }
 
-    /** Offers a job to the machine and starts it if there is a free slot. */
+    /** Offers a job to the machine, which starts it if it fits. */
     Admission offer(Job job, Moment now) {
         boolean hadCrashed = context.model().hasCrashed();
         if (context.model().offer(job, now)) {
@@ -139,7 +139,7 @@
         return Admission.REJECTED;
     }
 
-    /** The dispatcher has closed the connection of a job; one that has started may run on regardless. */
+    /** Cancels a job whose connection was closed, if it has not started or the plan stops such jobs. */
     void abandon(Job job) {
         context.events().taskAbandoned(EventClock.now(), job);
         if (!job.isStarted() || context.fleet().plan().workers().stops()) {
@@ -148,7 +148,7 @@
         update();
     }
 
-    /** Advances the machine, responds to what has happened, and schedules the next update. */
+    /** Advances the machine, handles jobs that have started or completed, and schedules the next update. */
     private void update() {
         Moment now = EventClock.now();
         WorkerModel model = context.model();
@@ -206,7 +206,7 @@
         }
     }
 
-    /** Closes its links and connections. */
+    /** Closes the worker's links and connections. */
     void close() {
         cancelUpdate();
         for (WorkerConnection connection : new ArrayList<>(connections)) {
--- a/src/main/java/rampshift/testbed/workers/Fleet.java
+++ b/src/main/java/rampshift/testbed/workers/Fleet.java
@@ -23,9 +23,9 @@
 import rampshift.time.Span;
 
 /**
- * The emulated workers of a plan and the discovery agents that tell dispatchers of them, on one I/O thread.
- * Methods that change workers or discovery, or read what faults change, are called on that thread, see
- * {@link #thread}; all others on any thread.
+ * The emulated workers of a plan and the discovery agents that serve their endpoint lists, on one I/O thread.
+ * Methods that change workers or discovery, or read state that faults change, must be called on that thread,
+ * see {@link #thread}; all others may be called on any thread.
  */
 public final class Fleet {
     private static final long CLOSE_TIMEOUT_SECONDS = 5;
@@ -45,7 +45,7 @@
      *
      * @param plan the plan of the fleet
      * @param seed the seed of the run
-     * @param eventLog receives what workers and agents observe
+     * @param eventLog receives the events of workers and agents
      * @throws IOException if a port or a file descriptor cannot be opened
      */
     public Fleet(FleetPlan plan, long seed, EventLog eventLog) throws IOException {
@@ -96,12 +96,12 @@
                 identity.cell(), WorkerEntry.State.READY, worker.weight(), 0, ports);
     }
 
-    /** The name of a dispatcher in plans and reports, by its index from 0: {@code d1} for the first. */
+    /** Returns the name in plans and reports of the dispatcher with an index from 0: {@code d1} for 0. */
     public static String dispatcherName(int dispatcher) {
         return "d" + (dispatcher + 1);
     }
 
-    /** Sets an action that is run once, when the next task reaches a worker. */
+    /** Sets an action that runs once, when a worker receives the next task. */
     public void whenFirstTask(Runnable action) {
         thread.execute(() -> onFirstTask = action);
     }
@@ -114,7 +114,7 @@
         }
     }
 
-    /** The index of each dispatcher's site in the plan. */
+    /** Returns the index of each dispatcher's site in the plan. */
     public List<Integer> dispatcherSites() {
         List<Integer> sites = new ArrayList<>();
         for (int site = 0; site < plan.sites().size(); site++) {
@@ -129,22 +129,22 @@
         return plan.sites().get(site).name();
     }
 
-    /** The port of 127.0.0.1 of a dispatcher's discovery agent, by the dispatcher's index. */
+    /** Returns the port on 127.0.0.1 of a dispatcher's discovery agent, by the dispatcher's index. */
     public int agentPort(int dispatcher) {
         return registry.agent(dispatcher).port();
     }
 
-    /** The endpoint list in JSON, as a dispatcher would receive it now without faults. */
+    /** Returns the endpoint list in JSON as a dispatcher would receive it now without faults. */
     public String list(int dispatcher) {
         return registry.agent(dispatcher).list();
     }
 
-    /** The I/O thread of all workers and agents. */
+    /** Returns the I/O thread of all workers and agents. */
     public XnioIoThread thread() {
         return thread;
     }
 
-    /** The uids of the workers of a site, in the order of the plan; of all sites if the name is empty. */
+    /** Returns the uids of a site's workers, or of all workers if the name is empty, in plan order. */
     public List<String> workerNames(String site) {
         return workers.values().stream().map(EmulatedWorker::identity)
                 .filter(identity -> site.isEmpty() || siteName(identity.site()).equals(site))
@@ -157,13 +157,13 @@
      * @param uid the worker
      * @param fault the fault
      * @param active whether it starts
-     * @throws IllegalArgumentException if the fault is none of a worker
+     * @throws IllegalArgumentException if the fault is not a worker fault
      */
     public void setFault(String uid, FleetPlan.Fault fault, boolean active) {
         find(uid).setFault(fault, active);
     }
 
-    /** Publishes that a worker is draining; it goes on with the tasks it has and takes others. */
+    /** Publishes that a worker is draining. The worker itself continues to run and accept tasks. */
     public void drain(String uid) {
         registry.publish(registry.entry(uid).withState(WorkerEntry.State.DRAINING));
     }
@@ -180,14 +180,14 @@
         registry.publish(registry.entry(uid).restartedAt(EventClock.now().micros() / MICROS_PER_MILLI));
     }
 
-    /** Whether the process of a worker has crashed or was ended, and was not restarted. */
+    /** Returns whether the process of a worker has crashed or was terminated, and was not restarted. */
     public boolean isDown(String uid) {
         return find(uid).isDown();
     }
 
     /**
-     * Cuts all links between dispatchers and workers of which just one is in a site, or restores them. Links
-     * within the site, and those between other sites, are not affected.
+     * Cuts or restores all links between a site and the other sites. Links within the site, and those between
+     * other sites, are not affected.
      */
     public void setCut(String site, boolean cut) {
         List<Integer> dispatcherSites = dispatcherSites();
@@ -204,7 +204,7 @@
     }
 
     /**
-     * Stops discovery agents from answering, or lets them answer again.
+     * Stops discovery agents from responding, or lets them respond again.
      *
      * @param dispatchers the names of their dispatchers; empty for all
      */
@@ -213,10 +213,10 @@
     }
 
     /**
-     * Makes discovery agents answer with the endpoint list as it was some time ago.
+     * Makes discovery agents respond with an earlier endpoint list.
      *
      * @param dispatchers the names of their dispatchers; empty for all
-     * @param staleness how long ago; zero for the latest list
+     * @param staleness the age of the list; zero for the latest one
      */
     public void setDiscoveryStaleness(List<String> dispatchers, Span staleness) {
         selectAgents(dispatchers).forEach(agent -> agent.setStaleness(staleness));
@@ -240,7 +240,7 @@
         return worker;
     }
 
-    /** Stops all workers and agents; called on any thread but the I/O thread. */
+    /** Stops all workers and agents. Must not be called on the I/O thread. */
     public void close() {
         FutureTask<Void> closing = new FutureTask<>(() -> {
             workers.values().forEach(EmulatedWorker::close);
@@ -251,7 +251,7 @@
         try {
             closing.get(CLOSE_TIMEOUT_SECONDS, TimeUnit.SECONDS);
         } catch (ExecutionException | TimeoutException e) {
-            // The process ends anyhow.
+            // Cleanup is best effort: the I/O worker is shut down below in any case.
         } catch (InterruptedException e) {
             Thread.currentThread().interrupt();
         }
--- a/src/main/java/rampshift/testbed/workers/Job.java
+++ b/src/main/java/rampshift/testbed/workers/Job.java
@@ -1,11 +1,11 @@
 package rampshift.testbed.workers;
 
-/** A task in the hands of a worker, with the work that is left to do. */
+/** A task that a worker has received, with its remaining work. */
 final class Job {
     private static final long MIN_WORK_MICROS = 1;
 
     private final Task task;
-    /** On a machine of speed 1. */
+    /** The remaining work, in microseconds on a machine of speed 1. */
     private double remainingMicros;
     private boolean started;
 
@@ -22,7 +22,7 @@
         return task;
     }
 
-    /** Records that it runs from now on. */
+    /** Marks the job as started. */
     void start() {
         started = true;
     }
@@ -31,27 +31,27 @@
         return started;
     }
 
-    /** Takes work off what is left, in microseconds on a machine of speed 1. */
+    /** Subtracts work that was done, in microseconds on a machine of speed 1. */
     void run(double micros) {
         remainingMicros -= micros;
     }
 
-    /** Drops nearly all work that is left, as for a task that has no effect. */
+    /** Reduces the remaining work to the minimum, for a task without effect. */
     void skipWork() {
         remainingMicros = MIN_WORK_MICROS;
     }
 
-    /** The work that is left, in microseconds on a machine of speed 1. */
+    /** Returns the remaining work, in microseconds on a machine of speed 1. */
     double remainingMicros() {
         return remainingMicros;
     }
 
-    /** Whether all work is done. What is shorter than a microsecond is the rounding of timers. */
+    /** Returns whether all work is done. A remainder below one microsecond is a rounding error of timers. */
     boolean isComplete() {
         return remainingMicros < MIN_WORK_MICROS;
     }
 
-    /** The share of the work that is done, 0 to 1. */
+    /** Returns the share of the work that is done, 0 to 1. */
     double completedShare() {
         return 1 - remainingMicros / totalMicros();
     }
--- a/src/main/java/rampshift/testbed/workers/Link.java
+++ b/src/main/java/rampshift/testbed/workers/Link.java
@@ -22,14 +22,14 @@
 
 /**
  * The network link from one dispatcher to one worker: a listening address that only this dispatcher knows,
- * and all connections to it. So the worker knows which dispatcher sent a request, and one link can be cut
- * while others work. It is used on the I/O thread alone.
+ * and all connections to it. The address identifies the dispatcher that sent a request, and allows one link
+ * to be cut while others work. Used on the I/O thread only.
  */
 final class Link {
     private static final int BACKLOG = 511;
-    /** What the kernel accepts as the shortest queue of connections that nobody has accepted. */
+    /** The shortest accept queue that the kernel allows. */
     private static final int MIN_BACKLOG = 1;
-    /** So many connections fill the shortest queue. */
+    /** The number of connections that fill the shortest accept queue. */
     private static final int FILLER_COUNT = 3;
     private static final int MAX_BIND_RETRIES = 1000;
     private static final long BIND_RETRY_INTERVAL_MS = 1;
@@ -42,17 +42,17 @@
     private final List<SocketChannel> fillers = new ArrayList<>();
     private final InetSocketAddress address;
     private AcceptingChannel<StreamConnection> server;
-    /** Counts how often the server was closed, so that a delayed retry of an earlier bind ends. */
+    /** Counts how often the server was closed; a bind retry that was scheduled before sees this and stops. */
     private int generation;
     private boolean cut;
     private boolean shutDown;
 
     /**
-     * Opens a link at any free port of 127.0.0.1.
+     * Opens a link at any free port on 127.0.0.1.
      *
      * @param dispatcher the index of the dispatcher
      * @param ioWorker its first I/O thread serves the link
-     * @param delay by how much bytes are delayed in each direction
+     * @param delay the delay of bytes in each direction
      * @param onAccepted receives each new connection
      * @throws IOException if the port cannot be opened
      */
@@ -67,28 +67,28 @@
         server.resumeAccepts();
     }
 
-    /** The index of the dispatcher. */
+    /** Returns the index of the dispatcher. */
     int dispatcher() {
         return dispatcher;
     }
 
-    /** The port of 127.0.0.1 at which the dispatcher reaches the worker. */
+    /** Returns the port on 127.0.0.1 at which the dispatcher reaches the worker. */
     int port() {
         return address.getPort();
     }
 
-    /** By how much bytes are delayed in each direction. */
+    /** Returns the delay of bytes in each direction. */
     Span delay() {
         return delay;
     }
 
-    /** Makes a connection share the faults of the link until it is removed. */
+    /** Registers a connection, which is blocked while the link is cut and reset when it is shut down. */
     void addConnection(FaultyConnection connection) {
         connections.add(connection);
         connection.setBlocked(cut);
     }
 
-    /** Forgets a connection. */
+    /** Unregisters a connection. */
     void removeConnection(FaultyConnection connection) {
         connections.remove(connection);
     }
@@ -107,13 +107,13 @@
                 onAccepted.accept(this, peer);
             }
         } catch (IOException e) {
-            // The server was closed meanwhile.
+            // The server was closed in the meantime.
         }
     }
 
     /**
-     * Cuts the link, so that nothing gets through and nothing is reset, or restores it. While it is cut,
-     * nothing arrives on open connections, and new ones are never established.
+     * Cuts or restores the link. While it is cut, open connections carry no bytes but are not reset, and new
+     * connections are not established.
      */
     void setCut(boolean cut) {
         if (this.cut == cut) {
@@ -128,7 +128,7 @@
         }
     }
 
-    /** Resets all connections and refuses new ones, as when the worker's process has ended. */
+    /** Resets all connections and refuses new ones, as if the worker's process had ended. */
     void shutDown() {
         shutDown = true;
         closeServer();
@@ -154,9 +154,9 @@
     }
 
     /**
-     * Opens the server anew, in the way that a link which is cut or not cut needs. The kernel establishes
-     * connections also where nobody accepts them, until the queue is full. So a cut link has the shortest
-     * queue and fills it with connections of its own; the kernel then drops what arrives, as in a real cut.
+     * Reopens the server for the current state, cut or not. The kernel establishes connections that the
+     * server does not accept until the accept queue is full. A cut link therefore uses the shortest queue and
+     * fills it with its own connections, so that the kernel drops further attempts, as in a real partition.
      */
     private void rebind() {
         closeServer();
@@ -175,7 +175,7 @@
                 server.resumeAccepts();
             }
         } catch (IOException e) {
-            // The selector frees the port of the closed server a moment later.
+            // The port stays in use until the selector has released the closed server.
             if (retriesLeft > 0) {
                 ioWorker.getIoThread(0).executeAfter(() -> bind(boundGeneration, retriesLeft - 1),
                         BIND_RETRY_INTERVAL_MS, TimeUnit.MILLISECONDS);
--- a/src/main/java/rampshift/testbed/workers/LoadReports.java
+++ b/src/main/java/rampshift/testbed/workers/LoadReports.java
@@ -7,15 +7,15 @@
 import rampshift.time.Moment;
 import rampshift.time.Span;
 
-/** The load reports of one worker: measured at intervals, and sent with a delay where a fault says so. */
+/** The load reports of one worker. They are refreshed at an interval; a fault may delay their sending. */
 final class LoadReports {
     private static final int REPORT_CHARS = 64;
 
-    /** A report, as a JSON object, and when it was measured. */
+    /** A report, as a JSON object, and the time of its measurement. */
     private record Report(Moment measuredAt, String json) {}
 
     private final FleetPlan.Reports settings;
-    /** The report to send first, then later ones that are still delayed. */
+    /** The report to send now, then later ones that are still delayed. */
     private final ArrayDeque<Report> reports = new ArrayDeque<>();
     private Span delay = Span.ZERO;
 
@@ -23,13 +23,14 @@
         this.settings = settings;
     }
 
-    /** Sets how long after its measurement a report is sent. */
+    /** Sets how long after its measurement a report replaces the previous one. The first is never delayed. */
     void setDelay(Span delay) {
         this.delay = delay;
     }
 
     /**
-     * The latest report that may be sent now, as a JSON object; it is measured if the last one is old.
+     * Returns the latest report that may be sent now, as a JSON object. Measures a new report first if the
+     * last one is older than the refresh interval.
      *
      * @return empty if workers send no reports
      */
@@ -69,7 +70,7 @@
         };
     }
 
-    /** The name of a figure by which the dispatchers' settings know it. */
+    /** Returns the name of a figure in the settings of dispatchers. */
     private static String wireName(FleetPlan.Reports.Figure figure) {
         return switch (figure) {
             case FREE_SLOTS -> "x0";
--- a/src/main/java/rampshift/testbed/workers/OverloadDetector.java
+++ b/src/main/java/rampshift/testbed/workers/OverloadDetector.java
@@ -5,7 +5,7 @@
 import rampshift.time.Moment;
 import rampshift.time.Span;
 
-/** Detects that a cold worker receives more work within a time window than it survives. */
+/** Detects that a cold worker receives more work within a time window than it can without crashing. */
 final class OverloadDetector {
     /** Work that was received, in slot-microseconds on a machine of speed 1. */
     private record ReceivedWork(Moment when, double amount) {}
@@ -20,7 +20,7 @@
         maxLoad = settings.tip();
     }
 
-    /** Forgets all work that was received. */
+    /** Discards all recorded work. */
     void clear() {
         received.clear();
         receivedInWindow = 0;
@@ -31,8 +31,8 @@
      *
      * @param now when it was received
      * @param work its amount, in slot-microseconds on a machine of speed 1
-     * @param capacity how much of that the worker now does in a microsecond
-     * @return whether the work of the window exceeds what the worker survives
+     * @param capacity the amount of work that the worker now does in a microsecond
+     * @return whether the work received in the window crashes the worker
      */
     boolean isOverloadedBy(Moment now, double work, double capacity) {
         received.add(new ReceivedWork(now, work));
--- a/src/main/java/rampshift/testbed/workers/StallMonitor.java
+++ b/src/main/java/rampshift/testbed/workers/StallMonitor.java
@@ -8,15 +8,15 @@
 import rampshift.time.Span;
 
 /**
- * Detects when the workers' I/O thread did not run, as on a machine with other load. What the thread reads
- * right after a stall may have been sent at any time since its start, and must not count as sent late. It is
- * used on that thread alone.
+ * Detects when the workers' I/O thread did not run, as on a machine with other load. Bytes that the thread
+ * reads right after a stall may have been sent at any time since the stall began, and must not count as sent
+ * late. Used on that thread only.
  */
 final class StallMonitor {
     private static final Span TICK_INTERVAL = Span.ofMillis(5);
-    /** The time between two ticks beyond which the thread stalled. */
+    /** A longer time between two ticks counts as a stall. */
     private static final Span MIN_STALL = Span.ofMillis(20);
-    /** How long after a stall the thread may still read what arrived in it. */
+    /** The time after a stall in which the thread may still read bytes that arrived during the stall. */
     private static final Span CATCH_UP = Span.ofMillis(20);
 
     private final XnioIoThread thread;
@@ -45,7 +45,7 @@
         nextTick.remove();
     }
 
-    /** The earliest time at which bytes that are read now may have been sent. */
+    /** Returns the earliest time at which bytes that were read at a given time may have been sent. */
     Moment earliestSendTime(Moment readAt) {
         if (readAt.since(lastTick).longerThan(MIN_STALL)) {
             return lastTick;
--- a/src/main/java/rampshift/testbed/workers/TaskExchange.java
+++ b/src/main/java/rampshift/testbed/workers/TaskExchange.java
@@ -7,8 +7,8 @@
 import rampshift.time.Span;
 
 /**
- * The response to one task: states of the task, one JSON object a chunk, the last one with the result. It is
- * used on the I/O thread alone.
+ * Sends the response to one task: a JSON object per state of the task, each in a chunk of its own; the last
+ * one holds the result. Used on the I/O thread only.
  */
 final class TaskExchange {
     private static final double SHARE_SCALE = 1000;
@@ -17,7 +17,7 @@
     private final FaultyConnection connection;
     private final Job job;
     private final Moment receivedAt;
-    /** Whether a fault keeps it from sending anything. */
+    /** Whether a fault suppresses the response. */
     private final boolean silent;
     private boolean headSent;
     private boolean ended;
@@ -36,7 +36,7 @@
         return job;
     }
 
-    /** Sends that the task has started, and from then on its progress, as often as the plan says. */
+    /** Reports that the task has started, and then its progress at the interval of the plan. */
     void sendStarted() {
         sendState("\"started\"");
         scheduleProgress();
@@ -61,7 +61,7 @@
         scheduleProgress();
     }
 
-    /** Sends that the task has failed. */
+    /** Reports that the task has failed. */
     void sendFailure(Moment now) {
         context.events().taskFailed(now, job.task());
         if (headSent) {
@@ -73,10 +73,10 @@
     }
 
     /**
-     * Sends the result. It tells which worker made it and for how many microseconds the worker had the task,
-     * so that what the dispatcher adds can be told from what the worker took.
+     * Sends the result. It contains the uid of the worker and the microseconds from receipt to completion, so
+     * that the latency added by the dispatcher can be separated from the worker's own time.
      *
-     * @param truncated whether only the first half of the last part is sent
+     * @param truncated whether to send only the first half of the last part of the response
      */
     void sendResult(Moment now, boolean truncated) {
         String uid = context.identity().uid();
@@ -89,7 +89,7 @@
         send(truncated ? lastPart.substring(0, lastPart.length() / 2) : lastPart);
     }
 
-    /** Stops sending progress; to be called once the response or its connection has ended. */
+    /** Stops sending progress; must be called when the response or its connection has ended. */
     void end() {
         ended = true;
         if (progressTimer != null) {
@@ -97,7 +97,7 @@
         }
     }
 
-    /** Sends a state, with the members of the JSON object that follow it. */
+    /** Sends a state, followed by any further members of the JSON object. */
     private void sendState(String state) {
         sendHead();
         send(stateChunk(state));
--- a/src/main/java/rampshift/testbed/workers/TaskReader.java
+++ b/src/main/java/rampshift/testbed/workers/TaskReader.java
@@ -9,8 +9,8 @@
 import rampshift.time.Span;
 
 /**
- * Reads tasks from the requests of dispatchers. The body of a request begins with
- * {@code work=MICROS,SLOTS,MEMORY;}; what follows is padding.
+ * Parses tasks from the requests of dispatchers. The body of a request begins with
+ * {@code work=MICROS,SLOTS,MEMORY;}; the rest is padding.
  */
 final class TaskReader {
     private static final String WORK_PREFIX = "work=";
@@ -25,7 +25,7 @@
         }
     }
 
-    /** The task of a request; empty if the request is not a valid task. */
+    /** Returns the task of a request; empty if the request is not a valid task. */
     Optional<Task> read(Message request) {
         String transactionId = request.field("X-Txn");
         Integer type = typeIndexes.get(request.field("X-Lane"));
@@ -47,7 +47,7 @@
         }
     }
 
-    /** The lease and its token, which are separated by a blank; null if the request has none. */
+    /** Returns the lease and its token, which are separated by a space; null if the request has none. */
     private static LeaseToken readLeaseToken(Message request) {
         String token = request.field("Rampshift-Token");
         if (token == null) {
--- a/src/main/java/rampshift/testbed/workers/WorkerConnection.java
+++ b/src/main/java/rampshift/testbed/workers/WorkerConnection.java
@@ -12,9 +12,10 @@
 import rampshift.time.Span;
 
 /**
- * A connection from a dispatcher to a worker, with one task at a time. It is used on the I/O thread alone.
+ * A connection from a dispatcher to a worker, with one task at a time. Used on the I/O thread only.
  */
 final class WorkerConnection implements FaultyConnection.Listener {
+    /** The delay of a reset within a response, during which the truncated response is sent. */
     private static final Span RESET_DELAY = Span.ofMillis(2);
 
     private final EmulatedWorker worker;
@@ -22,13 +23,13 @@
     private final Link link;
     private final FaultyConnection connection;
     private final MessageReader reader = new MessageReader(this::onRequest);
-    /** The task that is being served; null if there is none. */
+    /** The exchange of the task in progress; null if there is none. */
     private TaskExchange exchange;
     private Moment idleSince = EventClock.now();
     private boolean awaitsFirstTask = true;
     private XnioExecutor.Key idleTimer;
 
-    /** Takes a connection over; {@link #start} begins to read. */
+    /** Wraps an accepted connection; {@link #start} begins to read. */
     WorkerConnection(EmulatedWorker worker, WorkerContext context, Link link, StreamConnection peer) {
         this.worker = worker;
         this.context = context;
@@ -117,12 +118,12 @@
         }
     }
 
-    /** Whether this connection serves a job. */
+    /** Returns whether this connection serves a job. */
     boolean serves(Job job) {
         return exchange != null && exchange.job() == job;
     }
 
-    /** Sends that the task has started. */
+    /** Reports to the dispatcher that the task has started. */
     void sendStarted() {
         exchange.sendStarted();
     }
@@ -134,7 +135,7 @@
         idleSince = now;
     }
 
-    /** Ends the task with its result, unless a fault cuts the response short. */
+    /** Ends the task with its result; a fault may truncate the response. */
     void complete(Moment now) {
         boolean resets = context.happens(context.faults().resetWithinResponseProbability());
         boolean truncates =
@@ -179,7 +180,7 @@
         }
     }
 
-    /** Closes the connection in order. */
+    /** Closes the connection without a reset. */
     void close() {
         connection.close();
         release();
@@ -191,7 +192,7 @@
         release();
     }
 
-    /** Gives back the timers and the place among the connections; the only place where this happens. */
+    /** Cancels the timers and unregisters the connection; the only method that does so. */
     void release() {
         link.removeConnection(connection);
         worker.remove(this);
--- a/src/main/java/rampshift/testbed/workers/WorkerContext.java
+++ b/src/main/java/rampshift/testbed/workers/WorkerContext.java
@@ -7,20 +7,20 @@
 import rampshift.time.Moment;
 
 /**
- * What the parts of one emulated worker share.
+ * The context that the components of one emulated worker share.
  *
- * @param fleet what all workers share
- * @param identity which worker it is
- * @param model its machine
- * @param faults the faults that it has now
+ * @param fleet the context that all workers share
+ * @param identity the identity of the worker
+ * @param model the model of its machine
+ * @param faults its active faults
  * @param reports its load reports
- * @param events receives what it observes
- * @param random decides whom its faults affect
+ * @param events receives its events
+ * @param random the source of randomness for faults
  */
 record WorkerContext(FleetContext fleet, WorkerIdentity identity, WorkerModel model, WorkerFaults faults,
         LoadReports reports, WorkerEventLog events, UniformRandomProvider random) {
 
-    /** The context of a worker that is warm and has no jobs and no faults. */
+    /** Creates the context of a warm worker without jobs and faults. */
     static WorkerContext create(FleetContext fleet, WorkerIdentity identity, UniformRandomProvider random) {
         FleetPlan plan = fleet.plan();
         WorkerModel model = new WorkerModel(identity.machine(), plan.workers().inOrder(), plan.slowStart(),
@@ -29,12 +29,12 @@
                 new WorkerEventLog(fleet.eventLog(), identity.uid()), random);
     }
 
-    /** Decides at random whether something of this probability, 0 to 1, happens now. */
+    /** Draws at random whether an event with a probability, 0 to 1, happens now. */
     boolean happens(double probability) {
         return probability > 0 && random.nextDouble() < probability;
     }
 
-    /** The load report that a response to a task holds, as a JSON object; empty if it holds none. */
+    /** Returns the load report, a JSON object, for a response to a task; empty if responses hold none. */
     Optional<String> inlineReport(Moment now) {
         boolean isInline = fleet.plan().reports().how() == FleetPlan.Reports.How.INLINE;
         return isInline ? reports.current(model, now) : Optional.empty();
--- a/src/main/java/rampshift/testbed/workers/WorkerEventLog.java
+++ b/src/main/java/rampshift/testbed/workers/WorkerEventLog.java
@@ -5,7 +5,7 @@
 import rampshift.testbed.plan.FleetPlan;
 import rampshift.time.Moment;
 
-/** Writes what one worker observes. The words and the order of fields are those that the checkers read. */
+/** Writes the events of one worker. The rule checker depends on the event names and the order of fields. */
 final class WorkerEventLog {
     private static final String COLD = "cold";
     private static final String WARM = "warm";
@@ -22,32 +22,32 @@
         return cold ? COLD : WARM;
     }
 
-    /** Its process has started. */
+    /** Records that the worker's process has started. */
     void processStarted(Moment now, boolean cold) {
         eventLog.append(now, "boot", uid, temperature(cold));
     }
 
-    /** It has crashed under too much work. */
+    /** Records that the worker has crashed from overload. */
     void crashedByOverload(Moment now) {
         eventLog.append(now, "fell", uid);
     }
 
-    /** A request has begun to arrive, and its connection was reset. */
+    /** Records that a connection is reset at the first bytes of a request. */
     void requestCutShort(Moment now, int dispatcher) {
         eventLog.append(now, "part", uid, dispatcher);
     }
 
-    /** A request was not valid. */
+    /** Records an invalid request. */
     void requestInvalid(Moment now, int dispatcher) {
         eventLog.append(now, "odd", uid, dispatcher);
     }
 
-    /** A health check, or a request for the load, has arrived. */
+    /** Records a health check or a request for the load report. */
     void probed(Moment now, int dispatcher) {
         eventLog.append(now, "probe", uid, dispatcher);
     }
 
-    /** A whole task has arrived; its first byte was sent at the given time at the earliest. */
+    /** Records a task that has arrived completely; sentAt is the earliest send time of its first byte. */
     void taskReceived(Moment now, int dispatcher, Task task, String type, Moment sentAt, boolean cold) {
         eventLog.append(now, "took", uid, dispatcher, task.transactionId(), task.idempotencyKey(), type,
                 sentAt.micros(), temperature(cold));
@@ -56,35 +56,35 @@
         }
     }
 
-    /** There was no room for a task. */
+    /** Records that a task was rejected for lack of capacity. */
     void taskRejected(Moment now, Task task) {
         eventLog.append(now, "away", uid, task.transactionId());
     }
 
-    /** A task has started; without effect if it repeats another one. */
+    /** Records that a task has started; without effect if its idempotency key is repeated. */
     void taskStarted(Moment now, Task task, FleetPlan.TrafficType type, boolean repeated) {
         eventLog.append(now, repeated ? "dropped" : "began", uid, task.transactionId(),
                 task.idempotencyKey(), type.name());
     }
 
-    /** A task under a lease has started; without effect if its fencing token is refused. */
+    /** Records that a task under a lease has started; without effect if its fencing token is refused. */
     void leasedTaskStarted(Moment now, Task task, FleetPlan.TrafficType type, boolean refused) {
         LeaseToken token = task.leaseToken();
         eventLog.append(now, refused ? "refused" : "effect", token.lease(), token.number(), uid,
                 task.transactionId(), task.idempotencyKey(), type.effect().name().toLowerCase(Locale.ROOT));
     }
 
-    /** A task has failed. */
+    /** Records that a task has failed. */
     void taskFailed(Moment now, Task task) {
         eventLog.append(now, "erred", uid, task.transactionId());
     }
 
-    /** A task is complete. */
+    /** Records that a task is complete. */
     void taskCompleted(Moment now, Task task, String result) {
         eventLog.append(now, "done", uid, task.transactionId(), result);
     }
 
-    /** The dispatcher has closed a connection before the end of its task. */
+    /** Records that the dispatcher has closed a connection before the end of its task. */
     void taskAbandoned(Moment now, Job job) {
         eventLog.append(now, "off", uid, job.task().transactionId(), job.isStarted() ? "begun" : "unbegun");
     }
--- a/src/main/java/rampshift/testbed/workers/WorkerFactory.java
+++ b/src/main/java/rampshift/testbed/workers/WorkerFactory.java
@@ -19,9 +19,9 @@
     private int lastCell;
 
     /**
-     * Prepares the creation of workers.
+     * Creates a factory.
      *
-     * @param fleet what all workers share
+     * @param fleet the context that all workers share
      * @param seed the seed of the run
      * @param dispatcherSites the index of each dispatcher's site
      */
@@ -34,7 +34,7 @@
     }
 
     /**
-     * Creates all workers, in the order of the plan; to be called once.
+     * Creates all workers, in the order of the plan; must be called only once.
      *
      * @throws IOException if a port cannot be opened
      */
@@ -45,7 +45,7 @@
         return workers;
     }
 
-    /** Creates the workers of a site. Cells do not extend over sites; the last of a site may be smaller. */
+    /** Creates the workers of a site. Cells do not span sites; the last cell of a site may be smaller. */
     private void createSite(int siteIndex, FleetPlan.Site site) throws IOException {
         List<IdempotencyKeys> siteKeys = createKeys();
         List<IdempotencyKeys> cellKeys = List.of();
@@ -84,12 +84,12 @@
                 .orElseThrow();
     }
 
-    /** Creates the memory of a group of workers, for each type of the plan. */
+    /** Creates the idempotency keys of a group of workers, one instance per type of the plan. */
     private List<IdempotencyKeys> createKeys() {
         return plan.types().stream().map(type -> new IdempotencyKeys()).toList();
     }
 
-    /** Selects for each type the memory of the group that the plan names. */
+    /** Selects for each type the idempotency keys of the group that the plan names. */
     private List<IdempotencyKeys> selectKeys(List<IdempotencyKeys> siteKeys, List<IdempotencyKeys> cellKeys) {
         List<IdempotencyKeys> selected = new ArrayList<>();
         for (int type = 0; type < plan.types().size(); type++) {
--- a/src/main/java/rampshift/testbed/workers/WorkerFaults.java
+++ b/src/main/java/rampshift/testbed/workers/WorkerFaults.java
@@ -4,8 +4,8 @@
 import rampshift.time.Span;
 
 /**
- * The faults that a worker has now. Probabilities are from 0 to 1. The start of a fault sets its value, the
- * end sets it back.
+ * The active faults of a worker. Probabilities are from 0 to 1. The start of a fault sets a value, its end
+ * restores the default, even if another fault that sets the same value is still active.
  */
 final class WorkerFaults {
     private double speedFactor = 1;
@@ -22,9 +22,9 @@
     /**
      * Starts or ends a fault.
      *
-     * @param fault the fault, of one of the kinds that are faults of a worker
-     * @param active whether it starts
-     * @throws IllegalArgumentException if the fault is of another kind
+     * @param fault the fault
+     * @param active whether the fault starts
+     * @throws IllegalArgumentException if the fault is not a worker fault
      */
     void set(FleetPlan.Fault fault, boolean active) {
         double rate = active ? fault.rate() : 0;
@@ -45,52 +45,52 @@
         }
     }
 
-    /** The share of its machine's speed at which it runs jobs. */
+    /** Returns the factor by which the machine's speed is multiplied. */
     double speedFactor() {
         return speedFactor;
     }
 
-    /** Whether it runs nothing and answers nothing. */
+    /** Returns whether the worker neither runs jobs nor responds. */
     boolean isHanging() {
         return hanging;
     }
 
-    /** The probability that a task fails when it starts. */
+    /** Returns the probability that a task fails when it starts. */
     double errorProbability() {
         return errorProbability;
     }
 
-    /** The probability that a connection is reset when a request begins to arrive. */
+    /** Returns the probability that a connection is reset when a request begins to arrive. */
     double resetBeforeTaskProbability() {
         return resetBeforeTaskProbability;
     }
 
-    /** The probability that a connection is reset when its task starts. */
+    /** Returns the probability that a connection is reset when its task starts. */
     double resetAfterTaskProbability() {
         return resetAfterTaskProbability;
     }
 
-    /** The probability that a connection is reset in the middle of the last part of a response. */
+    /** Returns the probability that a connection is reset in the middle of the last part of a response. */
     double resetWithinResponseProbability() {
         return resetWithinResponseProbability;
     }
 
-    /** The probability that a connection is closed in the middle of the last part of a response. */
+    /** Returns the probability that a connection is closed in the middle of the last part of a response. */
     double truncatedResponseProbability() {
         return truncatedResponseProbability;
     }
 
-    /** The probability that nothing is sent in response to a task. */
+    /** Returns the probability that nothing is sent in response to a task. */
     double silenceProbability() {
         return silenceProbability;
     }
 
-    /** The time between two bytes of responses to tasks; zero if they are sent together. */
+    /** Returns the time between two bytes of responses to tasks; zero if they are sent together. */
     Span byteInterval() {
         return byteInterval;
     }
 
-    /** By how much load reports are older than usual. */
+    /** Returns the delay of load reports. */
     Span reportDelay() {
         return reportDelay;
     }
--- a/src/main/java/rampshift/testbed/workers/WorkerIdentity.java
+++ b/src/main/java/rampshift/testbed/workers/WorkerIdentity.java
@@ -3,11 +3,11 @@
 import rampshift.testbed.plan.FleetPlan;
 
 /**
- * Which worker it is.
+ * The identity of a worker.
  *
- * @param uid its name, unique in the fleet
- * @param site the index of its site in the plan
- * @param cell the number of its cell, from 1
- * @param machine its kind of machine
+ * @param uid the name, unique in the fleet
+ * @param site the index of the worker's site in the plan
+ * @param cell the number of the worker's cell, from 1
+ * @param machine the kind of machine
  */
 record WorkerIdentity(String uid, int site, int cell, FleetPlan.Machine machine) {}
--- a/src/main/java/rampshift/testbed/workers/WorkerModel.java
+++ b/src/main/java/rampshift/testbed/workers/WorkerModel.java
@@ -9,12 +9,12 @@
 import rampshift.time.Span;
 
 /**
- * A model of a worker's machine. It runs as many jobs as fit, lets others wait and rejects the rest. While it
- * is cold it is slow, and it crashes if it receives too much work then. It has no I/O and no clock: its host
- * passes the time with each call, and polls which jobs have started and which are complete.
+ * A model of a worker's machine. It runs as many jobs as fit, queues others and rejects the rest. A cold
+ * worker is slow, and crashes if it receives too much work. The model has no I/O and no clock: its caller
+ * passes the time with each call, and polls for jobs that have started and jobs that are complete.
  */
 final class WorkerModel {
-    /** The speed of a cold worker rises all the time; so many updates approximate this. */
+    /** The number of updates that approximate the continuous rise of a cold worker's speed. */
     private static final int UPDATES_WHILE_COLD = 200;
 
     private final FleetPlan.Machine machine;
@@ -26,7 +26,7 @@
     private final ArrayDeque<Job> started = new ArrayDeque<>();
     private final ArrayDeque<Job> completed = new ArrayDeque<>();
     private Moment now;
-    /** When the process started; null if that was so long ago that it is warm. */
+    /** When the process was last restarted; null if it never was, and the worker has been warm throughout. */
     private Moment processStart;
     private double usedSlots;
     private double usedMemory;
@@ -37,9 +37,9 @@
     /**
      * Creates a model of a warm worker without jobs.
      *
-     * @param machine its kind of machine
+     * @param machine the kind of machine
      * @param inOrder whether jobs start in the order in which they were offered, even if a later one fits
-     * @param coldStart how it behaves after a restart
+     * @param coldStart the speed and overload limit after a restart
      * @param now the present time
      */
     WorkerModel(FleetPlan.Machine machine, boolean inOrder, FleetPlan.SlowStart coldStart, Moment now) {
@@ -50,7 +50,7 @@
         overloadDetector = new OverloadDetector(coldStart);
     }
 
-    /** Offers a job; returns false if there is no room for it, or if it crashed the worker. */
+    /** Offers a job; returns false if there is no capacity for it, or if the worker has crashed. */
     boolean offer(Job job, Moment when) {
         advance(when);
         recordReceived(job.task());
@@ -63,7 +63,7 @@
         return true;
     }
 
-    /** Removes a job that was cancelled, whether it waits, runs or is complete. */
+    /** Cancels a job, whether it is queued, running or complete. */
     void cancel(Job job, Moment when) {
         advance(when);
         if (running.remove(job)) {
@@ -74,20 +74,20 @@
         startJobs();
     }
 
-    /** Sets the share of its speed at which it runs jobs from now on. */
+    /** Sets the factor by which the machine's speed is multiplied from now on. */
     void setSpeedFactor(double factor, Moment when) {
         advance(when);
         speedFactor = factor;
     }
 
-    /** Pauses it, so that it neither runs nor starts jobs, or lets it go on. */
+    /** Pauses the machine, so that it neither runs nor starts jobs, or resumes it. */
     void setPaused(boolean pause, Moment when) {
         advance(when);
         paused = pause;
         startJobs();
     }
 
-    /** Restarts it: all jobs are lost, and it is cold. */
+    /** Restarts the machine: all jobs are lost, and the machine is cold. */
     void restart(Moment when) {
         running.clear();
         waiting.clear();
@@ -101,7 +101,7 @@
         processStart = when;
     }
 
-    /** Runs jobs up to a moment, at the speed that holds at its end. */
+    /** Runs jobs up to a moment, with the speed at that moment applied to the whole interval. */
     void advance(Moment when) {
         if (!now.before(when)) {
             return;
@@ -123,17 +123,17 @@
         startJobs();
     }
 
-    /** Takes the next of the jobs that have started; null if there is none. */
+    /** Removes and returns the next job that has started, or null if there is none. */
     Job pollStarted() {
         return started.poll();
     }
 
-    /** Takes the next of the jobs that are complete; null if there is none. */
+    /** Removes and returns the next job that is complete, or null if there is none. */
     Job pollCompleted() {
         return completed.poll();
     }
 
-    /** When it must be advanced next; null if not before the next call that changes it. */
+    /** Returns when to call {@link #advance} next, or null if nothing changes before another call. */
     Moment nextUpdate() {
         double speed = speed(now);
         if (running.isEmpty() || speed <= 0) {
@@ -148,43 +148,43 @@
                 : nextCompletion;
     }
 
-    /** Whether it has crashed under too much work, and was not restarted since. */
+    /** Returns whether the worker has crashed from overload and was not restarted since. */
     boolean hasCrashed() {
         return crashed;
     }
 
-    /** Whether it is not yet at full speed after a restart. */
+    /** Returns whether the worker is still below full speed after a restart. */
     boolean isCold() {
         return processStart != null && coldStart.warm().longerThan(now.since(processStart));
     }
 
-    /** The slots that neither running nor waiting jobs need. */
+    /** Returns the number of slots that neither running nor queued jobs need. */
     double freeSlots() {
         double waitingSlots = waiting.stream().mapToDouble(job -> job.task().slots()).sum();
         return Math.max(0, machine.slots() - usedSlots - waitingSlots);
     }
 
-    /** The memory that running jobs leave free, in the unit of the plan. */
+    /** Returns the memory that running jobs do not use, in the unit of the plan. */
     double freeMemory() {
         return Math.max(0, machine.memory() - usedMemory);
     }
 
-    /** The number of waiting jobs. */
+    /** Returns the number of queued jobs. */
     int waitingJobs() {
         return waiting.size();
     }
 
-    /** The number of waiting and running jobs. */
+    /** Returns the number of queued and running jobs. */
     int heldJobs() {
         return waiting.size() + running.size();
     }
 
-    /** What it does in a second when warm and without faults, relative to one slot of speed 1. */
+    /** Returns the capacity when warm and without faults, relative to one slot of speed 1. */
     double nominalCapacity() {
         return machine.slots() * machine.speed();
     }
 
-    /** The share of its speed that it has when warm, 0 to 1. */
+    /** Returns the speed relative to that of a warm worker, 0 to 1. */
     private double warmth(Moment when) {
         if (processStart == null) {
             return 1;
@@ -194,7 +194,7 @@
         return coldStart.from() + (1 - coldStart.from()) * elapsedShare;
     }
 
-    /** The speed of each slot. */
+    /** Returns the speed of each slot. */
     private double speed(Moment when) {
         return paused || crashed ? 0 : machine.speed() * warmth(when) * speedFactor;
     }
@@ -224,13 +224,13 @@
         }
     }
 
-    /** Gives back what a job took, after its removal; sums start anew from zero once nothing runs. */
+    /** Releases the slots and memory of a removed job; an idle machine resets both sums against rounding. */
     private void releaseCapacity(Task task) {
         usedSlots = running.isEmpty() ? 0 : usedSlots - task.slots();
         usedMemory = running.isEmpty() ? 0 : usedMemory - task.memory();
     }
 
-    /** Counts what was received towards an overload, whether there is room for it or not. */
+    /** Adds a task to the load of a cold worker, whether it is then rejected or not; may crash the worker. */
     private void recordReceived(Task task) {
         if (!isCold()) {
             overloadDetector.clear();
--- a/src/main/java/rampshift/testbed/workers/WorkerResponses.java
+++ b/src/main/java/rampshift/testbed/workers/WorkerResponses.java
@@ -14,13 +14,13 @@
 
     private WorkerResponses() {}
 
-    /** A response with a body of ASCII characters. */
+    /** Returns a response with a body of ASCII characters. */
     static String ok(String body) {
         return "HTTP/1.1 200 OK\r\nContent-Length: " + body.length() + "\r\n\r\n" + body;
     }
 
     /**
-     * The response to a task for which there is no room.
+     * Returns the response to a task that is rejected for lack of capacity.
      *
      * @param report the load report; empty for none
      */
@@ -30,7 +30,7 @@
                 + "Content-Length: 0\r\n\r\n";
     }
 
-    /** A chunk of a response. */
+    /** Returns a chunk of a response. */
     static String chunk(String text) {
         int length = text.getBytes(StandardCharsets.UTF_8).length;
         return Integer.toHexString(length) + "\r\n" + text + "\r\n";
--- a/src/test/java/rampshift/testbed/workers/FleetTest.java
+++ b/src/test/java/rampshift/testbed/workers/FleetTest.java
@@ -30,7 +30,7 @@
 import rampshift.testbed.plan.FleetPlan;
 import rampshift.testbed.plan.FleetPlanReader;
 
-/** Emulated workers and discovery agents as a dispatcher sees them, with and without faults. */
+/** Tests emulated workers and discovery agents over their sockets, with and without faults. */
 class FleetTest {
     private static final String LAST_CHUNK = "\r\n0\r\n\r\n";
     private static final String WHOLE_LIST_REQUEST = "GET /v1/endpoints HTTP/1.1\r\n\r\n";
@@ -111,7 +111,7 @@
         String load = "\\{\"x0\":1.00,\"queue\":0\\}";
         assertTrue(answer.matches(
                 "(?s).*\"state\":\"done\",\"load\":" + load + ",\"result\":\"a-m-1/t/\\d+\".*"), answer);
-        until("it is in the event log", () -> logged().contains(" done a-m-1 t a-m-1/t/"));
+        until("the task is in the event log", () -> logged().contains(" done a-m-1 t a-m-1/t/"));
         assertTrue(logged().contains(" took a-m-1 0 t k look "), logged());
     }
 
@@ -121,15 +121,15 @@
         TestConnection first = task(dial(port(0, 0)), "a", "look", 10_000);
         first.readUntil("started");
         TestConnection second = task(dial(port(0, 0)), "b", "look", 10_000);
-        until("it waits", () -> logged().contains(" took a-m-1 0 b "));
+        until("the second task is queued", () -> logged().contains(" took a-m-1 0 b "));
         HttpMessage rejected = task(dial(port(0, 0)), "c", "look", 1).read();
         assertEquals(503, rejected.status());
         assertEquals("1", rejected.field("X-Turned-Away"));
         assertEquals("{\"x0\":0.00,\"queue\":1}", rejected.field("X-Pressure"));
         first.close();
         assertTrue(second.readUntil("started").contains("\"id\":\"b\""),
-                "the waiting one starts in its place");
-        until("it is logged", () -> logged().contains(" off a-m-1 a begun"));
+                "the queued task starts instead");
+        until("the cancellation is logged", () -> logged().contains(" off a-m-1 a begun"));
         assertFalse(logged().contains(" began a-m-1 c"));
     }
 
@@ -150,9 +150,9 @@
         for (int worker = 0; worker < 3; worker++) {
             task(dial(port(0, worker)), "t" + worker, "mark", 1).readUntil(LAST_CHUNK);
         }
-        until("all are logged", () -> logged().contains(" done a-m-3 t2"));
+        until("all tasks are logged", () -> logged().contains(" done a-m-3 t2"));
         assertTrue(logged().contains(" began a-m-1 t0 k mark"));
-        assertTrue(logged().contains(" dropped a-m-2 t1 k mark"), "of the same cell");
+        assertTrue(logged().contains(" dropped a-m-2 t1 k mark"), "a worker of the same cell");
         assertTrue(logged().contains(" began a-m-3 t2 k mark"));
     }
 
@@ -176,7 +176,7 @@
         String answer = task(connection, "t", "look", 10).readUntil(LAST_CHUNK);
         assertTrue(answer.contains(with), answer);
         assertFalse(answer.contains(without), answer);
-        until("it is over", () -> logged().contains(" ends a-m-1"));
+        until("the fault has ended", () -> logged().contains(" ends a-m-1"));
         String good = task(dial(port(0, 0)), "u", "look", 10).readUntil(LAST_CHUNK);
         assertTrue(good.contains("\"result\":\"a-m-1/u"), good);
     }
@@ -186,7 +186,7 @@
         open("[[trouble]]\nwhat = \"reset-before\"\nrate = 1\nnames = [\"a-m-1\"]");
         Thread.sleep(60);
         assertEquals("[RESET]", dial(port(0, 0)).write("POST /api HTTP/1.1\r\n").readUntil("x"));
-        until("it is logged", () -> logged().contains(" part a-m-1 0"));
+        until("the reset is logged", () -> logged().contains(" part a-m-1 0"));
     }
 
     @Test
@@ -195,25 +195,25 @@
         TestConnection before = task(dial(port(1, 0)), "t", "look", 500);
         before.readUntil("started");
         TestConnection idle = dial(port(1, 0));
-        until("it is cut", () -> logged().contains("cut begins"));
+        until("the link is cut", () -> logged().contains("cut begins"));
         Thread.sleep(50);
         long written = EventClock.now().micros();
         task(idle, "w", "look", 1);
         int port = port(1, 0);
-        assertThrows(SocketTimeoutException.class, () -> dial(port), "a new connection is never established");
+        assertThrows(SocketTimeoutException.class, () -> dial(port), "no new connection is established");
         assertFalse(before.readTimeout(300).readUntil("[no end]").contains("done"),
-                "an open one falls silent");
+                "an open connection receives nothing");
         assertTrue(task(dial(port(0, 1)), "u", "look", 1).readUntil(LAST_CHUNK).contains("a-m-2/u"),
-                "within the site");
+                "links within the site are not cut");
         assertTrue(before.readTimeout(5000).readUntil("done").contains("done"),
-                "what was held back arrives after all");
-        until("so does what was written in it", () -> logged().contains(" 1 w "));
+                "bytes that were held back arrive after the cut");
+        until("the task written during the cut arrives", () -> logged().contains(" 1 w "));
         String[] took =
                 logged().lines().filter(line -> line.contains(" took ") && line.contains(" 1 w ")).findFirst()
                         .orElseThrow().split(" ");
         assertTrue(Long.parseLong(took[7]) <= written && Long.parseLong(took[0]) > written + 300_000,
-                "it counts from when it may have been sent: " + took[7] + ", " + written + ", " + took[0]);
-        until("new ones are established again", () -> {
+                "earliest send time, write and arrival: " + took[7] + ", " + written + ", " + took[0]);
+        until("new connections are established again", () -> {
             try {
                 return task(dial(port(1, 0)), "v", "look", 1).readUntil(LAST_CHUNK).contains("a-m-1/v");
             } catch (IOException e) {
@@ -241,17 +241,19 @@
         TestConnection connection = task(dial(port(0, 0)), "t", "look", 10_000);
         connection.readUntil("started");
         assertTrue(connection.readUntil("never").endsWith("[RESET]"));
-        assertThrows(IOException.class, () -> dial(port(0, 0)).readUntil("x").charAt(99), "refused");
-        until("it is back, and listed as new", () -> fleet.list(0).matches(".*a-m-1.*\"boot_ms\":[1-9].*"));
-        until("it listens", () -> isHealthy("a-m-1"));
+        assertThrows(IOException.class, () -> dial(port(0, 0)).readUntil("x").charAt(99),
+                "connections are refused");
+        until("the worker is listed with a new start time",
+                () -> fleet.list(0).matches(".*a-m-1.*\"boot_ms\":[1-9].*"));
+        until("the worker listens", () -> isHealthy("a-m-1"));
         int port = portOf("a-m-1");
         TestConnection first = task(dial(port), "u", "look", 70);
         first.readUntil("started");
         TestConnection second = task(dial(port), "v", "look", 70);
         assertTrue(second.readUntil("never").contains("[RESET]"),
-                "140 ms of work where a tenth of 200 can be done");
+                "140 ms of work in 200 ms at a tenth of the speed");
         assertTrue(first.readUntil("never").contains("[RESET]"));
-        until("it is logged", () -> logged().contains(" fell a-m-1"));
+        until("the crash is logged", () -> logged().contains(" fell a-m-1"));
         assertThrows(IOException.class, () -> dial(port));
     }
 
@@ -269,7 +271,7 @@
                 return Integer.parseInt(target.path("endpoint").asText().split(":")[1]);
             }
         }
-        throw new IOException("not listed");
+        throw new IOException("worker is not in the endpoint list");
     }
 
     @Test
@@ -280,8 +282,8 @@
         task(connection, "t", "look", 1).readUntil(LAST_CHUNK);
         long firstEnd = System.nanoTime();
         task(connection, "u", "look", 1).readUntil(LAST_CHUNK);
-        assertTrue(firstEnd - start > 150_000_000L, "the first one on it");
-        assertTrue(System.nanoTime() - firstEnd < 140_000_000L, "not the second");
+        assertTrue(firstEnd - start > 150_000_000L, "the first task includes the connection cost");
+        assertTrue(System.nanoTime() - firstEnd < 140_000_000L, "the second task does not");
         assertTrue(connection.closedByPeer());
     }
 
@@ -307,14 +309,14 @@
                 """);
         TestConnection watch = dial(fleet.agentPort(0));
         assertDrainIsToldLate(watch);
-        until("silence", () -> logged().contains("roster_silent begins"));
+        until("the agent is silent", () -> logged().contains("roster_silent begins"));
         watch.readTimeout(200).write(WHOLE_LIST_REQUEST);
         assertEquals("[SILENCE]", watch.readUntil("HTTP"));
-        until("old lists", () -> logged().contains("roster_old begins"));
+        until("lists are stale", () -> logged().contains("roster_old begins"));
         assertOldListIsToldOnce(dial(fleet.agentPort(0)));
-        until("their end", () -> logged().contains("roster_old ends"));
+        until("lists are current again", () -> logged().contains("roster_old ends"));
         assertTrue(dial(fleet.agentPort(0)).write(WHOLE_LIST_REQUEST).read().text().contains("terminating"));
-        until("what was told is logged", () -> logged().contains(" told 0 a-m-1 draining"));
+        until("the drain that was sent is logged", () -> logged().contains(" told 0 a-m-1 draining"));
     }
 
     private static String poll(TestConnection watch, int version, int waitMs) throws IOException {
@@ -329,14 +331,14 @@
         long askedAt = System.nanoTime();
         String change = poll(watch, 1, 20_000);
         assertTrue(change.startsWith("{\"rev\":2,\"all\":false") && change.contains("terminating"), change);
-        assertTrue(System.nanoTime() - askedAt > 50_000_000L, "late");
-        assertTrue(poll(watch, 2, 50).endsWith("\"targets\":[]}"), "nothing new");
+        assertTrue(System.nanoTime() - askedAt > 50_000_000L, "the list is delayed");
+        assertTrue(poll(watch, 2, 50).endsWith("\"targets\":[]}"), "no further change");
     }
 
     private static void assertOldListIsToldOnce(TestConnection watch) throws IOException {
         String old = poll(watch, 2, 20_000);
         assertTrue(old.contains("\"all\":true") && !old.contains("terminating"), old);
-        assertTrue(poll(watch, 2, 50).endsWith("\"targets\":[]}"), "told once, not again and again");
+        assertTrue(poll(watch, 2, 50).endsWith("\"targets\":[]}"), "the stale list is sent only once");
     }
 
     @Test
--- a/src/test/java/rampshift/testbed/workers/WorkerModelTest.java
+++ b/src/test/java/rampshift/testbed/workers/WorkerModelTest.java
@@ -40,7 +40,7 @@
         return model;
     }
 
-    /** Runs a model up to a time, with all updates that it asks for, and notes what started and completed. */
+    /** Runs a model up to a time, with all updates it requests, and records started and completed jobs. */
     private void run(WorkerModel model, double millis) {
         while (true) {
             for (Job job = model.pollStarted(); job != null; job = model.pollStarted()) {
@@ -65,7 +65,7 @@
         assertTrue(model.offer(job("b", 50, 1), at(0)));
         assertTrue(model.offer(job("c", 10, 1), at(0)));
         assertTrue(model.offer(job("d", 10, 1), at(0)));
-        assertFalse(model.offer(job("e", 10, 1), at(0)), "no room to wait");
+        assertFalse(model.offer(job("e", 10, 1), at(0)), "the queue is full");
         assertEquals(2, model.waitingJobs());
         run(model, 55);
         assertEquals(List.of("a", "b", "c"), started);
@@ -105,7 +105,7 @@
         WorkerModel model = coldModel();
         model.offer(job("a", 100, 1), at(0));
         run(model, 200);
-        assertEquals(List.of(), completed, "a quarter of its speed, rising");
+        assertEquals(List.of(), completed, "the speed rises from a quarter of the warm speed");
         run(model, 300);
         assertEquals(List.of("a"), completed);
         assertTrue(model.isCold());
@@ -116,19 +116,19 @@
     @Test
     void aColdWorkerThatReceivesTooMuchWorkCrashesAndStaysDown() {
         WorkerModel model = coldModel();
-        // It can do a quarter of two slots for 100 ms: 50; four times that is 200.
+        // Two slots at a quarter of their speed do 50 ms of work in 100 ms; the limit is 4 times that, 200.
         assertTrue(model.offer(job("a", 100, 1), at(0)));
         assertTrue(model.offer(job("b", 90, 1), at(1)));
         assertFalse(model.hasCrashed());
         model.offer(job("c", 90, 1), at(102));
-        assertFalse(model.hasCrashed(), "the first was long enough ago");
+        assertFalse(model.hasCrashed(), "the first job is outside the window");
         model.offer(job("d", 90, 1), at(103));
         model.offer(job("e", 90, 1), at(104));
         assertTrue(model.hasCrashed());
         assertFalse(model.offer(job("f", 1, 1), at(105)));
         model.advance(at(5000));
         assertNull(model.pollCompleted());
-        assertFalse(model.offer(job("g", 1, 1), at(5000)), "it does not restart by itself");
+        assertFalse(model.offer(job("g", 1, 1), at(5000)), "the worker does not restart by itself");
     }
 
     @Test
@@ -180,7 +180,7 @@
         assertEquals(one, reports.current(model, at(100)));
         model.offer(job("b", 10_000, 1), at(110));
         reports.setDelay(Span.ofMillis(500));
-        assertEquals(one, reports.current(model, at(700)), "it is older than the latest by the delay");
+        assertEquals(one, reports.current(model, at(700)), "the newer report is delayed");
         FleetPlan.Reports noReports = new FleetPlan.Reports(FleetPlan.Reports.How.NONE, settings.figures(),
                 settings.refresh());
         assertEquals(Optional.empty(), new LoadReports(noReports).current(model, at(0)));
