--- a/src/main/java/rampshift/testbed/wire/FaultyConnection.java
+++ b/src/main/java/rampshift/testbed/wire/FaultyConnection.java
@@ -15,25 +15,25 @@
 import rampshift.time.Span;
 
 /**
- * One end of a connection with network faults: bytes are blocked, delayed, or sent one by one. It is used
- * on one I/O thread alone. Whoever created it closes it.
+ * One end of a connection with emulated network faults: bytes can be blocked, delayed, or sent one by one.
+ * Used on one I/O thread only. The creator closes it.
  */
 public final class FaultyConnection {
     private static final int READ_BUFFER_BYTES = 16 * 1024;
     private static final ByteBuffer EMPTY = ByteBuffer.allocate(0);
 
-    /** Receives what arrives on a connection. */
+    /** Receives the bytes that arrive on a connection, and its end. */
     public interface Listener {
         /**
-         * Bytes have arrived.
+         * Handles bytes that have arrived.
          *
          * @param bytes an array that is valid only during this call
-         * @param count how many bytes at its start have arrived
+         * @param count the number of bytes, from the start of the array
          */
         void onBytes(byte[] bytes, int count);
 
         /**
-         * The peer has closed the connection. Not called after this side has closed it.
+         * Handles the close of the connection by the peer. Not called after this side has closed it.
          *
          * @param reset whether the connection was reset
          */
@@ -50,15 +50,15 @@
     private boolean blocked;
     private Moment blockedSince;
     /**
-     * When the connection was blocked, while the bytes that arrived in that time are being read; null
-     * otherwise.
+     * The time at which the connection was last blocked, while bytes that arrived during the blocking may
+     * still be read; null otherwise.
      */
     private Moment backlogSince;
     private boolean waitsForNextByte;
     private boolean closed;
     private boolean closesAfterWrites;
 
-    /** Takes a connection over without reading from it yet. */
+    /** Wraps a connection without reading from it yet. */
     public FaultyConnection(StreamConnection connection, XnioIoThread thread, Listener listener) {
         this.connection = connection;
         this.thread = thread;
@@ -75,17 +75,17 @@
         return this;
     }
 
-    /** Sets by how much bytes are delayed in each direction. */
+    /** Sets the delay of bytes in each direction. */
     public void setDelay(Span delay) {
         this.delay = delay;
     }
 
-    /** Sets the time between two bytes that are written from now on; zero to write them together. */
+    /** Sets the time between two bytes that are sent from now on; zero to send them together. */
     public void setByteInterval(Span interval) {
         byteInterval = interval;
     }
 
-    /** Blocks the connection, so that nothing gets through and nothing is reset, or unblocks it. */
+    /** Blocks the connection, so that its socket is neither read, written nor reset, or unblocks it. */
     public void setBlocked(boolean block) {
         if (block && !blocked) {
             blockedSince = EventClock.now();
@@ -104,12 +104,12 @@
         }
     }
 
-    /** The earliest time at which the bytes that are being passed to the listener may have been sent. */
+    /** Returns the earliest time at which the bytes now passed to the listener may have been sent. */
     public Moment earliestSendTime() {
         return backlogSince == null ? EventClock.now() : backlogSince;
     }
 
-    /** Whether either side has closed the connection. */
+    /** Returns whether either side has closed the connection. */
     public boolean isClosed() {
         return closed;
     }
@@ -231,7 +231,7 @@
         }
     }
 
-    /** Closes the connection in order; what has not been written is lost. */
+    /** Closes the connection without a reset; unwritten bytes are discarded. */
     public void close() {
         if (!closed) {
             closed = true;
--- a/src/main/java/rampshift/testbed/wire/LoopbackNetwork.java
+++ b/src/main/java/rampshift/testbed/wire/LoopbackNetwork.java
@@ -12,7 +12,7 @@
 import org.xnio.Xnio;
 import org.xnio.XnioWorker;
 
-/** Addresses on loopback, and I/O threads for emulated workers and clients. */
+/** Provides loopback addresses and I/O threads for emulated workers and clients. */
 public final class LoopbackNetwork {
     private static final String LOOPBACK_ADDRESS = "127.0.0.1";
     private static final String DEDICATED_NETWORK_PREFIX = "127.0.1.";
@@ -21,7 +21,7 @@
     private LoopbackNetwork() {}
 
     /**
-     * Finds ports of 127.0.0.1 on which nobody listens now. The system may give them to others at any time.
+     * Finds ports on 127.0.0.1 that are free now. The system may assign them to other sockets at any time.
      *
      * @param count the number of ports
      * @return the addresses with these ports
@@ -44,9 +44,9 @@
     }
 
     /**
-     * Finds addresses that nobody else takes: each is another one of 127.0.1.0/24, from which the system
-     * takes no address for other sockets. A free port of 127.0.0.1 was taken by the next socket that
-     * wanted any port.
+     * Finds addresses that the system does not assign to other sockets: their hosts are in 127.0.1.0/24, from
+     * which it chooses no local addresses. A free port on 127.0.0.1, by contrast, can be assigned to the next
+     * socket that binds to any port. The first 250 addresses have different hosts; then hosts repeat.
      *
      * @param count the number of addresses
      */
@@ -62,10 +62,10 @@
     }
 
     /**
-     * Checks that a port of 127.0.0.1 is free.
+     * Checks that a port on 127.0.0.1 is free.
      *
-     * @param port the port; 0 stands for any free one
-     * @throws IOException if somebody listens on the port
+     * @param port the port; 0 for any free one
+     * @throws IOException if the port is in use
      */
     public static void requireFreePort(int port) throws IOException {
         try (ServerSocket socket = new ServerSocket()) {
@@ -76,7 +76,7 @@
         }
     }
 
-    /** The address of a port of 127.0.0.1. */
+    /** Returns the address of a port on 127.0.0.1. */
     public static InetSocketAddress address(int port) throws IOException {
         return new InetSocketAddress(InetAddress.getByName(LOOPBACK_ADDRESS), port);
     }
--- a/src/main/java/rampshift/testbed/wire/MessageReader.java
+++ b/src/main/java/rampshift/testbed/wire/MessageReader.java
@@ -9,8 +9,8 @@
 import rampshift.time.Moment;
 
 /**
- * An incremental parser of HTTP/1.1 messages. It shares no code with the dispatcher: two parsers with the
- * same mistake would never reveal it.
+ * An incremental parser of HTTP/1.1 messages. It shares no code with the dispatcher, so that a bug in the
+ * dispatcher's parser is not hidden by the same bug here.
  */
 public final class MessageReader {
     private static final int MAX_LINE_BYTES = 64 * 1024;
@@ -21,7 +21,7 @@
     private static final int HEXADECIMAL = 16;
     private static final byte[] NO_BODY = {};
 
-    /** What the next byte belongs to. */
+    /** The part of a message to which the next byte belongs. */
     private enum State {
         START_LINE, HEADER_FIELDS, FIXED_BODY, CHUNK_SIZE, CHUNK_DATA, CHUNK_END, TRAILER
     }
@@ -44,7 +44,7 @@
         this.listener = listener;
     }
 
-    /** Whether a part of a message has arrived. */
+    /** Returns whether a message has arrived in part. */
     public boolean isInMessage() {
         return startedAt != null;
     }
@@ -55,7 +55,7 @@
      * @param bytes the array that holds the bytes
      * @param offset the index of the first byte
      * @param count the number of bytes
-     * @param now when they arrived
+     * @param now the time of arrival, or an estimate of when the bytes were sent
      * @throws IOException if the bytes are not a valid message
      */
     public void read(byte[] bytes, int offset, int count, Moment now) throws IOException {
@@ -95,7 +95,7 @@
         if (value != '\n') {
             line.write(value);
             if (line.size() > MAX_LINE_BYTES) {
-                throw new IOException("a line over " + MAX_LINE_BYTES + " bytes");
+                throw new IOException("line is longer than " + MAX_LINE_BYTES + " bytes");
             }
             return;
         }
@@ -155,7 +155,7 @@
         } catch (NumberFormatException e) {
             // Reported below, as for a number out of range.
         }
-        throw new IOException("an invalid length");
+        throw new IOException("invalid content length or chunk size");
     }
 
     private void endMessage() {
--- a/src/test/java/rampshift/testbed/wire/MessageReaderTest.java
+++ b/src/test/java/rampshift/testbed/wire/MessageReaderTest.java
@@ -42,7 +42,7 @@
     void rejectsAnInvalidLength() {
         byte[] bytes = "HTTP/1.1 200 OK\r\nContent-Length: -1\r\n\r\n".getBytes(StandardCharsets.ISO_8859_1);
         MessageReader reader = new MessageReader(message -> {
-            // None is expected.
+            // No message is expected.
         });
         assertThrows(IOException.class, () -> reader.read(bytes, 0, bytes.length, new Moment(0)));
     }
