--- a/src/main/java/rampshift/testbed/clients/ArrivalPacer.java
+++ b/src/main/java/rampshift/testbed/clients/ArrivalPacer.java
@@ -7,8 +7,9 @@
 import rampshift.time.Moment;
 
 /**
- * Hands arrivals to the clients when they are due, on a thread of its own: in an open loop whatever became of
- * the tasks before, or in a closed loop each time one has ended, as the plan has it.
+ * Passes arrivals to the clients. In an open loop, a separate thread passes each arrival when it is due,
+ * independent of earlier tasks; in a closed loop, each task that ends triggers the next. The plan selects
+ * one of the two.
  */
 final class ArrivalPacer {
     private final FleetPlan plan;
@@ -20,8 +21,8 @@
     /**
      * Creates a pacer.
      *
-     * @param plan how long arrivals last, and how many tasks a closed loop has in flight
-     * @param arrivals what arrives
+     * @param plan the length of the run, and the number of tasks in flight of a closed loop
+     * @param arrivals the source of arrivals
      * @param thread the I/O thread on which the clients run
      * @param tasks receives the arrivals
      */
@@ -32,8 +33,8 @@
         this.tasks = tasks;
     }
 
-    /** Begins at the given time. Returns at once. */
-    @SuppressWarnings("ThreadPriorityCheck") // requests leave on time also on a busy machine
+    /** Starts the pacer thread, which begins at the given time. Does not block. */
+    @SuppressWarnings("ThreadPriorityCheck") // keeps sends on time on a busy machine
     void start(Moment when) {
         startAt = when;
         Thread pacer = new Thread(this::run, "pacer");
@@ -75,7 +76,7 @@
         });
     }
 
-    /** A task has ended: in a closed loop the next one follows. Called on the I/O thread. */
+    /** Starts the next task of a closed loop after one has ended. Called on the I/O thread. */
     void onTaskEnded() {
         if (isClosedLoop()) {
             thread.execute(this::sendNextOfClosedLoop);
--- a/src/main/java/rampshift/testbed/clients/AttemptContext.java
+++ b/src/main/java/rampshift/testbed/clients/AttemptContext.java
@@ -4,14 +4,14 @@
 import rampshift.testbed.plan.FleetPlan;
 
 /**
- * What all attempts of a load process use.
+ * The context that all attempts of a load process share.
  *
- * @param plan how clients behave
+ * @param plan the plan of the run, with the behavior of clients
  * @param thread the I/O thread on which attempts run
- * @param frontProxy hears of dispatchers that cannot be reached
+ * @param frontProxy chooses dispatchers, and records their connection failures
  * @param connector opens connections
- * @param eventLog receives what becomes of each attempt
- * @param tasks names attempts
+ * @param eventLog receives the events of attempts
+ * @param tasks creates tasks and the identifiers of attempts
  */
 record AttemptContext(FleetPlan plan, XnioIoThread thread, FrontProxy frontProxy,
         DispatcherConnector connector, ClientEventLog eventLog, TaskFactory tasks) {}
--- a/src/main/java/rampshift/testbed/clients/AttemptResult.java
+++ b/src/main/java/rampshift/testbed/clients/AttemptResult.java
@@ -6,12 +6,12 @@
 import rampshift.time.Span;
 
 /**
- * What an attempt came to.
+ * The result of an attempt.
  *
- * @param outcome how it ended
- * @param retryable whether the client may send the task again
- * @param retryAfter for how long the dispatcher asked the client to wait; zero if it did not
- * @param workerTime how long the worker says that it took; empty if that is not known
+ * @param outcome the outcome
+ * @param retryable whether the client may retry the task
+ * @param retryAfter the retry delay that the dispatcher requested; zero if there is none
+ * @param workerTime the time that the worker reported for the task; empty if that is not known
  */
 record AttemptResult(ClientOutcome outcome, boolean retryable, Span retryAfter, Optional<Span> workerTime) {
 
@@ -23,16 +23,16 @@
     private static final Pattern WORKER_MICROS = Pattern.compile("\\d{1,12}");
     private static final Pattern RETRY_AFTER_SECONDS = Pattern.compile("\\d{1,6}(\\.\\d{1,6})?");
 
-    /** The result of an attempt without a response that counts. */
+    /** Returns the result of an attempt that was neither finished nor rejected. */
     static AttemptResult withoutResponse(ClientOutcome outcome, boolean retryable) {
         return new AttemptResult(outcome, retryable, Span.ZERO, Optional.empty());
     }
 
     /**
-     * The result of an attempt whose response came in time.
+     * Returns the result of an attempt whose response arrived in time.
      *
      * @param response the response
-     * @param repeatable whether the task may be sent again after it may have run
+     * @param repeatable whether the task may be retried after it may have run
      */
     static AttemptResult ofResponse(Message response, boolean repeatable) {
         int status = response.status();
@@ -49,12 +49,12 @@
         return withoutResponse(outcome, repeatable);
     }
 
-    /** Whether a response has the status of a finished task. */
+    /** Returns whether a response has the status of a finished task. */
     static boolean isFinished(Message response) {
         return response.status() == OK;
     }
 
-    /** An emulated worker's result ends with a slash and the microseconds that it took. */
+    /** Parses the worker's time, in microseconds after the last slash of an emulated worker's result. */
     private static Optional<Span> workerTime(String result) {
         String micros = result.substring(result.lastIndexOf('/') + 1);
         if (!WORKER_MICROS.matcher(micros).matches()) {
--- a/src/main/java/rampshift/testbed/clients/ClientAttempt.java
+++ b/src/main/java/rampshift/testbed/clients/ClientAttempt.java
@@ -7,19 +7,19 @@
 import rampshift.time.Span;
 
 /**
- * One attempt of a client to have a task run: from the choice of a dispatcher until there is a response or
- * none is awaited any longer. It is used on the I/O thread alone.
+ * One attempt of a client at a task, on a given dispatcher: it ends with a response, a failure, or the end of
+ * the wait for a response. Used on the I/O thread only.
  */
 final class ClientAttempt implements DispatcherConnection.ExchangeListener {
-    /** For how long after the client's timeout a response is still awaited, to tell a late one from none. */
+    /** The wait after the client's timeout that distinguishes a late response from a missing one. */
     private static final Span LATE_RESPONSE_WAIT = Span.ofMillis(400);
 
-    /** Receives what becomes of an attempt. */
+    /** Receives the events of an attempt. */
     interface Listener {
-        /** The request is about to be sent for the first time; not called if nobody could be reached. */
+        /** Called before the request is first sent; not called if no connection could be opened. */
         void onSent(ClientAttempt attempt, Moment now);
 
-        /** The attempt has ended. Called once. */
+        /** Called once, at the end of the attempt. */
         void onEnded(ClientAttempt attempt, AttemptResult result);
     }
 
@@ -44,10 +44,10 @@
      *
      * @param task the task
      * @param number 0 for the first attempt, which is due when the task is; a retry is due now
-     * @param dispatcher where to send the task
-     * @param connections lends a connection and takes it back
-     * @param context what all attempts use
-     * @param listener receives the end
+     * @param dispatcher the dispatcher to which the task is sent
+     * @param connections the owner of open connections
+     * @param context the context of all attempts
+     * @param listener receives the events of the attempt
      */
     ClientAttempt(ClientTask task, int number, Dispatcher dispatcher, ConnectionOwner connections,
             AttemptContext context, Listener listener) {
@@ -63,22 +63,21 @@
         request = new ClientTaskRequest(task, id, number, timeout);
     }
 
-    /** The task. */
     ClientTask task() {
         return task;
     }
 
-    /** 0 for the first attempt, above 0 for retries. */
+    /** Returns 0 for the first attempt, and above 0 for retries. */
     int number() {
         return number;
     }
 
-    /** When the client wanted to send it; its latency counts from then. */
+    /** Returns when the attempt was due; its latency is measured from then. */
     Moment dueAt() {
         return dueAt;
     }
 
-    /** Sends the task on an open connection, or on a new one if there is none. */
+    /** Sends the task on an idle connection, or on a new one if there is none. */
     void start() {
         DispatcherConnection open = connections.poll(dispatcher);
         if (open == null) {
--- a/src/main/java/rampshift/testbed/clients/ClientConnectionPool.java
+++ b/src/main/java/rampshift/testbed/clients/ClientConnectionPool.java
@@ -4,7 +4,7 @@
 import java.util.HashMap;
 import java.util.Map;
 
-/** The persistent connections that await no response; the one that was used last is taken first. */
+/** A pool of idle persistent connections; the most recently used connection is reused first. */
 final class ClientConnectionPool implements ConnectionOwner {
     private final boolean keepAlive;
     private final Map<Dispatcher, ArrayDeque<DispatcherConnection>> idle = new HashMap<>();
@@ -12,7 +12,7 @@
     /**
      * Creates an empty pool.
      *
-     * @param keepAlive whether connections are used for more than one exchange
+     * @param keepAlive whether connections are reused after an exchange
      */
     ClientConnectionPool(boolean keepAlive) {
         this.keepAlive = keepAlive;
--- a/src/main/java/rampshift/testbed/clients/ClientDialer.java
+++ b/src/main/java/rampshift/testbed/clients/ClientDialer.java
@@ -23,10 +23,10 @@
     }
 
     /**
-     * Opens a connection. Just one of the two callbacks is called, on the I/O thread.
+     * Opens a connection. Exactly one of the two callbacks is called, on the I/O thread.
      *
-     * @param address where to connect to
-     * @param onConnected takes the connection over
+     * @param address the address to connect to
+     * @param onConnected receives the connection, and must close it
      * @param onUnreachable called if the connection was refused or not open within 3 s
      */
     void dial(InetSocketAddress address, Consumer<StreamConnection> onConnected, Runnable onUnreachable) {
--- a/src/main/java/rampshift/testbed/clients/ClientEventLog.java
+++ b/src/main/java/rampshift/testbed/clients/ClientEventLog.java
@@ -8,8 +8,8 @@
 import rampshift.time.Span;
 
 /**
- * The events that clients write for the rule checker, which compares them with those of the workers. The
- * words and the order of the fields are the checker's.
+ * Writes the events of clients for the rule checker, which compares them with those of the workers. The
+ * checker depends on the event names and the order of fields.
  */
 final class ClientEventLog {
     private static final String NO_RESULT = "-";
@@ -20,7 +20,7 @@
     /**
      * Creates the log of one load process.
      *
-     * @param log receives the events; whoever opened it closes it
+     * @param log receives the events; not closed by this class
      * @param process the number of the process, from 0
      */
     ClientEventLog(EventLog log, int process) {
@@ -28,7 +28,7 @@
         this.process = process;
     }
 
-    /** A request is about to be sent for the first time. */
+    /** Records that the request of an attempt is about to be sent for the first time. */
     void onSent(Moment now, ClientTaskRequest request, Dispatcher dispatcher) {
         ClientTask task = request.task();
         String taskId = process + "." + task.number();
@@ -38,33 +38,33 @@
                 timeout.micros(), request.attemptNumber());
     }
 
-    /** A response has arrived, in time or not. */
+    /** Records a response, which may be late. */
     void onResponse(Moment now, String attemptId, Message response) {
         String result = AttemptResult.isFinished(response) ? response.text() : NO_RESULT;
         log.append(now, "answer", attemptId, response.status(), result);
     }
 
-    /** No response has arrived, and none is waited for any longer. */
+    /** Records that the wait for a response, including a late one, has ended without a response. */
     void onTimeout(String attemptId) {
         log.append(EventClock.now(), "none", attemptId);
     }
 
-    /** No connection could be opened; nothing was sent. */
+    /** Records that no connection could be opened; nothing was sent. */
     void onUnreachable(String attemptId, Dispatcher dispatcher) {
         log.append(EventClock.now(), "unreachable", attemptId, dispatcher.number());
     }
 
-    /** The connection was lost; the task may have run. */
+    /** Records a lost connection or an invalid response; the task may have run. */
     void onConnectionLost(Moment now, String attemptId, ConnectionFailure failure) {
         log.append(now, "broken", attemptId, failure.logField());
     }
 
-    /** The connection was closed between two tasks while the request was on its way; it is sent again. */
+    /** Records that a reused connection was closed before a response; the request is sent again. */
     void onStaleConnection(Moment now, String attemptId, ConnectionFailure failure) {
         log.append(now, "crossed", attemptId, failure.logField());
     }
 
-    /** Bytes have arrived on a connection on which no response was awaited. */
+    /** Records bytes that arrived outside the response to a request. */
     void onUnexpectedBytes(Dispatcher dispatcher, int byteCount) {
         log.append(EventClock.now(), "unasked", dispatcher.number(), byteCount);
     }
--- a/src/main/java/rampshift/testbed/clients/ClientOutcome.java
+++ b/src/main/java/rampshift/testbed/clients/ClientOutcome.java
@@ -1,12 +1,12 @@
 package rampshift.testbed.clients;
 
-/** How an attempt ended, as its client saw it. The order is that of the statistics file. */
+/** The outcome of an attempt at its client. The order is that of the statistics file. */
 enum ClientOutcome {
-    /** Response 200. */
+    /** A response with status 200. */
     FINISHED("finished"),
-    /** Response 429 or 503: the task has not run. */
+    /** A response with status 429 or 503: the task has not run. */
     REJECTED("bounced"),
-    /** Any other response from 500: the task may have run. */
+    /** Any other response with a status of 500 or more: the task may have run. */
     SERVER_ERROR("abandoned"),
     /** Any other response. */
     OTHER_RESPONSE("turned_down"),
@@ -14,7 +14,7 @@
     CONNECTION_LOST("broken"),
     /** No connection could be opened. */
     UNREACHABLE("unreachable"),
-    /** The client's timeout passed first. */
+    /** The client's timeout expired before a response. */
     TIMED_OUT("no_answer");
 
     private final String fieldName;
@@ -23,7 +23,7 @@
         this.fieldName = fieldName;
     }
 
-    /** Its name in the statistics file. */
+    /** Returns the name in the statistics file. */
     String fieldName() {
         return fieldName;
     }
--- a/src/main/java/rampshift/testbed/clients/ClientTask.java
+++ b/src/main/java/rampshift/testbed/clients/ClientTask.java
@@ -4,18 +4,18 @@
 import rampshift.time.Moment;
 
 /**
- * A task, as its client sees it: the same through all of its attempts.
+ * A task of a client, which all of its attempts share.
  *
- * @param number its number within the load process, from 1
- * @param arrival when and where it arrived, and what it asks for
- * @param type its traffic type
- * @param idempotencyKey 32 hexadecimal digits
- * @param dueAt when the client first wanted to send it
+ * @param number the number of the task within the load process, from 1
+ * @param arrival the time, site, work and object of the task
+ * @param type the traffic type
+ * @param idempotencyKey the idempotency key, 32 hexadecimal digits
+ * @param dueAt the time at which the first attempt is due
  */
 record ClientTask(long number, Arrival arrival, FleetPlan.TrafficType type, String idempotencyKey,
         Moment dueAt) {
 
-    /** Whether a client may send a task again that may have run. */
+    /** Returns whether a client may retry the task after it may have run. */
     boolean isRepeatable() {
         return type.effect() != FleetPlan.TrafficType.Effect.SIDE_EFFECTING;
     }
--- a/src/main/java/rampshift/testbed/clients/ClientTaskRequest.java
+++ b/src/main/java/rampshift/testbed/clients/ClientTaskRequest.java
@@ -5,7 +5,7 @@
 import rampshift.time.Span;
 
 /**
- * The HTTP/1.1 request by which a client hands a task to a dispatcher.
+ * The HTTP/1.1 request that submits a task to a dispatcher.
  *
  * @param task the task
  * @param attemptId the identifier of this attempt
@@ -18,7 +18,7 @@
     private static final int WORK_CAPACITY = 40;
     private static final char PADDING = '.';
 
-    /** The bytes of the request. */
+    /** Returns the bytes of the request. */
     byte[] encode() {
         String body = body();
         StringBuilder request = new StringBuilder(HEAD_CAPACITY + body.length());
@@ -44,7 +44,7 @@
         return arrival.hasObject() ? "/api/" + Integer.toHexString(arrival.object()) : "/api";
     }
 
-    /** What the emulated worker has to do, padded to the body size of the type. */
+    /** Returns the work for the emulated worker, padded to the body size of the type. */
     private String body() {
         FleetPlan.TrafficType type = task.type();
         StringBuilder body = new StringBuilder(type.body() + WORK_CAPACITY);
--- a/src/main/java/rampshift/testbed/clients/ClientTasks.java
+++ b/src/main/java/rampshift/testbed/clients/ClientTasks.java
@@ -8,8 +8,8 @@
 import rampshift.time.Span;
 
 /**
- * The tasks of a run from their arrival to their last attempt: sends them, retries them, and passes what is
- * measured to the statistics. It is used on the I/O thread alone, but for {@link #await}.
+ * Sends the tasks of a run, retries them, and records their arrivals and the ends of their attempts in the
+ * statistics. Used on the I/O thread only, except {@link #await}.
  */
 final class ClientTasks implements ClientAttempt.Listener {
     private final FleetPlan.Clients settings;
@@ -24,11 +24,11 @@
     private boolean arrivalsEnded;
 
     /**
-     * Creates clients without tasks.
+     * Creates an instance without tasks.
      *
-     * @param context what all attempts use
-     * @param statistics receives all tasks that arrive after the warm-up
-     * @param random the source of the waits before retries
+     * @param context the context of all attempts
+     * @param statistics records tasks that are due after the warm-up
+     * @param random the source of random retry delays
      * @param onTaskEnded called after each task's last attempt
      */
     ClientTasks(AttemptContext context, LoadStatistics statistics, UniformRandomProvider random,
@@ -46,7 +46,7 @@
         startedAt = when;
     }
 
-    /** A task has arrived, and its first attempt starts. */
+    /** Creates the task of an arrival and starts its first attempt. */
     void onArrival(Arrival arrival, Moment dueAt) {
         ClientTask task = context.tasks().create(arrival, dueAt);
         if (isMeasured(task)) {
@@ -56,23 +56,23 @@
         startAttempt(task, 0, dueAt);
     }
 
-    /** No more tasks arrive. Attempts that end from now on are not retried. */
+    /** Marks the end of arrivals. Attempts that end from now on are not retried. */
     void endArrivals() {
         arrivalsEnded = true;
         checkFinished();
     }
 
-    /** Whether no more tasks arrive. */
+    /** Returns whether arrivals have ended. */
     boolean haveArrivalsEnded() {
         return arrivalsEnded;
     }
 
-    /** Whether all tasks have arrived and ended. */
+    /** Returns whether arrivals and all tasks have ended. */
     boolean isFinished() {
         return arrivalsEnded && inFlight == 0;
     }
 
-    /** Blocks until all tasks have arrived and ended; may be called on any thread. */
+    /** Blocks until arrivals and all tasks have ended; may be called on any thread. */
     void await() throws InterruptedException {
         unfinished.await();
     }
--- a/src/main/java/rampshift/testbed/clients/ConnectionFailure.java
+++ b/src/main/java/rampshift/testbed/clients/ConnectionFailure.java
@@ -1,14 +1,14 @@
 package rampshift.testbed.clients;
 
-/** Why an exchange on a connection ended without a complete response. */
+/** The reason why an exchange on a connection ended without a complete response. */
 enum ConnectionFailure {
     /** The dispatcher reset the connection. */
     RESET("reset"),
-    /** The dispatcher closed the connection in order. */
+    /** The dispatcher closed the connection without a reset. */
     CLOSED("closed"),
-    /** The bytes that arrived are no valid response. */
+    /** The bytes that arrived are not a valid response. */
     INVALID_RESPONSE("odd"),
-    /** No connection could be opened for sending the request again. */
+    /** No connection could be opened to send the request again. */
     UNREACHABLE("unreachable");
 
     private final String logField;
@@ -17,7 +17,7 @@
         this.logField = logField;
     }
 
-    /** Its name in the event log. */
+    /** Returns the name in the event log. */
     String logField() {
         return logField;
     }
--- a/src/main/java/rampshift/testbed/clients/ConnectionOwner.java
+++ b/src/main/java/rampshift/testbed/clients/ConnectionOwner.java
@@ -1,23 +1,23 @@
 package rampshift.testbed.clients;
 
 /**
- * Decides what becomes of connections between exchanges. It is used on the I/O thread alone.
+ * Manages connections between exchanges. Used on the I/O thread only.
  */
 interface ConnectionOwner {
-    /** Takes an open connection that awaits no response; null if there is none and one must be opened. */
+    /** Removes and returns an idle connection; null if there is none and one must be opened. */
     DispatcherConnection poll(Dispatcher dispatcher);
 
     /**
-     * A response is complete.
+     * Handles the end of an exchange with a complete response.
      *
-     * @param connection the connection on which it came
+     * @param connection the connection of the exchange
      * @param persistent whether the dispatcher leaves the connection open
      */
     void onExchangeCompleted(DispatcherConnection connection, boolean persistent);
 
-    /** The dispatcher has closed or reset the connection. */
+    /** Handles a connection that the dispatcher has closed or reset. */
     void onClosedByPeer(DispatcherConnection connection);
 
-    /** The client closes the connection. */
+    /** Handles a connection that the client closes. */
     void onClosedByClient(DispatcherConnection connection);
 }
--- a/src/main/java/rampshift/testbed/clients/Dispatcher.java
+++ b/src/main/java/rampshift/testbed/clients/Dispatcher.java
@@ -3,10 +3,10 @@
 import java.net.InetSocketAddress;
 
 /**
- * A dispatcher, as the clients know it.
+ * A dispatcher to which clients connect.
  *
- * @param number its position among all dispatchers of the run, from 0
- * @param site the index of its site in the plan
- * @param address where it accepts connections
+ * @param number the index among all dispatchers of the run, from 0
+ * @param site the index of the dispatcher's site in the plan
+ * @param address the address at which the dispatcher accepts connections
  */
 record Dispatcher(int number, int site, InetSocketAddress address) {}
--- a/src/main/java/rampshift/testbed/clients/DispatcherConnection.java
+++ b/src/main/java/rampshift/testbed/clients/DispatcherConnection.java
@@ -9,20 +9,20 @@
 import rampshift.testbed.wire.MessageReader;
 
 /**
- * A client's connection to a dispatcher, with one exchange at a time. It is used on the I/O thread alone.
+ * A client's connection to a dispatcher, with one exchange at a time. Used on the I/O thread only.
  */
 final class DispatcherConnection implements FaultyConnection.Listener {
-    /** Receives the end of one exchange: just one of the two calls, unless the client closes first. */
+    /** Receives the end of one exchange: exactly one call, or none if the client closes the connection. */
     interface ExchangeListener {
-        /** The response is complete. */
+        /** Handles a complete response. */
         void onResponse(Message response);
 
         /**
-         * No complete response can come any more.
+         * Handles the failure of an exchange without a complete response.
          *
-         * @param failure why
+         * @param failure the reason
          * @param maybeStale whether the dispatcher may have closed the connection, after an earlier exchange,
-         * before it saw this request
+         * before it received this request
          */
         void onFailure(ConnectionFailure failure, boolean maybeStale);
     }
@@ -32,12 +32,12 @@
     private final ClientEventLog eventLog;
     private final FaultyConnection connection;
     private final MessageReader reader = new MessageReader(this::onMessage);
-    /** Who awaits a response; null between exchanges. */
+    /** The listener of the current exchange; null between exchanges. */
     private ExchangeListener listener;
     private boolean reused;
     private int messagesInRead;
 
-    /** Takes an open connection over and starts to read from it. */
+    /** Wraps an open connection and starts to read from it. */
     DispatcherConnection(Dispatcher dispatcher, ConnectionOwner owner, ClientEventLog eventLog,
             StreamConnection stream, XnioIoThread thread) {
         this.dispatcher = dispatcher;
@@ -47,18 +47,18 @@
         connection.start();
     }
 
-    /** The dispatcher at the other end. */
+    /** Returns the dispatcher at the other end. */
     Dispatcher dispatcher() {
         return dispatcher;
     }
 
-    /** Sends a request and awaits its response. */
+    /** Sends a request and registers the listener of its response. */
     void exchange(ClientTaskRequest request, ExchangeListener exchangeListener) {
         listener = exchangeListener;
         connection.write(request.encode());
     }
 
-    /** Closes the connection. No listener is told. */
+    /** Closes the connection without notifying the listener of the exchange. */
     void close() {
         owner.onClosedByClient(this);
         listener = null;
@@ -82,7 +82,7 @@
         }
     }
 
-    /** Returns whether the bytes are a part of well-formed responses. */
+    /** Parses bytes; returns whether they are part of well-formed responses. */
     private boolean read(byte[] bytes, int count) {
         try {
             reader.read(bytes, 0, count, EventClock.now());
@@ -92,7 +92,7 @@
         }
     }
 
-    /** Closes the connection; whoever awaits a response gets none. */
+    /** Closes the connection and reports an invalid response to the listener, if there is one. */
     private void closeAsInvalid() {
         ExchangeListener waiting = listener;
         close();
--- a/src/main/java/rampshift/testbed/clients/DispatcherConnector.java
+++ b/src/main/java/rampshift/testbed/clients/DispatcherConnector.java
@@ -3,7 +3,7 @@
 import java.util.function.Consumer;
 import org.xnio.XnioIoThread;
 
-/** Opens connections on which tasks are sent, and counts them. */
+/** Opens connections for tasks, and counts them. */
 final class DispatcherConnector {
     private final XnioIoThread thread;
     private final ClientDialer dialer;
@@ -15,7 +15,7 @@
      *
      * @param thread the I/O thread on which the connections are used
      * @param dialer opens the sockets
-     * @param eventLog receives what arrives unexpectedly
+     * @param eventLog records unexpected bytes on the connections
      * @param statistics counts the connections
      */
     DispatcherConnector(XnioIoThread thread, ClientDialer dialer, ClientEventLog eventLog,
@@ -27,12 +27,12 @@
     }
 
     /**
-     * Opens a connection. Just one of the two callbacks is called, on the I/O thread.
+     * Opens a connection. Exactly one of the two callbacks is called, on the I/O thread.
      *
      * @param dispatcher the dispatcher to connect to
-     * @param owner decides what becomes of the connection between exchanges
+     * @param owner manages the connection between exchanges
      * @param onConnected receives the connection
-     * @param onUnreachable called if there is none in time
+     * @param onUnreachable called if the connection is refused or times out
      */
     void open(Dispatcher dispatcher, ConnectionOwner owner, Consumer<DispatcherConnection> onConnected,
             Runnable onUnreachable) {
--- a/src/main/java/rampshift/testbed/clients/FrontProxy.java
+++ b/src/main/java/rampshift/testbed/clients/FrontProxy.java
@@ -11,21 +11,21 @@
 
 /**
  * A model of the load balancer in front of the dispatchers. It spreads tasks uniformly over the dispatchers
- * of a site and, like a real one, keeps choosing a failed dispatcher until its health check has noticed. It
- * has no I/O and no clock.
+ * of a site and, like a real one, keeps choosing a failed dispatcher until its health check detects the
+ * failure. It has no I/O and no clock.
  */
 final class FrontProxy {
     private final FleetPlan plan;
     private final List<Dispatcher> dispatchers;
     private final UniformRandomProvider random;
-    /** From when on each failed dispatcher is no longer chosen; those that are healthy are absent. */
+    /** The time from which each failed dispatcher is excluded; healthy dispatchers have no entry. */
     private final Map<Dispatcher, Moment> excludedFrom = new HashMap<>();
 
     /**
      * Assigns the dispatchers to the sites in the order of the plan.
      *
-     * @param plan how many dispatchers each site has, and how long a failure stays unnoticed
-     * @param addresses where the dispatchers listen; those beyond the number in the plan are not used
+     * @param plan the number of dispatchers of each site, and the delay until a failure is detected
+     * @param addresses where the dispatchers listen; addresses beyond the number in the plan are not used
      * @param random the source of all choices
      */
     FrontProxy(FleetPlan plan, List<InetSocketAddress> addresses, UniformRandomProvider random) {
@@ -42,8 +42,8 @@
     }
 
     /**
-     * Chooses a dispatcher of a site; one of another site if all of its own are excluded, and any one if all
-     * are.
+     * Chooses a dispatcher of a site; one of another site if all of this site are excluded, or any one if all
+     * are excluded.
      */
     Dispatcher pick(int site, Moment now) {
         List<Dispatcher> local = new ArrayList<>();
@@ -71,8 +71,8 @@
     }
 
     /**
-     * Reports that a connection to a dispatcher was refused or lost. It is excluded after the delay of the
-     * plan, drawn at its first failure.
+     * Records that a connection to a dispatcher was refused or lost. The dispatcher is excluded after a
+     * delay, drawn at its first failure from the range in the plan.
      */
     void onFailure(Dispatcher dispatcher, Moment now) {
         if (!excludedFrom.containsKey(dispatcher)) {
@@ -81,17 +81,17 @@
         }
     }
 
-    /** Reports that a dispatcher has passed its health check. It is chosen again from now on. */
+    /** Records that a dispatcher has passed its health check, and may be chosen again. */
     void onReady(Dispatcher dispatcher) {
         excludedFrom.remove(dispatcher);
     }
 
-    /** The dispatchers that have failed and have not passed a health check since, by number. */
+    /** Returns the dispatchers that have failed and not passed a health check since, by number. */
     List<Dispatcher> failedDispatchers() {
         return dispatchers.stream().filter(excludedFrom::containsKey).toList();
     }
 
-    /** All dispatchers, by number. */
+    /** Returns all dispatchers, by number. */
     List<Dispatcher> dispatchers() {
         return dispatchers;
     }
--- a/src/main/java/rampshift/testbed/clients/IdleClientConnections.java
+++ b/src/main/java/rampshift/testbed/clients/IdleClientConnections.java
@@ -9,11 +9,11 @@
 import rampshift.time.Span;
 
 /**
- * Connections that each send one task and then stay open and idle. Their tasks are in no statistics; how many
- * connections the dispatchers close is.
+ * Connections that each send one task and then stay open and idle. Statistics exclude their tasks, but
+ * include the number of these connections that dispatchers close.
  */
 final class IdleClientConnections implements ConnectionOwner, ClientAttempt.Listener {
-    /** Between the first tasks of two connections, so that opening them does not disturb the run. */
+    /** The interval at which connections are opened, so that opening them does not disturb the run. */
     private static final Span OPEN_INTERVAL = Span.ofMillis(10);
     private static final Span TASK_WORK = Span.ofMillis(1);
     private static final int TASK_TYPE = 0;
@@ -25,11 +25,11 @@
     private final CountDownLatch unfinished;
 
     /**
-     * Creates connections that are opened later.
+     * Creates an instance without open connections.
      *
-     * @param count how many
-     * @param context what all attempts use
-     * @param statistics counts the connections that are lost
+     * @param count the number of connections
+     * @param context the context of all attempts
+     * @param statistics counts the connections that dispatchers close
      */
     IdleClientConnections(int count, AttemptContext context, LoadStatistics statistics) {
         this.count = count;
@@ -41,7 +41,7 @@
     /**
      * Opens the connections one after the other, and waits until all their tasks have ended.
      *
-     * @param timeout the longest wait after the last one has been started; what is unfinished then goes on
+     * @param timeout the longest wait after the last task was started; unfinished tasks then continue
      */
     void open(Span timeout) {
         List<Dispatcher> dispatchers = context.frontProxy().dispatchers();
@@ -65,7 +65,7 @@
         new ClientAttempt(task, 0, dispatcher, this, context, this).start();
     }
 
-    /** Each task gets a connection of its own. */
+    /** Returns null, so that each task opens a new connection. */
     @Override
     public DispatcherConnection poll(Dispatcher dispatcher) {
         return null;
@@ -90,7 +90,7 @@
 
     @Override
     public void onSent(ClientAttempt attempt, Moment now) {
-        // These tasks are in no statistics.
+        // Statistics exclude these tasks.
     }
 
     @Override
--- a/src/main/java/rampshift/testbed/clients/IoTimers.java
+++ b/src/main/java/rampshift/testbed/clients/IoTimers.java
@@ -13,9 +13,9 @@
      * Runs an action once on the I/O thread.
      *
      * @param thread the I/O thread
-     * @param delay when, from now; rounded to the millisecond, at least one
-     * @param action what to run
-     * @return by which the timer can be removed before it has run
+     * @param delay the delay, rounded to milliseconds and at least one
+     * @param action the action
+     * @return the key that removes the timer before it has run
      */
     static XnioExecutor.Key runAfter(XnioIoThread thread, Span delay, Runnable action) {
         long millis = Math.max(1, Math.round(delay.millis()));
--- a/src/main/java/rampshift/testbed/clients/LoadGenerator.java
+++ b/src/main/java/rampshift/testbed/clients/LoadGenerator.java
@@ -15,9 +15,9 @@
 import rampshift.time.Span;
 
 /**
- * The clients of one load process. In an open loop, tasks are sent when they are due, whatever became of
- * those before, and latency counts from then, so that a stall of a dispatcher shows in the latency of every
- * task that was due in that time. By how much the load process itself sends late is measured too. All clients
+ * The clients of one load process. In an open loop, tasks are sent when they are due, independent of earlier
+ * tasks, and latency is measured from then, so that a stall of a dispatcher adds to the latency of every task
+ * that was due during the stall. The delay of sends by the load process itself is measured too. All clients
  * run on one I/O thread, which {@link #close} ends.
  */
 public final class LoadGenerator {
@@ -33,11 +33,11 @@
     /**
      * Creates clients that send nothing yet.
      *
-     * @param plan what all load processes send together, and how clients behave
+     * @param plan the load of all load processes together, and the behavior of clients
      * @param seed the seed of the run
      * @param process the number of this load process, from 0
      * @param dispatchers where the dispatchers listen, by number
-     * @param eventLog receives what becomes of each attempt; whoever opened it closes it
+     * @param eventLog receives the events of attempts; not closed by the load generator
      * @throws IOException if the I/O thread cannot be created
      */
     public LoadGenerator(FleetPlan plan, long seed, int process, List<InetSocketAddress> dispatchers,
@@ -62,7 +62,7 @@
         pacer = new ArrivalPacer(plan, new Arrivals(plan, seed, process), thread, tasks);
     }
 
-    /** This process's part of all idle connections; a remainder goes to the first processes. */
+    /** Returns this process's share of the idle connections; the first processes share the remainder. */
     private static int idleCount(FleetPlan plan, int process) {
         int total = plan.clients().idle();
         int processes = plan.clients().processes();
@@ -76,15 +76,15 @@
 
     /**
      * Opens the connections that each send one task and then stay idle, and waits until these tasks have
-     * ended. To be called before {@link #start}.
+     * ended. Must be called before {@link #start}.
      *
-     * @param timeout the longest wait after the last one has been started; what is unfinished then goes on
+     * @param timeout the longest wait after the last task was started; unfinished tasks then continue
      */
     public void openIdle(Span timeout) {
         idleConnections.open(timeout);
     }
 
-    /** Begins to send tasks at the given time. Returns at once. */
+    /** Starts to send tasks at the given time. Does not block. */
     public void start(Moment when) {
         thread.execute(() -> {
             tasks.start(when);
@@ -98,7 +98,7 @@
         tasks.await();
     }
 
-    /** The counts so far, in one line, for the process that started this one. */
+    /** Returns the counts so far in one line, which the parent process parses. */
     public String progress() {
         return statistics.progress().toLine();
     }
@@ -115,7 +115,7 @@
         writer.writeHistograms(folder.resolve("load-" + process + ".hlog"));
     }
 
-    /** Ends the I/O thread; connections that are open are closed with it. */
+    /** Ends the I/O thread, which closes the open connections. */
     public void close() {
         worker.shutdownNow();
     }
--- a/src/main/java/rampshift/testbed/clients/LoadStatistics.java
+++ b/src/main/java/rampshift/testbed/clients/LoadStatistics.java
@@ -7,8 +7,8 @@
 import rampshift.time.Span;
 
 /**
- * What one load process has measured: by traffic type, by second of the run, and of the process itself. It is
- * changed on the I/O thread alone; {@link #progress} may be read on others and then lag behind.
+ * The statistics of one load process: by traffic type, by second of the run, and of the process itself. They
+ * change on the I/O thread only; {@link #progress} may be called on other threads, and then lags behind.
  */
 final class LoadStatistics {
     private static final long MICROS_PER_SECOND = 1_000_000;
@@ -24,7 +24,7 @@
     /**
      * Creates empty statistics.
      *
-     * @param plan the traffic types, and by how much the process itself may be late
+     * @param plan the plan with the traffic types and the allowed send delay
      */
     LoadStatistics(FleetPlan plan) {
         maxSendDelay = plan.clients().mostLate();
@@ -39,17 +39,17 @@
         return seconds.get(index);
     }
 
-    /** A task has arrived. */
+    /** Records the arrival of a task. */
     void onArrival(Arrival arrival) {
         double offered = types.get(arrival.type()).onArrival();
         second(arrival.at()).onArrival(offered);
     }
 
     /**
-     * An attempt is being sent.
+     * Records that an attempt is sent.
      *
-     * @param at when, since the start of the run
-     * @param delay since it was due
+     * @param at the time since the start of the run
+     * @param delay the time since the attempt was due
      */
     void onSent(Span at, Span delay) {
         second(at).onSent();
@@ -57,12 +57,12 @@
     }
 
     /**
-     * An attempt has ended.
+     * Records the end of an attempt.
      *
      * @param type the index of the traffic type
-     * @param result what it came to
-     * @param at when, since the start of the run
-     * @param latency since it was due
+     * @param result the result of the attempt
+     * @param at the time since the start of the run
+     * @param latency the time since the attempt was due
      */
     void onAttemptEnded(int type, AttemptResult result, Span at, Span latency) {
         types.get(type).onAttemptEnded(result, latency);
@@ -73,28 +73,28 @@
     }
 
     /**
-     * A task has finished.
+     * Records a finished task.
      *
-     * @param arrival its arrival
-     * @param at when it finished, since the start of the run
-     * @param latency since its first attempt was due
+     * @param arrival the arrival of the task
+     * @param at the time since the start of the run
+     * @param latency the time since the first attempt was due
      */
     void onTaskFinished(Arrival arrival, Span at, Span latency) {
         double earned = types.get(arrival.type()).onTaskFinished(arrival.work(), latency);
         second(at).onTaskFinished(earned);
     }
 
-    /** A connection for tasks has been opened. */
+    /** Counts a connection that was opened for tasks, including those that stay idle after one task. */
     void connectionOpened() {
         openedConnections++;
     }
 
-    /** A dispatcher has closed a connection that was meant to stay idle. */
+    /** Counts an idle connection that a dispatcher has closed. */
     void idleConnectionLost() {
         lostIdleConnections++;
     }
 
-    /** The counts so far. */
+    /** Returns the counts so far. */
     LoadProgress progress() {
         long failed = count(ClientOutcome.SERVER_ERROR) + count(ClientOutcome.CONNECTION_LOST)
                 + count(ClientOutcome.UNREACHABLE) + count(ClientOutcome.TIMED_OUT);
@@ -116,12 +116,12 @@
         return offered == 0 ? 1 : earned / offered;
     }
 
-    /** How many attempts have been sent. */
+    /** Returns the number of attempts that have been sent. */
     long sentCount() {
         return sendDelay.getTotalCount();
     }
 
-    /** The share of the attempts that were sent later than the plan allows, 0 to 1. */
+    /** Returns the share of the attempts that were sent later than the plan allows, 0 to 1. */
     double lateShare() {
         long total = sendDelay.getTotalCount();
         if (total == 0) {
@@ -131,32 +131,32 @@
         return (total - onTime) / (double) total;
     }
 
-    /** By traffic type, in the order of the plan. */
+    /** Returns the statistics by traffic type, in the order of the plan. */
     List<TypeStatistics> types() {
         return types;
     }
 
-    /** By second of the run, from its start. */
+    /** Returns the statistics by second of the run, from its start. */
     List<SecondStatistics> seconds() {
         return seconds;
     }
 
-    /** From when an attempt was due until it was rejected, in microseconds. */
+    /** Returns the histogram of times from an attempt's due time to its rejection, in microseconds. */
     Histogram rejectionLatency() {
         return rejectionLatency;
     }
 
-    /** From when an attempt was due until it was sent, in microseconds. */
+    /** Returns the histogram of times from an attempt's due time to its sending, in microseconds. */
     Histogram sendDelay() {
         return sendDelay;
     }
 
-    /** How many connections have been opened for tasks. */
+    /** Returns the number of connections that were opened for tasks. */
     long openedConnections() {
         return openedConnections;
     }
 
-    /** How many connections that were meant to stay idle the dispatchers have closed. */
+    /** Returns the number of idle connections that dispatchers have closed. */
     long lostIdleConnections() {
         return lostIdleConnections;
     }
--- a/src/main/java/rampshift/testbed/clients/LoadStatisticsWriter.java
+++ b/src/main/java/rampshift/testbed/clients/LoadStatisticsWriter.java
@@ -8,7 +8,7 @@
 import org.HdrHistogram.Histogram;
 import org.HdrHistogram.HistogramLogWriter;
 
-/** Writes the files of a load process, from which reports are made once the run is over. */
+/** Writes the statistics files of a load process, from which reports are generated after the run. */
 final class LoadStatisticsWriter {
     private final LoadStatistics statistics;
 
@@ -54,7 +54,7 @@
     }
 
     /**
-     * Writes all histograms in HdrHistogram's log format; their tags tell them apart.
+     * Writes all histograms in HdrHistogram's log format, distinguished by their tags.
      *
      * @param file the file to write or replace
      * @throws IOException if the file cannot be opened
--- a/src/main/java/rampshift/testbed/clients/MicrosHistogram.java
+++ b/src/main/java/rampshift/testbed/clients/MicrosHistogram.java
@@ -15,7 +15,7 @@
         return new Histogram(MAX_MICROS, SIGNIFICANT_DIGITS);
     }
 
-    /** Records a span; one that is out of range is recorded as the nearest value in range. */
+    /** Records a span, clamped to the range of the histogram. */
     static void record(Histogram histogram, Span span) {
         histogram.recordValue(Math.max(0, Math.min(MAX_MICROS, span.micros())));
     }
--- a/src/main/java/rampshift/testbed/clients/ReadinessProber.java
+++ b/src/main/java/rampshift/testbed/clients/ReadinessProber.java
@@ -10,7 +10,7 @@
 import rampshift.testbed.wire.MessageReader;
 import rampshift.time.Span;
 
-/** The front proxy's health checks: asks each failed dispatcher every 200 ms whether it is ready again. */
+/** The front proxy's health checks: probes each failed dispatcher every 200 ms until it is ready again. */
 final class ReadinessProber {
     private static final Span PROBE_INTERVAL = Span.ofMillis(200);
     private static final String REQUEST = "GET /ready HTTP/1.1\r\nHost: f\r\nConnection: close\r\n\r\n";
@@ -26,8 +26,8 @@
      *
      * @param thread the I/O thread on which it runs
      * @param dialer opens a connection for each probe
-     * @param frontProxy tells whom to ask, and hears who is ready
-     * @param active whether to go on, asked after each round
+     * @param frontProxy provides the failed dispatchers, and receives those that are ready again
+     * @param active whether to continue, evaluated after each round
      */
     ReadinessProber(XnioIoThread thread, ClientDialer dialer, FrontProxy frontProxy, BooleanSupplier active) {
         this.thread = thread;
@@ -41,7 +41,7 @@
         for (Dispatcher dispatcher : frontProxy.failedDispatchers()) {
             dialer.dial(dispatcher.address(), stream -> new Probe(dispatcher, stream).send(),
                     () -> {
-                        // It is asked again in the next round.
+                        // The dispatcher is probed again in the next round.
                     });
         }
         if (active.getAsBoolean()) {
@@ -49,7 +49,7 @@
         }
     }
 
-    /** One request on a connection of its own. */
+    /** One probe request on a separate connection. */
     private final class Probe implements FaultyConnection.Listener {
         private final Dispatcher dispatcher;
         private final FaultyConnection connection;
@@ -83,7 +83,7 @@
 
         @Override
         public void onClosed(boolean reset) {
-            // The dispatcher is not ready; it is asked again in the next round.
+            // The dispatcher is not ready; it is probed again in the next round.
         }
     }
 }
--- a/src/main/java/rampshift/testbed/clients/SecondStatistics.java
+++ b/src/main/java/rampshift/testbed/clients/SecondStatistics.java
@@ -1,6 +1,6 @@
 package rampshift.testbed.clients;
 
-/** What one load process has measured in one second of the run. */
+/** The statistics of one load process for one second of the run. */
 final class SecondStatistics {
     private double offeredEarnings;
     private double earnings;
@@ -9,17 +9,17 @@
     private long rejectedCount;
     private long failedCount;
 
-    /** A task has arrived that earns so much if it finishes in time. */
+    /** Records the arrival of a task, with its earnings if it finishes in time. */
     void onArrival(double offered) {
         offeredEarnings += offered;
     }
 
-    /** An attempt is being sent. */
+    /** Counts an attempt that is sent. */
     void onSent() {
         sentCount++;
     }
 
-    /** An attempt has ended. */
+    /** Counts an attempt by its outcome; any but finished and rejected counts as failed. */
     void onAttemptEnded(ClientOutcome outcome) {
         switch (outcome) {
             case FINISHED -> finishedCount++;
@@ -28,12 +28,12 @@
         }
     }
 
-    /** A task has finished and has earned so much. */
+    /** Records the earnings of a finished task. */
     void onTaskFinished(double earned) {
         earnings += earned;
     }
 
-    /** Its row in the statistics file: earnings offered, made; attempts sent, finished, rejected, failed. */
+    /** Returns the row of the file: earnings offered, made; attempts sent, finished, rejected, failed. */
     double[] row() {
         return new double[]{offeredEarnings, earnings, sentCount, finishedCount, rejectedCount, failedCount};
     }
--- a/src/main/java/rampshift/testbed/clients/TaskFactory.java
+++ b/src/main/java/rampshift/testbed/clients/TaskFactory.java
@@ -16,21 +16,21 @@
     /**
      * Creates the factory.
      *
-     * @param plan the traffic types
-     * @param random the source of identifiers
+     * @param plan the plan with the traffic types
+     * @param random the source of random identifiers
      */
     TaskFactory(FleetPlan plan, UniformRandomProvider random) {
         this.plan = plan;
         this.random = random;
     }
 
-    /** Creates the task of an arrival, with the next number and an idempotency key of its own. */
+    /** Creates the task of an arrival, with the next number and a unique idempotency key. */
     ClientTask create(Arrival arrival, Moment dueAt) {
         lastNumber++;
         return new ClientTask(lastNumber, arrival, plan.types().get(arrival.type()), randomHex(), dueAt);
     }
 
-    /** An identifier for an attempt: 20 hexadecimal digits. */
+    /** Returns a new identifier for an attempt: 20 hexadecimal digits. */
     String newAttemptId() {
         return randomHex().substring(0, ATTEMPT_ID_LENGTH);
     }
--- a/src/main/java/rampshift/testbed/clients/TypeStatistics.java
+++ b/src/main/java/rampshift/testbed/clients/TypeStatistics.java
@@ -4,7 +4,7 @@
 import rampshift.testbed.plan.FleetPlan;
 import rampshift.time.Span;
 
-/** What one load process has measured of one traffic type. */
+/** The statistics of one load process for one traffic type. */
 final class TypeStatistics {
     private final FleetPlan.TrafficType type;
     private final long[] outcomeCounts = new long[ClientOutcome.values().length];
@@ -19,7 +19,7 @@
         this.type = type;
     }
 
-    /** A task has arrived. Returns what it earns if it finishes in time. */
+    /** Records the arrival of a task; returns its earnings if it finishes in time. */
     double onArrival() {
         taskCount++;
         offeredEarnings += type.earnings();
@@ -27,10 +27,10 @@
     }
 
     /**
-     * An attempt has ended.
+     * Records the end of an attempt.
      *
-     * @param result what it came to
-     * @param attemptLatency from when it was due
+     * @param result the result of the attempt
+     * @param attemptLatency the time since the attempt was due
      */
     void onAttemptEnded(AttemptResult result, Span attemptLatency) {
         outcomeCounts[result.outcome().ordinal()]++;
@@ -42,10 +42,10 @@
     }
 
     /**
-     * A task has finished. Returns what it earns: less if it is too late.
+     * Records a finished task; returns its earnings, which are lower if it is late.
      *
-     * @param work its work on a worker of speed 1
-     * @param taskLatency from when its first attempt was due
+     * @param work the run time of the task on a worker of speed 1
+     * @param taskLatency the time since the first attempt was due
      */
     double onTaskFinished(Span work, Span taskLatency) {
         Span allowed = type.due().plus(work.times(type.stretch()));
@@ -56,42 +56,42 @@
         return earned;
     }
 
-    /** The name of the type. */
+    /** Returns the name of the type. */
     String name() {
         return type.name();
     }
 
-    /** How many tasks have arrived. */
+    /** Returns the number of tasks that have arrived. */
     long taskCount() {
         return taskCount;
     }
 
-    /** How many tasks have finished in time. */
+    /** Returns the number of tasks that have finished in time. */
     long inTimeCount() {
         return inTimeCount;
     }
 
-    /** What all tasks that have arrived would earn if they finished in time. */
+    /** Returns the earnings of all arrived tasks if all finished in time. */
     double offeredEarnings() {
         return offeredEarnings;
     }
 
-    /** What the finished tasks have earned. */
+    /** Returns the earnings of the finished tasks. */
     double earnings() {
         return earnings;
     }
 
-    /** How many attempts have ended so. */
+    /** Returns the number of attempts that ended with an outcome. */
     long count(ClientOutcome outcome) {
         return outcomeCounts[outcome.ordinal()];
     }
 
-    /** From when an attempt was due until it finished, in microseconds. */
+    /** Returns the histogram of times from an attempt's due time to its finish, in microseconds. */
     Histogram latency() {
         return latency;
     }
 
-    /** The same less the time that the worker says it took, where that is known. */
+    /** Returns the same less the time that the worker reported, for attempts where that is known. */
     Histogram addedLatency() {
         return addedLatency;
     }
--- a/src/main/java/rampshift/testbed/clients/WeightedChoice.java
+++ b/src/main/java/rampshift/testbed/clients/WeightedChoice.java
@@ -3,7 +3,7 @@
 import java.util.stream.DoubleStream;
 import org.apache.commons.rng.UniformRandomProvider;
 
-/** A random choice among numbered options, each of which is drawn in proportion to its weight. */
+/** A random choice among numbered options, drawn in proportion to their weights. */
 final class WeightedChoice {
     private final double[] weights;
     private final double totalWeight;
@@ -18,12 +18,12 @@
         totalWeight = DoubleStream.of(this.weights).sum();
     }
 
-    /** Whether no option has a weight above 0. */
+    /** Returns whether no option has a weight above 0. */
     boolean isEmpty() {
         return totalWeight <= 0;
     }
 
-    /** Draws the index of an option with one number from the source. */
+    /** Draws the index of an option, using one random number from the source. */
     int draw(UniformRandomProvider random) {
         double remaining = random.nextDouble() * totalWeight;
         int last = weights.length - 1;
--- a/src/test/java/rampshift/testbed/clients/ArrivalsTest.java
+++ b/src/test/java/rampshift/testbed/clients/ArrivalsTest.java
@@ -79,7 +79,7 @@
         assertNull(new Arrivals(TwoSitePlan.read("[arrivals]\nrate = 0\n"), 1, 0).next());
     }
 
-    /** So that a run can be repeated with a later version: the values are those of earlier versions. */
+    /** Runs must be repeatable with later versions: the expected values come from earlier versions. */
     @Test
     void aSeedGivesTheSameArrivalsAsInEarlierVersions() {
         FleetPlan plan = TwoSitePlan.read("share = 2\nspread = \"narrow\"\n", """
--- a/src/test/java/rampshift/testbed/clients/FrontProxyTest.java
+++ b/src/test/java/rampshift/testbed/clients/FrontProxyTest.java
@@ -27,13 +27,13 @@
         boolean stillChosen = false;
         for (int i = 0; i < 50; i++) {
             stillChosen |= front.pick(SITE_A, Moment.ofMillis(999)).equals(failed);
-            assertEquals(1, front.pick(SITE_A, Moment.ofMillis(1001)).number(), "the other one of its site");
+            assertEquals(1, front.pick(SITE_A, Moment.ofMillis(1001)).number(), "the other of its site");
             assertEquals(2, front.pick(SITE_B, now).number());
         }
         assertTrue(stillChosen);
         front.onFailure(front.dispatchers().get(1), now);
         assertEquals(2, front.pick(SITE_A, now.plus(Span.ofMillis(1001))).number(),
-                "another site's where none is left");
+                "a dispatcher of another site if all of this site are excluded");
         front.onReady(failed);
         assertEquals(0, front.pick(SITE_A, now.plus(Span.ofMillis(5000))).number());
     }
--- a/src/test/java/rampshift/testbed/clients/LoadGeneratorTest.java
+++ b/src/test/java/rampshift/testbed/clients/LoadGeneratorTest.java
@@ -32,7 +32,7 @@
 import rampshift.testbed.wire.LoopbackNetwork;
 import rampshift.time.Span;
 
-/** Clients of one emulated dispatcher, which answers as each test has it. */
+/** Tests clients against one emulated dispatcher, whose responses each test scripts. */
 class LoadGeneratorTest {
     private static final String OK = "HTTP/1.1 200 OK\r\nContent-Length: 5\r\n\r\nw/t/0";
     private static final Span IDLE_TIMEOUT = Span.ofMillis(5000);
@@ -43,11 +43,11 @@
     private TestServer dispatcher;
 
     /**
-     * Runs a plan with ten tasks a second, evenly, for half a second, unless it has arrivals of its own.
+     * Runs a plan for half a second, with ten evenly spaced tasks a second unless it has other arrivals.
      *
-     * @param effect the effect of the one traffic type
-     * @param more what follows that type's settings in the plan
-     * @param script what the dispatcher does with tasks; health checks it answers with 200
+     * @param effect the effect of the only traffic type
+     * @param more the text that follows that type's settings in the plan
+     * @param script handles the tasks that the dispatcher receives; it responds to health checks with 200
      * @return the statistics file
      */
     private JsonNode run(String effect, String more, ServerScript script) throws Exception {
@@ -122,7 +122,8 @@
     @Test
     void tasksAreSentOnOneConnectionAndCounted() throws Exception {
         JsonNode statistics = run("fingerprinted", "", (request, connection) -> {
-            // it says that it took 1 ms; without this an answer in 0.9 ms left less than nothing
+            // The result reports 1 ms at the worker; without the sleep, a response in 0.9 ms would make the
+            // added latency negative.
             Thread.sleep(2);
             respondOk(connection, "w/t/1000");
         });
@@ -137,7 +138,7 @@
         assertEquals(4, receivedFields("X-Txn").stream().distinct().count());
         long latency = histogram("latency.x").getMaxValue();
         assertEquals(latency - 1000.0, (double) histogram("added.x").getMaxValue(), 20,
-                "less what it took at the worker");
+                "added latency excludes the worker's time");
     }
 
     @Test
@@ -150,7 +151,7 @@
         assertEquals(2, histogram("latency.x").getTotalCount());
     }
 
-    /** A closed loop would have sent one task in this time, and shown one slow answer. */
+    /** Guards against a closed loop, which would send one task in this time and measure one slow response. */
     @Test
     void latencyCountsFromWhenATaskWasDue() throws Exception {
         long end = System.nanoTime() + 700_000_000L;
@@ -158,8 +159,8 @@
             TimeUnit.NANOSECONDS.sleep(end - System.nanoTime());
             respondOk(connection, "w/t/0");
         });
-        assertEquals(4, statistics.path("opened").asInt(), "others don't wait for the stalled one");
-        assertTrue(histogram("latency.x").getValueAtPercentile(50) > 250_000, "they all show it");
+        assertEquals(4, statistics.path("opened").asInt(), "tasks do not wait for the stalled one");
+        assertTrue(histogram("latency.x").getValueAtPercentile(50) > 250_000, "the stall adds to latencies");
         assertTrue(statistics.at("/types/x/in_time").asInt() < 4);
     }
 
@@ -186,7 +187,7 @@
         assertEquals(1, statistics.at("/types/x/bounced").asInt());
         assertEquals(1, statistics.at("/types/x/finished").asInt());
         assertEquals(3, statistics.at("/types/x/earned").asInt());
-        assertTrue(times.get(1) - times.get(0) >= 115_000_000L, "not sooner");
+        assertTrue(times.get(1) - times.get(0) >= 115_000_000L, "the retry waits for Retry-After");
         assertEquals("1", dispatcher.received.get(1).field("X-Resent"));
         assertEquals(2, receivedFields("X-Txn").stream().distinct().count());
     }
@@ -236,14 +237,14 @@
         });
         assertEquals(1, statistics.at("/types/x/broken").asInt());
         assertEquals(1, eventCount("broken"));
-        assertEquals(1, eventCount("unasked"), "the second answer of a connection");
+        assertEquals(1, eventCount("unasked"), "the second response to one request");
         dispatcher.close();
         statistics = run("side-effecting", "", (request, connection) -> {});
         assertEquals(4, statistics.at("/types/x/no_answer").asInt());
         assertEquals(4, eventCount("none"));
     }
 
-    /** The client took no notice of them, since it awaited nothing any more. */
+    /** Guards against ignoring bytes that follow a complete response in the same read. */
     @ParameterizedTest
     @ValueSource(strings = {OK + OK, OK + "HTTP/1.1 2", OK + "no response\n\n"})
     void bytesThatComeAtOnceWithAResponseAreLogged(String bytes) throws Exception {
@@ -265,7 +266,7 @@
         });
         assertEquals(24, dispatcher.received.size());
         assertEquals(1, statistics.path("idle_lost").asInt());
-        assertEquals(4, statistics.path("sent").asInt(), "they are no part of the run");
+        assertEquals(4, statistics.path("sent").asInt(), "statistics exclude the tasks of idle connections");
     }
 
     @Test
@@ -286,7 +287,7 @@
         assertEquals(tasks, statistics.at("/types/x/finished").asInt());
     }
 
-    /** So that a run can be repeated with a later version: the values are those of earlier versions. */
+    /** Runs must be repeatable with later versions: the expected values come from earlier versions. */
     @Test
     void aSeedGivesTheSameRequestsAsInEarlierVersions() throws Exception {
         run("fingerprinted", """
--- a/src/test/java/rampshift/testbed/clients/TwoSitePlan.java
+++ b/src/test/java/rampshift/testbed/clients/TwoSitePlan.java
@@ -15,12 +15,12 @@
 
     private TwoSitePlan() {}
 
-    /** The plan with both types alike in number, and with what follows them in its file. */
+    /** Returns the plan with equal shares of both types, followed by further settings. */
     static FleetPlan read(String more) {
         return read("share = 1\n", more);
     }
 
-    /** The plan with these settings of type y, and with what follows them in its file. */
+    /** Returns the plan with given settings of type y, followed by further settings. */
     static FleetPlan read(String settingsOfTypeY, String more) {
         return FleetPlanReader.read("f.toml", """
                 length = "100s"
