--- a/src/main/java/rampshift/testbed/clients/Arrivals.java
+++ b/src/main/java/rampshift/testbed/clients/Arrivals.java
@@ -14,7 +14,7 @@
 final class Arrivals {
     private static final double MICROS_PER_SECOND = 1e6;
     /** The minimum of the work of a narrow spread, relative to the mean; the maximum is greater by 1. */
-    private static final double MIN_NARROW_WORK = 0.5;
+    private static final double MIN_NARROW_WORK_FACTOR = 0.5;
 
     private final FleetPlan plan;
     private final double maxRatePerSecond;
@@ -122,7 +122,7 @@
         return switch (spread) {
             case FIXED -> 1;
             case EXPONENTIAL -> workSampler.sample();
-            case NARROW -> MIN_NARROW_WORK + taskRandom.nextDouble();
+            case NARROW -> MIN_NARROW_WORK_FACTOR + taskRandom.nextDouble();
         };
     }
 
--- a/src/main/java/rampshift/testbed/clients/AttemptContext.java
+++ b/src/main/java/rampshift/testbed/clients/AttemptContext.java
@@ -11,7 +11,7 @@
  * @param frontProxy chooses dispatchers, and records their connection failures
  * @param connector opens connections
  * @param eventLog receives the events of attempts
- * @param tasks creates tasks and the identifiers of attempts
+ * @param taskFactory creates tasks and the identifiers of attempts
  */
 record AttemptContext(FleetPlan plan, XnioIoThread thread, FrontProxy frontProxy,
-        DispatcherConnector connector, ClientEventLog eventLog, TaskFactory tasks) {}
+        DispatcherConnector connector, ClientEventLog eventLog, TaskFactory taskFactory) {}
--- a/src/main/java/rampshift/testbed/clients/AttemptResult.java
+++ b/src/main/java/rampshift/testbed/clients/AttemptResult.java
@@ -24,7 +24,7 @@
     private static final Pattern RETRY_AFTER_SECONDS = Pattern.compile("\\d{1,6}(\\.\\d{1,6})?");
 
     /** Returns the result of an attempt that was neither finished nor rejected. */
-    static AttemptResult withoutResponse(ClientOutcome outcome, boolean retryable) {
+    static AttemptResult ofFailure(ClientOutcome outcome, boolean retryable) {
         return new AttemptResult(outcome, retryable, Span.ZERO, Optional.empty());
     }
 
@@ -46,7 +46,7 @@
         ClientOutcome outcome = status >= FIRST_SERVER_ERROR
                 ? ClientOutcome.SERVER_ERROR
                 : ClientOutcome.OTHER_RESPONSE;
-        return withoutResponse(outcome, repeatable);
+        return ofFailure(outcome, repeatable);
     }
 
     /** Returns whether a response has the status of a finished task. */
--- a/src/main/java/rampshift/testbed/clients/ClientAttempt.java
+++ b/src/main/java/rampshift/testbed/clients/ClientAttempt.java
@@ -35,7 +35,7 @@
     private DispatcherConnection connection;
     private IoTimer timer;
     private boolean sent;
-    private boolean sentAgain;
+    private boolean resent;
     private boolean timedOut;
     private boolean ended;
 
@@ -58,7 +58,7 @@
         this.context = context;
         this.listener = listener;
         dueAt = number == 0 ? task.dueAt() : EventClock.now();
-        id = context.tasks().newAttemptId();
+        id = context.taskFactory().newAttemptId();
         Span timeout = task.type().expiry().times(context.plan().clients().patience());
         request = new ClientTaskRequest(task, id, number, timeout);
     }
@@ -102,7 +102,7 @@
     private void onUnreachable() {
         context.frontProxy().onFailure(dispatcher, EventClock.now());
         context.eventLog().onUnreachable(id, dispatcher);
-        end(AttemptResult.withoutResponse(ClientOutcome.UNREACHABLE, true));
+        end(AttemptResult.ofFailure(ClientOutcome.UNREACHABLE, true));
     }
 
     private void send(DispatcherConnection open) {
@@ -124,7 +124,7 @@
         }
         context.eventLog().onResponse(EventClock.now(), id, response);
         if (timedOut) {
-            end(AttemptResult.withoutResponse(ClientOutcome.TIMED_OUT, false));
+            end(AttemptResult.ofFailure(ClientOutcome.TIMED_OUT, false));
         } else {
             end(AttemptResult.ofResponse(response, task.isRepeatable()));
         }
@@ -135,8 +135,8 @@
         if (ended) {
             return;
         }
-        if (maybeStale && !sentAgain && !timedOut) {
-            sentAgain = true;
+        if (maybeStale && !resent && !timedOut) {
+            resent = true;
             context.eventLog().onStaleConnection(EventClock.now(), id, failure);
             sendOnNewConnection(() -> onConnectionLost(ConnectionFailure.UNREACHABLE));
         } else {
@@ -148,7 +148,7 @@
         Moment now = EventClock.now();
         context.frontProxy().onFailure(dispatcher, now);
         context.eventLog().onConnectionLost(now, id, failure);
-        end(AttemptResult.withoutResponse(ClientOutcome.CONNECTION_LOST, task.isRepeatable()));
+        end(AttemptResult.ofFailure(ClientOutcome.CONNECTION_LOST, task.isRepeatable()));
     }
 
     private void onTimeout() {
@@ -158,7 +158,7 @@
 
     private void onLateResponseTimeout() {
         context.eventLog().onTimeout(id);
-        end(AttemptResult.withoutResponse(ClientOutcome.TIMED_OUT, task.isRepeatable()));
+        end(AttemptResult.ofFailure(ClientOutcome.TIMED_OUT, task.isRepeatable()));
         connection.close();
     }
 
--- a/src/main/java/rampshift/testbed/clients/ClientTasks.java
+++ b/src/main/java/rampshift/testbed/clients/ClientTasks.java
@@ -18,7 +18,7 @@
     private final UniformRandomProvider random;
     private final Runnable onTaskEnded;
     private final ClientConnectionPool connections;
-    private final CountDownLatch unfinished = new CountDownLatch(1);
+    private final CountDownLatch finishedLatch = new CountDownLatch(1);
     private Moment startedAt;
     private int inFlight;
     private boolean arrivalsEnded;
@@ -48,7 +48,7 @@
 
     /** Creates the task of an arrival and starts its first attempt. */
     void onArrival(Arrival arrival, Moment dueAt) {
-        ClientTask task = context.tasks().create(arrival, dueAt);
+        ClientTask task = context.taskFactory().create(arrival, dueAt);
         if (isMeasured(task)) {
             statistics.onArrival(arrival);
         }
@@ -74,12 +74,12 @@
 
     /** Blocks until arrivals and all tasks have ended; may be called on any thread. */
     void await() throws InterruptedException {
-        unfinished.await();
+        finishedLatch.await();
     }
 
     private void checkFinished() {
         if (isFinished()) {
-            unfinished.countDown();
+            finishedLatch.countDown();
         }
     }
 
--- a/src/main/java/rampshift/testbed/clients/DispatcherConnection.java
+++ b/src/main/java/rampshift/testbed/clients/DispatcherConnection.java
@@ -94,10 +94,10 @@
 
     /** Closes the connection and reports an invalid response to the listener, if there is one. */
     private void closeAsInvalid() {
-        ExchangeListener waiting = listener;
+        ExchangeListener current = listener;
         close();
-        if (waiting != null) {
-            waiting.onFailure(ConnectionFailure.INVALID_RESPONSE, false);
+        if (current != null) {
+            current.onFailure(ConnectionFailure.INVALID_RESPONSE, false);
         }
     }
 
@@ -106,21 +106,21 @@
         if (messagesInRead > 1) {
             return;
         }
-        ExchangeListener waiting = listener;
+        ExchangeListener current = listener;
         listener = null;
         reused = true;
         owner.onExchangeCompleted(this, response.persistent());
-        waiting.onResponse(response);
+        current.onResponse(response);
     }
 
     @Override
     public void onClosed(boolean reset) {
-        ExchangeListener waiting = listener;
+        ExchangeListener current = listener;
         listener = null;
         owner.onClosedByPeer(this);
-        if (waiting != null) {
+        if (current != null) {
             boolean maybeStale = reused && !reader.isInMessage();
-            waiting.onFailure(reset ? ConnectionFailure.RESET : ConnectionFailure.CLOSED, maybeStale);
+            current.onFailure(reset ? ConnectionFailure.RESET : ConnectionFailure.CLOSED, maybeStale);
         }
     }
 }
--- a/src/main/java/rampshift/testbed/clients/IdleClientConnections.java
+++ b/src/main/java/rampshift/testbed/clients/IdleClientConnections.java
@@ -22,7 +22,7 @@
     private final AttemptContext context;
     private final LoadStatistics statistics;
     private final List<DispatcherConnection> idle = new ArrayList<>();
-    private final CountDownLatch unfinished;
+    private final CountDownLatch remainingTasks;
 
     /**
      * Creates an instance without open connections.
@@ -35,7 +35,7 @@
         this.count = count;
         this.context = context;
         this.statistics = statistics;
-        unfinished = new CountDownLatch(count);
+        remainingTasks = new CountDownLatch(count);
     }
 
     /**
@@ -52,7 +52,7 @@
         }
         try {
             long timeoutMicros = timeout.micros() + count * OPEN_INTERVAL.micros();
-            unfinished.await(timeoutMicros, TimeUnit.MICROSECONDS);
+            remainingTasks.await(timeoutMicros, TimeUnit.MICROSECONDS);
         } catch (InterruptedException e) {
             Thread.currentThread().interrupt();
         }
@@ -61,7 +61,7 @@
     private void sendTask(Dispatcher dispatcher) {
         Arrival arrival =
                 new Arrival(Span.ZERO, dispatcher.site(), TASK_TYPE, TASK_WORK, Arrival.NO_OBJECT);
-        ClientTask task = context.tasks().create(arrival, EventClock.now());
+        ClientTask task = context.taskFactory().create(arrival, EventClock.now());
         new ClientAttempt(task, 0, dispatcher, this, context, this).start();
     }
 
@@ -95,6 +95,6 @@
 
     @Override
     public void onEnded(ClientAttempt attempt, AttemptResult result) {
-        unfinished.countDown();
+        remainingTasks.countDown();
     }
 }
--- a/src/main/java/rampshift/testbed/experiment/FleetCommand.java
+++ b/src/main/java/rampshift/testbed/experiment/FleetCommand.java
@@ -111,7 +111,7 @@
     private void runUntilInterrupted(Fleet fleet, FaultInjector faults, EventLog eventLog)
             throws InterruptedException {
         printHelp();
-        fleet.whenFirstTask(() -> faults.start(seed, EventClock.now()));
+        fleet.runOnNextTask(() -> faults.start(seed, EventClock.now()));
         Runtime.getRuntime().addShutdownHook(new Thread(() -> close(eventLog)));
         Thread.currentThread().join();
     }
--- a/src/main/java/rampshift/testbed/wire/FaultyConnection.java
+++ b/src/main/java/rampshift/testbed/wire/FaultyConnection.java
@@ -54,7 +54,7 @@
      * still be read; null otherwise.
      */
     private Moment backlogSince;
-    private boolean waitsForNextByte;
+    private boolean awaitsByteInterval;
     private boolean closed;
     private boolean closesAfterWrites;
 
@@ -129,14 +129,14 @@
                     connection.getSourceChannel().suspendReads();
                     return;
                 }
-                passOn(count);
+                deliver(count);
             }
         } catch (IOException e) {
             onPeerClosed(true);
         }
     }
 
-    private void passOn(int count) {
+    private void deliver(int count) {
         if (delay.micros() == 0) {
             listener.onBytes(readBuffer.array(), count);
         } else {
@@ -183,7 +183,7 @@
     }
 
     private void flush() {
-        if (closed || blocked || waitsForNextByte) {
+        if (closed || blocked || awaitsByteInterval) {
             return;
         }
         try {
@@ -217,9 +217,9 @@
         if (!first.hasRemaining()) {
             unwritten.poll();
         }
-        waitsForNextByte = true;
+        awaitsByteInterval = true;
         runAfter(byteInterval, () -> {
-            waitsForNextByte = false;
+            awaitsByteInterval = false;
             flush();
         });
     }
--- a/src/main/java/rampshift/testbed/wire/MessageReader.java
+++ b/src/main/java/rampshift/testbed/wire/MessageReader.java
@@ -55,15 +55,15 @@
      * @param bytes the array that holds the bytes
      * @param offset the index of the first byte
      * @param count the number of bytes
-     * @param now the time of arrival, or an estimate of when the bytes were sent
+     * @param timestamp the time of arrival, or an estimate of when the bytes were sent
      * @throws IOException if the bytes are not a valid message
      */
-    public void read(byte[] bytes, int offset, int count, Moment now) throws IOException {
+    public void read(byte[] bytes, int offset, int count, Moment timestamp) throws IOException {
         int end = offset + count;
         int position = offset;
         while (position < end) {
             if (startedAt == null) {
-                startedAt = now;
+                startedAt = timestamp;
             }
             if (state == State.FIXED_BODY || state == State.CHUNK_DATA) {
                 position += readBody(bytes, position, end - position);
--- a/src/main/java/rampshift/testbed/workers/Fleet.java
+++ b/src/main/java/rampshift/testbed/workers/Fleet.java
@@ -38,7 +38,7 @@
     private final Map<String, EmulatedWorker> workers = new LinkedHashMap<>();
     private StallMonitor stallMonitor;
     private EndpointRegistry registry;
-    private Runnable onFirstTask;
+    private Runnable onNextTask;
 
     /**
      * Starts all workers and agents.
@@ -102,14 +102,14 @@
     }
 
     /** Sets an action that runs once, when a worker receives the next task. */
-    public void whenFirstTask(Runnable action) {
-        thread.execute(() -> onFirstTask = action);
+    public void runOnNextTask(Runnable action) {
+        thread.execute(() -> onNextTask = action);
     }
 
     private void onTaskReceived() {
-        if (onFirstTask != null) {
-            Runnable action = onFirstTask;
-            onFirstTask = null;
+        if (onNextTask != null) {
+            Runnable action = onNextTask;
+            onNextTask = null;
             action.run();
         }
     }
--- a/src/main/java/rampshift/testbed/workers/IdempotencyKeys.java
+++ b/src/main/java/rampshift/testbed/workers/IdempotencyKeys.java
@@ -27,8 +27,8 @@
             RememberedKey expired = oldestFirst.poll();
             rememberedUntil.remove(expired.key(), expired.until());
         }
-        Moment known = rememberedUntil.get(key);
-        if (known != null && !known.before(now)) {
+        Moment expiry = rememberedUntil.get(key);
+        if (expiry != null && !expiry.before(now)) {
             return true;
         }
         Moment until = now.plus(window);
--- a/src/main/java/rampshift/testbed/workers/Link.java
+++ b/src/main/java/rampshift/testbed/workers/Link.java
@@ -30,7 +30,7 @@
     /** The shortest accept queue that the kernel allows. */
     private static final int MIN_BACKLOG = 1;
     /** The number of connections that fill the shortest accept queue. */
-    private static final int FILLER_COUNT = 3;
+    private static final int FILLER_CONNECTION_COUNT = 3;
     private static final int MAX_BIND_RETRIES = 1000;
     private static final long BIND_RETRY_INTERVAL_MS = 1;
 
@@ -39,7 +39,7 @@
     private final Span delay;
     private final BiConsumer<Link, StreamConnection> onAccepted;
     private final Set<FaultyConnection> connections = new LinkedHashSet<>();
-    private final List<SocketChannel> fillers = new ArrayList<>();
+    private final List<SocketChannel> fillerConnections = new ArrayList<>();
     private final InetSocketAddress address;
     private AcceptingChannel<StreamConnection> server;
     /** Counts how often the server was closed; a bind retry that was scheduled before sees this and stops. */
@@ -93,10 +93,10 @@
         connections.remove(connection);
     }
 
-    private AcceptingChannel<StreamConnection> listen(InetSocketAddress where, int backlog)
+    private AcceptingChannel<StreamConnection> listen(InetSocketAddress bindAddress, int backlog)
             throws IOException {
         ChannelListener<AcceptingChannel<StreamConnection>> onConnection = this::accept;
-        return ioWorker.createStreamConnectionServer(where, onConnection,
+        return ioWorker.createStreamConnectionServer(bindAddress, onConnection,
                 OptionMap.builder().set(Options.TCP_NODELAY, true).set(Options.REUSE_ADDRESSES, true)
                         .set(Options.BACKLOG, backlog).getMap());
     }
@@ -146,10 +146,10 @@
 
     private void closeServer() {
         generation++;
-        for (SocketChannel filler : fillers) {
+        for (SocketChannel filler : fillerConnections) {
             IoUtils.safeClose(filler);
         }
-        fillers.clear();
+        fillerConnections.clear();
         IoUtils.safeClose(server);
     }
 
@@ -184,11 +184,11 @@
     }
 
     private void fillQueue() throws IOException {
-        for (int i = 0; i < FILLER_COUNT; i++) {
+        for (int i = 0; i < FILLER_CONNECTION_COUNT; i++) {
             SocketChannel filler = SocketChannel.open();
             filler.configureBlocking(false);
             filler.connect(address);
-            fillers.add(filler);
+            fillerConnections.add(filler);
         }
     }
 }
--- a/src/main/java/rampshift/testbed/workers/StallMonitor.java
+++ b/src/main/java/rampshift/testbed/workers/StallMonitor.java
@@ -17,7 +17,7 @@
     /** A longer time between two ticks counts as a stall. */
     private static final Span MIN_STALL = Span.ofMillis(20);
     /** The time after a stall in which the thread may still read bytes that arrived during the stall. */
-    private static final Span CATCH_UP = Span.ofMillis(20);
+    private static final Span CATCH_UP_TIME = Span.ofMillis(20);
 
     private final XnioIoThread thread;
     private XnioExecutor.Key nextTick;
@@ -50,8 +50,8 @@
         if (readAt.since(lastTick).longerThan(MIN_STALL)) {
             return lastTick;
         }
-        boolean catchesUp = stallEnd != null && !readAt.before(stallStart)
-                && CATCH_UP.longerThan(readAt.since(stallEnd));
-        return catchesUp ? stallStart : readAt;
+        boolean isCatchingUp = stallEnd != null && !readAt.before(stallStart)
+                && CATCH_UP_TIME.longerThan(readAt.since(stallEnd));
+        return isCatchingUp ? stallStart : readAt;
     }
 }
--- a/src/main/java/rampshift/testbed/workers/TaskExchange.java
+++ b/src/main/java/rampshift/testbed/workers/TaskExchange.java
@@ -11,7 +11,7 @@
  * one holds the result. Used on the I/O thread only.
  */
 final class TaskExchange {
-    private static final double SHARE_SCALE = 1000;
+    private static final double PROGRESS_SCALE = 1000;
 
     private final WorkerContext context;
     private final FaultyConnection connection;
@@ -55,7 +55,7 @@
         }
         if (!context.faults().isHanging()) {
             context.model().advance(EventClock.now());
-            double share = Math.round(job.completedShare() * SHARE_SCALE) / SHARE_SCALE;
+            double share = Math.round(job.completedShare() * PROGRESS_SCALE) / PROGRESS_SCALE;
             sendState("\"running\",\"share\":" + share);
         }
         scheduleProgress();
@@ -65,7 +65,7 @@
     void sendFailure(Moment now) {
         context.events().taskFailed(now, job.task());
         if (headSent) {
-            sendState("\"failed\"" + loadMember(now));
+            sendState("\"failed\"" + loadReportMember(now));
             send(WorkerResponses.LAST_CHUNK);
         } else {
             send(WorkerResponses.SERVER_ERROR);
@@ -84,7 +84,7 @@
         String result = uid + "/" + transactionId + "/" + now.since(receivedAt).micros();
         context.events().taskCompleted(now, job.task(), result);
         sendHead();
-        String lastPart = stateChunk("\"done\"" + loadMember(now) + ",\"result\":\"" + result + "\"")
+        String lastPart = stateChunk("\"done\"" + loadReportMember(now) + ",\"result\":\"" + result + "\"")
                 + WorkerResponses.LAST_CHUNK;
         send(truncated ? lastPart.substring(0, lastPart.length() / 2) : lastPart);
     }
@@ -108,7 +108,7 @@
                 + context.identity().uid() + "\",\"state\":" + state + "}\n");
     }
 
-    private String loadMember(Moment now) {
+    private String loadReportMember(Moment now) {
         return context.inlineReport(now).map(report -> ",\"load\":" + report).orElse("");
     }
 
--- a/src/main/java/rampshift/testbed/workers/WorkerConnection.java
+++ b/src/main/java/rampshift/testbed/workers/WorkerConnection.java
@@ -49,7 +49,7 @@
         Moment now = EventClock.now();
         boolean requestBegins = !reader.isInMessage();
         if (requestBegins && context.happens(context.faults().resetBeforeTaskProbability())) {
-            context.events().requestCutShort(now, link.dispatcher());
+            context.events().requestReset(now, link.dispatcher());
             reset();
             return;
         }
@@ -137,16 +137,16 @@
 
     /** Ends the task with its result; a fault may truncate the response. */
     void complete(Moment now) {
-        boolean resets = context.happens(context.faults().resetWithinResponseProbability());
-        boolean truncates =
-                !resets && context.happens(context.faults().truncatedResponseProbability());
-        exchange.sendResult(now, resets || truncates);
+        boolean shouldReset = context.happens(context.faults().resetWithinResponseProbability());
+        boolean shouldTruncate =
+                !shouldReset && context.happens(context.faults().truncatedResponseProbability());
+        exchange.sendResult(now, shouldReset || shouldTruncate);
         endExchange();
-        if (resets) {
+        if (shouldReset) {
             context.fleet().runAfter(RESET_DELAY, this::reset);
             return;
         }
-        if (truncates) {
+        if (shouldTruncate) {
             connection.closeAfterWrites();
         }
         idleSince = now;
--- a/src/main/java/rampshift/testbed/workers/WorkerEventLog.java
+++ b/src/main/java/rampshift/testbed/workers/WorkerEventLog.java
@@ -18,13 +18,13 @@
         this.uid = uid;
     }
 
-    private static String temperature(boolean cold) {
+    private static String warmUpState(boolean cold) {
         return cold ? COLD : WARM;
     }
 
     /** Records that the worker's process has started. */
     void processStarted(Moment now, boolean cold) {
-        eventLog.append(now, "boot", uid, temperature(cold));
+        eventLog.append(now, "boot", uid, warmUpState(cold));
     }
 
     /** Records that the worker has crashed from overload. */
@@ -33,7 +33,7 @@
     }
 
     /** Records that a connection is reset at the first bytes of a request. */
-    void requestCutShort(Moment now, int dispatcher) {
+    void requestReset(Moment now, int dispatcher) {
         eventLog.append(now, "part", uid, dispatcher);
     }
 
@@ -50,7 +50,7 @@
     /** Records a task that has arrived completely; sentAt is the earliest send time of its first byte. */
     void taskReceived(Moment now, int dispatcher, Task task, String type, Moment sentAt, boolean cold) {
         eventLog.append(now, "took", uid, dispatcher, task.transactionId(), task.idempotencyKey(), type,
-                sentAt.micros(), temperature(cold));
+                sentAt.micros(), warmUpState(cold));
         if (task.leaseToken() != null) {
             eventLog.append(now, "acted", task.transactionId());
         }
--- a/src/main/java/rampshift/testbed/workers/WorkerModel.java
+++ b/src/main/java/rampshift/testbed/workers/WorkerModel.java
@@ -185,7 +185,7 @@
     }
 
     /** Returns the speed relative to that of a warm worker, 0 to 1. */
-    private double warmth(Moment when) {
+    private double relativeSpeed(Moment when) {
         if (processStart == null) {
             return 1;
         }
@@ -196,7 +196,7 @@
 
     /** Returns the speed of each slot. */
     private double speed(Moment when) {
-        return paused || crashed ? 0 : machine.speed() * warmth(when) * speedFactor;
+        return paused || crashed ? 0 : machine.speed() * relativeSpeed(when) * speedFactor;
     }
 
     private boolean fits(Task task) {
@@ -236,7 +236,7 @@
             overloadDetector.clear();
             return;
         }
-        double capacity = nominalCapacity() * warmth(now);
+        double capacity = nominalCapacity() * relativeSpeed(now);
         if (overloadDetector.isOverloadedBy(now, task.work().micros() * task.slots(), capacity)) {
             crashed = true;
         }
--- a/src/test/java/rampshift/testbed/clients/FrontProxyTest.java
+++ b/src/test/java/rampshift/testbed/clients/FrontProxyTest.java
@@ -15,7 +15,7 @@
 
 class FrontProxyTest {
     @Test
-    void aFailedDispatcherIsChosenUntilItIsExcludedThenTheOthersAre() {
+    void aFailedDispatcherIsChosenUntilItIsExcluded() {
         List<InetSocketAddress> addresses = List.of(new InetSocketAddress(1), new InetSocketAddress(2),
                 new InetSocketAddress(3));
         FleetPlan plan = TwoSitePlan.read("[clients]\ndead_front = \"1s\"\n");
--- a/src/test/java/rampshift/testbed/clients/LoadGeneratorTest.java
+++ b/src/test/java/rampshift/testbed/clients/LoadGeneratorTest.java
@@ -153,7 +153,7 @@
 
     /** Guards against a closed loop, which would send one task in this time and measure one slow response. */
     @Test
-    void latencyCountsFromWhenATaskWasDue() throws Exception {
+    void latencyIsMeasuredFromWhenATaskWasDue() throws Exception {
         long end = System.nanoTime() + 700_000_000L;
         JsonNode statistics = run("idempotent", "", (request, connection) -> {
             TimeUnit.NANOSECONDS.sleep(end - System.nanoTime());
@@ -247,7 +247,7 @@
     /** Guards against ignoring bytes that follow a complete response in the same read. */
     @ParameterizedTest
     @ValueSource(strings = {OK + OK, OK + "HTTP/1.1 2", OK + "no response\n\n"})
-    void bytesThatComeAtOnceWithAResponseAreLogged(String bytes) throws Exception {
+    void bytesThatFollowAResponseInTheSameReadAreLogged(String bytes) throws Exception {
         JsonNode statistics = run("side-effecting", "", (request, connection) -> connection.write(bytes));
         assertEquals(4, statistics.at("/types/x/finished").asInt());
         assertEquals(4, eventCount("unasked"));
--- a/src/test/java/rampshift/testbed/workers/FleetTest.java
+++ b/src/test/java/rampshift/testbed/workers/FleetTest.java
@@ -104,7 +104,7 @@
     }
 
     @Test
-    void aTaskIsRunAndAnsweredWithItsStatesAndTheLoad() throws Exception {
+    void aTaskRunsAndItsResponseHoldsItsStatesAndTheLoad() throws Exception {
         open("");
         String answer = task(dial(port(0, 0)), "t", "look", 20).readUntil(LAST_CHUNK);
         assertTrue(answer.contains("{\"id\":\"t\",\"from\":\"a-m-1\",\"state\":\"started\"}"), answer);
@@ -116,7 +116,7 @@
     }
 
     @Test
-    void aTaskWithoutRoomIsRejectedAndAClosedConnectionCancelsItsJob() throws Exception {
+    void aTaskIsRejectedWhenTheQueueIsFullAndAClosedConnectionCancelsItsJob() throws Exception {
         open("");
         TestConnection first = task(dial(port(0, 0)), "a", "look", 10_000);
         first.readUntil("started");
@@ -134,7 +134,7 @@
     }
 
     @Test
-    void probesAreAnsweredWithTheLoadAndInvalidTasksAreRefused() throws Exception {
+    void probesReturnTheLoadAndInvalidTasksAreRejected() throws Exception {
         open("");
         TestConnection connection = dial(port(0, 0));
         assertEquals("{\"x0\":1.00,\"queue\":0}",
@@ -145,7 +145,7 @@
     }
 
     @Test
-    void aRepetitionIsDroppedWithinItsCellAndRunsOutsideOfIt() throws Exception {
+    void aRepeatedTaskHasNoEffectWithinItsCellButRunsOutside() throws Exception {
         open("");
         for (int worker = 0; worker < 3; worker++) {
             task(dial(port(0, worker)), "t" + worker, "mark", 1).readUntil(LAST_CHUNK);
@@ -169,7 +169,7 @@
             "what = \"slow\"; factor = 200      | done                  | [SILENCE]",
             "what = \"slow-bytes\"; delay = \"500ms\" | done               | [SILENCE]",
     })
-    void eachFaultShowsAndEndsAgain(String fault, String without, String with) throws Exception {
+    void eachFaultTakesEffectAndEnds(String fault, String without, String with) throws Exception {
         open("[[trouble]]\nnames = [\"a-m-1\"]\nlength = \"700ms\"\n" + fault.replace("; ", "\n"));
         Thread.sleep(60);
         TestConnection connection = dial(port(0, 0)).readTimeout(400);
@@ -182,7 +182,7 @@
     }
 
     @Test
-    void aResetBeforeTheTaskIsCompleteIsLoggedAsNoTask() throws Exception {
+    void aResetBeforeTheTaskIsCompleteIsNotLoggedAsATask() throws Exception {
         open("[[trouble]]\nwhat = \"reset-before\"\nrate = 1\nnames = [\"a-m-1\"]");
         Thread.sleep(60);
         assertEquals("[RESET]", dial(port(0, 0)).write("POST /api HTTP/1.1\r\n").readUntil("x"));
@@ -190,7 +190,7 @@
     }
 
     @Test
-    void acrossACutNothingGetsThroughAndNothingIsResetAndThenAllGoesOn() throws Exception {
+    void aCutBlocksConnectionsWithoutResetsUntilItEnds() throws Exception {
         open("[[trouble]]\nwhat = \"cut\"\nsite = \"b\"\nat = \"300ms\"\nlength = \"900ms\"");
         TestConnection before = task(dial(port(1, 0)), "t", "look", 500);
         before.readUntil("started");
@@ -223,7 +223,7 @@
     }
 
     @Test
-    void aCrashResetsAllAndTheWorkerComesBackColdAndCrashesWhenOverloaded() throws Exception {
+    void aCrashResetsConnectionsAndTheRestartedWorkerIsColdAndCrashesWhenOverloaded() throws Exception {
         open("""
                 [cold]
                 from = 0.1
@@ -275,7 +275,7 @@
     }
 
     @Test
-    void idleConnectionsAreClosedAndNewOnesCostTime() throws Exception {
+    void idleConnectionsAreClosedAndNewOnesDelayTheFirstTask() throws Exception {
         open("[workers]\nidle = \"200ms\"\nconnection_cost = \"150ms\"");
         TestConnection connection = dial(port(0, 0));
         long start = System.nanoTime();
@@ -288,7 +288,7 @@
     }
 
     @Test
-    void discoveryTellsLateFallsSilentAndTellsOldLists() throws Exception {
+    void discoveryDelaysUpdatesAndCanBeSilentOrStale() throws Exception {
         open("""
                 [roster]
                 delay = "150ms"
@@ -308,12 +308,12 @@
                 length = "400ms"
                 """);
         TestConnection watch = dial(fleet.agentPort(0));
-        assertDrainIsToldLate(watch);
+        assertDrainIsPublishedWithDelay(watch);
         until("the agent is silent", () -> logged().contains("roster_silent begins"));
         watch.readTimeout(200).write(WHOLE_LIST_REQUEST);
         assertEquals("[SILENCE]", watch.readUntil("HTTP"));
         until("lists are stale", () -> logged().contains("roster_old begins"));
-        assertOldListIsToldOnce(dial(fleet.agentPort(0)));
+        assertStaleListIsSentOnce(dial(fleet.agentPort(0)));
         until("lists are current again", () -> logged().contains("roster_old ends"));
         assertTrue(dial(fleet.agentPort(0)).write(WHOLE_LIST_REQUEST).read().text().contains("terminating"));
         until("the drain that was sent is logged", () -> logged().contains(" told 0 a-m-1 draining"));
@@ -325,7 +325,7 @@
                 .text();
     }
 
-    private static void assertDrainIsToldLate(TestConnection watch) throws IOException {
+    private static void assertDrainIsPublishedWithDelay(TestConnection watch) throws IOException {
         String whole = watch.write(WHOLE_LIST_REQUEST).read().text();
         assertTrue(whole.startsWith("{\"rev\":1,\"all\":true") && whole.contains("a-m-3"), whole);
         long askedAt = System.nanoTime();
@@ -335,7 +335,7 @@
         assertTrue(poll(watch, 2, 50).endsWith("\"targets\":[]}"), "no further change");
     }
 
-    private static void assertOldListIsToldOnce(TestConnection watch) throws IOException {
+    private static void assertStaleListIsSentOnce(TestConnection watch) throws IOException {
         String old = poll(watch, 2, 20_000);
         assertTrue(old.contains("\"all\":true") && !old.contains("terminating"), old);
         assertTrue(poll(watch, 2, 50).endsWith("\"targets\":[]}"), "the stale list is sent only once");
--- a/src/test/java/rampshift/testbed/workers/WorkerModelTest.java
+++ b/src/test/java/rampshift/testbed/workers/WorkerModelTest.java
@@ -59,7 +59,7 @@
     }
 
     @Test
-    void jobsRunIfTheyFitOrWaitOrAreRejected() {
+    void jobsRunIfTheyFitOrAreQueuedOrRejected() {
         WorkerModel model = warmModel(true);
         assertTrue(model.offer(job("a", 100, 1), at(0)));
         assertTrue(model.offer(job("b", 50, 1), at(0)));
@@ -76,7 +76,7 @@
 
     @ParameterizedTest
     @CsvSource({"true,'a'", "false,'a,small'"})
-    void theFirstJobWaitsUntilItFitsOrAnyJobThatFitsStarts(boolean inOrder, String expected) {
+    void jobsStartInOrderOrWheneverTheyFit(boolean inOrder, String expected) {
         WorkerModel model = warmModel(inOrder);
         model.offer(job("a", 100, 1), at(0));
         model.offer(job("wide", 100, 2), at(0));
@@ -141,7 +141,7 @@
     }
 
     @Test
-    void aCancelledJobMakesRoomForTheNext() {
+    void aCancelledJobReleasesItsCapacity() {
         WorkerModel model = warmModel(true);
         Job cancelled = job("a", 100, 2);
         model.offer(cancelled, at(0));
@@ -155,7 +155,7 @@
     }
 
     @Test
-    void idempotencyKeysAreKnownWithinTheirWindowAndForgottenAfterIt() {
+    void idempotencyKeysAreKeptForTheirWindow() {
         IdempotencyKeys keys = new IdempotencyKeys();
         Span window = Span.ofMillis(100);
         assertFalse(keys.isRepeated("k", window, at(0)));
@@ -165,7 +165,7 @@
     }
 
     @Test
-    void reportsAreAsOldAsTheirRefreshAndADelayByAFaultAllow() {
+    void reportsAreRefreshedAtIntervalsAndDelayedByFaults() {
         FleetPlan.Reports settings = new FleetPlan.Reports(FleetPlan.Reports.How.INLINE,
                 List.of(FleetPlan.Reports.Figure.FREE_SLOTS, FleetPlan.Reports.Figure.WAITING,
                         FleetPlan.Reports.Figure.HELD, FleetPlan.Reports.Figure.FREE_MEMORY),
