--- a/src/main/java/rampshift/testbed/wire/FaultyConnection.java
+++ b/src/main/java/rampshift/testbed/wire/FaultyConnection.java
@@ -104,7 +104,10 @@
         }
     }
 
-    /** Returns the earliest time at which the bytes now passed to the listener may have been sent. */
+    /**
+     * Returns the earliest time at which the bytes now passed to the listener may have been sent. On a
+     * connection with a delay, this is the present time, even for bytes that arrived while it was blocked.
+     */
     public Moment earliestSendTime() {
         return backlogSince == null ? EventClock.now() : backlogSince;
     }
