--- a/src/test/java/rampshift/testbed/clients/FrontProxyTest.java
+++ b/src/test/java/rampshift/testbed/clients/FrontProxyTest.java
@@ -19,22 +19,22 @@
         List<InetSocketAddress> addresses = List.of(new InetSocketAddress(1), new InetSocketAddress(2),
                 new InetSocketAddress(3));
         FleetPlan plan = TwoSitePlan.read("[clients]\ndead_front = \"1s\"\n");
-        FrontProxy front = new FrontProxy(plan, addresses, RandomStreams.of(1, "front"));
+        FrontProxy frontProxy = new FrontProxy(plan, addresses, RandomStreams.of(1, "front"));
         Moment now = Moment.ofMillis(0);
-        Dispatcher failed = front.dispatchers().get(0);
-        front.onFailure(failed, now);
-        assertEquals(List.of(failed), front.failedDispatchers());
+        Dispatcher failed = frontProxy.dispatchers().get(0);
+        frontProxy.onFailure(failed, now);
+        assertEquals(List.of(failed), frontProxy.failedDispatchers());
         boolean stillChosen = false;
         for (int i = 0; i < 50; i++) {
-            stillChosen |= front.pick(SITE_A, Moment.ofMillis(999)).equals(failed);
-            assertEquals(1, front.pick(SITE_A, Moment.ofMillis(1001)).number(), "the other of its site");
-            assertEquals(2, front.pick(SITE_B, now).number());
+            stillChosen |= frontProxy.pick(SITE_A, Moment.ofMillis(999)).equals(failed);
+            assertEquals(1, frontProxy.pick(SITE_A, Moment.ofMillis(1001)).number(), "the other of its site");
+            assertEquals(2, frontProxy.pick(SITE_B, now).number());
         }
         assertTrue(stillChosen);
-        front.onFailure(front.dispatchers().get(1), now);
-        assertEquals(2, front.pick(SITE_A, now.plus(Span.ofMillis(1001))).number(),
+        frontProxy.onFailure(frontProxy.dispatchers().get(1), now);
+        assertEquals(2, frontProxy.pick(SITE_A, now.plus(Span.ofMillis(1001))).number(),
                 "a dispatcher of another site if all of this site are excluded");
-        front.onReady(failed);
-        assertEquals(0, front.pick(SITE_A, now.plus(Span.ofMillis(5000))).number());
+        frontProxy.onReady(failed);
+        assertEquals(0, frontProxy.pick(SITE_A, now.plus(Span.ofMillis(5000))).number());
     }
 }
--- a/src/test/java/rampshift/testbed/clients/LoadGeneratorTest.java
+++ b/src/test/java/rampshift/testbed/clients/LoadGeneratorTest.java
@@ -194,11 +194,11 @@
 
     @Test
     void onlyARepeatableTaskIsRetriedAfterItMayHaveRun() throws Exception {
-        String few = "[clients]\nwait = \"10ms\"\n[arrivals]\nrate = 3\neven = true\n";
+        String fewArrivals = "[clients]\nwait = \"10ms\"\n[arrivals]\nrate = 3\neven = true\n";
         ServerScript timesOut = (request, connection) -> connection.respondStatus(504, "");
-        assertEquals(1, run("side-effecting", few, timesOut).at("/types/x/abandoned").asInt());
+        assertEquals(1, run("side-effecting", fewArrivals, timesOut).at("/types/x/abandoned").asInt());
         dispatcher.close();
-        assertEquals(3, run("idempotent", few, timesOut).at("/types/x/abandoned").asInt());
+        assertEquals(3, run("idempotent", fewArrivals, timesOut).at("/types/x/abandoned").asInt());
     }
 
     @Test
@@ -307,15 +307,15 @@
                 Set.of("d0a42b832744990b6bc5", "27f8fa1afd55d70ca21a", "793883e862de0cfdf7f9",
                         "56f67176bd6665c2c451", "5fd851f1415214122450", "b3800389719b627bd19c"),
                 Set.copyOf(receivedFields("X-Txn")));
-        HttpMessage firstOfRun = dispatcher.received.stream()
+        HttpMessage firstRequest = dispatcher.received.stream()
                 .filter(request -> request.field("X-Txn").equals("793883e862de0cfdf7f9")).findFirst()
                 .orElseThrow();
         assertEquals(
                 List.of("POST /api/48 HTTP/1.1", "Host: fleet", "X-Txn: 793883e862de0cfdf7f9", "X-Lane: x",
                         "X-Remaining: 0.600", "Idempotency-Key: fb74b20f823e9de128708bcc89f219df",
                         "X-Labels: slots=0.5,memory=2.0", "Content-Length: 60"),
-                firstOfRun.head());
-        assertEquals("work=1028,0.5,2.0;" + ".".repeat(42), firstOfRun.text());
+                firstRequest.head());
+        assertEquals("work=1028,0.5,2.0;" + ".".repeat(42), firstRequest.text());
     }
 
     @Test
--- a/src/test/java/rampshift/testbed/workers/FleetTest.java
+++ b/src/test/java/rampshift/testbed/workers/FleetTest.java
@@ -92,45 +92,45 @@
         return connection;
     }
 
-    private TestConnection task(TestConnection connection, String transactionId, String type, int workMs)
+    private TestConnection sendTask(TestConnection connection, String transactionId, String type, int workMs)
             throws IOException {
         String body = "work=" + workMs * 1000 + ",1.0,0.0;";
         return connection.write("POST /api HTTP/1.1\r\nX-Txn: " + transactionId + "\r\nX-Lane: " + type
                 + "\r\nIdempotency-Key: k\r\nContent-Length: " + body.length() + "\r\n\r\n" + body);
     }
 
-    private String logged() throws IOException {
+    private String eventLogText() throws IOException {
         return Files.readString(folder.resolve("fleet.ledger"));
     }
 
     @Test
     void aTaskRunsAndItsResponseHoldsItsStatesAndTheLoad() throws Exception {
         open("");
-        String answer = task(dial(port(0, 0)), "t", "look", 20).readUntil(LAST_CHUNK);
-        assertTrue(answer.contains("{\"id\":\"t\",\"from\":\"a-m-1\",\"state\":\"started\"}"), answer);
+        String response = sendTask(dial(port(0, 0)), "t", "look", 20).readUntil(LAST_CHUNK);
+        assertTrue(response.contains("{\"id\":\"t\",\"from\":\"a-m-1\",\"state\":\"started\"}"), response);
         String load = "\\{\"x0\":1.00,\"queue\":0\\}";
-        assertTrue(answer.matches(
-                "(?s).*\"state\":\"done\",\"load\":" + load + ",\"result\":\"a-m-1/t/\\d+\".*"), answer);
-        until("the task is in the event log", () -> logged().contains(" done a-m-1 t a-m-1/t/"));
-        assertTrue(logged().contains(" took a-m-1 0 t k look "), logged());
+        assertTrue(response.matches(
+                "(?s).*\"state\":\"done\",\"load\":" + load + ",\"result\":\"a-m-1/t/\\d+\".*"), response);
+        until("the task is in the event log", () -> eventLogText().contains(" done a-m-1 t a-m-1/t/"));
+        assertTrue(eventLogText().contains(" took a-m-1 0 t k look "), eventLogText());
     }
 
     @Test
     void aTaskIsRejectedWhenTheQueueIsFullAndAClosedConnectionCancelsItsJob() throws Exception {
         open("");
-        TestConnection first = task(dial(port(0, 0)), "a", "look", 10_000);
+        TestConnection first = sendTask(dial(port(0, 0)), "a", "look", 10_000);
         first.readUntil("started");
-        TestConnection second = task(dial(port(0, 0)), "b", "look", 10_000);
-        until("the second task is queued", () -> logged().contains(" took a-m-1 0 b "));
-        HttpMessage rejected = task(dial(port(0, 0)), "c", "look", 1).read();
+        TestConnection second = sendTask(dial(port(0, 0)), "b", "look", 10_000);
+        until("the second task is queued", () -> eventLogText().contains(" took a-m-1 0 b "));
+        HttpMessage rejected = sendTask(dial(port(0, 0)), "c", "look", 1).read();
         assertEquals(503, rejected.status());
         assertEquals("1", rejected.field("X-Turned-Away"));
         assertEquals("{\"x0\":0.00,\"queue\":1}", rejected.field("X-Pressure"));
         first.close();
         assertTrue(second.readUntil("started").contains("\"id\":\"b\""),
                 "the queued task starts instead");
-        until("the cancellation is logged", () -> logged().contains(" off a-m-1 a begun"));
-        assertFalse(logged().contains(" began a-m-1 c"));
+        until("the cancellation is logged", () -> eventLogText().contains(" off a-m-1 a begun"));
+        assertFalse(eventLogText().contains(" began a-m-1 c"));
     }
 
     @Test
@@ -141,19 +141,19 @@
                 connection.write("GET /status/load HTTP/1.1\r\n\r\n").read().text());
         assertEquals(200, connection.write("GET /health HTTP/1.1\r\n\r\n").read().status());
         assertEquals(404, connection.write("GET /else HTTP/1.1\r\n\r\n").read().status());
-        assertEquals(400, task(connection, "t", "nothing", 1).read().status());
+        assertEquals(400, sendTask(connection, "t", "nothing", 1).read().status());
     }
 
     @Test
     void aRepeatedTaskHasNoEffectWithinItsCellButRunsOutside() throws Exception {
         open("");
         for (int worker = 0; worker < 3; worker++) {
-            task(dial(port(0, worker)), "t" + worker, "mark", 1).readUntil(LAST_CHUNK);
+            sendTask(dial(port(0, worker)), "t" + worker, "mark", 1).readUntil(LAST_CHUNK);
         }
-        until("all tasks are logged", () -> logged().contains(" done a-m-3 t2"));
-        assertTrue(logged().contains(" began a-m-1 t0 k mark"));
-        assertTrue(logged().contains(" dropped a-m-2 t1 k mark"), "a worker of the same cell");
-        assertTrue(logged().contains(" began a-m-3 t2 k mark"));
+        until("all tasks are logged", () -> eventLogText().contains(" done a-m-3 t2"));
+        assertTrue(eventLogText().contains(" began a-m-1 t0 k mark"));
+        assertTrue(eventLogText().contains(" dropped a-m-2 t1 k mark"), "a worker of the same cell");
+        assertTrue(eventLogText().contains(" began a-m-3 t2 k mark"));
     }
 
     @ParameterizedTest
@@ -169,16 +169,16 @@
             "what = \"slow\"; factor = 200      | done                  | [SILENCE]",
             "what = \"slow-bytes\"; delay = \"500ms\" | done               | [SILENCE]",
     })
-    void eachFaultTakesEffectAndEnds(String fault, String without, String with) throws Exception {
+    void eachFaultTakesEffectAndEnds(String fault, String absentText, String expectedText) throws Exception {
         open("[[trouble]]\nnames = [\"a-m-1\"]\nlength = \"700ms\"\n" + fault.replace("; ", "\n"));
         Thread.sleep(60);
         TestConnection connection = dial(port(0, 0)).readTimeout(400);
-        String answer = task(connection, "t", "look", 10).readUntil(LAST_CHUNK);
-        assertTrue(answer.contains(with), answer);
-        assertFalse(answer.contains(without), answer);
-        until("the fault has ended", () -> logged().contains(" ends a-m-1"));
-        String good = task(dial(port(0, 0)), "u", "look", 10).readUntil(LAST_CHUNK);
-        assertTrue(good.contains("\"result\":\"a-m-1/u"), good);
+        String response = sendTask(connection, "t", "look", 10).readUntil(LAST_CHUNK);
+        assertTrue(response.contains(expectedText), response);
+        assertFalse(response.contains(absentText), response);
+        until("the fault has ended", () -> eventLogText().contains(" ends a-m-1"));
+        String responseAfterFault = sendTask(dial(port(0, 0)), "u", "look", 10).readUntil(LAST_CHUNK);
+        assertTrue(responseAfterFault.contains("\"result\":\"a-m-1/u"), responseAfterFault);
     }
 
     @Test
@@ -186,36 +186,40 @@
         open("[[trouble]]\nwhat = \"reset-before\"\nrate = 1\nnames = [\"a-m-1\"]");
         Thread.sleep(60);
         assertEquals("[RESET]", dial(port(0, 0)).write("POST /api HTTP/1.1\r\n").readUntil("x"));
-        until("the reset is logged", () -> logged().contains(" part a-m-1 0"));
+        until("the reset is logged", () -> eventLogText().contains(" part a-m-1 0"));
     }
 
     @Test
     void aCutBlocksConnectionsWithoutResetsUntilItEnds() throws Exception {
         open("[[trouble]]\nwhat = \"cut\"\nsite = \"b\"\nat = \"300ms\"\nlength = \"900ms\"");
-        TestConnection before = task(dial(port(1, 0)), "t", "look", 500);
-        before.readUntil("started");
+        TestConnection openConnection = sendTask(dial(port(1, 0)), "t", "look", 500);
+        openConnection.readUntil("started");
         TestConnection idle = dial(port(1, 0));
-        until("the link is cut", () -> logged().contains("cut begins"));
+        until("the link is cut", () -> eventLogText().contains("cut begins"));
         Thread.sleep(50);
-        long written = EventClock.now().micros();
-        task(idle, "w", "look", 1);
+        long writtenAt = EventClock.now().micros();
+        sendTask(idle, "w", "look", 1);
         int port = port(1, 0);
         assertThrows(SocketTimeoutException.class, () -> dial(port), "no new connection is established");
-        assertFalse(before.readTimeout(300).readUntil("[no end]").contains("done"),
+        assertFalse(openConnection.readTimeout(300).readUntil("[no end]").contains("done"),
                 "an open connection receives nothing");
-        assertTrue(task(dial(port(0, 1)), "u", "look", 1).readUntil(LAST_CHUNK).contains("a-m-2/u"),
+        assertTrue(sendTask(dial(port(0, 1)), "u", "look", 1).readUntil(LAST_CHUNK).contains("a-m-2/u"),
                 "links within the site are not cut");
-        assertTrue(before.readTimeout(5000).readUntil("done").contains("done"),
+        assertTrue(openConnection.readTimeout(5000).readUntil("done").contains("done"),
                 "bytes that were held back arrive after the cut");
-        until("the task written during the cut arrives", () -> logged().contains(" 1 w "));
-        String[] took =
-                logged().lines().filter(line -> line.contains(" took ") && line.contains(" 1 w ")).findFirst()
+        until("the task written during the cut arrives", () -> eventLogText().contains(" 1 w "));
+        String[] eventFields =
+                eventLogText().lines().filter(line -> line.contains(" took ") && line.contains(" 1 w "))
+                        .findFirst()
                         .orElseThrow().split(" ");
-        assertTrue(Long.parseLong(took[7]) <= written && Long.parseLong(took[0]) > written + 300_000,
-                "earliest send time, write and arrival: " + took[7] + ", " + written + ", " + took[0]);
+        assertTrue(
+                Long.parseLong(eventFields[7]) <= writtenAt
+                        && Long.parseLong(eventFields[0]) > writtenAt + 300_000,
+                "earliest send time, write and arrival: " + eventFields[7] + ", " + writtenAt + ", "
+                        + eventFields[0]);
         until("new connections are established again", () -> {
             try {
-                return task(dial(port(1, 0)), "v", "look", 1).readUntil(LAST_CHUNK).contains("a-m-1/v");
+                return sendTask(dial(port(1, 0)), "v", "look", 1).readUntil(LAST_CHUNK).contains("a-m-1/v");
             } catch (IOException e) {
                 return false;
             }
@@ -238,7 +242,7 @@
                 [roster]
                 delay = "10ms"
                 """);
-        TestConnection connection = task(dial(port(0, 0)), "t", "look", 10_000);
+        TestConnection connection = sendTask(dial(port(0, 0)), "t", "look", 10_000);
         connection.readUntil("started");
         assertTrue(connection.readUntil("never").endsWith("[RESET]"));
         assertThrows(IOException.class, () -> dial(port(0, 0)).readUntil("x").charAt(99),
@@ -247,13 +251,13 @@
                 () -> fleet.list(0).matches(".*a-m-1.*\"boot_ms\":[1-9].*"));
         until("the worker listens", () -> isHealthy("a-m-1"));
         int port = portOf("a-m-1");
-        TestConnection first = task(dial(port), "u", "look", 70);
+        TestConnection first = sendTask(dial(port), "u", "look", 70);
         first.readUntil("started");
-        TestConnection second = task(dial(port), "v", "look", 70);
+        TestConnection second = sendTask(dial(port), "v", "look", 70);
         assertTrue(second.readUntil("never").contains("[RESET]"),
                 "140 ms of work in 200 ms at a tenth of the speed");
         assertTrue(first.readUntil("never").contains("[RESET]"));
-        until("the crash is logged", () -> logged().contains(" fell a-m-1"));
+        until("the crash is logged", () -> eventLogText().contains(" fell a-m-1"));
         assertThrows(IOException.class, () -> dial(port));
     }
 
@@ -279,9 +283,9 @@
         open("[workers]\nidle = \"200ms\"\nconnection_cost = \"150ms\"");
         TestConnection connection = dial(port(0, 0));
         long start = System.nanoTime();
-        task(connection, "t", "look", 1).readUntil(LAST_CHUNK);
+        sendTask(connection, "t", "look", 1).readUntil(LAST_CHUNK);
         long firstEnd = System.nanoTime();
-        task(connection, "u", "look", 1).readUntil(LAST_CHUNK);
+        sendTask(connection, "u", "look", 1).readUntil(LAST_CHUNK);
         assertTrue(firstEnd - start > 150_000_000L, "the first task includes the connection cost");
         assertTrue(System.nanoTime() - firstEnd < 140_000_000L, "the second task does not");
         assertTrue(connection.closedByPeer());
@@ -309,14 +313,14 @@
                 """);
         TestConnection watch = dial(fleet.agentPort(0));
         assertDrainIsPublishedWithDelay(watch);
-        until("the agent is silent", () -> logged().contains("roster_silent begins"));
+        until("the agent is silent", () -> eventLogText().contains("roster_silent begins"));
         watch.readTimeout(200).write(WHOLE_LIST_REQUEST);
         assertEquals("[SILENCE]", watch.readUntil("HTTP"));
-        until("lists are stale", () -> logged().contains("roster_old begins"));
+        until("lists are stale", () -> eventLogText().contains("roster_old begins"));
         assertStaleListIsSentOnce(dial(fleet.agentPort(0)));
-        until("lists are current again", () -> logged().contains("roster_old ends"));
+        until("lists are current again", () -> eventLogText().contains("roster_old ends"));
         assertTrue(dial(fleet.agentPort(0)).write(WHOLE_LIST_REQUEST).read().text().contains("terminating"));
-        until("the drain that was sent is logged", () -> logged().contains(" told 0 a-m-1 draining"));
+        until("the drain that was sent is logged", () -> eventLogText().contains(" told 0 a-m-1 draining"));
     }
 
     private static String poll(TestConnection watch, int version, int waitMs) throws IOException {
@@ -326,18 +330,18 @@
     }
 
     private static void assertDrainIsPublishedWithDelay(TestConnection watch) throws IOException {
-        String whole = watch.write(WHOLE_LIST_REQUEST).read().text();
-        assertTrue(whole.startsWith("{\"rev\":1,\"all\":true") && whole.contains("a-m-3"), whole);
+        String wholeList = watch.write(WHOLE_LIST_REQUEST).read().text();
+        assertTrue(wholeList.startsWith("{\"rev\":1,\"all\":true") && wholeList.contains("a-m-3"), wholeList);
         long askedAt = System.nanoTime();
-        String change = poll(watch, 1, 20_000);
-        assertTrue(change.startsWith("{\"rev\":2,\"all\":false") && change.contains("terminating"), change);
+        String update = poll(watch, 1, 20_000);
+        assertTrue(update.startsWith("{\"rev\":2,\"all\":false") && update.contains("terminating"), update);
         assertTrue(System.nanoTime() - askedAt > 50_000_000L, "the list is delayed");
         assertTrue(poll(watch, 2, 50).endsWith("\"targets\":[]}"), "no further change");
     }
 
     private static void assertStaleListIsSentOnce(TestConnection watch) throws IOException {
-        String old = poll(watch, 2, 20_000);
-        assertTrue(old.contains("\"all\":true") && !old.contains("terminating"), old);
+        String staleList = poll(watch, 2, 20_000);
+        assertTrue(staleList.contains("\"all\":true") && !staleList.contains("terminating"), staleList);
         assertTrue(poll(watch, 2, 50).endsWith("\"targets\":[]}"), "the stale list is sent only once");
     }
 
@@ -345,6 +349,6 @@
     void aThousandWorkersRunInOneProcess() throws Exception {
         open("[[site]]\nname = \"c\"\ndispatchers = 0\nworkers = [{ machine = \"m\", count = 1000 }]");
         assertTrue(
-                task(dial(port(0, 1002)), "t", "look", 1).readUntil(LAST_CHUNK).contains("c-m-1000/t"));
+                sendTask(dial(port(0, 1002)), "t", "look", 1).readUntil(LAST_CHUNK).contains("c-m-1000/t"));
     }
 }
--- a/src/test/java/rampshift/testbed/workers/WorkerModelTest.java
+++ b/src/test/java/rampshift/testbed/workers/WorkerModelTest.java
@@ -172,15 +172,15 @@
                 Span.ofMillis(100));
         LoadReports reports = new LoadReports(settings);
         WorkerModel model = warmModel(true);
-        Optional<String> empty = Optional.of("{\"x0\":2.00,\"queue\":0,\"inflight\":0,\"x1\":10.00}");
-        Optional<String> one = Optional.of("{\"x0\":1.00,\"queue\":0,\"inflight\":1,\"x1\":9.00}");
-        assertEquals(empty, reports.current(model, at(0)));
+        Optional<String> idleReport = Optional.of("{\"x0\":2.00,\"queue\":0,\"inflight\":0,\"x1\":10.00}");
+        Optional<String> oneJobReport = Optional.of("{\"x0\":1.00,\"queue\":0,\"inflight\":1,\"x1\":9.00}");
+        assertEquals(idleReport, reports.current(model, at(0)));
         model.offer(job("a", 10_000, 1), at(10));
-        assertEquals(empty, reports.current(model, at(99)));
-        assertEquals(one, reports.current(model, at(100)));
+        assertEquals(idleReport, reports.current(model, at(99)));
+        assertEquals(oneJobReport, reports.current(model, at(100)));
         model.offer(job("b", 10_000, 1), at(110));
         reports.setDelay(Span.ofMillis(500));
-        assertEquals(one, reports.current(model, at(700)), "the newer report is delayed");
+        assertEquals(oneJobReport, reports.current(model, at(700)), "the newer report is delayed");
         FleetPlan.Reports noReports = new FleetPlan.Reports(FleetPlan.Reports.How.NONE, settings.figures(),
                 settings.refresh());
         assertEquals(Optional.empty(), new LoadReports(noReports).current(model, at(0)));
