--- a/src/main/java/rampshift/testbed/clients/LoadGenerator.java
+++ b/src/main/java/rampshift/testbed/clients/LoadGenerator.java
@@ -22,7 +22,7 @@
  */
 public final class LoadGenerator {
     private final int process;
-    private final XnioWorker worker;
+    private final XnioWorker ioWorker;
     private final XnioIoThread thread;
     private final LoadStatistics statistics;
     private final IdleClientConnections idleConnections;
@@ -43,8 +43,8 @@
     public LoadGenerator(FleetPlan plan, long seed, int process, List<InetSocketAddress> dispatchers,
             EventLog eventLog) throws IOException {
         this.process = process;
-        worker = LoopbackNetwork.createWorker("load");
-        thread = worker.getIoThread(0);
+        ioWorker = LoopbackNetwork.createIoWorker("load");
+        thread = ioWorker.getIoThread(0);
         statistics = new LoadStatistics(plan);
 
         UniformRandomProvider random = RandomStreams.of(seed, "clients " + process);
@@ -117,6 +117,6 @@
 
     /** Ends the I/O thread, which closes the open connections. */
     public void close() {
-        worker.shutdownNow();
+        ioWorker.shutdownNow();
     }
 }
--- a/src/main/java/rampshift/testbed/wire/LoopbackNetwork.java
+++ b/src/main/java/rampshift/testbed/wire/LoopbackNetwork.java
@@ -82,7 +82,7 @@
     }
 
     /** Creates an XNIO worker with one I/O thread and one task thread, both daemons. */
-    public static XnioWorker createWorker(String name) throws IOException {
+    public static XnioWorker createIoWorker(String name) throws IOException {
         System.setProperty("javax.management.builder.initial", "none");
         return Xnio.getInstance(LoopbackNetwork.class.getClassLoader()).createWorker(OptionMap.builder()
                 .set(Options.WORKER_NAME, name).set(Options.WORKER_IO_THREADS, 1)
--- a/src/main/java/rampshift/testbed/workers/Fleet.java
+++ b/src/main/java/rampshift/testbed/workers/Fleet.java
@@ -51,7 +51,7 @@
     public Fleet(FleetPlan plan, long seed, EventLog eventLog) throws IOException {
         this.plan = plan;
         this.eventLog = eventLog;
-        ioWorker = LoopbackNetwork.createWorker("fleet");
+        ioWorker = LoopbackNetwork.createIoWorker("fleet");
         thread = ioWorker.getIoThread(0);
         Callable<Void> opening = () -> {
             open(seed);
