--- a/src/main/java/rampshift/testbed/clients/ClientAttempt.java
+++ b/src/main/java/rampshift/testbed/clients/ClientAttempt.java
@@ -7,19 +7,19 @@
 import rampshift.time.Span;
 
 /**
- * One attempt of a client to have a task run: from the choice of a dispatcher until there is a response or
- * none is awaited any longer. It is used on the I/O thread alone.
+ * One attempt of a client at a task, on a given dispatcher: it ends with a response, a failure, or the end of
+ * the wait for a response. Used on the I/O thread only.
  */
 final class ClientAttempt implements DispatcherConnection.ExchangeListener {
-    /** For how long after the client's timeout a response is still awaited, to tell a late one from none. */
+    /** The wait after the client's timeout that distinguishes a late response from a missing one. */
     private static final Span LATE_RESPONSE_WAIT = Span.ofMillis(400);
 
-    /** Receives what becomes of an attempt. */
+    /** Receives the events of an attempt. */
     interface Listener {
-        /** The request is about to be sent for the first time; not called if nobody could be reached. */
+        /** Called before the request is first sent; not called if no connection could be opened. */
         void onSent(ClientAttempt attempt, Moment now);
 
-        /** The attempt has ended. Called once. */
+        /** Called once, at the end of the attempt. */
         void onEnded(ClientAttempt attempt, AttemptResult result);
     }
 
@@ -35,7 +35,7 @@
     private DispatcherConnection connection;
     private IoTimer timer;
     private boolean sent;
-    private boolean sentAgain;
+    private boolean resent;
     private boolean timedOut;
     private boolean ended;
 
@@ -44,10 +44,10 @@
      *
      * @param task the task
      * @param number 0 for the first attempt, which is due when the task is; a retry is due now
-     * @param dispatcher where to send the task
-     * @param connections lends a connection and takes it back
-     * @param context what all attempts use
-     * @param listener receives the end
+     * @param dispatcher the dispatcher to which the task is sent
+     * @param connections the owner of open connections
+     * @param context the context of all attempts
+     * @param listener receives the events of the attempt
      */
     ClientAttempt(ClientTask task, int number, Dispatcher dispatcher, ConnectionOwner connections,
             AttemptContext context, Listener listener) {
@@ -58,27 +58,26 @@
         this.context = context;
         this.listener = listener;
         dueAt = number == 0 ? task.dueAt() : EventClock.now();
-        id = context.tasks().newAttemptId();
+        id = context.taskFactory().newAttemptId();
         Span timeout = task.type().expiry().times(context.plan().clients().patience());
         request = new ClientTaskRequest(task, id, number, timeout);
     }
 
-    /** The task. */
     ClientTask task() {
         return task;
     }
 
-    /** 0 for the first attempt, above 0 for retries. */
+    /** Returns 0 for the first attempt, and above 0 for retries. */
     int number() {
         return number;
     }
 
-    /** When the client wanted to send it; its latency counts from then. */
+    /** Returns when the attempt was due; its latency is measured from then. */
     Moment dueAt() {
         return dueAt;
     }
 
-    /** Sends the task on an open connection, or on a new one if there is none. */
+    /** Sends the task on an idle connection, or on a new one if there is none. */
     void start() {
         DispatcherConnection open = connections.poll(dispatcher);
         if (open == null) {
@@ -103,7 +102,7 @@
     private void onUnreachable() {
         context.frontProxy().onFailure(dispatcher, EventClock.now());
         context.eventLog().onUnreachable(id, dispatcher);
-        end(AttemptResult.withoutResponse(ClientOutcome.UNREACHABLE, true));
+        end(AttemptResult.ofFailure(ClientOutcome.UNREACHABLE, true));
     }
 
     private void send(DispatcherConnection open) {
@@ -125,7 +124,7 @@
         }
         context.eventLog().onResponse(EventClock.now(), id, response);
         if (timedOut) {
-            end(AttemptResult.withoutResponse(ClientOutcome.TIMED_OUT, false));
+            end(AttemptResult.ofFailure(ClientOutcome.TIMED_OUT, false));
         } else {
             end(AttemptResult.ofResponse(response, task.isRepeatable()));
         }
@@ -136,8 +135,8 @@
         if (ended) {
             return;
         }
-        if (maybeStale && !sentAgain && !timedOut) {
-            sentAgain = true;
+        if (maybeStale && !resent && !timedOut) {
+            resent = true;
             context.eventLog().onStaleConnection(EventClock.now(), id, failure);
             sendOnNewConnection(() -> onConnectionLost(ConnectionFailure.UNREACHABLE));
         } else {
@@ -149,7 +148,7 @@
         Moment now = EventClock.now();
         context.frontProxy().onFailure(dispatcher, now);
         context.eventLog().onConnectionLost(now, id, failure);
-        end(AttemptResult.withoutResponse(ClientOutcome.CONNECTION_LOST, task.isRepeatable()));
+        end(AttemptResult.ofFailure(ClientOutcome.CONNECTION_LOST, task.isRepeatable()));
     }
 
     private void onTimeout() {
@@ -159,7 +158,7 @@
 
     private void onLateResponseTimeout() {
         context.eventLog().onTimeout(id);
-        end(AttemptResult.withoutResponse(ClientOutcome.TIMED_OUT, task.isRepeatable()));
+        end(AttemptResult.ofFailure(ClientOutcome.TIMED_OUT, task.isRepeatable()));
         connection.close();
     }
 
--- a/src/main/java/rampshift/testbed/workers/StallMonitor.java
+++ b/src/main/java/rampshift/testbed/workers/StallMonitor.java
@@ -8,16 +8,16 @@
 import rampshift.time.Span;
 
 /**
- * Detects when the workers' I/O thread did not run, as on a machine with other load. What the thread reads
- * right after a stall may have been sent at any time since its start, and must not count as sent late. It is
- * used on that thread alone.
+ * Detects when the workers' I/O thread did not run, as on a machine with other load. Bytes that the thread
+ * reads right after a stall may have been sent at any time since the stall began, and must not count as sent
+ * late. Used on that thread only.
  */
 final class StallMonitor {
     private static final Span TICK_INTERVAL = Span.ofMillis(5);
-    /** The time between two ticks beyond which the thread stalled. */
+    /** A longer time between two ticks counts as a stall. */
     private static final Span MIN_STALL = Span.ofMillis(20);
-    /** How long after a stall the thread may still read what arrived in it. */
-    private static final Span CATCH_UP = Span.ofMillis(20);
+    /** The time after a stall in which the thread may still read bytes that arrived during the stall. */
+    private static final Span CATCH_UP_TIME = Span.ofMillis(20);
 
     private final XnioIoThread thread;
     private XnioExecutor.Key nextTick;
@@ -45,13 +45,13 @@
         nextTick.remove();
     }
 
-    /** The earliest time at which bytes that are read now may have been sent. */
+    /** Returns the earliest time at which bytes that were read at a given time may have been sent. */
     Moment earliestSendTime(Moment readAt) {
         if (readAt.since(lastTick).longerThan(MIN_STALL)) {
             return lastTick;
         }
-        boolean catchesUp = stallEnd != null && !readAt.before(stallStart)
-                && CATCH_UP.longerThan(readAt.since(stallEnd));
-        return catchesUp ? stallStart : readAt;
+        boolean isCatchingUp = stallEnd != null && !readAt.before(stallStart)
+                && CATCH_UP_TIME.longerThan(readAt.since(stallEnd));
+        return isCatchingUp ? stallStart : readAt;
     }
 }
