--- a/src/main/java/rampshift/testbed/verification/ClientRequest.java
+++ b/src/main/java/rampshift/testbed/verification/ClientRequest.java
@@ -10,9 +10,11 @@
 import rampshift.testbed.verification.RequestEvent.ResponseReceived;
 import rampshift.testbed.verification.RequestEvent.RunStarted;
 
-/** All that event logs tell of one request: what its client saw, and what workers got and did for it. */
+/**
+ * What the event logs show of one request: what its client sent and received, and what workers did for it.
+ */
 final class ClientRequest {
-    /** How reports show a request of which only a connection's failure or a run is known. */
+    /** Describes a request for which no sending, response or attempt was logged. */
     private static final String UNKNOWN = "null null";
     private static final String UNKNOWN_TYPE = "?";
 
@@ -62,62 +64,65 @@
         results.add(result);
     }
 
-    /** Whether a client of the load sent it. */
+    /** Returns whether a client of the load sent it. */
     boolean isSent() {
         return sent != null;
     }
 
-    /** How the client sent it; null unless {@link #isSent()}. */
+    /** Returns how the client sent it; null unless {@link #isSent()}. */
     RequestSent sent() {
         return sent;
     }
 
-    /** Whether a dispatcher submitted it for a periodic job, so that no client waits for it. */
+    /** Returns whether a dispatcher submitted it for a periodic job, so that no client waits for it. */
     boolean isOfJob() {
         return ofJob;
     }
 
-    /** Why the client's connection failed; null if it did not. */
+    /** Returns how the client's connection failed; null if it did not. */
     ConnectionFailed connectionFailure() {
         return connectionFailure;
     }
 
-    /** Whether the client gave up waiting, and no response came later either. */
+    /** Returns whether the client stopped waiting without a response. */
     boolean isResponseMissing() {
         return responseMissing;
     }
 
-    /** The responses to it, in the order in which they came. */
+    /** Returns the responses to it in the order of arrival. */
     List<ResponseReceived> responses() {
         return responses;
     }
 
-    /** The attempts that reached workers. */
+    /** Returns the attempts that reached workers. */
     List<AttemptReceived> attempts() {
         return attempts;
     }
 
-    /** The runs that workers began. */
+    /** Returns the runs that workers started. */
     List<RunStarted> runs() {
         return runs;
     }
 
-    /** Whether a worker made that result for it. */
+    /** Returns whether a worker produced that result for it. */
     boolean hasResult(String result) {
         return results.contains(result);
     }
 
-    /** Whether its only response says that it was rejected and may be sent again. */
+    /** Returns whether its only response is a rejection that allows a retry. */
     boolean isRejected() {
         return responses.size() == 1 && responses.get(0).isRejection();
     }
 
-    /** Whether a second run of it would do nothing; only for one that {@link #isSent()}. */
+    /** Returns whether a second run has no further effect; only for a request that {@link #isSent()}. */
     boolean isIdempotent() {
         return sent.effect() == Effect.IDEMPOTENT;
     }
 
-    /** Type and identifier of it, as reports name it. */
+    /**
+     * Returns the traffic type and an identifier for reports: the identifier of the task if the request got
+     * no response and reached no worker, else that of the request.
+     */
     String describe() {
         if (responses.isEmpty() && attempts.isEmpty()) {
             return isSent() ? sent.type() + " " + sent.task() : UNKNOWN;
--- a/src/main/java/rampshift/testbed/verification/ColdWorkerRule.java
+++ b/src/main/java/rampshift/testbed/verification/ColdWorkerRule.java
@@ -3,7 +3,7 @@
 import rampshift.testbed.verification.LogEvent.WorkerOverloaded;
 import rampshift.testbed.verification.LogEvent.WorkerStarted;
 
-/** The rule that no cold worker fails because it was sent more than it can do. */
+/** The rule that no cold worker fails because dispatchers sent it more than it can handle. */
 final class ColdWorkerRule implements LogEventListener {
     private final RuleTally tally = new RuleTally("no cold worker pushed over");
 
@@ -20,6 +20,6 @@
 
     @Override
     public void onWorkerOverloaded(WorkerOverloaded event) {
-        tally.countBreach(event.worker() + " fell over at " + event.at());
+        tally.countBreach(event.worker() + " failed from overload at " + event.at());
     }
 }
--- a/src/main/java/rampshift/testbed/verification/DispatcherFaultHistory.java
+++ b/src/main/java/rampshift/testbed/verification/DispatcherFaultHistory.java
@@ -11,12 +11,13 @@
 import rampshift.testbed.verification.FaultEvent.ProcessChanged;
 
 /**
- * The faults that keep dispatchers from hearing one another: processes that were killed, shut down, suspended
- * or starved, and faulty links. Times are in microseconds of Unix time, dispatchers go by their names.
+ * The faults that disturb the communication between dispatchers: processes that are killed, shut down,
+ * suspended or limited in processor time, and faulty links. Times are in microseconds of Unix time;
+ * dispatchers are identified by name.
  */
 final class DispatcherFaultHistory implements LogEventListener {
     private final IntervalTable<String> absences = new IntervalTable<>();
-    /** Those of the absences in which the process was killed. */
+    /** The absences during which the process was killed. */
     private final IntervalTable<String> kills = new IntervalTable<>();
     private final IntervalTable<String> starvations = new IntervalTable<>();
     private final List<Interval> linkFaults = new ArrayList<>();
@@ -49,7 +50,7 @@
         }
     }
 
-    /** The absence that is open already, or else one that begins now. */
+    /** Returns the open absence of a dispatcher, or opens one that starts now. */
     private Interval openAbsence(String dispatcher, long time) {
         if (!isAbsent(dispatcher)) {
             absences.add(dispatcher, new Interval(time));
@@ -72,23 +73,23 @@
         }
     }
 
-    /** Whether the process is absent after all events so far. */
+    /** Returns whether the process is absent after the events received so far. */
     boolean isAbsent(String dispatcher) {
         Interval last = absences.lastOf(dispatcher);
         return last != null && last.isOpen();
     }
 
-    /** Whether the process was absent at any instant between the two times, both included. */
+    /** Returns whether the process was absent at any instant between the two times, both included. */
     boolean wasAbsent(String dispatcher, long from, long to) {
         return absences.overlap(dispatcher, from, to);
     }
 
-    /** Whether the process was starved at any instant between the two times, both included. */
+    /** Returns whether the processor time was limited at any instant between the two times, both included. */
     boolean wasStarved(String dispatcher, long from, long to) {
         return starvations.overlap(dispatcher, from, to);
     }
 
-    /** Whether any link was faulty at any instant between the two times, both included. */
+    /** Returns whether any link was faulty at any instant between the two times, both included. */
     boolean wasAnyLinkFaulty(long from, long to) {
         return linkFaults.stream().anyMatch(interval -> interval.overlaps(from, to));
     }
@@ -98,7 +99,7 @@
         kills.forEach(action);
     }
 
-    /** When the last fault ended: the limit if one is open then, 0 if there was none. */
+    /** Returns when the last fault ended, but at most the limit; 0 if there was no fault. */
     long lastFaultEnd(long limit) {
         return Stream.of(absences.all(), starvations.all(), linkFaults.stream())
                 .flatMap(intervals -> intervals)
--- a/src/main/java/rampshift/testbed/verification/DispatcherOutages.java
+++ b/src/main/java/rampshift/testbed/verification/DispatcherOutages.java
@@ -3,13 +3,13 @@
 import rampshift.testbed.verification.FaultEvent.ProcessChanged;
 
 /**
- * When dispatchers could not answer their clients because their processes were killed, shut down or
- * suspended. Times are in microseconds of Unix time, dispatchers are named by their numbers.
+ * The periods in which dispatchers could not respond to clients because their processes were killed, shut
+ * down or suspended. Times are in microseconds of Unix time; dispatchers are identified by index.
  */
 final class DispatcherOutages implements LogEventListener {
-    /** From the start of a process until it listens, at the most. */
+    /** The maximum time from the start of a process until it listens. */
     private static final long MAX_STARTUP_MICROS = 5_000_000;
-    /** How long a process that was suspended takes for what came in the meantime. */
+    /** The time that a resumed process may need for the requests that arrived during its suspension. */
     private static final long CATCH_UP_MICROS = 500_000;
 
     private final IntervalTable<Integer> suspensions = new IntervalTable<>();
@@ -29,7 +29,7 @@
             }
             case STARTED -> endDowntime(dispatcher, event.at());
             default -> {
-                // What is starved of processor time still owes its answers.
+                // A dispatcher with limited processor time still has to respond.
             }
         }
     }
@@ -48,16 +48,17 @@
         }
     }
 
-    /** Whether the dispatcher was killed between the two times, both included. */
+    /** Returns whether the dispatcher was killed between the two times, both included. */
     boolean wasKilled(int dispatcher, long from, long to) {
         return kills.overlap(dispatcher, from, to);
     }
 
     /**
-     * Whether the dispatcher was suspended at the expiry of a request, or was resumed so shortly before that
-     * it first had to take what came in the meantime. A suspension that never ends does not count.
+     * Returns whether the dispatcher was suspended when a request expired, or was resumed so shortly before
+     * that it was still handling requests that arrived during the suspension. A suspension that never ends,
+     * or that ended before the request was sent, does not count.
      *
-     * @param slackMicros how much earlier than the suspension the expiry may be
+     * @param slackMicros how much earlier than the suspension the expiry may be, in microseconds
      */
     boolean wasSuspendedAtExpiry(int dispatcher, long sentAt, long expiry, long slackMicros) {
         return suspensions.of(dispatcher).stream()
@@ -66,12 +67,12 @@
                         && expiry <= suspension.end() + CATCH_UP_MICROS);
     }
 
-    /** Whether the dispatcher was down at that time. */
+    /** Returns whether the dispatcher was down at that time. */
     boolean wasDown(int dispatcher, long time) {
         return downtimes.overlap(dispatcher, time, time);
     }
 
-    /** Whether the dispatcher was down at both times, and was not up between them. */
+    /** Returns whether the dispatcher was down during the whole period between the two times. */
     boolean wasDownSince(int dispatcher, long from, long to) {
         return downtimes.of(dispatcher).stream()
                 .anyMatch(downtime -> downtime.contains(to) && from >= downtime.start());
--- a/src/main/java/rampshift/testbed/verification/DrainRule.java
+++ b/src/main/java/rampshift/testbed/verification/DrainRule.java
@@ -12,29 +12,30 @@
 import rampshift.testbed.verification.RequestEvent.AttemptReceived;
 
 /**
- * The rule that a dispatcher sends no attempt to a worker once it was told that the worker drains or is gone,
- * and the grace is over. Events are to come in the order of {@link LogEvent#occurredAt()}: an attempt counts
- * from its first byte, which may have come before lines that were written earlier.
+ * The rule that a dispatcher sends no attempt to a worker after a grace period from the notification that the
+ * worker is draining or removed. Events must be passed in the order of {@link LogEvent#occurredAt()}: an
+ * attempt begins with its first byte, which may arrive before events whose lines precede the line of the
+ * attempt.
  */
 final class DrainRule implements LogEventListener {
     private final RuleTally tally = new RuleTally("drains kept");
     private final Map<Integer, KnownEndpoints> endpoints = new HashMap<>();
     private final long limitMicros;
 
-    /** What a dispatcher was told of workers. */
+    /** The state of workers as discovery agents and other dispatchers reported it to one dispatcher. */
     private static final class KnownEndpoints {
         private final Set<String> workers = new HashSet<>();
-        /** When the dispatcher was told first that a worker drains or is gone, by worker. */
+        /** When the dispatcher was first notified that a worker is draining or removed, by worker. */
         private final Map<String, Long> removedAt = new HashMap<>();
-        /** The workers in the full list that is being sent; null where none is. */
+        /** The workers in the full list that is being sent; null if none is being sent. */
         private Set<String> fullList;
     }
 
     /**
-     * The rule, before any event.
+     * Creates the rule.
      *
-     * @param graceMicros how long after a drain was told attempts may still begin, in microseconds
-     * @param slackMicros how much later than a limit something may happen, in microseconds
+     * @param graceMicros how long after the notification of a drain attempts may still begin, in microseconds
+     * @param slackMicros the tolerance added to the grace period, in microseconds
      */
     DrainRule(long graceMicros, long slackMicros) {
         limitMicros = graceMicros + slackMicros;
@@ -88,10 +89,10 @@
     public void onAttemptReceived(AttemptReceived event) {
         Long removedAt = endpointsOf(event.dispatcher()).removedAt.get(event.worker());
         if (removedAt != null && event.firstByteAt() > removedAt + limitMicros) {
-            tally.countBreach(event.worker() + " got " + event.request() + " from dispatcher "
+            tally.countBreach(event.worker() + " received " + event.request() + " from dispatcher "
                     + event.dispatcher() + " "
                     + TimeUnit.MICROSECONDS.toMillis(event.firstByteAt() - removedAt)
-                    + " ms after its end was told");
+                    + " ms after the notification of its drain or removal");
         }
     }
 
--- a/src/main/java/rampshift/testbed/verification/DrainedWorkerAttempts.java
+++ b/src/main/java/rampshift/testbed/verification/DrainedWorkerAttempts.java
@@ -5,7 +5,9 @@
 import rampshift.testbed.verification.FaultEvent.FaultChanged;
 import rampshift.testbed.verification.RequestEvent.AttemptReceived;
 
-/** Measures how long after the drain of a worker attempts still reach it, whoever sends them. */
+/**
+ * Measures how long after the start of a worker's drain attempts of any dispatcher still reach the worker.
+ */
 final class DrainedWorkerAttempts implements LogEventListener {
     private static final String TARGET_SEPARATOR = ",";
     private static final double MICROS_PER_MILLI = 1_000;
@@ -27,7 +29,9 @@
         lastAttemptAt.merge(event.worker(), event.firstByteAt(), Math::max);
     }
 
-    /** The longest time from a worker's last drain to the first byte of an attempt; 0 if there is none. */
+    /**
+     * Returns the longest time from a worker's last drain to the first byte of its last attempt, at least 0.
+     */
     double longestMillis() {
         double longest = 0;
         for (Map.Entry<String, Long> drain : drainedAt.entrySet()) {
--- a/src/main/java/rampshift/testbed/verification/Effect.java
+++ b/src/main/java/rampshift/testbed/verification/Effect.java
@@ -1,11 +1,11 @@
 package rampshift.testbed.verification;
 
-/** What a second run of a task would do. */
+/** The effect of a second run of a task. */
 enum Effect {
-    /** Nothing more than the first one. */
+    /** The second run has no further effect. */
     IDEMPOTENT,
-    /** Nothing, as long as the workers recognize the repeat by its idempotency key. */
+    /** The second run is suppressed if the workers recognize the idempotency key. */
     FINGERPRINTED,
-    /** The same effect once more. */
+    /** The second run repeats the effect. */
     SIDE_EFFECTING
 }
--- a/src/main/java/rampshift/testbed/verification/FaultEvent.java
+++ b/src/main/java/rampshift/testbed/verification/FaultEvent.java
@@ -1,12 +1,12 @@
 package rampshift.testbed.verification;
 
-/** What was done to the fleet on purpose. */
+/** An event of fault injection. */
 sealed interface FaultEvent extends LogEvent {
-    /** What can be done to the process of a dispatcher. */
+    /** A change to the process of a dispatcher. */
     enum ProcessChange {
         /** It was killed (SIGKILL). */
         KILLED,
-        /** It was told to shut down (SIGTERM). */
+        /** It was requested to shut down (SIGTERM). */
         ENDED,
         /** It was started again. */
         STARTED,
@@ -14,20 +14,20 @@
         STOPPED,
         /** It was resumed (SIGCONT). */
         CONTINUED,
-        /** From now on it gets a part of the processor time alone. */
+        /** Its processor time was limited. */
         STARVED,
-        /** It gets all processor time again. */
+        /** The limit on its processor time was removed. */
         FED
     }
 
     /**
-     * Something was done to the process of a dispatcher.
+     * The process of a dispatcher was changed.
      *
-     * @param dispatcher the number of the dispatcher, from 0
+     * @param dispatcher the index of the dispatcher, from 0
      * @param text the line without its time
      */
     record ProcessChanged(long at, ProcessChange change, int dispatcher, String text) implements FaultEvent {
-        /** The name of the dispatcher among dispatchers, who count from 1. */
+        /** Returns the name of the dispatcher as a member; names are numbered from 1. */
         String dispatcherName() {
             return "d" + (dispatcher + 1);
         }
@@ -39,11 +39,12 @@
     }
 
     /**
-     * A fault was injected or is over.
+     * A fault began or ended.
      *
      * @param kind the kind of fault, in lower case with underscores
-     * @param injected whether it begins; else it is over
-     * @param targets the names of what it befalls, separated by commas; may be empty
+     * @param injected whether the fault begins; else it ends
+     * @param targets the names of the affected workers, dispatchers, links or site, separated by commas; may
+     *        be empty
      * @param text the line without its time
      */
     record FaultChanged(long at, String kind, boolean injected, String targets,
@@ -53,12 +54,12 @@
         private static final String SITE_CUT = "cut";
         private static final String LINK_PREFIX = "way_";
 
-        /** Whether workers are drained. */
+        /** Returns whether the fault drains workers. */
         boolean isDrain() {
             return kind.equals(DRAIN);
         }
 
-        /** Whether links between dispatchers are faulty. */
+        /** Returns whether the fault affects links between dispatchers. */
         boolean isLinkFault() {
             return kind.startsWith(LINK_PREFIX) || kind.equals(SITE_CUT);
         }
--- a/src/main/java/rampshift/testbed/verification/FinalAnswerRule.java
+++ b/src/main/java/rampshift/testbed/verification/FinalAnswerRule.java
@@ -7,8 +7,8 @@
 import rampshift.testbed.verification.RequestEvent.ResponseReceived;
 
 /**
- * The rule that each request of a client gets one response, before it expires. What a dispatcher could not
- * answer because its process was killed, suspended or not up yet is excused.
+ * The rule that each request of a client gets exactly one response, before it expires. A missing response is
+ * excused if the dispatcher was killed, suspended or down; a late one only if the dispatcher was suspended.
  */
 final class FinalAnswerRule implements LogEventListener {
     private final RuleTally tally = new RuleTally("one final answer, in time");
@@ -16,9 +16,9 @@
     private final long slackMicros;
 
     /**
-     * The rule, before any request.
+     * Creates the rule.
      *
-     * @param slackMicros how much later than a limit something may happen, in microseconds
+     * @param slackMicros the tolerance added to each limit, in microseconds
      */
     FinalAnswerRule(DispatcherOutages outages, long slackMicros) {
         this.outages = outages;
@@ -31,23 +31,23 @@
 
     @Override
     public void onUnexpectedBytes(UnexpectedBytes event) {
-        tally.countBreach("bytes of no task from dispatcher " + event.dispatcher() + " at " + event.at());
+        tally.countBreach("unexpected bytes from dispatcher " + event.dispatcher() + " at " + event.at());
     }
 
-    /** Checks a request; all outages are to be known. */
+    /** Checks a request. All outages must be recorded before. */
     void check(ClientRequest request) {
         if (request.isOfJob()) {
             return;
         }
         if (!request.isSent()) {
             tally.countBreach(
-                    "a task that no client sent reached a worker or a client: " + request.describe());
+                    "a worker or client received a request that no client sent: " + request.describe());
             return;
         }
         tally.countCase();
         int responses = request.responses().size();
         if (responses > 1) {
-            tally.countBreach(responses + " answers to " + request.describe());
+            tally.countBreach(responses + " responses to " + request.describe());
         }
         if (responses == 0) {
             checkMissingResponse(request);
@@ -58,9 +58,9 @@
     private void checkMissingResponse(ClientRequest request) {
         ConnectionFailed failure = request.connectionFailure();
         if (!request.isResponseMissing() && failure == null) {
-            tally.countBreach("no end of " + request.describe());
+            tally.countBreach("no outcome logged for " + request.describe());
         } else if (!isMissingExcused(request)) {
-            tally.countBreach("no answer to " + request.describe()
+            tally.countBreach("no response to " + request.describe()
                     + (request.isResponseMissing() ? "" : ", " + failure.reason()));
         }
     }
@@ -68,8 +68,8 @@
     private void checkInTime(ClientRequest request, ResponseReceived response) {
         long expiry = request.sent().expiry();
         if (response.at() > expiry + slackMicros && !wasSuspendedAtExpiry(request)) {
-            tally.countBreach("an answer to " + request.describe() + " "
-                    + TimeUnit.MICROSECONDS.toMillis(response.at() - expiry) + " ms past its expiry");
+            tally.countBreach("a response to " + request.describe() + " "
+                    + TimeUnit.MICROSECONDS.toMillis(response.at() - expiry) + " ms after its expiry");
         }
     }
 
@@ -77,23 +77,23 @@
         RequestSent sent = request.sent();
         ConnectionFailed failure = request.connectionFailure();
         long end = failure == null ? sent.expiry() : failure.at();
-        // What a dispatcher held when it was killed is the client's to send again.
+        // The client has to retry what a dispatcher held when it was killed.
         return outages.wasKilled(sent.dispatcher(), sent.at() - slackMicros, end + slackMicros)
                 || wasSuspendedAtExpiry(request)
                 || (failure != null && failedForDowntime(request, failure));
     }
 
-    /** This excuses a late response or none; it excuses no attempt after the expiry. */
+    /** A suspension excuses a late or missing response, but not an attempt after the expiry. */
     private boolean wasSuspendedAtExpiry(ClientRequest request) {
         RequestSent sent = request.sent();
         return outages.wasSuspendedAtExpiry(sent.dispatcher(), sent.at(), sent.expiry(), slackMicros);
     }
 
     /**
-     * Whether the connection failed because the dispatcher was told to end or was killed, and its successor
-     * was not up yet, so that nobody took the request and nobody owes a response. A request that was sent
-     * after the end of the process may also find its connection reset, or closed by the peer. To what was
-     * sent before, or reached a worker, a response is owed.
+     * Returns whether the connection failed because the dispatcher was shut down or killed and its next
+     * process did not listen yet, so that no dispatcher received the request. A connection that is reset or
+     * closed by the peer counts only if the request was sent after the outage began and reached no worker;
+     * otherwise a response is required.
      */
     private boolean failedForDowntime(ClientRequest request, ConnectionFailed failure) {
         int dispatcher = request.sent().dispatcher();
--- a/src/main/java/rampshift/testbed/verification/Interval.java
+++ b/src/main/java/rampshift/testbed/verification/Interval.java
@@ -1,18 +1,18 @@
 package rampshift.testbed.verification;
 
-/** A span of time in microseconds of Unix time, both ends included. It is open until its end is set. */
+/** A time interval in microseconds of Unix time, both ends included. It is open until its end is set. */
 final class Interval {
     private static final long OPEN = Long.MAX_VALUE;
 
     private final long start;
     private long end = OPEN;
 
-    /** An open interval from that time on. */
+    /** Creates an open interval that starts at the given time. */
     Interval(long start) {
         this.start = start;
     }
 
-    /** An interval that has one instant alone. */
+    /** Returns an interval that consists of one instant. */
     static Interval instant(long time) {
         Interval interval = new Interval(time);
         interval.endAt(time);
@@ -23,7 +23,7 @@
         return start;
     }
 
-    /** The end, or {@link Long#MAX_VALUE} while the interval is open. */
+    /** Returns the end, or {@link Long#MAX_VALUE} while the interval is open. */
     long end() {
         return end;
     }
@@ -32,12 +32,12 @@
         return end == OPEN;
     }
 
-    /** Sets the end, also where one was set before. */
+    /** Sets the end; replaces an earlier value. */
     void endAt(long time) {
         end = time;
     }
 
-    /** Sets the end unless an earlier one is set. */
+    /** Sets the end unless it is set to an earlier time. */
     void endNoLaterThan(long time) {
         end = Math.min(end, time);
     }
@@ -46,7 +46,7 @@
         return overlaps(time, time);
     }
 
-    /** Whether any instant of the interval lies between the two times, both included. */
+    /** Returns whether any instant of the interval is between the two times, both included. */
     boolean overlaps(long from, long to) {
         return start <= to && end >= from;
     }
--- a/src/main/java/rampshift/testbed/verification/IntervalTable.java
+++ b/src/main/java/rampshift/testbed/verification/IntervalTable.java
@@ -8,9 +8,9 @@
 import java.util.stream.Stream;
 
 /**
- * Intervals by what they belong to, in the order in which they were added.
+ * A multimap from keys to intervals. Each key keeps its intervals in the order in which they were added.
  *
- * @param <K> the type of what they belong to
+ * @param <K> the type of the keys
  */
 final class IntervalTable<K> {
     private final Map<K, List<Interval>> intervals = new HashMap<>();
@@ -19,23 +19,23 @@
         intervals.computeIfAbsent(key, absent -> new ArrayList<>()).add(interval);
     }
 
-    /** The intervals of a key; empty where it has none. */
+    /** Returns the intervals of a key; empty if it has none. */
     List<Interval> of(K key) {
         return intervals.getOrDefault(key, List.of());
     }
 
-    /** The interval of a key that was added last; null where it has none. */
+    /** Returns the interval of a key that was added last; null if it has none. */
     Interval lastOf(K key) {
         List<Interval> own = of(key);
         return own.isEmpty() ? null : own.get(own.size() - 1);
     }
 
-    /** Whether an interval of the key has an instant between the two times, both included. */
+    /** Returns whether an interval of the key has an instant between the two times, both included. */
     boolean overlap(K key, long from, long to) {
         return of(key).stream().anyMatch(interval -> interval.overlaps(from, to));
     }
 
-    /** The intervals of all keys. */
+    /** Returns the intervals of all keys. */
     Stream<Interval> all() {
         return intervals.values().stream().flatMap(List::stream);
     }
--- a/src/main/java/rampshift/testbed/verification/LateAttemptRule.java
+++ b/src/main/java/rampshift/testbed/verification/LateAttemptRule.java
@@ -9,9 +9,9 @@
     private final long slackMicros;
 
     /**
-     * The rule, before any request.
+     * Creates the rule.
      *
-     * @param slackMicros how much later than a limit something may happen, in microseconds
+     * @param slackMicros the tolerance added to each limit, in microseconds
      */
     LateAttemptRule(long slackMicros) {
         this.slackMicros = slackMicros;
@@ -26,7 +26,7 @@
         checkAgainst(request, request.sent().expiry(), "expiry");
         if (!request.responses().isEmpty() && !request.attempts().isEmpty()) {
             tally.countCase();
-            checkAgainst(request, request.responses().get(0).at(), "answer");
+            checkAgainst(request, request.responses().get(0).at(), "response");
         }
     }
 
@@ -34,7 +34,7 @@
         for (AttemptReceived attempt : request.attempts()) {
             long lateMicros = attempt.firstByteAt() - limit;
             if (lateMicros > slackMicros) {
-                tally.countBreach(attempt.worker() + " got " + request.describe() + " "
+                tally.countBreach(attempt.worker() + " received " + request.describe() + " "
                         + TimeUnit.MICROSECONDS.toMillis(lateMicros) + " ms after its " + limitName);
             }
         }
--- a/src/main/java/rampshift/testbed/verification/LeaseEffectChecker.java
+++ b/src/main/java/rampshift/testbed/verification/LeaseEffectChecker.java
@@ -11,8 +11,8 @@
 import rampshift.testbed.verification.LeaseEvent.JobTaskUnsure;
 
 /**
- * The rules for effects that workers apply for the holder of a lease: they come in the order of their fencing
- * tokens, and a task that must not take effect twice does not.
+ * The rules for effects that workers apply for the holder of a lease: the fencing tokens of successive
+ * effects do not decrease, and a task that is not idempotent takes effect at most once.
  */
 final class LeaseEffectChecker implements LogEventListener {
     private final RuleTally order = new RuleTally("effects under a lease in the order of tokens");
@@ -64,8 +64,8 @@
     }
 
     /**
-     * Checks that a task whose effect must not come twice has one at the most, and that one that is said to
-     * be completed has one at least; to be called once, after the last event.
+     * Checks that a task that is not idempotent took effect at most once, and that a task that was reported
+     * as completed took effect at least once. Must be called once, after the last event.
      */
     void check() {
         effectsOfTask.forEach((task, count) -> {
@@ -79,7 +79,7 @@
         for (String task : completedTasks) {
             once.countCase();
             if (!effectsOfTask.containsKey(task)) {
-                once.countBreach(task + " was told as done, and no worker took it");
+                once.countBreach(task + " was reported as completed, but no worker applied its effect");
             }
         }
     }
@@ -92,7 +92,7 @@
         return once.result();
     }
 
-    /** The counts over all leases. */
+    /** Returns the counts over all leases. */
     Verdict.LeaseEffects counts() {
         long tasksOnce = effectsOfTask.values().stream().filter(count -> count == 1).count();
         long unsureWithoutEffect =
--- a/src/main/java/rampshift/testbed/verification/LeaseEvent.java
+++ b/src/main/java/rampshift/testbed/verification/LeaseEvent.java
@@ -1,8 +1,11 @@
 package rampshift.testbed.verification;
 
-/** What dispatchers wrote of leases, and workers of the effects that they applied for holders of leases. */
+/**
+ * An event of a lease that a dispatcher logged, or of an effect that a worker applied or refused for a lease
+ * holder.
+ */
 sealed interface LeaseEvent extends LogEvent {
-    /** A dispatcher holds a lease with that fencing token. */
+    /** A dispatcher holds a lease with the given fencing token. */
     record LeaseHeld(long at, String dispatcher, String lease, long token) implements LeaseEvent {
         @Override
         public void accept(LogEventListener listener) {
@@ -11,10 +14,10 @@
     }
 
     /**
-     * A change of a register was chosen by a quorum.
+     * A quorum chose a change of a register.
      *
-     * @param requestedAt when the change was asked for, in microseconds of Unix time
-     * @param holder the holder of the lease from then on, or {@code -} for none
+     * @param requestedAt when the change was requested, in microseconds of Unix time
+     * @param holder the new holder of the lease, or {@code -} for none
      */
     record RegisterChanged(long at, long requestedAt, String register, long version, long token,
             String holder) implements LeaseEvent {
@@ -24,7 +27,7 @@
         }
     }
 
-    /** A worker applied the effect of a job's task that came with a fencing token. */
+    /** A worker applied the effect of a job's task that carried a fencing token. */
     record EffectApplied(long at, String lease, long token, String task,
             Effect effect) implements LeaseEvent {
         @Override
@@ -41,7 +44,7 @@
         }
     }
 
-    /** A dispatcher says that a task of its job is completed. */
+    /** A dispatcher reported a task of its job as completed. */
     record JobTaskCompleted(long at, String task) implements LeaseEvent {
         @Override
         public void accept(LogEventListener listener) {
--- a/src/main/java/rampshift/testbed/verification/LeaseTokenRule.java
+++ b/src/main/java/rampshift/testbed/verification/LeaseTokenRule.java
@@ -4,7 +4,7 @@
 import java.util.Map;
 import rampshift.testbed.verification.LeaseEvent.LeaseHeld;
 
-/** The rule that the fencing token of a lease rises with each new holder. */
+/** The rule that the fencing token of a lease increases with each new holder. */
 final class LeaseTokenRule implements LogEventListener {
     private final RuleTally tally = new RuleTally("tokens only rise");
     private final Map<String, LeaseHeld> lastHoldOfLease = new HashMap<>();
--- a/src/main/java/rampshift/testbed/verification/LogEvent.java
+++ b/src/main/java/rampshift/testbed/verification/LogEvent.java
@@ -1,14 +1,17 @@
 package rampshift.testbed.verification;
 
 /**
- * What one line of an event log tells. Event logs are written by clients, workers, discovery agents,
- * dispatchers and the process that runs them all.
+ * An event that one line of an event log records. Clients, workers, discovery agents, dispatchers and the
+ * process that runs them write event logs.
  */
 interface LogEvent {
-    /** When the line was written, in microseconds of Unix time. */
+    /** Returns when the line was written, in microseconds of Unix time. */
     long at();
 
-    /** When it happened, in microseconds of Unix time; earlier than {@link #at()} for some events. */
+    /**
+     * Returns when the event happened, in microseconds of Unix time; earlier than {@link #at()} for some
+     * events.
+     */
     default long occurredAt() {
         return at();
     }
@@ -16,7 +19,7 @@
     /** Calls the listener's method for this type of event. */
     void accept(LogEventListener listener);
 
-    /** A client got bytes from a dispatcher, named by its number, that belong to none of its requests. */
+    /** A client received bytes from a dispatcher, given by its index, that belong to none of its requests. */
     record UnexpectedBytes(long at, int dispatcher) implements LogEvent {
         @Override
         public void accept(LogEventListener listener) {
@@ -24,7 +27,7 @@
         }
     }
 
-    /** A worker started; a cold one runs slower at first. */
+    /** A worker started; a cold worker is slower at first. */
     record WorkerStarted(long at, String worker, boolean cold) implements LogEvent {
         @Override
         public void accept(LogEventListener listener) {
@@ -32,7 +35,7 @@
         }
     }
 
-    /** A cold worker failed because it was sent more than it can do. */
+    /** A cold worker failed because it was sent more than it can handle. */
     record WorkerOverloaded(long at, String worker) implements LogEvent {
         @Override
         public void accept(LogEventListener listener) {
@@ -40,7 +43,7 @@
         }
     }
 
-    /** A discovery agent begins to send all endpoints to a dispatcher. */
+    /** A discovery agent began to send all endpoints to a dispatcher. */
     record FullListStarted(long at, int dispatcher) implements LogEvent {
         @Override
         public void accept(LogEventListener listener) {
@@ -48,7 +51,7 @@
         }
     }
 
-    /** A discovery agent told a dispatcher the state of a worker. */
+    /** A discovery agent sent a dispatcher the state of a worker. */
     record EndpointSent(long at, int dispatcher, String worker, boolean ready) implements LogEvent {
         @Override
         public void accept(LogEventListener listener) {
@@ -56,7 +59,7 @@
         }
     }
 
-    /** A discovery agent has sent all endpoints to a dispatcher. */
+    /** A discovery agent finished sending all endpoints to a dispatcher. */
     record FullListCompleted(long at, int dispatcher) implements LogEvent {
         @Override
         public void accept(LogEventListener listener) {
@@ -65,22 +68,23 @@
     }
 
     /**
-     * A dispatcher learned of another member, or of a drained worker.
+     * A dispatcher changed the state that it records for another member, or learned that a worker is
+     * draining.
      *
      * @param observer the name of the dispatcher
-     * @param state what it holds the subject for from now on, one word
+     * @param state the new state of the subject, one word
      * @param subject the name of the other dispatcher, or of the worker
      */
     record MembershipChanged(long at, String observer, String state, String subject) implements LogEvent {
 
-        /** The observer itself started; it knows nobody yet. */
+        /** The observer started; it knows no other member yet. */
         static final String STARTED = "began";
         /** The subject failed. */
         static final String FAILED = "failed";
-        /** The subject is a worker, and another dispatcher told that it drains. */
+        /** The subject is a worker, and another dispatcher reported that it is draining. */
         static final String DRAINING = "bound";
 
-        /** The number of the observer, from 0. */
+        /** Returns the index of the observer, from 0. */
         int observerNumber() {
             return Integer.parseInt(observer.substring(1)) - 1;
         }
@@ -99,11 +103,11 @@
         }
     }
 
-    /** Something that no rule needs. */
+    /** An event that no rule uses. */
     record OtherEvent(long at) implements LogEvent {
         @Override
         public void accept(LogEventListener listener) {
-            // No rule needs it.
+            // No rule uses this event.
         }
     }
 }
--- a/src/main/java/rampshift/testbed/verification/LogEventListener.java
+++ b/src/main/java/rampshift/testbed/verification/LogEventListener.java
@@ -1,6 +1,6 @@
 package rampshift.testbed.verification;
 
-/** Hears the events of event logs, each by a method of its own; what is not overridden is ignored. */
+/** Receives the events of event logs, one method per event type. By default a method ignores its event. */
 interface LogEventListener {
     default void onRequestSent(RequestEvent.RequestSent event) {}
 
--- a/src/main/java/rampshift/testbed/verification/LogEventParser.java
+++ b/src/main/java/rampshift/testbed/verification/LogEventParser.java
@@ -7,7 +7,7 @@
 import java.util.function.Function;
 import rampshift.testbed.verification.FaultEvent.ProcessChange;
 
-/** Turns lines of event logs into events. */
+/** Parses lines of event logs into events. */
 final class LogEventParser {
     private static final String IN_FIELD_SEPARATOR = "/";
     private static final Map<String, Function<LogLine, LogEvent>> PARSERS = Map.ofEntries(
@@ -45,7 +45,7 @@
     private LogEventParser() {}
 
     /**
-     * The event that a line tells.
+     * Returns the event that a line records.
      *
      * @throws MalformedLineException if it lacks a time, an event type or an argument that its type needs
      */
@@ -90,7 +90,7 @@
                 line.argument(2).equals("ready"));
     }
 
-    /** {@code killed DISPATCHER}, and the same with other words. */
+    /** {@code killed DISPATCHER}; the event type names the change. */
     private static LogEvent processChanged(LogLine line, ProcessChange change) {
         return new FaultEvent.ProcessChanged(line.at(), change, line.integer(0), line.withoutTime());
     }
@@ -107,7 +107,7 @@
                 line.argument(2));
     }
 
-    /** {@code leases DISPATCHER WORD LEASE TOKEN DETAIL}; the word tells what the detail is. */
+    /** {@code leases DISPATCHER WORD LEASE TOKEN DETAIL}; the word determines the format of the detail. */
     private static LogEvent leaseEvent(LogLine line) {
         return switch (line.argument(1)) {
             case "holds" ->
@@ -132,7 +132,7 @@
         }
     }
 
-    /** The task as workers name it, {@code JOB-RUN-OBJECT}; the detail is {@code RUN/OBJECT}. */
+    /** Returns the identifier that workers use, {@code JOB-RUN-OBJECT}; the detail is {@code RUN/OBJECT}. */
     private static String jobTask(LogLine line) {
         return line.argument(2) + "-" + line.argument(4).replace('/', '-');
     }
--- a/src/main/java/rampshift/testbed/verification/LogLine.java
+++ b/src/main/java/rampshift/testbed/verification/LogLine.java
@@ -7,9 +7,9 @@
  * One line of an event log, split into fields: time, event type, and the arguments of that type.
  *
  * @param text the line as written
- * @param at when it was written, in microseconds of Unix time
- * @param eventType the word that tells which event it is
- * @param arguments what follows the event type
+ * @param at when the line was written, in microseconds of Unix time
+ * @param eventType the name of the event type
+ * @param arguments the fields after the event type
  */
 record LogLine(String text, long at, String eventType, List<String> arguments) {
 
@@ -35,7 +35,7 @@
     }
 
     /**
-     * An argument, counted from 0.
+     * Returns an argument, counted from 0.
      *
      * @throws MalformedLineException if the line has no such argument
      */
@@ -46,15 +46,15 @@
         return arguments.get(index);
     }
 
-    /** An argument, counted from 0; empty if the line has no such argument. */
+    /** Returns an argument, counted from 0; empty if the line has no such argument. */
     String optionalArgument(int index) {
         return index < arguments.size() ? arguments.get(index) : "";
     }
 
     /**
-     * An argument that is a whole number, counted from 0.
+     * Returns an argument that is an integer, counted from 0.
      *
-     * @throws MalformedLineException if the line has no such argument or it is no number of 64 bits
+     * @throws MalformedLineException if the line has no such argument or it is not a 64-bit integer
      */
     long number(int index) {
         try {
@@ -65,9 +65,9 @@
     }
 
     /**
-     * An argument that is a whole number, counted from 0.
+     * Returns an argument that is an integer, counted from 0.
      *
-     * @throws MalformedLineException if the line has no such argument or it is no number of 32 bits
+     * @throws MalformedLineException if the line has no such argument or it is not a 32-bit integer
      */
     int integer(int index) {
         try {
@@ -77,7 +77,7 @@
         }
     }
 
-    /** The event type and its arguments, without the time. */
+    /** Returns the event type and the arguments, without the time. */
     String withoutTime() {
         return arguments.isEmpty() ? eventType : eventType + SEPARATOR + String.join(SEPARATOR, arguments);
     }
--- a/src/main/java/rampshift/testbed/verification/MalformedLineException.java
+++ b/src/main/java/rampshift/testbed/verification/MalformedLineException.java
@@ -1,14 +1,14 @@
 package rampshift.testbed.verification;
 
-/** A line is not one of an event log. The message names the line. */
+/** Thrown when a line of an event log is malformed. The message contains the line. */
 public final class MalformedLineException extends IllegalArgumentException {
     private static final long serialVersionUID = 1;
 
     MalformedLineException(String line) {
-        super("not a ledger's line: " + line);
+        super("malformed event log line: " + line);
     }
 
     MalformedLineException(String line, Throwable cause) {
-        super("not a ledger's line: " + line, cause);
+        super("malformed event log line: " + line, cause);
     }
 }
--- a/src/main/java/rampshift/testbed/verification/MembershipChecker.java
+++ b/src/main/java/rampshift/testbed/verification/MembershipChecker.java
@@ -12,14 +12,14 @@
 import rampshift.testbed.verification.LogEvent.MembershipChanged;
 
 /**
- * The rules for dispatchers that know one another, as a failure detector is held to them: failures are found
- * in time, nobody who answers is taken for failed, and all agree once faults are over. It compares what
- * dispatchers believed of one another with the faults that befell them. Times are in microseconds of Unix
- * time.
+ * The rules for dispatchers that know one another, which are those of a failure detector: failures are
+ * detected in time, no responsive dispatcher is reported as failed, and all views agree after the last fault.
+ * The checker compares the member states that dispatchers logged with the injected faults. Times are in
+ * microseconds of Unix time.
  */
 final class MembershipChecker implements LogEventListener {
     private static final double MICROS_PER_MILLI = 1_000;
-    /** The states in which the subject is taken for alive. */
+    /** The states in which the observer considers the subject alive. */
     private static final Set<String> ALIVE_STATES = Set.of("joined", "changed", "cleared");
     private static final String NO_STATE = "nothing";
     private static final long NOT_FINISHED = Long.MAX_VALUE;
@@ -36,11 +36,12 @@
     private long finishedAt = NOT_FINISHED;
 
     /**
-     * The rules, before any event.
+     * Creates the rules.
      *
-     * @param faults what befell dispatchers; to be complete before {@link #check()}
-     * @param detectionLimitMicros how long after a failure all others are to know of it, in microseconds
-     * @param agreementLimitMicros how long after the last fault all are to agree, in microseconds
+     * @param faults the injected faults; must be complete before {@link #check()}
+     * @param detectionLimitMicros the maximum time from a failure to its detection by each other dispatcher,
+     *        in microseconds
+     * @param agreementLimitMicros the maximum time from the last fault until all views agree, in microseconds
      */
     MembershipChecker(DispatcherFaultHistory faults, long detectionLimitMicros, long agreementLimitMicros) {
         this.faults = faults;
@@ -59,7 +60,7 @@
         finishedAt = event.at();
     }
 
-    /** Checks all rules; to be called once, after the last event. */
+    /** Checks all rules. Must be called once, after the last event. */
     void check() {
         faults.forEachKill(this::checkDetection);
         changes.forEach(this::checkAccuracy);
@@ -78,12 +79,15 @@
         return agreement.result();
     }
 
-    /** From each failure to each other dispatcher's knowledge of it, in milliseconds. */
+    /** Returns the time of each detection in time, from the failure, in milliseconds. */
     List<Double> detectionMillis() {
         return detectionMillis;
     }
 
-    /** A process that was killed is known to have failed by all that could know it. */
+    /**
+     * Checks that all dispatchers that could detect a kill did so. A process that was back before the
+     * detection limit is not checked, nor is one killed so late that the load ended before.
+     */
     private void checkDetection(String killed, Interval absence) {
         long limit = absence.start() + detectionLimitMicros;
         if (absence.end() < limit || finishedAt < limit) {
@@ -113,7 +117,7 @@
             }
         }
         detection.countBreach(
-                observer + " did not know within " + TimeUnit.MICROSECONDS.toMillis(detectionLimitMicros)
+                observer + " did not detect within " + TimeUnit.MICROSECONDS.toMillis(detectionLimitMicros)
                         + " ms that " + killed + " was killed");
     }
 
@@ -121,24 +125,25 @@
         return change.state().equals(MembershipChanged.FAILED) && change.subject().equals(subject);
     }
 
-    /** Nobody is taken for failed who answered, as did the links to it. */
+    /** Checks that the subject of a reported failure, its observer or a link had a fault shortly before. */
     private void checkAccuracy(MembershipChanged change) {
         if (!change.state().equals(MembershipChanged.FAILED) || change.at() > finishedAt) {
             return;
         }
         accuracy.countCase();
         long from = change.at() - detectionLimitMicros;
-        // A starved process may be taken for failed; it is to know that it is late, and to accuse nobody.
+        // A process with limited processor time may be reported as failed. As an observer, it must notice its
+        // own delay and must not report others.
         if (!faults.wasStarved(change.subject(), from, change.at())
                 && !faults.wasAbsent(change.subject(), from, change.at())
                 && !faults.wasAbsent(change.observer(), from, change.at())
                 && !faults.wasAnyLinkFaulty(from, change.at())) {
-            accuracy.countBreach(change.observer() + " took " + change.subject()
-                    + " for failed, which nothing had befallen");
+            accuracy.countBreach(change.observer() + " reported " + change.subject()
+                    + " as failed without a fault");
         }
     }
 
-    /** Once the last fault is over for long enough, all that are there take one another for alive. */
+    /** Checks that all running dispatchers consider one another alive long enough after the last fault. */
     private void checkAgreement() {
         long sinceLastFault = finishedAt - faults.lastFaultEnd(finishedAt);
         if (finishedAt == NOT_FINISHED || sinceLastFault < agreementLimitMicros) {
@@ -154,14 +159,14 @@
                 agreement.countCase();
                 String state = states.getOrDefault(subject, NO_STATE);
                 if (!ALIVE_STATES.contains(state)) {
-                    agreement.countBreach(observer + " has " + state + " of " + subject + " "
+                    agreement.countBreach(observer + " has state " + state + " for " + subject + " "
                             + TimeUnit.MICROSECONDS.toMillis(sinceLastFault) + " ms after the last fault");
                 }
             }
         }
     }
 
-    /** By observer and subject, the state that the observer held the subject for when the load ended. */
+    /** Returns the state that each observer recorded for each subject when the load ended. */
     private Map<String, Map<String, String>> beliefsAtFinish() {
         Map<String, Map<String, String>> beliefs = new TreeMap<>();
         for (MembershipChanged change : changes) {
--- a/src/main/java/rampshift/testbed/verification/RegisterRule.java
+++ b/src/main/java/rampshift/testbed/verification/RegisterRule.java
@@ -9,12 +9,12 @@
 import rampshift.testbed.verification.LeaseEvent.RegisterChanged;
 
 /**
- * The rule that the changes of each register are those of a single one (linearizability): a version has one
- * value, and what was known as chosen before another change was requested precedes it. Versions order the
- * changes totally, so nothing else is to be checked.
+ * The rule that each register is linearizable: a version has one value, and a change that was known as chosen
+ * before another change was requested has no higher version than that one. Versions order the changes
+ * totally, so these two conditions are sufficient.
  */
 final class RegisterRule implements LogEventListener {
-    /** How much the times that two processes give one instant may differ, in microseconds. */
+    /** The maximum difference between the clocks of two processes, in microseconds. */
     private static final long CLOCK_TOLERANCE_MICROS = 2_000;
 
     private final RuleTally tally = new RuleTally("tokens' registers are one each");
@@ -29,7 +29,7 @@
         changesOfRegister.computeIfAbsent(event.register(), absent -> new ArrayList<>()).add(event);
     }
 
-    /** Checks all registers; to be called once, after the last event. */
+    /** Checks all registers. Must be called once, after the last event. */
     void check() {
         changesOfRegister.forEach((register, changes) -> {
             checkValues(register, changes);
@@ -63,7 +63,7 @@
             }
             tally.countCase();
             if (change.version() < highestKnown) {
-                tally.countBreach(register + ": version " + change.version() + " was asked for after "
+                tally.countBreach(register + ": version " + change.version() + " was requested after "
                         + highestKnown + " was known");
             }
         }
--- a/src/main/java/rampshift/testbed/verification/RequestEvent.java
+++ b/src/main/java/rampshift/testbed/verification/RequestEvent.java
@@ -1,8 +1,8 @@
 package rampshift.testbed.verification;
 
-/** What a client or a worker wrote of one request. */
+/** An event of one request that a client or a worker logged. */
 sealed interface RequestEvent extends LogEvent {
-    /** The identifier of the request; a client's retry has another one. */
+    /** Returns the identifier of the request; a client's retry has another one. */
     String request();
 
     /**
@@ -11,12 +11,12 @@
      * @param request the identifier of this request; a client's retry has another one
      * @param task the task that the request is for
      * @param type the traffic type of the task
-     * @param dispatcher the number of the dispatcher that it was sent to, from 0
+     * @param dispatcher the index of the dispatcher that it was sent to, from 0
      * @param patienceMicros how long the client waits, in microseconds
      */
     record RequestSent(long at, String request, String task, String type, Effect effect, int dispatcher,
             long patienceMicros) implements RequestEvent {
-        /** When the client stops waiting, in microseconds of Unix time. */
+        /** Returns when the client stops waiting, in microseconds of Unix time. */
         long expiry() {
             return at + patienceMicros;
         }
@@ -27,7 +27,7 @@
         }
     }
 
-    /** A worker took a task of a periodic job: a dispatcher submitted it, no client waits for it. */
+    /** A worker received a task of a periodic job. A dispatcher submitted it, so no client waits for it. */
     record JobTaskTaken(long at, String request) implements RequestEvent {
         @Override
         public void accept(LogEventListener listener) {
@@ -36,10 +36,10 @@
     }
 
     /**
-     * A client got a response.
+     * A client received a response.
      *
-     * @param status the status code of HTTP
-     * @param result the identifier of the result, made by a worker; of no meaning unless the status is 200
+     * @param status the HTTP status code
+     * @param result the identifier that a worker gave the result; only meaningful if the status is 200
      */
     record ResponseReceived(long at, String request, int status, String result) implements RequestEvent {
 
@@ -47,12 +47,12 @@
         private static final int TOO_MANY_REQUESTS = 429;
         private static final int SERVICE_UNAVAILABLE = 503;
 
-        /** Whether it has the result of the task. */
+        /** Returns whether it contains the result of the task. */
         boolean isSuccess() {
             return status == OK;
         }
 
-        /** Whether it says that the task was rejected and may be sent again. */
+        /** Returns whether it is a rejection that allows a retry. */
         boolean isRejection() {
             return status == TOO_MANY_REQUESTS || status == SERVICE_UNAVAILABLE;
         }
@@ -63,10 +63,10 @@
         }
     }
 
-    /** A client's connection failed before a response came; the reason is one word. */
+    /** A client's connection failed before a response arrived; the reason is one word. */
     record ConnectionFailed(long at, String request, String reason) implements RequestEvent {
 
-        /** No connection came up. */
+        /** The connection could not be established. */
         static final String UNREACHABLE = "unreachable";
         /** The peer reset the connection. */
         static final String RESET = "reset";
@@ -79,7 +79,7 @@
         }
     }
 
-    /** A client waited for longer than its patience, and nothing came. */
+    /** A client waited for longer than its patience without a response. */
     record ResponseMissing(long at, String request) implements RequestEvent {
         @Override
         public void accept(LogEventListener listener) {
@@ -88,11 +88,11 @@
     }
 
     /**
-     * A worker got an attempt of a task from a dispatcher.
+     * A worker received an attempt of a task from a dispatcher.
      *
      * @param worker the identifier of the worker
-     * @param dispatcher the number of the dispatcher, from 0
-     * @param firstByteAt when the first byte of it came, in microseconds of Unix time
+     * @param dispatcher the index of the dispatcher, from 0
+     * @param firstByteAt when its first byte arrived, in microseconds of Unix time
      */
     record AttemptReceived(long at, String worker, int dispatcher, String request,
             long firstByteAt) implements RequestEvent {
@@ -107,7 +107,7 @@
         }
     }
 
-    /** A worker began to run a task. */
+    /** A worker started to run a task. */
     record RunStarted(long at, String worker, String request) implements RequestEvent {
         @Override
         public void accept(LogEventListener listener) {
@@ -115,7 +115,7 @@
         }
     }
 
-    /** A worker completed a task; the result is an identifier of what it answered. */
+    /** A worker completed a task; the result is the identifier of its response. */
     record RunCompleted(long at, String request, String result) implements RequestEvent {
         @Override
         public void accept(LogEventListener listener) {
--- a/src/main/java/rampshift/testbed/verification/RequestTable.java
+++ b/src/main/java/rampshift/testbed/verification/RequestTable.java
@@ -12,7 +12,7 @@
 import rampshift.testbed.verification.RequestEvent.RunCompleted;
 import rampshift.testbed.verification.RequestEvent.RunStarted;
 
-/** Collects events by the request that they belong to, in the order in which requests are first mentioned. */
+/** Groups events by request, in the order in which requests are first mentioned. */
 final class RequestTable implements LogEventListener {
     private final Map<String, ClientRequest> requests = new LinkedHashMap<>();
 
@@ -20,12 +20,12 @@
         return requests.values();
     }
 
-    /** How many attempts reached workers. */
+    /** Returns how many attempts reached workers. */
     long attempts() {
         return requests.values().stream().mapToLong(request -> request.attempts().size()).sum();
     }
 
-    /** How many attempts reached workers beyond the first one of each request. */
+    /** Returns how many attempts reached workers beyond the first one of each request. */
     long repeatedAttempts() {
         long reached =
                 requests.values().stream().filter(request -> !request.attempts().isEmpty()).count();
--- a/src/main/java/rampshift/testbed/verification/RuleChecker.java
+++ b/src/main/java/rampshift/testbed/verification/RuleChecker.java
@@ -5,9 +5,9 @@
 import java.util.List;
 
 /**
- * Counts from the event logs of clients, workers, discovery agents and dispatchers whether the rules held. It
- * shares no code with the dispatcher, so that both are not wrong in the same way. It has no I/O and no clock:
- * it gets lines and returns a verdict. All times are in microseconds of Unix time.
+ * Checks in the event logs of clients, workers, discovery agents and dispatchers whether the rules held. It
+ * shares no code with the dispatcher, so that one defect cannot affect both. It has no I/O and no clock: it
+ * receives lines and returns a verdict. All times are in microseconds of Unix time.
  */
 public final class RuleChecker {
     private final long graceMicros;
@@ -17,22 +17,25 @@
     private final List<LogEvent> events = new ArrayList<>();
 
     /**
-     * A checker for dispatchers that do not know one another.
+     * Creates a checker for dispatchers that do not know one another.
      *
-     * @param graceMicros how long after a drain was told attempts may still begin, in microseconds
-     * @param slackMicros what clocks, queues and links may add to any limit, in microseconds
+     * @param graceMicros how long after the notification of a drain attempts may still begin, in microseconds
+     * @param slackMicros the tolerance for clocks, queues and links, added to the limits for requests and
+     *        attempts, in microseconds
      */
     public RuleChecker(long graceMicros, long slackMicros) {
         this(graceMicros, slackMicros, 0, 0);
     }
 
     /**
-     * A checker for dispatchers that know one another.
+     * Creates a checker for dispatchers that know one another.
      *
-     * @param graceMicros how long after a drain was told attempts may still begin, in microseconds
-     * @param slackMicros what clocks, queues and links may add to any limit, in microseconds
-     * @param knownByMicros how long after a failure all others are to know of it, in microseconds
-     * @param agreeByMicros how long after the last fault all are to agree, in microseconds
+     * @param graceMicros how long after the notification of a drain attempts may still begin, in microseconds
+     * @param slackMicros the tolerance for clocks, queues and links, added to the limits for requests and
+     *        attempts, in microseconds
+     * @param knownByMicros the maximum time from a failure to its detection by each other dispatcher, in
+     *        microseconds
+     * @param agreeByMicros the maximum time from the last fault until all views agree, in microseconds
      */
     public RuleChecker(long graceMicros, long slackMicros, long knownByMicros, long agreeByMicros) {
         this.graceMicros = graceMicros;
@@ -42,15 +45,15 @@
     }
 
     /**
-     * Takes a line of any event log, in any order.
+     * Adds a line of any event log. Lines may come in any order.
      *
-     * @throws MalformedLineException if it is not one; the message names the line
+     * @throws MalformedLineException if the line is malformed; the message contains the line
      */
     public void line(String line) {
         events.add(LogEventParser.parse(line));
     }
 
-    /** Checks all lines so far. */
+    /** Checks all lines added so far. */
     public Verdict verdict() {
         List<LogEvent> byTime = sorted(Comparator.comparingLong(LogEvent::at));
         long from = byTime.isEmpty() ? 0 : byTime.get(0).at();
@@ -81,7 +84,7 @@
                 membership.detectionMillis(), drainedWorkers.longestMillis(), leaseEffects.counts());
     }
 
-    /** The rules for requests of clients and the attempts that dispatchers make for them. */
+    /** Checks the rules for requests of clients and for the attempts that dispatchers make for them. */
     private List<Verdict.Rule> requestRules(List<LogEvent> byTime, RequestTable requests) {
         DispatcherOutages outages = new DispatcherOutages();
         FinalAnswerRule finalAnswer = new FinalAnswerRule(outages, slackMicros);
--- a/src/main/java/rampshift/testbed/verification/RuleTally.java
+++ b/src/main/java/rampshift/testbed/verification/RuleTally.java
@@ -3,7 +3,7 @@
 import java.util.ArrayList;
 import java.util.List;
 
-/** Counts how often one rule was at stake and how often it was broken, and keeps the first breaches. */
+/** Counts the cases to which one rule applied and its breaches, and keeps the first breaches. */
 final class RuleTally {
     private static final int MAX_EXAMPLES = 5;
 
@@ -12,7 +12,7 @@
     private long atStake;
     private long broken;
 
-    /** An empty tally of the rule with that name, which stands in reports. */
+    /** Creates an empty tally for a rule; reports show the name. */
     RuleTally(String name) {
         this.name = name;
     }
@@ -22,7 +22,7 @@
         atStake++;
     }
 
-    /** Counts one breach; the description stands in reports if it is among the first. */
+    /** Counts one breach; reports show the descriptions of the first ones. */
     void countBreach(String description) {
         broken++;
         if (examples.size() < MAX_EXAMPLES) {
--- a/src/main/java/rampshift/testbed/verification/SingleEffectRule.java
+++ b/src/main/java/rampshift/testbed/verification/SingleEffectRule.java
@@ -8,7 +8,7 @@
 import java.util.TreeMap;
 import rampshift.testbed.verification.RequestEvent.RunStarted;
 
-/** The rule that a task whose effect must not come twice is not run twice, over all requests for it. */
+/** The rule that a task that is not idempotent runs at most once, over all requests for it. */
 final class SingleEffectRule {
     private final RuleTally tally = new RuleTally("no effect twice");
 
@@ -16,7 +16,7 @@
         return tally.result();
     }
 
-    /** Checks all tasks that the requests are for. */
+    /** Checks the tasks of all requests. */
     void check(Collection<ClientRequest> requests) {
         Map<String, List<ClientRequest>> requestsOfTasks = new TreeMap<>();
         for (ClientRequest request : requests) {
@@ -32,7 +32,7 @@
         requests.sort(Comparator.comparingLong(request -> request.sent().at()));
         boolean atStake = false;
         boolean ranBefore = false;
-        // A client that retries what was not rejected takes the risk of a second run itself.
+        // A client that retries a request that was not rejected accepts the risk of a second run.
         boolean onlyRejectedBefore = true;
         for (ClientRequest request : requests) {
             boolean reachedWorker = !request.attempts().isEmpty();
@@ -52,10 +52,10 @@
             tally.countBreach(runs.size() + " runs of " + request.describe() + " at "
                     + runs.stream().map(RunStarted::worker).toList());
         } else if (ranBeforeRejection && !runs.isEmpty()) {
-            tally.countBreach("a run of " + request.describe() + ", which had run before it was bounced");
+            tally.countBreach("a run of " + request.describe() + ", after a run in a rejected request");
         } else if (request.isRejected() && !runs.isEmpty()
                 && request.sent().effect() == Effect.SIDE_EFFECTING) {
-            tally.countBreach("bounced after a run: " + request.describe());
+            tally.countBreach("rejected after a run: " + request.describe());
         }
     }
 }
--- a/src/main/java/rampshift/testbed/verification/Timeline.java
+++ b/src/main/java/rampshift/testbed/verification/Timeline.java
@@ -9,7 +9,10 @@
 import rampshift.testbed.verification.LogEvent.WorkerStarted;
 import rampshift.testbed.verification.RequestEvent.AttemptReceived;
 
-/** What reports plot over time: the attempts of each second by worker, and when faults began and ended. */
+/**
+ * The data that reports plot over time: the attempts of each second by worker, and when faults began and
+ * ended.
+ */
 final class Timeline implements LogEventListener {
     private static final long MICROS_PER_SECOND = 1_000_000;
 
@@ -18,18 +21,18 @@
     private final Map<String, long[]> attemptsOfWorker = new TreeMap<>();
     private final List<Verdict.Mark> marks = new ArrayList<>();
 
-    /** An empty timeline between the times of the first and last event, in microseconds of Unix time. */
+    /** Creates an empty timeline from the first to the last event, in microseconds of Unix time. */
     Timeline(long from, long to) {
         this.from = from;
         seconds = (int) ((to - from) / MICROS_PER_SECOND) + 1;
     }
 
-    /** By worker, also those without any, the attempts that it received in each second. */
+    /** Returns the attempts per second of each worker that started or received an attempt. */
     Map<String, long[]> attemptsOfWorker() {
         return attemptsOfWorker;
     }
 
-    /** The faults and the changes of processes, in the order of their times. */
+    /** Returns the faults and the changes of processes except requests to shut down, in the order of time. */
     List<Verdict.Mark> marks() {
         return marks;
     }
--- a/src/main/java/rampshift/testbed/verification/WorkerResultRule.java
+++ b/src/main/java/rampshift/testbed/verification/WorkerResultRule.java
@@ -2,7 +2,7 @@
 
 import rampshift.testbed.verification.RequestEvent.ResponseReceived;
 
-/** The rule that each result that a client got was made by a worker, for that request. */
+/** The rule that a worker produced each result that a client received, for that request. */
 final class WorkerResultRule {
     private final RuleTally tally = new RuleTally("results that a worker made");
 
@@ -18,7 +18,7 @@
             }
             tally.countCase();
             if (!request.hasResult(response.result())) {
-                tally.countBreach("no worker made the result of " + request.describe());
+                tally.countBreach("no worker produced the result of " + request.describe());
             }
         }
     }
--- a/src/test/java/rampshift/testbed/verification/EventLogs.java
+++ b/src/test/java/rampshift/testbed/verification/EventLogs.java
@@ -1,6 +1,6 @@
 package rampshift.testbed.verification;
 
-/** Event logs that tests write as text, and what a checker finds in them. */
+/** Feeds event logs that are written as text to a checker, and summarizes its verdict. */
 final class EventLogs {
     private static final long MICROS_PER_MILLI = 1_000;
 
@@ -14,7 +14,7 @@
         }
     }
 
-    /** The rules that were broken, each with how often. */
+    /** Returns the names of the broken rules, each with its number of breaches. */
     static String broken(Verdict verdict) {
         return String.join(", ", verdict.rules().stream().filter(rule -> rule.broken() > 0)
                 .map(rule -> rule.name() + " " + rule.broken()).toList());
--- a/src/test/java/rampshift/testbed/verification/MembershipCheckerTest.java
+++ b/src/test/java/rampshift/testbed/verification/MembershipCheckerTest.java
@@ -6,8 +6,8 @@
 import org.junit.jupiter.params.provider.CsvSource;
 
 /**
- * What dispatchers believed of one another, compared with the faults that befell them. Failures are to be
- * known within 100 ms, and all are to agree 200 ms after the last fault.
+ * Compares the member states that dispatchers logged with the injected faults. Failures must be detected
+ * within 100 ms, and all views must agree 200 ms after the last fault.
  */
 class MembershipCheckerTest {
     private static final long GRACE_MICROS = 250_000;
@@ -24,29 +24,33 @@
 
     @ParameterizedTest(name = "{0}")
     @CsvSource(delimiter = ';', quoteCharacter = '~', textBlock = """
-            all is well; UP|900 finish; ~~
-            known in time; UP GONE|900 finish; ~~
-            known too late by one; UP|500 killed 2|560 members d1 failed d3 1 by-d1|\
+            no fault; UP|900 finish; ~~
+            detected in time; UP GONE|900 finish; ~~
+            detected too late by one; UP|500 killed 2|560 members d1 failed d3 1 by-d1|\
                 650 members d2 failed d3 1 by-d1|900 finish; failures known in time 1
-            known by none; UP|500 killed 2|900 finish; failures known in time 2
-            a cut excuses it; UP|450 trouble way_cut begins d1=*|500 killed 2|900 finish; ~~
-            back too soon to be known; UP|500 killed 2|550 started 2|550 members d3 began d3 2 a|\
+            detected by none; UP|500 killed 2|900 finish; failures known in time 2
+            link cut excuses missed detection; UP|450 trouble way_cut begins d1=*|500 killed 2|900 finish; ~~
+            restarted before the limit; UP|500 killed 2|550 started 2|550 members d3 began d3 2 a|\
                 560 members d3 joined d1 1 x|560 members d3 joined d2 1 x|900 finish; ~~
-            taken for failed unharmed; UP|500 members d1 failed d2 1 by-d1|510 members d1 joined d2 2 x|\
+            reported as failed without a fault; UP|500 members d1 failed d2 1 by-d1|\
+                510 members d1 joined d2 2 x|\
                 900 finish; nobody sound taken for failed 1
-            after a stop; UP|300 stopped 1|480 continued 1|500 members d1 failed d2 1 by-d1|\
+            reported shortly after a suspension; UP|300 stopped 1|480 continued 1|\
+                500 members d1 failed d2 1 by-d1|\
                 510 members d1 joined d2 2 x|900 finish; ~~
-            long after a stop; UP|300 stopped 1|380 continued 1|500 members d1 failed d2 1 by-d1|\
+            reported long after a suspension; UP|300 stopped 1|380 continued 1|\
+                500 members d1 failed d2 1 by-d1|\
                 510 members d1 joined d2 2 x|900 finish; nobody sound taken for failed 1
-            the starved is late; UP|300 starved 1|500 members d1 failed d2 1 by-d1|\
+            subject limited in processor time; UP|300 starved 1|500 members d1 failed d2 1 by-d1|\
                 510 members d1 joined d2 2 x|550 fed 1|900 finish; ~~
-            the starved accuses; UP|300 starved 0|500 members d1 failed d2 1 by-d1|\
+            observer limited in processor time; UP|300 starved 0|500 members d1 failed d2 1 by-d1|\
                 510 members d1 joined d2 2 x|550 fed 0|900 finish; nobody sound taken for failed 1
-            never agreed again; UP|300 trouble way_cut begins d1>d2|400 trouble way_cut ends d1>d2|\
+            no agreement after the fault; UP|300 trouble way_cut begins d1>d2|400 trouble way_cut ends d1>d2|\
                 420 members d1 failed d2 1 by-d1|900 finish; all agree after the last fault 1
-            a suspicion that stays; UP|300 trouble way_cut begins d1>d2|400 trouble way_cut ends d1>d2|\
+            suspicion remains; UP|300 trouble way_cut begins d1>d2|400 trouble way_cut ends d1>d2|\
                 420 members d1 suspected d2 1 by-d1|900 finish; all agree after the last fault 1
-            not yet long enough; UP|300 trouble way_cut begins d1>d2|800 trouble way_cut ends d1>d2|\
+            load ends soon after the fault; UP|300 trouble way_cut begins d1>d2|\
+                800 trouble way_cut ends d1>d2|\
                 420 members d1 failed d2 1 by-d1|900 finish; ~~
             """)
     void beliefsAreComparedWithFaults(String name, String log, String expected) {
@@ -55,7 +59,7 @@
         EventLogs.feed(log.replace("UP", UP).replace(" GONE", GONE), checker);
         Verdict verdict = checker.verdict();
         assertEquals(expected, EventLogs.broken(verdict));
-        int known = verdict.knownMs().size() - (name.startsWith("known too") ? 1 : 0);
-        assertEquals(name.startsWith("known in") ? 2 : 0, known);
+        int known = verdict.knownMs().size() - (name.startsWith("detected too") ? 1 : 0);
+        assertEquals(name.startsWith("detected in") ? 2 : 0, known);
     }
 }
--- a/src/test/java/rampshift/testbed/verification/RuleCheckerTest.java
+++ b/src/test/java/rampshift/testbed/verification/RuleCheckerTest.java
@@ -10,8 +10,8 @@
 import org.junit.jupiter.params.provider.CsvSource;
 
 /**
- * Event logs with each kind of breach, and similar ones without. A log is given as its lines, separated by
- * {@code |}, with times in milliseconds.
+ * Checks event logs with each kind of breach, and similar ones without a breach. A log is given as lines that
+ * are separated by {@code |}, with times in milliseconds.
  */
 class RuleCheckerTest {
     private static final long GRACE_MICROS = 250_000;
@@ -44,65 +44,74 @@
         assertEquals(1, atStake(verdict, "one final answer, in time"));
         assertEquals(1, atStake(verdict, "results that a worker made"));
         assertEquals(0, atStake(verdict, "no effect twice"),
-                "one assignment, finished: nothing was at stake");
+                "a single attempt that completed is no case of the rule");
         assertEquals(0, verdict.copies());
         assertEquals(List.of(1L), List.of(verdict.taken().get("w")[0]));
     }
 
     @ParameterizedTest(name = "{0}")
     @CsvSource(delimiter = ';', quoteCharacter = '~', textBlock = """
-            two answers; SALE|62 answer t 200 w/t/50; one final answer, in time 1
-            bytes after the answer; SALE|62 unasked 0 17; one final answer, in time 1
-            none; LOOK|1400 none t; one final answer, in time 1
-            a connection cut off; LOOK|90 broken t reset; one final answer, in time 1
-            no end at all; LOOK; one final answer, in time 1
-            an answer too late; LOOK|1051 answer t 504 -; one final answer, in time 1
-            nobody's result; LOOK|60 done w t w/t/50|61 answer t 200 w/t/51; results that a worker made 1
-            another task's result; LOOK|60 done w u w/u/9|61 answer t 200 w/u/9; \
+            two responses; SALE|62 answer t 200 w/t/50; one final answer, in time 1
+            bytes after the response; SALE|62 unasked 0 17; one final answer, in time 1
+            no response; LOOK|1400 none t; one final answer, in time 1
+            connection reset; LOOK|90 broken t reset; one final answer, in time 1
+            no outcome logged; LOOK; one final answer, in time 1
+            late response; LOOK|1051 answer t 504 -; one final answer, in time 1
+            result that no worker produced; LOOK|60 done w t w/t/50|61 answer t 200 w/t/51; \
+                results that a worker made 1
+            result of another task; LOOK|60 done w u w/u/9|61 answer t 200 w/u/9; \
                 one final answer, in time 1, results that a worker made 1
-            sent after the answer; LOOK|30 answer t 503 -|90 took v 0 t - look 81000 warm; \
+            attempt after the response; LOOK|30 answer t 503 -|90 took v 0 t - look 81000 warm; \
                 nothing sent after answer or expiry 1
-            sent after the expiry; LOOK|1052 took v 0 t - look 1052000 warm|1040 answer t 504 -; \
+            attempt after the expiry; LOOK|1052 took v 0 t - look 1052000 warm|1040 answer t 504 -; \
                 nothing sent after answer or expiry 1
-            a stop excuses no send; LOOK|500 stopped 0|1500 continued 0|\
+            suspension does not excuse a late attempt; LOOK|500 stopped 0|1500 continued 0|\
                 1520 took v 0 t - look 1520000 warm|1530 answer t 504 -; \
                 nothing sent after answer or expiry 1
-            long after it went on; LOOK|100 stopped 0|300 continued 0|1100 answer t 504 -; \
+            late response long after a suspension; LOOK|100 stopped 0|300 continued 0|1100 answer t 504 -; \
                 one final answer, in time 1
-            refused while it is there; LOOK|50 broken t unreachable|60 ended 0; one final answer, in time 1
-            cut off, sent before an end; 0 sent t 0.1 look idempotent 0 1000000 0|10 ended 0|\
+            connection refused before shutdown; LOOK|50 broken t unreachable|60 ended 0; \
+                one final answer, in time 1
+            reset, sent before shutdown; 0 sent t 0.1 look idempotent 0 1000000 0|10 ended 0|\
                 50 broken t reset|100 started 0; one final answer, in time 1
-            cut off at an end, taken; 5 ended 0|LOOK|12 took v 0 t - look 12000 warm|50 broken t reset|\
+            reset at shutdown after an attempt; 5 ended 0|LOOK|12 took v 0 t - look 12000 warm|\
+                50 broken t reset|\
                 100 started 0; one final answer, in time 1
-            shut, sent before an end; 0 sent t 0.1 look idempotent 0 1000000 0|10 ended 0|\
+            closed, sent before shutdown; 0 sent t 0.1 look idempotent 0 1000000 0|10 ended 0|\
                 50 broken t closed|100 started 0; one final answer, in time 1
-            shut with no end near; LOOK|50 broken t closed; one final answer, in time 1
-            shut at an end, taken; 5 ended 0|LOOK|12 took v 0 t - look 12000 warm|50 broken t closed|\
+            closed without shutdown; LOOK|50 broken t closed; one final answer, in time 1
+            closed at shutdown after an attempt; 5 ended 0|LOOK|12 took v 0 t - look 12000 warm|\
+                50 broken t closed|\
                 100 started 0; one final answer, in time 1
-            a token that falls; 10 effect l 2 w t.2.1 t-1 idempotent|11 effect l 1 w u.1.1 t-2 idempotent; \
+            decreasing fencing token; 10 effect l 2 w t.2.1 t-1 idempotent|\
+                11 effect l 1 w u.1.1 t-2 idempotent; \
                 effects under a lease in the order of tokens 1
-            a charge taken twice; 10 effect l 2 w t.2.1 t-1 side_effecting|\
+            effect applied twice; 10 effect l 2 w t.2.1 t-1 side_effecting|\
                 11 effect l 2 w t.2.2 t-1 side_effecting; a duty's task takes effect once where it must 1
-            done by nobody; 10 leases d1 duty-done t 2 1/7; a duty's task takes effect once where it must 1
-            a token held by two; 10 leases d1 holds l 2 d1|11 leases d2 holds l 2 d2; tokens only rise 1
-            two values of a version; 10 leases d1 done l 2 5/1000/d1|11 leases d2 done l 3 5/1000/d2; \
+            completed task without effect; 10 leases d1 duty-done t 2 1/7; \
+                a duty's task takes effect once where it must 1
+            two holders of one token; 10 leases d1 holds l 2 d1|11 leases d2 holds l 2 d2; tokens only rise 1
+            two values of one version; 10 leases d1 done l 2 5/1000/d1|11 leases d2 done l 3 5/1000/d2; \
                 tokens' registers are one each 1
-            an older version later; 10 leases d1 done l 2 5/1000/d1|21 leases d2 done l 2 4/1000/d1; \
+            older version after a newer one; 10 leases d1 done l 2 5/1000/d1|\
+                21 leases d2 done l 2 4/1000/d1; \
                 tokens' registers are one each 1
-            a sale run twice; SALE|12 took v 0 t - sale 12000 warm|13 began v t - sale; no effect twice 1
-            a sale bounced after a run; 0 sent t 0.1 sale side_effecting 0 1000000 0|\
+            side effect run twice; SALE|12 took v 0 t - sale 12000 warm|13 began v t - sale; no effect twice 1
+            side effect rejected after a run; 0 sent t 0.1 sale side_effecting 0 1000000 0|\
                 10 took w 0 t - sale 10000 warm|11 began w t - sale|20 answer t 503 -; no effect twice 1
-            run, bounced, run again; MARK|20 answer t 503 -|30 sent u 0.1 mark fingerprinted 0 1000000 1|\
+            rejected after a run, then run again; MARK|20 answer t 503 -|\
+                30 sent u 0.1 mark fingerprinted 0 1000000 1|\
                 40 took v 0 u k mark 40000 warm|41 began v u k mark|50 answer u 504 -; no effect twice 1
-            a repeat in another group; MARK|12 took v 0 t k mark 12000 warm|13 began v t k mark|\
+            repeated task in another group; MARK|12 took v 0 t k mark 12000 warm|13 began v t k mark|\
                 20 answer t 504 -; no effect twice 1
-            sent after a drain; LOOK|0 told 0 v draining|301 took v 0 u - look 301000 warm|\
+            attempt after a drain; LOOK|0 told 0 v draining|301 took v 0 u - look 301000 warm|\
                 40 answer t 504 -|300 sent u 0.2 look idempotent 0 1000000 0|400 answer u 504 -; \
                 drains kept 1
-            sent after it was left out; LOOK|0 told-whole 0|0 told 0 v ready|0 told-end 0|1 told-whole 0|\
+            attempt after removal from the list; LOOK|0 told-whole 0|0 told 0 v ready|0 told-end 0|\
+                1 told-whole 0|\
                 1 told-end 0|302 took v 0 t - look 302000 warm|400 answer t 504 -; drains kept 1
-            a cold worker overloaded; SALE|0 boot w cold|70 fell w; no cold worker pushed over 1
-            a task that nobody sent; SALE|20 took w 0 x - look 20000 warm; one final answer, in time 1
+            cold worker overloaded; SALE|0 boot w cold|70 fell w; no cold worker pushed over 1
+            task that no client sent; SALE|20 took w 0 x - look 20000 warm; one final answer, in time 1
             """)
     void eachBreachIsFound(String name, String log, String expected) {
         Verdict verdict = check(log.replace("SALE", SALE).replace("MARK", MARK).replace("LOOK", LOOK));
@@ -111,28 +120,30 @@
 
     @ParameterizedTest(name = "{0}")
     @CsvSource(delimiter = ';', quoteCharacter = '~', textBlock = """
-            killed with the task; LOOK|50 killed 0|51 broken t reset
-            stopped at its expiry; LOOK|500 stopped 0|1500 continued 0|1700 answer t 504 -
-            gone for a restart; LOOK|10 ended 0|50 broken t unreachable|100 started 0
-            reset after its end began; 0 ended 0|1 sent t 0.1 look idempotent 0 1000000 0|50 broken t reset|\
+            dispatcher killed while it holds the task; LOOK|50 killed 0|51 broken t reset
+            suspended at expiry; LOOK|500 stopped 0|1500 continued 0|1700 answer t 504 -
+            connection refused during restart; LOOK|10 ended 0|50 broken t unreachable|100 started 0
+            reset, sent after shutdown; 0 ended 0|1 sent t 0.1 look idempotent 0 1000000 0|50 broken t reset|\
                 100 started 0
-            shut and read on at an end; 0 ended 0|1 sent t 0.1 look idempotent 0 1000000 0|\
+            closed, sent after shutdown; 0 ended 0|1 sent t 0.1 look idempotent 0 1000000 0|\
                 50 broken t closed|100 started 0
-            late within the slack; LOOK|1049 answer t 504 -
-            bounced before any run; 0 sent t 0.1 sale side_effecting 0 1000000 0|\
+            late within the tolerance; LOOK|1049 answer t 504 -
+            rejected before any run; 0 sent t 0.1 sale side_effecting 0 1000000 0|\
                 10 took w 0 t - sale 10000 warm|20 away w t|21 answer t 503 -|\
                 30 sent u 0.1 sale side_effecting 0 1000000 1|40 took v 0 u - sale 40000 warm|\
                 41 began v u - sale|50 answer u 504 -
-            a repeat that is dropped; MARK|12 took v 0 t k mark 12000 warm|13 dropped v t k mark|\
+            suppressed repeated task; MARK|12 took v 0 t k mark 12000 warm|13 dropped v t k mark|\
                 20 answer t 504 -
-            a client's own repeat; MARK|20 answer t 504 -|30 sent u 0.1 mark fingerprinted 0 1000000 1|\
+            retry by the client; MARK|20 answer t 504 -|30 sent u 0.1 mark fingerprinted 0 1000000 1|\
                 40 took v 0 u k mark 40000 warm|41 began v u k mark|50 answer u 504 -
-            copies of what may repeat; LOOK|12 took v 0 t - look 12000 warm|13 began v t - look|\
+            repeated attempts of an idempotent task; LOOK|12 took v 0 t - look 12000 warm|\
+                13 began v t - look|\
                 20 answer t 504 -
-            within the grace; LOOK|0 told 0 v draining|300 took v 0 t - look 300000 warm|400 answer t 504 -
-            drained and back; LOOK|0 told 0 v draining|200 told 0 v ready|\
+            attempt within the grace period; LOOK|0 told 0 v draining|300 took v 0 t - look 300000 warm|\
+                400 answer t 504 -
+            drained, then ready again; LOOK|0 told 0 v draining|200 told 0 v ready|\
                 900 took v 0 t - look 900000 warm|950 answer t 504 -
-            told to another one; LOOK|0 told 1 v draining|900 took v 0 t - look 900000 warm|\
+            drain reported to another dispatcher; LOOK|0 told 1 v draining|900 took v 0 t - look 900000 warm|\
                 950 answer t 504 -
             """)
     void allowedBehaviourIsNoBreach(String name, String log) {
