--- a/src/main/java/rampshift/testbed/plan/ArmOverrides.java
+++ b/src/main/java/rampshift/testbed/plan/ArmOverrides.java
@@ -8,8 +8,8 @@
 import rampshift.toml.TomlTable;
 
 /**
- * Sets in the tree of a fleet file the values that an arm has instead. The tree is read afterwards, as
- * strictly as without an arm.
+ * Replaces values in the tree of a fleet file by those of an arm. The tree is read and validated afterwards,
+ * as without an arm.
  */
 final class ArmOverrides {
     private static final Pattern PATH_SEPARATOR = Pattern.compile("[.\\[\\]]+");
@@ -18,13 +18,13 @@
     private final TomlTable.Source source;
     private final JsonNode root;
 
-    /** For the tree with that root; faults are noted with the source. */
+    /** Creates overrides for the tree with the given root; faults are added to the source. */
     ArmOverrides(TomlTable.Source source, JsonNode root) {
         this.source = source;
         this.root = root;
     }
 
-    /** Sets what the arm of that name has instead; there being none is a fault. */
+    /** Applies the overrides of the named arm. A missing arm is a fault. */
     void apply(String armName) {
         JsonNode arms = root.path("arm");
         for (int i = 0; i < arms.size(); i++) {
@@ -41,16 +41,16 @@
         for (Map.Entry<String, JsonNode> override : overrides.properties()) {
             String overridePath = overridesPath + override.getKey();
             if (!set(override.getKey(), override.getValue())) {
-                source.fault(overridePath, overridePath + " names nothing in this file");
+                source.fault(overridePath, overridePath + " is not a path in this file");
             }
         }
     }
 
-    /** Sets the value at a path such as {@code type[0].work}; returns whether there is such a place. */
+    /** Sets the value at a path such as {@code type[0].work}; returns whether the path exists. */
     private boolean set(String path, JsonNode value) {
         String[] steps = PATH_SEPARATOR.split(path);
         if (steps.length == 0) {
-            return true; // a path of separators alone changes nothing
+            return true; // a path that consists only of separators changes nothing
         }
         JsonNode parent = root;
         for (int i = 0; i < steps.length - 1; i++) {
@@ -59,7 +59,10 @@
         return setChild(parent, steps[steps.length - 1], value);
     }
 
-    /** The child of an array or a table, which gets it as an empty table if it lacks it; null for others. */
+    /**
+     * Returns the child of an array or a table, or null. A missing child of a table is added as an empty
+     * table.
+     */
     private static JsonNode child(JsonNode parent, String step) {
         if (parent instanceof ArrayNode array && isIndexOf(array, step)) {
             return array.get(Integer.parseInt(step));
--- a/src/main/java/rampshift/testbed/plan/DispatcherSections.java
+++ b/src/main/java/rampshift/testbed/plan/DispatcherSections.java
@@ -6,13 +6,13 @@
 import rampshift.toml.Range;
 import rampshift.toml.TomlTable;
 
-/** Reads the tables of a fleet file that are about dispatchers, their discovery and their network. */
+/** Reads the tables of a fleet file for dispatchers, their discovery agents and their network. */
 final class DispatcherSections {
-    /** Of the first dispatcher; the next ones have the ports that follow. */
+    /** The highest port of the first dispatcher; the other dispatchers use the following ports. */
     private static final int MAX_FIRST_PORT = 65_000;
     private static final int MAX_SOCKETS = 1_000_000;
     private static final int MAX_OBJECTS = 1_000_000;
-    /** The limits on how long members may disagree, where the file has none, in periods of heartbeats. */
+    /** The default limits on the detection of failures and on agreement, in heartbeat periods. */
     private static final double DETECTION_PERIODS = 40;
     private static final double AGREEMENT_PERIODS = 60;
 
@@ -52,7 +52,7 @@
         return dispatchers;
     }
 
-    /** Members know one another if the table is present, unless it says otherwise. */
+    /** Reads whether and how dispatchers know one another. By default they do if the table is present. */
     static FleetPlan.Members members(TomlTable table, boolean present) {
         Span period = table.span("period", Span.ofMillis(200));
         FleetPlan.Members members = new FleetPlan.Members(
@@ -90,7 +90,7 @@
                     table.integer("objects", 1, MAX_OBJECTS, 10),
                     table.number("rate", 0.1, 10_000, 10));
             if (types.stream().noneMatch(type -> type.name().equals(job.type()))) {
-                table.fault("type", "is \"" + job.type() + "\", which no [[type]] is named");
+                table.fault("type", "is \"" + job.type() + "\", but no [[type]] has that name");
             }
             table.rejectUnknownKeys();
             periodicJobs.add(job);
--- a/src/main/java/rampshift/testbed/plan/ExperimentSections.java
+++ b/src/main/java/rampshift/testbed/plan/ExperimentSections.java
@@ -6,7 +6,7 @@
 import rampshift.time.Span;
 import rampshift.toml.TomlTable;
 
-/** Reads the tables of a fleet file that say what an experiment compares and how often it runs. */
+/** Reads the tables of a fleet file that define what an experiment compares and how often it runs. */
 final class ExperimentSections {
     private static final int MAX_FIRST_SEED = 1_000_000;
 
@@ -38,7 +38,7 @@
         for (TomlTable table : top.tables("arm")) {
             FleetPlan.Arm arm = new FleetPlan.Arm(table.name("name"), table.node("set"));
             if (arms.stream().anyMatch(other -> other.name().equals(arm.name()))) {
-                table.fault("name", "is \"" + arm.name() + "\", like the name of another arm");
+                table.fault("name", "is \"" + arm.name() + "\", which is also the name of another arm");
             }
             table.rejectUnknownKeys();
             arms.add(arm);
--- a/src/main/java/rampshift/testbed/plan/FaultSections.java
+++ b/src/main/java/rampshift/testbed/plan/FaultSections.java
@@ -6,9 +6,11 @@
 import rampshift.time.Span;
 import rampshift.toml.TomlTable;
 
-/** Reads the tables of a fleet file that say which faults are injected. */
+/** Reads the tables of a fleet file that define the faults to inject. */
 final class FaultSections {
-    /** Two dispatchers, or any ({@code *}), and whether one direction ({@code >}) or both ({@code =}). */
+    /**
+     * Two dispatchers ({@code *} for any), separated by {@code >} for one direction or {@code =} for both.
+     */
     private static final Pattern LINK = Pattern.compile("(d\\d+|\\*)[>=](d\\d+|\\*)");
 
     private FaultSections() {}
@@ -38,7 +40,7 @@
 
     private static void checkTargets(TomlTable table, FleetPlan.Fault fault) {
         if (fault.what() == FleetPlan.Fault.Kind.CUT && fault.site().isEmpty()) {
-            table.fault("site", "is missing: a cut is of one site");
+            table.fault("site", "is missing; a cut needs one site");
         }
         if (!fault.affectsLinks()) {
             return;
@@ -50,7 +52,7 @@
             }
         }
         if (fault.names().isEmpty() && fault.site().isEmpty()) {
-            table.fault("names", "is missing: pairs such as \"d1>d2\", or a site");
+            table.fault("names", "is missing, expected pairs such as \"d1>d2\", or a site");
         }
     }
 }
--- a/src/main/java/rampshift/testbed/plan/FleetPlanReader.java
+++ b/src/main/java/rampshift/testbed/plan/FleetPlanReader.java
@@ -14,7 +14,7 @@
     /**
      * Reads a file.
      *
-     * @throws rampshift.settings.ConfigurationException if it can't be read or is not a sound fleet file
+     * @throws rampshift.settings.ConfigurationException if it can't be read or is not a valid fleet file
      */
     public static FleetPlan read(Path file) {
         return read(file, null);
@@ -24,7 +24,7 @@
      * Reads a file with the values of one of its arms.
      *
      * @param armName the name of the arm; null for none
-     * @throws rampshift.settings.ConfigurationException if it can't be read or is not a sound fleet file
+     * @throws rampshift.settings.ConfigurationException if it can't be read or is not a valid fleet file
      */
     public static FleetPlan read(Path file, String armName) {
         return read(file.toString(), TomlFile.text(file), armName);
@@ -35,7 +35,7 @@
      *
      * @param name the name of the file in messages
      * @param armName the name of the arm; null for none
-     * @throws rampshift.settings.ConfigurationException if it is not a sound fleet file
+     * @throws rampshift.settings.ConfigurationException if it is not a valid fleet file
      */
     public static FleetPlan read(String name, String text, String armName) {
         TomlFile file = TomlFile.read(name, text);
@@ -76,7 +76,7 @@
                 ExperimentSections.ladder(top.table("ladder")),
                 ExperimentSections.arms(top));
         if (!plan.length().longerThan(plan.clients().warmUp())) {
-            top.fault("length", "is to be longer than clients.warm_up");
+            top.fault("length", "must be longer than clients.warm_up");
         }
         top.rejectUnknownKeys();
         return plan;
--- a/src/main/java/rampshift/testbed/plan/LoadSections.java
+++ b/src/main/java/rampshift/testbed/plan/LoadSections.java
@@ -6,7 +6,7 @@
 import rampshift.toml.Range;
 import rampshift.toml.TomlTable;
 
-/** Reads the tables of a fleet file that are about tasks and the clients that send them. */
+/** Reads the tables of a fleet file for tasks and the clients that send them. */
 final class LoadSections {
     private static final int MAX_OBJECTS = 1_000_000;
     private static final int MAX_IDLE_CONNECTIONS = 1_000_000;
@@ -41,7 +41,7 @@
                 table.number("memory", 0, 1e6, 0),
                 table.integer("body", 0, 60_000, 100));
         if (type.expiry().micros() <= type.due().micros()) {
-            table.fault("expiry", "is to be longer than due");
+            table.fault("expiry", "must be longer than due");
         }
         table.rejectUnknownKeys();
         return type;
--- a/src/main/java/rampshift/testbed/plan/SiteNames.java
+++ b/src/main/java/rampshift/testbed/plan/SiteNames.java
@@ -3,15 +3,15 @@
 import java.util.List;
 import rampshift.toml.TomlTable;
 
-/** Reads which site a table of a fleet file is limited to. */
+/** Reads the site to which a table of a fleet file is limited. */
 final class SiteNames {
     private SiteNames() {}
 
-    /** The name of the site; empty where the table names none. A site that is not there is a fault. */
+    /** Returns the name of the site; empty if the table names none. An unknown site is a fault. */
     static String read(TomlTable table, List<FleetPlan.Site> sites) {
         String name = table.text("site", "");
         if (!name.isEmpty() && sites.stream().noneMatch(site -> site.name().equals(name))) {
-            table.fault("site", "is \"" + name + "\", which no [[site]] is named");
+            table.fault("site", "is \"" + name + "\", but no [[site]] has that name");
         }
         return name;
     }
--- a/src/main/java/rampshift/testbed/plan/WorkerSections.java
+++ b/src/main/java/rampshift/testbed/plan/WorkerSections.java
@@ -6,11 +6,11 @@
 import rampshift.time.Span;
 import rampshift.toml.TomlTable;
 
-/** Reads the tables of a fleet file that are about sites, machines and workers. */
+/** Reads the tables of a fleet file for sites, machines and workers. */
 final class WorkerSections {
     private static final int MAX_WAITING = 1_000_000;
     private static final int MAX_CELL_SIZE = 1_000_000;
-    /** At one site. */
+    /** The maximum number of dispatchers at one site. */
     private static final int MAX_DISPATCHERS = 1024;
 
     private WorkerSections() {}
@@ -49,7 +49,7 @@
         for (TomlTable table : site.tables("workers")) {
             String machineName = table.name("machine");
             if (machines.stream().noneMatch(machine -> machine.name().equals(machineName))) {
-                table.fault("machine", "is \"" + machineName + "\", which no [[machine]] is named");
+                table.fault("machine", "is \"" + machineName + "\", but no [[machine]] has that name");
             }
             groups.add(new FleetPlan.WorkerGroup(machineName, table.integer("count", 1, 20_000, 1)));
             table.rejectUnknownKeys();
--- a/src/test/java/rampshift/testbed/plan/FleetPlanReaderTest.java
+++ b/src/test/java/rampshift/testbed/plan/FleetPlanReaderTest.java
@@ -12,7 +12,7 @@
 import rampshift.settings.ConfigurationException;
 import rampshift.time.Span;
 
-/** What a fleet file may say, and the messages on what it may not. */
+/** Reads valid fleet files and checks the messages for invalid ones. */
 class FleetPlanReaderTest {
     private static final String GOOD = """
             length = "3s"
@@ -52,16 +52,18 @@
         FleetPlan fast = FleetPlanReader.read("f.toml", GOOD, "fast");
         assertEquals(200, fast.arrivals().rate());
         assertEquals(Span.ofMillis(10), fast.types().get(0).work());
-        assertEquals(false, fast.workers().inOrder(), "also in a table that the file lacks");
-        assertEquals("f.toml:21: arm[1].set.length.x names nothing in this file",
-                assertThrows(ConfigurationException.class, () -> FleetPlanReader.read("f.toml", GOOD, "lost"))
+        assertEquals(false, fast.workers().inOrder(), "an arm may set a value in a missing table");
+        assertEquals("f.toml:21: arm[1].set.length.x is not a path in this file",
+                assertThrows(ConfigurationException.class,
+                        () -> FleetPlanReader.read("f.toml", GOOD, "lost"))
                         .getMessage());
         assertEquals("f.toml:16: there is no arm \"none\"",
-                assertThrows(ConfigurationException.class, () -> FleetPlanReader.read("f.toml", GOOD, "none"))
+                assertThrows(ConfigurationException.class,
+                        () -> FleetPlanReader.read("f.toml", GOOD, "none"))
                         .getMessage());
     }
 
-    /** Operators run up to 120; no limit here is to be under 1,024. */
+    /** Operators run up to 120 dispatchers; no limit of the test bed may be below 1,024. */
     @Test
     void siteMayHave1024Dispatchers() {
         FleetPlan plan = FleetPlanReader.read("f.toml",
@@ -79,15 +81,15 @@
             slots = 2 | slots = 2.5 | \
                 f.toml:4: machine[0].slots is 2.5, expected a whole number from 1 to 10000
             machine = "m", c | machine = "n", c | \
-                f.toml:7: site[0].workers[0].machine is "n", which no [[machine]] is named
+                f.toml:7: site[0].workers[0].machine is "n", but no [[machine]] has that name
             count = 3 | cuont = 3 | \
                 f.toml:7: site[0].workers[0].cuont is not known; the nearest key here is count
             name = "a" | name = "a"~dispatchers = 1025 | \
                 f.toml:7: site[0].dispatchers is 1025, expected a whole number from 0 to 1024
             share = 0.5 | share = 0.5 x | f.toml:15:
             name = "look" | name = "a b" | f.toml:9: type[0].name is "a b", expected a name
-            rate = 50 | [clients]~warm_up = "3s" | f.toml:1: length is to be longer than clients.warm_up
-            what = "slow" | what = "cut" | f.toml:13: trouble[0].site is missing: a cut is of one site
+            rate = 50 | [clients]~warm_up = "3s" | f.toml:1: length must be longer than clients.warm_up
+            what = "slow" | what = "cut" | f.toml:13: trouble[0].site is missing; a cut needs one site
             """)
     void faultIsReportedWithItsLineAndWhatWasExpected(String good, String bad, String expected) {
         String message = messageOn(GOOD.replace(good, bad.replace('~', '\n')));
@@ -96,8 +98,9 @@
 
     @Test
     void allFaultsAreReportedAtOnce() {
-        String message = messageOn(GOOD.replace("rate = 50", "rate = \"x\"").replace("slots = 2", "slots = 0")
-                .replace("[[type]]", "[[typo]]"));
+        String message =
+                messageOn(GOOD.replace("rate = 50", "rate = \"x\"").replace("slots = 2", "slots = 0")
+                        .replace("[[type]]", "[[typo]]"));
         assertEquals(4, message.lines().count(), message);
         assertTrue(message.contains("f.toml:8: typo is not known; the nearest key here is type"), message);
         assertTrue(message.contains("the file lacks at least one traffic type"), message);
