--- a/src/main/java/rampshift/testbed/Commands.java
+++ b/src/main/java/rampshift/testbed/Commands.java
@@ -6,13 +6,19 @@
 import rampshift.testbed.experiment.FleetCommandLine;
 import rampshift.testbed.experiment.RunFailedException;
 
-/** The fleet's part of the command line. Loaded by name, from a jar of its own: `serve` never sees it. */
+/**
+ * The entry point of the test bed's commands. The class is loaded by name from a separate jar, which the
+ * command {@code serve} never loads.
+ */
 public final class Commands {
     private Commands() {}
 
     /**
-     * Runs a command with its arguments, its name first. Status 0: done; 1: a run failed or broke a rule; 2:
-     * input.
+     * Runs a command.
+     *
+     * @param arguments the name of the command, then its arguments
+     * @return the exit status: 0 for success, 1 if a run failed, broke a rule, hit an I/O error or was
+     *         interrupted, 2 for invalid input, 3 if the load generator was too late for a valid run
      */
     public static int run(String[] arguments, PrintStream out, PrintStream err) {
         try {
--- a/src/main/java/rampshift/testbed/discovery/DiscoveryAgent.java
+++ b/src/main/java/rampshift/testbed/discovery/DiscoveryAgent.java
@@ -28,7 +28,7 @@
 
 /**
  * The discovery agent of one dispatcher. It receives changes of the endpoint list with a delay and answers
- * the long polls of its dispatcher. It is created and changed on the I/O thread alone.
+ * the long polls of its dispatcher. It is used only on the I/O thread.
  */
 public final class DiscoveryAgent {
     private static final int BACKLOG = 128;
@@ -43,20 +43,20 @@
     private final Set<WatchConnection> connections = new LinkedHashSet<>();
     private Moment lastArrival = new Moment(0);
     private Span staleness = Span.ZERO;
-    /** Whether the first response on each new connection is the whole list. */
+    /** Whether the first response on each new connection is the full list. */
     private boolean restatesList;
     private boolean silent;
 
     /**
-     * Opens the agent's port of 127.0.0.1.
+     * Opens the agent's port on 127.0.0.1.
      *
      * @param dispatcher the index of the dispatcher
-     * @param worker its first I/O thread serves the agent
+     * @param worker the XNIO worker whose first I/O thread serves the agent
      * @param port the port; 0 for any free one
-     * @param eventLog receives what the dispatcher is told
-     * @param delay the range of the time that a change takes to reach the agent
+     * @param eventLog receives an event for each entry sent to the dispatcher
+     * @param delay the range of the delay of a change on its way to the agent
      * @param random draws the delays
-     * @param initial the endpoint list at the start
+     * @param initial the initial endpoint list
      * @throws IOException if the port cannot be opened
      */
     public DiscoveryAgent(int dispatcher, XnioWorker worker, int port, EventLog eventLog, Range delay,
@@ -75,17 +75,17 @@
         server.resumeAccepts();
     }
 
-    /** The port of 127.0.0.1 at which the agent listens. */
+    /** Returns the port on 127.0.0.1 at which the agent listens. */
     public int port() {
         return ((InetSocketAddress) server.getLocalAddress()).getPort();
     }
 
-    /** The whole endpoint list in JSON, as the dispatcher would receive it now without faults. */
+    /** Returns the full endpoint list as the JSON that the dispatcher would receive now without faults. */
     public String list() {
         return toJson(new EndpointUpdate(history.version(), true, history.entries()));
     }
 
-    /** Sends changed entries to the agent; they arrive after a delay, and never out of order. */
+    /** Sends changed entries to the agent. They arrive after a random delay, but always in order. */
     public void publish(Collection<WorkerEntry> changed) {
         Moment now = EventClock.now();
         Moment arrival = now.plus(delay.at(random.nextDouble()));
@@ -97,16 +97,16 @@
         }, Math.round(lastArrival.since(now).millis()), TimeUnit.MILLISECONDS);
     }
 
-    /** Stops the agent from answering, or lets it answer again. */
+    /** Sets whether the agent stops responding. */
     public void setSilent(boolean silent) {
         this.silent = silent;
         answerWatches();
     }
 
     /**
-     * Makes the agent answer with the list as it was some time ago; zero makes it answer with the latest
-     * list again. It closes all connections: a watch that went on would ask only for later versions than it
-     * has, and never learn of an older list.
+     * Makes the agent respond with the list as it was some time ago; zero makes it respond with the latest
+     * list again. Closes all connections, because an open watch asks only for versions later than the one it
+     * has and would never receive an older list.
      */
     public void setStaleness(Span staleness) {
         this.staleness = staleness;
@@ -130,7 +130,7 @@
                 connection.start();
             }
         } catch (IOException e) {
-            // The server was closed meanwhile.
+            // The server was closed in the meantime.
         }
     }
 
@@ -143,7 +143,7 @@
     }
 
     /**
-     * What there is to tell a dispatcher.
+     * Returns the update that brings a dispatcher up to date.
      *
      * @param knownVersion the version that the dispatcher has; negative if it has none
      */
@@ -161,12 +161,12 @@
         return new EndpointUpdate(version, true, stale ? history.entriesAt(asOf) : history.entries());
     }
 
-    /** The JSON object in which the dispatcher receives an update. */
+    /** Returns the JSON object that the dispatcher receives for an update. */
     String toJson(EndpointUpdate update) {
         return update.toJson(dispatcher);
     }
 
-    /** Records that an update was sent to the dispatcher. */
+    /** Logs that an update was sent to the dispatcher. */
     void recordSent(EndpointUpdate update) {
         Moment now = EventClock.now();
         if (update.complete()) {
--- a/src/main/java/rampshift/testbed/discovery/EndpointRegistry.java
+++ b/src/main/java/rampshift/testbed/discovery/EndpointRegistry.java
@@ -12,11 +12,11 @@
 import rampshift.testbed.random.RandomStreams;
 
 /**
- * The true list of a fleet's workers, and the agents to which its changes are sent. It is created and changed
- * on the I/O thread alone.
+ * The authoritative list of a fleet's workers, and the discovery agents that receive its changes. It is used
+ * only on the I/O thread.
  */
 public final class EndpointRegistry {
-    /** The share by which a weight must have changed to be published again. */
+    /** The minimum change of a weight that is published, as a share of the new weight. */
     private static final double MIN_WEIGHT_CHANGE = 0.01;
     private static final long MIN_REFRESH_MS = 10;
 
@@ -29,11 +29,11 @@
      * Opens an agent for each dispatcher.
      *
      * @param settings the ports and delays of the agents
-     * @param worker its first I/O thread serves the agents
-     * @param eventLog receives what dispatchers are told
+     * @param worker the XNIO worker whose first I/O thread serves the agents
+     * @param eventLog receives an event for each entry sent to a dispatcher
      * @param seed the seed of the run, from which delays are drawn
      * @param dispatcherCount the number of dispatchers
-     * @param initial the workers at the start
+     * @param initial the initial list of workers
      * @throws IOException if a port cannot be opened
      */
     public EndpointRegistry(FleetPlan.Discovery settings, XnioWorker worker, EventLog eventLog, long seed,
@@ -48,13 +48,13 @@
         }
     }
 
-    /** The agent of a dispatcher, by the dispatcher's index. */
+    /** Returns the agent of a dispatcher, given by its index. */
     public DiscoveryAgent agent(int dispatcher) {
         return agents.get(dispatcher);
     }
 
     /**
-     * The entry of a worker.
+     * Returns the entry of a worker.
      *
      * @throws java.util.NoSuchElementException if there is no such worker
      */
@@ -69,9 +69,9 @@
     }
 
     /**
-     * Reads the weights of ready workers periodically, and publishes those that have changed.
+     * Periodically publishes the weights of ready workers that have changed.
      *
-     * @param weightOf gives the weight of a worker by its uid
+     * @param weightOf returns the weight of a worker, given by its uid
      */
     public void refreshWeights(ToDoubleFunction<String> weightOf) {
         long intervalMs = Math.max(MIN_REFRESH_MS, Math.round(settings.refresh().millis()));
--- a/src/main/java/rampshift/testbed/discovery/ListHistory.java
+++ b/src/main/java/rampshift/testbed/discovery/ListHistory.java
@@ -19,31 +19,31 @@
     /**
      * One change of the list.
      *
-     * @param version the version that the change made
+     * @param version the version that the change created
      * @param when when the agent received it
      * @param entry the changed entry; its state is GONE if the change removed it
      */
     private record Change(long version, Moment when, WorkerEntry entry) {}
 
     private final Map<String, WorkerEntry> entries = new LinkedHashMap<>();
-    /** The list before the first of the changes that are kept, with entries that are gone. */
+    /** The list before the first retained change, including entries in the state GONE. */
     private final Map<String, WorkerEntry> oldestEntries = new LinkedHashMap<>();
     private final ArrayDeque<Change> changes = new ArrayDeque<>();
     private long version = 1;
     private long oldestVersion = 1;
 
-    /** Starts with a list, which becomes version 1. */
+    /** Creates a history whose version 1 is the given list. */
     ListHistory(Collection<WorkerEntry> initial) {
         initial.forEach(entry -> entries.put(entry.uid(), entry));
         oldestEntries.putAll(entries);
     }
 
-    /** The latest version. */
+    /** Returns the latest version. */
     long version() {
         return version;
     }
 
-    /** Applies changes that arrive together; they make one version. */
+    /** Applies changes that arrive together as one new version. */
     void apply(Collection<WorkerEntry> changed, Moment now) {
         version++;
         for (WorkerEntry entry : changed) {
@@ -61,7 +61,7 @@
         }
     }
 
-    /** The version that was the latest at a time in the past. */
+    /** Returns the version that was the latest at a time in the past, or the oldest retained one. */
     long versionAt(Moment time) {
         long latest = oldestVersion;
         for (Change change : changes) {
@@ -73,11 +73,12 @@
     }
 
     /**
-     * The entries that changed between two versions, each in its last state.
+     * Returns the entries that changed between two versions, each in its last state.
      *
-     * @param known the version after which changes count
-     * @param upTo the last version whose changes count
-     * @return empty if the changes since the known version are not kept, or if that version is later
+     * @param known the version after which changes are included
+     * @param upTo the last version whose changes are included
+     * @return empty if the changes since the known version are no longer retained, or if the known version is
+     *         later than {@code upTo}
      */
     Optional<List<WorkerEntry>> changesBetween(long known, long upTo) {
         if (known > upTo || known < oldestVersion) {
@@ -92,12 +93,12 @@
         return Optional.of(new ArrayList<>(latest.values()));
     }
 
-    /** The whole list of the latest version. */
+    /** Returns the full list of the latest version. */
     List<WorkerEntry> entries() {
         return new ArrayList<>(entries.values());
     }
 
-    /** The whole list as it was at a time in the past. */
+    /** Returns the full list as it was at a time in the past. */
     List<WorkerEntry> entriesAt(Moment time) {
         Map<String, WorkerEntry> past = new LinkedHashMap<>(oldestEntries);
         for (Change change : changes) {
--- a/src/main/java/rampshift/testbed/discovery/WatchConnection.java
+++ b/src/main/java/rampshift/testbed/discovery/WatchConnection.java
@@ -12,7 +12,7 @@
 import rampshift.testbed.wire.Message;
 import rampshift.testbed.wire.MessageReader;
 
-/** A connection on which a dispatcher polls its discovery agent. It is used on the I/O thread alone. */
+/** A connection on which a dispatcher polls its discovery agent. It is used only on the I/O thread. */
 final class WatchConnection implements FaultyConnection.Listener {
     private static final Pattern LONG_POLL =
             Pattern.compile("/v1/endpoints\\?index=(\\d{1,18})&wait=(\\d{1,9})");
@@ -24,12 +24,12 @@
     private final FaultyConnection connection;
     private final MessageReader reader = new MessageReader(this::onRequest);
     private boolean awaitsResponse;
-    /** Whether the next response is the whole list, whatever version the dispatcher has. */
+    /** Whether the next response is the full list, regardless of the version that the dispatcher has. */
     private boolean restatesList;
     private long knownVersion;
     private XnioExecutor.Key waitTimer;
 
-    /** Takes a connection over; {@link #start} begins to read. */
+    /** Creates a handler of an accepted connection; {@link #start} starts to read. */
     WatchConnection(DiscoveryAgent agent, StreamConnection peer, XnioIoThread thread, boolean restatesList) {
         this.agent = agent;
         this.thread = thread;
@@ -63,7 +63,7 @@
         answerIfChanged();
     }
 
-    /** Answers a request that waits, if there is something to tell. */
+    /** Responds to a pending long poll if the list has changed. */
     void answerIfChanged() {
         answer(false);
     }
--- a/src/main/java/rampshift/testbed/faults/DispatcherLinks.java
+++ b/src/main/java/rampshift/testbed/faults/DispatcherLinks.java
@@ -12,9 +12,9 @@
     private final List<String> dispatcherSites;
 
     /**
-     * Creates a view on the links.
+     * Creates a view of the links.
      *
-     * @param proxy relays what dispatchers send each other; null if they do not know each other
+     * @param proxy relays the traffic between dispatchers; null if dispatchers do not know one another
      * @param dispatcherSites the name of each dispatcher's site
      */
     DispatcherLinks(LinkProxy proxy, List<String> dispatcherSites) {
@@ -37,7 +37,7 @@
         }
     }
 
-    /** Whether just one of two dispatchers is in a site; false if the name is empty. */
+    /** Returns whether exactly one of two dispatchers is in a site; false if the name is empty. */
     private boolean crossesSite(String site, int from, int to) {
         boolean fromInside = dispatcherSites.get(from).equals(site);
         boolean toInside = dispatcherSites.get(to).equals(site);
--- a/src/main/java/rampshift/testbed/faults/FaultInjector.java
+++ b/src/main/java/rampshift/testbed/faults/FaultInjector.java
@@ -13,15 +13,17 @@
 import rampshift.time.Span;
 
 /**
- * Starts and ends the faults of a plan at their times. Faults of dispatchers' processes are left to whoever
- * started these.
+ * Starts and ends the faults of a plan at their times, except the faults of dispatcher processes, which the
+ * code that started these processes injects.
  */
 public final class FaultInjector {
-    /** The bandwidth of a narrow link whose factor is 1. */
+    /** The bandwidth of a link under the fault {@code WAY_NARROW} with a factor of 1. */
     private static final double NARROW_LINK_BYTES_PER_SECOND = 1000;
-    /** The time from one pause to the next, as a multiple of the length of a pause. */
+    /**
+     * The time from the start of one pause to the start of the next, as a multiple of the length of a pause.
+     */
     private static final double PAUSE_INTERVAL_FACTOR = 20;
-    /** So many names at most are recorded one by one. */
+    /** The maximum number of targets that the event log lists by name. */
     private static final int MAX_RECORDED_NAMES = 3;
 
     private final FleetPlan plan;
@@ -34,8 +36,8 @@
      *
      * @param plan the plan of the fleet
      * @param fleet the workers and discovery agents
-     * @param proxy the links between dispatchers; null if they do not know each other
-     * @param eventLog receives when faults start and end
+     * @param proxy the links between dispatchers; null if dispatchers do not know one another
+     * @param eventLog receives the start and end of each fault
      */
     public FaultInjector(FleetPlan plan, Fleet fleet, LinkProxy proxy, EventLog eventLog) {
         this.plan = plan;
@@ -46,10 +48,10 @@
     }
 
     /**
-     * Schedules all faults; called on any thread.
+     * Schedules all faults except those of dispatcher processes. May be called on any thread.
      *
      * @param seed the seed of the run, from which targets are drawn
-     * @param startTime the time from which the plan counts
+     * @param startTime the time to which the times of the plan are relative
      */
     public void start(long seed, Moment startTime) {
         int number = 0;
@@ -67,7 +69,7 @@
         }
     }
 
-    /** Whether the names of a fault are not those of workers. */
+    /** Returns whether the names of a fault are those of dispatchers or links instead of workers. */
     private static boolean namesDispatchers(FleetPlan.Fault fault) {
         return fault.affectsLinks() || fault.what() == FleetPlan.Fault.Kind.ROSTER_SILENT
                 || fault.what() == FleetPlan.Fault.Kind.ROSTER_OLD;
@@ -116,7 +118,7 @@
             case WAY_REPEATING -> links.changeFaults(fault, link -> link.setDuplicateShare(0));
             case WAY_NARROW -> links.changeFaults(fault, link -> link.setBandwidth(0));
             case LEAVE, PAUSES -> {
-                // A worker that left stays away, and each pause ends by itself.
+                // A worker that left is not restarted, and each pause ends by its own timer.
             }
             default -> setWorkerFault(fault, targets, false);
         }
@@ -135,7 +137,7 @@
         targets.forEach(uid -> fleet.setFault(uid, fault, active));
     }
 
-    /** Cuts links and restores them in turn, until the fault ends. */
+    /** Cuts and restores links alternately until the fault ends. */
     private void flap(FleetPlan.Fault fault, boolean cut, Moment end) {
         Moment now = EventClock.now();
         if (now.before(end)) {
@@ -144,7 +146,7 @@
         }
     }
 
-    /** Pauses workers for a short time, and again until the fault ends. */
+    /** Pauses workers repeatedly until the fault ends. */
     private void pause(FleetPlan.Fault fault, List<String> targets, Moment end) {
         Moment now = EventClock.now();
         if (!now.before(end)) {
--- a/src/main/java/rampshift/testbed/faults/FaultTargets.java
+++ b/src/main/java/rampshift/testbed/faults/FaultTargets.java
@@ -5,19 +5,23 @@
 import org.apache.commons.rng.UniformRandomProvider;
 import rampshift.testbed.plan.FleetPlan;
 
-/** Selects what a fault affects: those that it names, and a share of all that is drawn at random. */
+/**
+ * Selects the targets of a fault: those that it names, and a share of the candidates that is drawn at random.
+ */
 public final class FaultTargets {
     private static final String WILDCARD = "*";
 
     private FaultTargets() {}
 
     /**
-     * Selects the targets of a fault. Besides those that it names, a share above 0 selects at least one.
+     * Selects the targets of a fault. A share above 0 selects at least one candidate in addition to the named
+     * ones.
      *
-     * @param fault the fault; a name such as {@code north-*} stands for all that begin with {@code north-}
-     * @param candidates the names of all that it may affect
+     * @param fault the fault; a name such as {@code north-*} selects all candidates that begin with
+     *        {@code north-}
+     * @param candidates the names of all possible targets
      * @param random draws the targets that are not named
-     * @return the named ones in the order of the candidates, then the drawn ones
+     * @return the named targets in the order of the candidates, then the drawn ones
      */
     public static List<String> of(FleetPlan.Fault fault, List<String> candidates,
             UniformRandomProvider random) {
--- a/src/main/java/rampshift/testbed/faults/LinkPattern.java
+++ b/src/main/java/rampshift/testbed/faults/LinkPattern.java
@@ -4,11 +4,11 @@
 
 /**
  * A pattern that selects links between dispatchers: {@code d1>d2} is the link from the first dispatcher to
- * the second, {@code d1=d2} are the links of both directions, and {@code *} stands for any dispatcher.
+ * the second, {@code d1=d2} selects the links of both directions, and {@code *} matches any dispatcher.
  *
  * @param left the name of a dispatcher, or {@code *}
  * @param right the name of a dispatcher, or {@code *}
- * @param bothDirections whether links from right to left match, too
+ * @param bothDirections whether links from right to left also match
  */
 record LinkPattern(String left, String right, boolean bothDirections) {
 
@@ -16,14 +16,14 @@
     private static final char BOTH_DIRECTIONS = '=';
     private static final String ANY = "*";
 
-    /** Reads a pattern that the reader of plans has accepted. */
+    /** Parses a pattern that {@link rampshift.testbed.plan.FleetPlanReader} has accepted. */
     static LinkPattern parse(String text) {
         int separator = Math.max(text.indexOf(ONE_DIRECTION), text.indexOf(BOTH_DIRECTIONS));
         return new LinkPattern(text.substring(0, separator), text.substring(separator + 1),
                 text.charAt(separator) == BOTH_DIRECTIONS);
     }
 
-    /** Whether the link between two dispatchers, given by their indexes, matches. */
+    /** Returns whether the link between two dispatchers, given by their indexes, matches. */
     boolean matches(int from, int to) {
         boolean forwards = isNameOf(left, from) && isNameOf(right, to);
         boolean backwards = isNameOf(left, to) && isNameOf(right, from);
--- a/src/main/java/rampshift/testbed/links/LinkFaults.java
+++ b/src/main/java/rampshift/testbed/links/LinkFaults.java
@@ -3,7 +3,7 @@
 import org.apache.commons.rng.UniformRandomProvider;
 import rampshift.time.Span;
 
-/** The faults of the link from one dispatcher to another, in that direction alone. */
+/** The faults of the link from one dispatcher to another, in that direction only. */
 public final class LinkFaults {
     private static final double MAX_QUEUE_MS = 1000;
     private static final double MS_PER_SECOND = 1000;
@@ -17,7 +17,7 @@
     private double bytesPerSecond;
     private double idleFromMs;
 
-    /** Cuts the link, so that nothing gets through, or restores it. */
+    /** Cuts the link, so that it transmits nothing, or restores it. */
     public void setCut(boolean cut) {
         this.cut = cut;
     }
@@ -32,23 +32,26 @@
         duplicateShare = share;
     }
 
-    /** Sets by how much everything is delayed. */
+    /** Sets the delay of all datagrams and streams. */
     public void setDelay(Span delay) {
         this.delay = delay;
     }
 
-    /** Sets the upper bound of a random delay of each datagram, by which they overtake one another. */
+    /** Sets the upper bound of a random additional delay of each datagram, which reorders datagrams. */
     public void setJitter(Span jitter) {
         this.jitter = jitter;
     }
 
-    /** Sets the bandwidth for datagrams; 0 for no limit. What would wait longer than a second is lost. */
+    /**
+     * Sets the bandwidth for datagrams; 0 for no limit. A datagram that would be queued for longer than a
+     * second is lost.
+     */
     public void setBandwidth(double bytesPerSecond) {
         this.bytesPerSecond = bytesPerSecond;
     }
 
     /**
-     * Decides what becomes of a datagram.
+     * Decides whether a datagram is lost, delayed or duplicated.
      *
      * @return the delay of each of its copies in milliseconds; empty if it is lost
      */
@@ -77,7 +80,7 @@
         return cut;
     }
 
-    /** The delay of streams, which arrive complete and in order, or not at all. */
+    /** Returns the delay of stream data, which is never lost, reordered or limited in bandwidth. */
     double streamDelayMs() {
         return delay.millis();
     }
--- a/src/main/java/rampshift/testbed/links/LinkProxy.java
+++ b/src/main/java/rampshift/testbed/links/LinkProxy.java
@@ -17,10 +17,10 @@
 import rampshift.testbed.wire.LoopbackNetwork;
 
 /**
- * Relays datagrams and streams between dispatchers, with faults. Each ordered pair of dispatchers has an
- * address of its own: there the one reaches the other, and from there the other receives from the one. So
- * each dispatcher knows the others by addresses that only it has, and each direction can have faults of
- * its own. One thread owns all sockets.
+ * Relays datagrams and streams between dispatchers, with faults. Each ordered pair (A, B) of dispatchers has
+ * an address: A sends to B at this address, and datagrams from B to A have it as their source. Each
+ * dispatcher thus knows the others by addresses that no other dispatcher uses, and the two directions of a
+ * link can have different faults. One thread owns all sockets.
  */
 public final class LinkProxy implements Closeable {
     private static final int DATAGRAM_BUFFER_BYTES = 16 * 1024;
@@ -40,7 +40,7 @@
      * Opens the links and starts to relay.
      *
      * @param dispatchers the addresses at which the dispatchers listen
-     * @param random decides which datagrams have faults
+     * @param random decides which datagrams are lost, delayed or duplicated
      */
     public LinkProxy(List<InetSocketAddress> dispatchers, UniformRandomProvider random) throws IOException {
         int count = dispatchers.size();
@@ -60,7 +60,9 @@
         loop.start();
     }
 
-    /** Opens the sockets of one link, which need a port that is free for datagrams and for streams. */
+    /**
+     * Opens the sockets of one link. They share a port, which must be free for both datagrams and streams.
+     */
     private void open(int from, int to) throws IOException {
         for (int retries = 0;; retries++) {
             DatagramChannel datagrams = DatagramChannel.open();
@@ -86,7 +88,7 @@
         }
     }
 
-    /** The address at which one dispatcher reaches another. */
+    /** Returns the address at which one dispatcher reaches another. */
     public InetSocketAddress address(int from, int to) {
         return addresses[from][to];
     }
@@ -113,7 +115,7 @@
                 }
             }
         } catch (IOException e) {
-            // An earlier datagram was refused: nobody listens there now.
+            // An earlier datagram was refused because no process listens at its destination.
         }
     }
 
@@ -122,7 +124,7 @@
         try {
             datagramChannels[to][from].send(ByteBuffer.wrap(bytes), dispatchers[to]);
         } catch (IOException e) {
-            // Lost, as any datagram may be.
+            // The datagram is lost, which the protocol of the dispatchers tolerates.
         }
     }
 
@@ -146,7 +148,7 @@
                 loop.register(far, SelectionKey.OP_CONNECT, relay::onConnected);
             }
         } catch (IOException e) {
-            // Refused: the near side sees an end.
+            // The connection failed; the dispatcher that opened the stream sees it close.
         }
     }
 
--- a/src/main/java/rampshift/testbed/links/SelectorLoop.java
+++ b/src/main/java/rampshift/testbed/links/SelectorLoop.java
@@ -47,31 +47,31 @@
         thread.start();
     }
 
-    /** The time in milliseconds, counted from an arbitrary start. */
+    /** Returns the time in milliseconds since an arbitrary origin. */
     static double nowMs() {
         return System.nanoTime() / NANOS_PER_MS;
     }
 
     /**
-     * Sets which operation of a channel the loop waits for, and what runs when the channel is ready for
-     * it.
+     * Sets the operation of a channel that the loop waits for, and the handler that runs when the channel is
+     * ready for it.
      */
     void register(SelectableChannel channel, int operation, Runnable handler) throws ClosedChannelException {
         channel.register(selector, operation, handler);
     }
 
-    /** The registration of a channel; null if it has none. */
+    /** Returns the registration of a channel; null if it has none. */
     SelectionKey registration(SelectableChannel channel) {
         return channel.keyFor(selector);
     }
 
-    /** Runs an action on the thread, soon. */
+    /** Runs an action on the thread of the loop, asynchronously. */
     void execute(Runnable action) {
         commands.add(action);
         selector.wakeup();
     }
 
-    /** Runs an action after a delay; at once, within this call, if the delay is zero. */
+    /** Runs an action after a delay; synchronously if the delay is not positive. */
     void runAfter(double delayMs, Runnable action) {
         if (delayMs <= 0) {
             action.run();
@@ -114,7 +114,7 @@
         }
     }
 
-    /** Stops the thread, and closes all registered channels. */
+    /** Stops the thread and closes all registered channels. */
     @Override
     public void close() throws IOException {
         closed = true;
--- a/src/main/java/rampshift/testbed/links/StreamRelay.java
+++ b/src/main/java/rampshift/testbed/links/StreamRelay.java
@@ -22,10 +22,11 @@
     private boolean ended;
 
     /**
-     * Creates a relay, which transfers nothing yet.
+     * Creates a relay that transfers nothing yet.
      *
      * @param near the connection from the dispatcher that opened the stream
-     * @param far the connection to the other dispatcher; null to neither refuse nor answer the stream
+     * @param far the connection to the other dispatcher; null to accept the stream without transferring
+     *        anything
      * @param forward the faults of the link from near to far
      * @param backward the faults of the link from far to near
      * @param onEnd called when the relay ends; may be called more than once
@@ -42,7 +43,7 @@
         near.configureBlocking(false);
     }
 
-    /** The connection to the other dispatcher is ready: starts to transfer. */
+    /** Starts to transfer once the connection to the other dispatcher is established. */
     void onConnected() {
         try {
             far.finishConnect();
@@ -54,7 +55,10 @@
         }
     }
 
-    /** Doesn't read where the link is cut, so that bytes wait in the sockets as on a silent network. */
+    /**
+     * Stops reading in a direction whose link is cut, so that bytes wait in the socket buffers as on a
+     * partitioned network.
+     */
     void applyCuts() {
         setReadable(near, !forward.isCut());
         setReadable(far, !backward.isCut());
@@ -89,7 +93,8 @@
             double deadlineMs = SelectorLoop.nowMs() + MAX_WRITE_MS;
             while (remaining.hasRemaining() && !ended) {
                 if (to.write(remaining) == 0) {
-                    // Messages are smaller than socket buffers: only those of a paused process fill up.
+                    // Messages are smaller than socket buffers, so only the buffers of a suspended process
+                    // fill up.
                     if (SelectorLoop.nowMs() > deadlineMs) {
                         end();
                     }
@@ -111,7 +116,7 @@
                 far.close();
             }
         } catch (IOException e) {
-            // The connection can't be used any more either way.
+            // The connection is unusable in either case.
         }
     }
 }
--- a/src/test/java/rampshift/testbed/discovery/ListHistoryTest.java
+++ b/src/test/java/rampshift/testbed/discovery/ListHistoryTest.java
@@ -34,7 +34,7 @@
         assertEquals("", changesSince(third, history));
         assertEquals("b:READY", describe(history.entries()));
         assertEquals(Optional.empty(), history.changesBetween(third + 1, third),
-                "a version that was never given");
+                "a version later than the latest one");
         assertEquals(Optional.empty(), history.changesBetween(0, third));
     }
 
--- a/src/test/java/rampshift/testbed/random/RandomStreamsTest.java
+++ b/src/test/java/rampshift/testbed/random/RandomStreamsTest.java
@@ -9,7 +9,8 @@
 
 class RandomStreamsTest {
     /**
-     * Two and three, four and five, and so on were alike, and the first number was the same for all seeds.
+     * Guards against a generator in which seeds 2 and 3, 4 and 5, and so on give the same stream, and all
+     * seeds the same first number.
      */
     @Test
     void seedsSideBySideGiveNumbersOfTheirOwn() {
@@ -21,6 +22,6 @@
             assertEquals(RandomStreams.of(seed, "one").nextLong(), RandomStreams.of(seed, "one").nextLong());
         }
         assertEquals(100, firsts.size());
-        assertTrue(high > 30 && high < 70, "first numbers above a half: " + high);
+        assertTrue(high > 30 && high < 70, "first numbers above 0.5: " + high);
     }
 }
