--- a/src/main/java/rampshift/testbed/experiment/FaultCampaign.java
+++ b/src/main/java/rampshift/testbed/experiment/FaultCampaign.java
@@ -98,7 +98,8 @@
 
     private static String brokenRules(Verdict verdict) {
         return String.join(", ",
-                verdict.rules().stream().filter(rule -> rule.broken() > 0).map(Verdict.Rule::name).toList());
+                verdict.rules().stream().filter(rule -> rule.breaches() > 0).map(Verdict.Rule::name)
+                        .toList());
     }
 
     private void reportBrokenRun(long seed, List<FaultSection> faults, Verdict verdict)
--- a/src/main/java/rampshift/testbed/experiment/Figure.java
+++ b/src/main/java/rampshift/testbed/experiment/Figure.java
@@ -50,7 +50,7 @@
             case ADDED_P99 -> run.percentileMs(LatencyKind.ADDED, 99);
             case CPU_PER_REQUEST -> cpuMicrosPerRequest(run);
             case COPIES -> copiesPercent(run);
-            case LAST_SEND_AFTER_DRAIN -> run.verdict().lastSendMs();
+            case LAST_SEND_AFTER_DRAIN -> run.verdict().lastAttemptAfterDrainMs();
             case RESIDENT_MEMORY -> run.costs().maxResidentMb();
         };
     }
@@ -65,6 +65,6 @@
     }
 
     private static double copiesPercent(RunOutcome run) {
-        return 100.0 * run.verdict().copies() / Math.max(1, run.verdict().tasks());
+        return 100.0 * run.verdict().repeatedAttempts() / Math.max(1, run.verdict().requests());
     }
 }
--- a/src/main/java/rampshift/testbed/experiment/FleetCommandLine.java
+++ b/src/main/java/rampshift/testbed/experiment/FleetCommandLine.java
@@ -102,6 +102,6 @@
     private int verify(FleetPlan plan) throws IOException {
         Verdict verdict = RunVerification.verify(plan, new RunFolder(options.existingFolder()));
         SummaryTable.printRules(verdict, out);
-        return verdict.kept() ? ExitCode.SUCCESS : ExitCode.FAILURE;
+        return verdict.allRulesHold() ? ExitCode.SUCCESS : ExitCode.FAILURE;
     }
 }
--- a/src/main/java/rampshift/testbed/experiment/OutcomeJson.java
+++ b/src/main/java/rampshift/testbed/experiment/OutcomeJson.java
@@ -49,8 +49,8 @@
 
     private static void addRules(ArrayNode rules, Verdict verdict) {
         for (Verdict.Rule rule : verdict.rules()) {
-            ArrayNode examples = rules.addObject().put("rule", rule.name()).put("at_stake", rule.atStake())
-                    .put("broken", rule.broken()).putArray("examples");
+            ArrayNode examples = rules.addObject().put("rule", rule.name()).put("at_stake", rule.cases())
+                    .put("broken", rule.breaches()).putArray("examples");
             rule.examples().forEach(examples::add);
         }
     }
--- a/src/main/java/rampshift/testbed/experiment/Report.java
+++ b/src/main/java/rampshift/testbed/experiment/Report.java
@@ -128,8 +128,8 @@
         long broken = 0;
         for (RunOutcome outcome : results.outcomes(arm).values()) {
             Verdict.Rule result = outcome.verdict().rules().get(rule);
-            applied += result.atStake();
-            broken += result.broken();
+            applied += result.cases();
+            broken += result.breaches();
         }
         String brokenCell =
                 broken > 0 ? "<td class=\"bad\">" + broken + "</td>" : cell(String.valueOf(broken));
--- a/src/main/java/rampshift/testbed/experiment/ReportCharts.java
+++ b/src/main/java/rampshift/testbed/experiment/ReportCharts.java
@@ -129,7 +129,7 @@
     }
 
     private static List<Map.Entry<String, long[]>> busiestWorkers(Verdict verdict) {
-        return verdict.taken().entrySet().stream()
+        return verdict.attemptsPerSecond().entrySet().stream()
                 .sorted((first, second) -> Long.compare(total(second), total(first))).limit(MAX_WORKERS)
                 .toList();
     }
--- a/src/main/java/rampshift/testbed/experiment/RunOutcome.java
+++ b/src/main/java/rampshift/testbed/experiment/RunOutcome.java
@@ -52,7 +52,7 @@
 
     /** Whether no rule was broken. */
     boolean keptRules() {
-        return verdict.kept();
+        return verdict.allRulesHold();
     }
 
     /** The share of the possible earnings that were earned, 0 to 1; 1 if none were possible. */
--- a/src/main/java/rampshift/testbed/experiment/SummaryTable.java
+++ b/src/main/java/rampshift/testbed/experiment/SummaryTable.java
@@ -19,7 +19,7 @@
         out.printf(Locale.ROOT,
                 "%nearnings served %.1f%%   tasks %.0f   tries %d   assignments %d   copies %d%n%n",
                 100 * outcome.servedEarningsShare(), total.tasks(), load.sentRequests(),
-                outcome.verdict().assignments(), outcome.verdict().copies());
+                outcome.verdict().attempts(), outcome.verdict().repeatedAttempts());
         out.printf("%-18s %7s %7s %9s %7s %9s %6s %7s %8s %8s%n", "traffic type", "tasks", "in time",
                 "finished", "bounced", "abandoned", "other", "p50 ms", "p99 ms", "p99.9 ms");
         load.countsByType().forEach(
@@ -57,12 +57,12 @@
     static void printRules(Verdict verdict, PrintStream out) {
         out.printf("%-36s %9s %7s%n", "rule", "at stake", "broken");
         for (Verdict.Rule rule : verdict.rules()) {
-            out.printf("%-36s %9d %7d%n", rule.name(), rule.atStake(), rule.broken());
+            out.printf("%-36s %9d %7d%n", rule.name(), rule.cases(), rule.breaches());
             rule.examples().forEach(example -> out.println("    " + example));
         }
-        if (!verdict.knownMs().isEmpty()) {
+        if (!verdict.detectionMs().isEmpty()) {
             double[] detectionMs =
-                    verdict.knownMs().stream().mapToDouble(Double::doubleValue).sorted().toArray();
+                    verdict.detectionMs().stream().mapToDouble(Double::doubleValue).sorted().toArray();
             out.printf(Locale.ROOT,
                     "a killed dispatcher was known to have failed after %.0f ms (median), "
                             + "%.0f ms at the most, by %d%n",
--- a/src/main/java/rampshift/testbed/verification/ClientRequest.java
+++ b/src/main/java/rampshift/testbed/verification/ClientRequest.java
@@ -26,7 +26,7 @@
     private RequestSent sent;
     private ConnectionFailed connectionFailure;
     private boolean responseMissing;
-    private boolean ofJob;
+    private boolean jobTask;
 
     ClientRequest(String id) {
         this.id = id;
@@ -44,8 +44,8 @@
         responseMissing = true;
     }
 
-    void setOfJob() {
-        ofJob = true;
+    void markAsJobTask() {
+        jobTask = true;
     }
 
     void addResponse(ResponseReceived event) {
@@ -75,8 +75,8 @@
     }
 
     /** Returns whether a dispatcher submitted it for a periodic job, so that no client waits for it. */
-    boolean isOfJob() {
-        return ofJob;
+    boolean isJobTask() {
+        return jobTask;
     }
 
     /** Returns how the client's connection failed; null if it did not. */
--- a/src/main/java/rampshift/testbed/verification/DispatcherFaultHistory.java
+++ b/src/main/java/rampshift/testbed/verification/DispatcherFaultHistory.java
@@ -19,7 +19,7 @@
     private final IntervalTable<String> absences = new IntervalTable<>();
     /** The absences during which the process was killed. */
     private final IntervalTable<String> kills = new IntervalTable<>();
-    private final IntervalTable<String> starvations = new IntervalTable<>();
+    private final IntervalTable<String> throttlings = new IntervalTable<>();
     private final List<Interval> linkFaults = new ArrayList<>();
     private final Map<String, Interval> openLinkFaults = new HashMap<>();
 
@@ -38,15 +38,15 @@
                     absences.lastOf(dispatcher).endAt(event.at());
                 }
             }
-            case STARVED -> starvations.add(dispatcher, new Interval(event.at()));
-            default -> endStarvation(dispatcher, event.at()); // FED
+            case STARVED -> throttlings.add(dispatcher, new Interval(event.at()));
+            default -> endThrottling(dispatcher, event.at()); // FED
         }
     }
 
-    private void endStarvation(String dispatcher, long time) {
-        Interval starvation = starvations.lastOf(dispatcher);
-        if (starvation != null) {
-            starvation.endAt(time);
+    private void endThrottling(String dispatcher, long time) {
+        Interval throttling = throttlings.lastOf(dispatcher);
+        if (throttling != null) {
+            throttling.endAt(time);
         }
     }
 
@@ -85,8 +85,8 @@
     }
 
     /** Returns whether the processor time was limited at any instant between the two times, both included. */
-    boolean wasStarved(String dispatcher, long from, long to) {
-        return starvations.overlap(dispatcher, from, to);
+    boolean wasThrottled(String dispatcher, long from, long to) {
+        return throttlings.overlap(dispatcher, from, to);
     }
 
     /** Returns whether any link was faulty at any instant between the two times, both included. */
@@ -101,7 +101,7 @@
 
     /** Returns when the last fault ended, but at most the limit; 0 if there was no fault. */
     long lastFaultEnd(long limit) {
-        return Stream.of(absences.all(), starvations.all(), linkFaults.stream())
+        return Stream.of(absences.all(), throttlings.all(), linkFaults.stream())
                 .flatMap(intervals -> intervals)
                 .mapToLong(interval -> Math.min(interval.end(), limit))
                 .max()
--- a/src/main/java/rampshift/testbed/verification/FinalAnswerRule.java
+++ b/src/main/java/rampshift/testbed/verification/FinalAnswerRule.java
@@ -36,7 +36,7 @@
 
     /** Checks a request. All outages must be recorded before. */
     void check(ClientRequest request) {
-        if (request.isOfJob()) {
+        if (request.isJobTask()) {
             return;
         }
         if (!request.isSent()) {
@@ -80,7 +80,7 @@
         // The client has to retry what a dispatcher held when it was killed.
         return outages.wasKilled(sent.dispatcher(), sent.at() - slackMicros, end + slackMicros)
                 || wasSuspendedAtExpiry(request)
-                || (failure != null && failedForDowntime(request, failure));
+                || (failure != null && failedDuringDowntime(request, failure));
     }
 
     /** A suspension excuses a late or missing response, but not an attempt after the expiry. */
@@ -95,7 +95,7 @@
      * closed by the peer counts only if the request was sent after the outage began and reached no worker;
      * otherwise a response is required.
      */
-    private boolean failedForDowntime(ClientRequest request, ConnectionFailed failure) {
+    private boolean failedDuringDowntime(ClientRequest request, ConnectionFailed failure) {
         int dispatcher = request.sent().dispatcher();
         return switch (failure.reason()) {
             case ConnectionFailed.UNREACHABLE -> outages.wasDown(dispatcher, failure.at());
--- a/src/main/java/rampshift/testbed/verification/IntervalTable.java
+++ b/src/main/java/rampshift/testbed/verification/IntervalTable.java
@@ -26,8 +26,8 @@
 
     /** Returns the interval of a key that was added last; null if it has none. */
     Interval lastOf(K key) {
-        List<Interval> own = of(key);
-        return own.isEmpty() ? null : own.get(own.size() - 1);
+        List<Interval> keyIntervals = of(key);
+        return keyIntervals.isEmpty() ? null : keyIntervals.get(keyIntervals.size() - 1);
     }
 
     /** Returns whether an interval of the key has an instant between the two times, both included. */
@@ -42,6 +42,7 @@
 
     /** Calls the action for each interval, with its key. */
     void forEach(BiConsumer<K, Interval> action) {
-        intervals.forEach((key, own) -> own.forEach(interval -> action.accept(key, interval)));
+        intervals.forEach(
+                (key, keyIntervals) -> keyIntervals.forEach(interval -> action.accept(key, interval)));
     }
 }
--- a/src/main/java/rampshift/testbed/verification/LeaseEffectChecker.java
+++ b/src/main/java/rampshift/testbed/verification/LeaseEffectChecker.java
@@ -15,8 +15,8 @@
  * effects do not decrease, and a task that is not idempotent takes effect at most once.
  */
 final class LeaseEffectChecker implements LogEventListener {
-    private final RuleTally order = new RuleTally("effects under a lease in the order of tokens");
-    private final RuleTally once = new RuleTally("a duty's task takes effect once where it must");
+    private final RuleTally tokenOrder = new RuleTally("effects under a lease in the order of tokens");
+    private final RuleTally singleEffect = new RuleTally("a duty's task takes effect once where it must");
     private final Map<String, Long> highestTokenOfLease = new HashMap<>();
     private final Map<String, Integer> effectsOfTask = new TreeMap<>();
     private final Set<String> idempotentTasks = new HashSet<>();
@@ -39,11 +39,11 @@
     private void checkOrder(EffectApplied event) {
         Long highest = highestTokenOfLease.get(event.lease());
         if (highest != null && event.token() < highest) {
-            order.countBreach("an effect of " + event.task() + " under token " + event.token() + " of "
+            tokenOrder.countBreach("an effect of " + event.task() + " under token " + event.token() + " of "
                     + event.lease() + " after one under " + highest);
         } else if (highest != null && event.token() > highest) {
             takeovers++;
-            order.countCase();
+            tokenOrder.countCase();
         }
         highestTokenOfLease.merge(event.lease(), event.token(), Math::max);
     }
@@ -70,26 +70,27 @@
     void check() {
         effectsOfTask.forEach((task, count) -> {
             if (!idempotentTasks.contains(task)) {
-                once.countCase();
+                singleEffect.countCase();
                 if (count > 1) {
-                    once.countBreach(task + " took effect " + count + " times");
+                    singleEffect.countBreach(task + " took effect " + count + " times");
                 }
             }
         });
         for (String task : completedTasks) {
-            once.countCase();
+            singleEffect.countCase();
             if (!effectsOfTask.containsKey(task)) {
-                once.countBreach(task + " was reported as completed, but no worker applied its effect");
+                singleEffect
+                        .countBreach(task + " was reported as completed, but no worker applied its effect");
             }
         }
     }
 
-    Verdict.Rule orderResult() {
-        return order.result();
+    Verdict.Rule tokenOrderResult() {
+        return tokenOrder.result();
     }
 
-    Verdict.Rule onceResult() {
-        return once.result();
+    Verdict.Rule singleEffectResult() {
+        return singleEffect.result();
     }
 
     /** Returns the counts over all leases. */
--- a/src/main/java/rampshift/testbed/verification/LogEventParser.java
+++ b/src/main/java/rampshift/testbed/verification/LogEventParser.java
@@ -9,7 +9,7 @@
 
 /** Parses lines of event logs into events. */
 final class LogEventParser {
-    private static final String IN_FIELD_SEPARATOR = "/";
+    private static final String DETAIL_SEPARATOR = "/";
     private static final Map<String, Function<LogLine, LogEvent>> PARSERS = Map.ofEntries(
             entry("sent", LogEventParser::requestSent),
             entry("acted", line -> new RequestEvent.JobTaskTaken(line.at(), line.argument(0))),
@@ -121,7 +121,7 @@
 
     /** The detail is {@code VERSION/ELAPSED/HOLDER}, with the microseconds since the change was requested. */
     private static LogEvent registerChanged(LogLine line) {
-        String[] detail = line.argument(4).split(IN_FIELD_SEPARATOR);
+        String[] detail = line.argument(4).split(DETAIL_SEPARATOR);
         try {
             long version = Long.parseLong(detail[0]);
             long elapsedMicros = Long.parseLong(detail[1]);
--- a/src/main/java/rampshift/testbed/verification/MembershipChecker.java
+++ b/src/main/java/rampshift/testbed/verification/MembershipChecker.java
@@ -103,7 +103,7 @@
     private boolean couldDetect(String observer, long failedAt) {
         long from = failedAt - detectionLimitMicros;
         long to = failedAt + detectionLimitMicros;
-        return !faults.wasAbsent(observer, from, to) && !faults.wasStarved(observer, from, to)
+        return !faults.wasAbsent(observer, from, to) && !faults.wasThrottled(observer, from, to)
                 && !faults.wasAnyLinkFaulty(from, to);
     }
 
@@ -134,7 +134,7 @@
         long from = change.at() - detectionLimitMicros;
         // A process with limited processor time may be reported as failed. As an observer, it must notice its
         // own delay and must not report others.
-        if (!faults.wasStarved(change.subject(), from, change.at())
+        if (!faults.wasThrottled(change.subject(), from, change.at())
                 && !faults.wasAbsent(change.subject(), from, change.at())
                 && !faults.wasAbsent(change.observer(), from, change.at())
                 && !faults.wasAnyLinkFaulty(from, change.at())) {
@@ -149,9 +149,9 @@
         if (finishedAt == NOT_FINISHED || sinceLastFault < agreementLimitMicros) {
             return;
         }
-        Map<String, Map<String, String>> beliefs = beliefsAtFinish();
+        Map<String, Map<String, String>> views = viewsAtFinish();
         for (String observer : dispatchers) {
-            Map<String, String> states = beliefs.getOrDefault(observer, Map.of());
+            Map<String, String> states = views.getOrDefault(observer, Map.of());
             for (String subject : dispatchers) {
                 if (observer.equals(subject) || faults.isAbsent(observer) || faults.isAbsent(subject)) {
                     continue;
@@ -167,20 +167,20 @@
     }
 
     /** Returns the state that each observer recorded for each subject when the load ended. */
-    private Map<String, Map<String, String>> beliefsAtFinish() {
-        Map<String, Map<String, String>> beliefs = new TreeMap<>();
+    private Map<String, Map<String, String>> viewsAtFinish() {
+        Map<String, Map<String, String>> views = new TreeMap<>();
         for (MembershipChanged change : changes) {
             if (change.at() > finishedAt) {
                 break;
             }
             if (change.state().equals(MembershipChanged.STARTED)) {
-                beliefs.put(change.observer(), new HashMap<>());
+                views.put(change.observer(), new HashMap<>());
             } else if (!change.subject().equals(change.observer())
                     && dispatchers.contains(change.subject())) {
-                beliefs.computeIfAbsent(change.observer(), absent -> new HashMap<>())
+                views.computeIfAbsent(change.observer(), absent -> new HashMap<>())
                         .put(change.subject(), change.state());
             }
         }
-        return beliefs;
+        return views;
     }
 }
--- a/src/main/java/rampshift/testbed/verification/RequestTable.java
+++ b/src/main/java/rampshift/testbed/verification/RequestTable.java
@@ -43,7 +43,7 @@
 
     @Override
     public void onJobTaskTaken(JobTaskTaken event) {
-        request(event.request()).setOfJob();
+        request(event.request()).markAsJobTask();
     }
 
     @Override
--- a/src/main/java/rampshift/testbed/verification/RuleChecker.java
+++ b/src/main/java/rampshift/testbed/verification/RuleChecker.java
@@ -33,15 +33,15 @@
      * @param graceMicros how long after the notification of a drain attempts may still begin, in microseconds
      * @param slackMicros the tolerance for clocks, queues and links, added to the limits for requests and
      *        attempts, in microseconds
-     * @param knownByMicros the maximum time from a failure to its detection by each other dispatcher, in
+     * @param maxDetectionMicros the maximum time from a failure to its detection by each other dispatcher, in
      *        microseconds
-     * @param agreeByMicros the maximum time from the last fault until all views agree, in microseconds
+     * @param maxAgreementMicros the maximum time from the last fault until all views agree, in microseconds
      */
-    public RuleChecker(long graceMicros, long slackMicros, long knownByMicros, long agreeByMicros) {
+    public RuleChecker(long graceMicros, long slackMicros, long maxDetectionMicros, long maxAgreementMicros) {
         this.graceMicros = graceMicros;
         this.slackMicros = slackMicros;
-        detectionLimitMicros = knownByMicros;
-        agreementLimitMicros = agreeByMicros;
+        detectionLimitMicros = maxDetectionMicros;
+        agreementLimitMicros = maxAgreementMicros;
     }
 
     /**
@@ -75,9 +75,9 @@
         rules.add(membership.detectionResult());
         rules.add(membership.accuracyResult());
         rules.add(membership.agreementResult());
-        rules.add(leaseEffects.orderResult());
+        rules.add(leaseEffects.tokenOrderResult());
         rules.add(leaseTokens(byTime));
-        rules.add(leaseEffects.onceResult());
+        rules.add(leaseEffects.singleEffectResult());
         rules.add(registers(byTime));
         return new Verdict(List.copyOf(rules), requests.requests().size(), requests.attempts(),
                 requests.repeatedAttempts(), timeline.attemptsOfWorker(), timeline.marks(), from,
@@ -95,7 +95,7 @@
         notify(byTime, outages, finalAnswer, coldWorkers);
         for (ClientRequest request : requests.requests()) {
             finalAnswer.check(request);
-            if (request.isSent() && !request.isOfJob()) {
+            if (request.isSent() && !request.isJobTask()) {
                 lateAttempts.check(request);
                 results.check(request);
             }
--- a/src/main/java/rampshift/testbed/verification/RuleTally.java
+++ b/src/main/java/rampshift/testbed/verification/RuleTally.java
@@ -9,8 +9,8 @@
 
     private final String name;
     private final List<String> examples = new ArrayList<>();
-    private long atStake;
-    private long broken;
+    private long cases;
+    private long breaches;
 
     /** Creates an empty tally for a rule; reports show the name. */
     RuleTally(String name) {
@@ -19,18 +19,18 @@
 
     /** Counts one case in which the rule could have been broken. */
     void countCase() {
-        atStake++;
+        cases++;
     }
 
     /** Counts one breach; reports show the descriptions of the first ones. */
     void countBreach(String description) {
-        broken++;
+        breaches++;
         if (examples.size() < MAX_EXAMPLES) {
             examples.add(description);
         }
     }
 
     Verdict.Rule result() {
-        return new Verdict.Rule(name, atStake, broken, List.copyOf(examples));
+        return new Verdict.Rule(name, cases, breaches, List.copyOf(examples));
     }
 }
--- a/src/main/java/rampshift/testbed/verification/SingleEffectRule.java
+++ b/src/main/java/rampshift/testbed/verification/SingleEffectRule.java
@@ -30,18 +30,18 @@
 
     private void checkTask(List<ClientRequest> requests) {
         requests.sort(Comparator.comparingLong(request -> request.sent().at()));
-        boolean atStake = false;
+        boolean isCase = false;
         boolean ranBefore = false;
         // A client that retries a request that was not rejected accepts the risk of a second run.
         boolean onlyRejectedBefore = true;
         for (ClientRequest request : requests) {
             boolean reachedWorker = !request.attempts().isEmpty();
-            atStake |= request.attempts().size() > 1 || (request.isRejected() && reachedWorker);
+            isCase |= request.attempts().size() > 1 || (request.isRejected() && reachedWorker);
             checkRuns(request, ranBefore && onlyRejectedBefore);
             ranBefore |= !request.runs().isEmpty();
             onlyRejectedBefore &= request.isRejected();
         }
-        if (atStake) {
+        if (isCase) {
             tally.countCase();
         }
     }
--- a/src/test/java/rampshift/testbed/experiment/FaultCampaignTest.java
+++ b/src/test/java/rampshift/testbed/experiment/FaultCampaignTest.java
@@ -37,14 +37,14 @@
 
     private static void assertRulesKept(RunOutcome outcome) {
         for (Verdict.Rule rule : outcome.verdict().rules()) {
-            assertEquals(0, rule.broken(), rule.name() + ": " + rule.examples());
+            assertEquals(0, rule.breaches(), rule.name() + ": " + rule.examples());
         }
     }
 
     /** How often a rule applied. */
     private static long applied(RunOutcome outcome, String rule) {
         return outcome.verdict().rules().stream().filter(each -> each.name().equals(rule)).findFirst()
-                .orElseThrow().atStake();
+                .orElseThrow().cases();
     }
 
     /** The events of that kind in all logs, up to the end of the load, after which all dispatchers stop. */
@@ -121,7 +121,7 @@
                 + fault("dispatcher-killed", names("d2"), 8.5, 30));
         assertRulesKept(outcome);
         assertEquals(4, applied(outcome, "failures known in time"));
-        assertEquals(4, outcome.verdict().knownMs().size());
+        assertEquals(4, outcome.verdict().detectionMs().size());
     }
 
     @Test
--- a/src/test/java/rampshift/testbed/experiment/PeriodicJobCampaignTest.java
+++ b/src/test/java/rampshift/testbed/experiment/PeriodicJobCampaignTest.java
@@ -65,8 +65,8 @@
     private static void assertLeaseRulesKept(RunOutcome outcome) {
         for (Verdict.Rule rule : outcome.verdict().rules()) {
             if (rule.name().contains("token") || rule.name().startsWith("a duty")) {
-                assertEquals(0, rule.broken(), rule.name() + ": " + rule.examples());
-                assertTrue(rule.atStake() > 0, rule.name());
+                assertEquals(0, rule.breaches(), rule.name() + ": " + rule.examples());
+                assertTrue(rule.cases() > 0, rule.name());
             }
         }
     }
@@ -85,7 +85,7 @@
         assertLeaseRulesKept(outcome);
         Verdict.LeaseEffects effects = outcome.verdict().leaseEffects();
         assertTrue(effects.takeovers() >= 2, effects.toString());
-        assertTrue(effects.once() > 200, effects.toString());
+        assertTrue(effects.tasksAppliedOnce() > 200, effects.toString());
         assertTrue(fleet.leaseEvents("lapsed").size() >= 1, "and it says so when it goes on");
         assertTrue(fleet.leaseEvents("duty-over").size() >= 4, "runs come to their end");
         assertTrue(page.get().matches(STATUS_PAGE), page.get());
--- a/src/test/java/rampshift/testbed/verification/EventLogs.java
+++ b/src/test/java/rampshift/testbed/verification/EventLogs.java
@@ -15,8 +15,8 @@
     }
 
     /** Returns the names of the broken rules, each with its number of breaches. */
-    static String broken(Verdict verdict) {
-        return String.join(", ", verdict.rules().stream().filter(rule -> rule.broken() > 0)
-                .map(rule -> rule.name() + " " + rule.broken()).toList());
+    static String breaches(Verdict verdict) {
+        return String.join(", ", verdict.rules().stream().filter(rule -> rule.breaches() > 0)
+                .map(rule -> rule.name() + " " + rule.breaches()).toList());
     }
 }
--- a/src/test/java/rampshift/testbed/verification/MembershipCheckerTest.java
+++ b/src/test/java/rampshift/testbed/verification/MembershipCheckerTest.java
@@ -12,8 +12,8 @@
 class MembershipCheckerTest {
     private static final long GRACE_MICROS = 250_000;
     private static final long SLACK_MICROS = 50_000;
-    private static final long KNOWN_BY_MICROS = 100_000;
-    private static final long AGREE_BY_MICROS = 200_000;
+    private static final long DETECTION_LIMIT_MICROS = 100_000;
+    private static final long AGREEMENT_LIMIT_MICROS = 200_000;
     private static final String UP =
             "0 members d1 began d1 1 a|0 members d2 began d2 1 a|0 members d3 began d3 1 a"
                     + "|1 members d1 joined d2 1 x|1 members d1 joined d3 1 x"
@@ -53,13 +53,13 @@
                 800 trouble way_cut ends d1>d2|\
                 420 members d1 failed d2 1 by-d1|900 finish; ~~
             """)
-    void beliefsAreComparedWithFaults(String name, String log, String expected) {
+    void memberStatesAreComparedWithFaults(String name, String log, String expected) {
         RuleChecker checker =
-                new RuleChecker(GRACE_MICROS, SLACK_MICROS, KNOWN_BY_MICROS, AGREE_BY_MICROS);
+                new RuleChecker(GRACE_MICROS, SLACK_MICROS, DETECTION_LIMIT_MICROS, AGREEMENT_LIMIT_MICROS);
         EventLogs.feed(log.replace("UP", UP).replace(" GONE", GONE), checker);
         Verdict verdict = checker.verdict();
-        assertEquals(expected, EventLogs.broken(verdict));
-        int known = verdict.knownMs().size() - (name.startsWith("detected too") ? 1 : 0);
-        assertEquals(name.startsWith("detected in") ? 2 : 0, known);
+        assertEquals(expected, EventLogs.breaches(verdict));
+        int detections = verdict.detectionMs().size() - (name.startsWith("detected too") ? 1 : 0);
+        assertEquals(name.startsWith("detected in") ? 2 : 0, detections);
     }
 }
--- a/src/test/java/rampshift/testbed/verification/RuleCheckerTest.java
+++ b/src/test/java/rampshift/testbed/verification/RuleCheckerTest.java
@@ -32,21 +32,21 @@
         return checker.verdict();
     }
 
-    private static long atStake(Verdict verdict, String ruleName) {
+    private static long cases(Verdict verdict, String ruleName) {
         return verdict.rules().stream().filter(rule -> rule.name().equals(ruleName)).findFirst()
-                .orElseThrow().atStake();
+                .orElseThrow().cases();
     }
 
     @Test
-    void allRulesHoldInASoundLog() {
+    void allRulesHoldInLogWithoutBreaches() {
         Verdict verdict = check(SALE + "|0 boot w warm");
-        assertTrue(verdict.kept(), EventLogs.broken(verdict));
-        assertEquals(1, atStake(verdict, "one final answer, in time"));
-        assertEquals(1, atStake(verdict, "results that a worker made"));
-        assertEquals(0, atStake(verdict, "no effect twice"),
+        assertTrue(verdict.allRulesHold(), EventLogs.breaches(verdict));
+        assertEquals(1, cases(verdict, "one final answer, in time"));
+        assertEquals(1, cases(verdict, "results that a worker made"));
+        assertEquals(0, cases(verdict, "no effect twice"),
                 "a single attempt that completed is no case of the rule");
-        assertEquals(0, verdict.copies());
-        assertEquals(List.of(1L), List.of(verdict.taken().get("w")[0]));
+        assertEquals(0, verdict.repeatedAttempts());
+        assertEquals(List.of(1L), List.of(verdict.attemptsPerSecond().get("w")[0]));
     }
 
     @ParameterizedTest(name = "{0}")
@@ -113,9 +113,9 @@
             cold worker overloaded; SALE|0 boot w cold|70 fell w; no cold worker pushed over 1
             task that no client sent; SALE|20 took w 0 x - look 20000 warm; one final answer, in time 1
             """)
-    void eachBreachIsFound(String name, String log, String expected) {
+    void breachIsDetected(String name, String log, String expected) {
         Verdict verdict = check(log.replace("SALE", SALE).replace("MARK", MARK).replace("LOOK", LOOK));
-        assertEquals(expected, EventLogs.broken(verdict));
+        assertEquals(expected, EventLogs.breaches(verdict));
     }
 
     @ParameterizedTest(name = "{0}")
@@ -146,27 +146,28 @@
             drain reported to another dispatcher; LOOK|0 told 1 v draining|900 took v 0 t - look 900000 warm|\
                 950 answer t 504 -
             """)
-    void allowedBehaviourIsNoBreach(String name, String log) {
+    void allowedBehaviorIsNoBreach(String name, String log) {
         Verdict verdict = check(log.replace("MARK", MARK).replace("LOOK", LOOK));
-        assertEquals("", EventLogs.broken(verdict));
+        assertEquals("", EventLogs.breaches(verdict));
     }
 
     @Test
-    void lastAttemptAfterADrainIsMeasuredOverAllDispatchers() {
+    void lastAttemptAfterDrainIsMeasuredOverAllDispatchers() {
         Verdict verdict = check(LOOK + "|5 trouble drain begins v,w|8 took v 0 t - look 8000 warm"
                 + "|45 took w 1 t - look 45000 warm|50 answer t 504 -");
-        assertEquals(40.0, verdict.lastSendMs());
-        assertEquals(0.0, check(LOOK + "|8 took v 0 t - look 8000 warm|50 answer t 504 -").lastSendMs());
+        assertEquals(40.0, verdict.lastAttemptAfterDrainMs());
+        assertEquals(0.0,
+                check(LOOK + "|8 took v 0 t - look 8000 warm|50 answer t 504 -").lastAttemptAfterDrainMs());
     }
 
     @Test
-    void killOfAnotherDispatcherExcusesNothing() {
+    void killOfAnotherDispatcherIsNoExcuse() {
         assertEquals("one final answer, in time 1",
-                EventLogs.broken(check(LOOK + "|50 killed 1|51 broken t reset")));
+                EventLogs.breaches(check(LOOK + "|50 killed 1|51 broken t reset")));
     }
 
     @Test
-    void malformedLineIsNamed() {
+    void malformedLineIsInTheMessage() {
         RuleChecker checker = new RuleChecker(0, 0);
         String message = assertThrows(MalformedLineException.class, () -> checker.line("12x sent"))
                 .getMessage();
