--- a/src/main/java/rampshift/testbed/clients/ArrivalPacer.java
+++ b/src/main/java/rampshift/testbed/clients/ArrivalPacer.java
@@ -53,7 +53,7 @@
     }
 
     private boolean isClosedLoop() {
-        return plan.clients().inHand() > 0;
+        return plan.clients().concurrency() > 0;
     }
 
     private void runOpenLoop() {
@@ -66,7 +66,7 @@
     }
 
     private void startClosedLoop() {
-        int concurrency = Math.max(1, plan.clients().inHand() / plan.clients().processes());
+        int concurrency = Math.max(1, plan.clients().concurrency() / plan.clients().processes());
         waitUntil(startAt);
         thread.execute(() -> {
             for (int i = 0; i < concurrency; i++) {
--- a/src/main/java/rampshift/testbed/clients/ClientTasks.java
+++ b/src/main/java/rampshift/testbed/clients/ClientTasks.java
@@ -130,7 +130,7 @@
 
     private void scheduleRetry(ClientAttempt attempt, AttemptResult result) {
         Span delay = settings.pause().at(random.nextDouble());
-        if (settings.honourReturn()) {
+        if (settings.honorsRetryAfter()) {
             delay = delay.orLonger(result.retryAfter());
         }
         IoTimers.runAfter(context.thread(), delay,
--- a/src/main/java/rampshift/testbed/clients/FrontProxy.java
+++ b/src/main/java/rampshift/testbed/clients/FrontProxy.java
@@ -76,7 +76,7 @@
      */
     void onFailure(Dispatcher dispatcher, Moment now) {
         if (!excludedFrom.containsKey(dispatcher)) {
-            Moment from = now.plus(plan.clients().deadFront().at(random.nextDouble()));
+            Moment from = now.plus(plan.clients().failoverDelay().at(random.nextDouble()));
             excludedFrom.put(dispatcher, from);
         }
     }
--- a/src/main/java/rampshift/testbed/clients/LoadStatistics.java
+++ b/src/main/java/rampshift/testbed/clients/LoadStatistics.java
@@ -27,7 +27,7 @@
      * @param plan the traffic types, and by how much the process itself may be late
      */
     LoadStatistics(FleetPlan plan) {
-        maxSendDelay = plan.clients().mostLate();
+        maxSendDelay = plan.clients().maxSendDelay();
         types = plan.types().stream().map(TypeStatistics::new).toList();
     }
 
--- a/src/main/java/rampshift/testbed/experiment/CapacitySearch.java
+++ b/src/main/java/rampshift/testbed/experiment/CapacitySearch.java
@@ -59,7 +59,7 @@
         out.printf("%10s %12s %10s %10s %10s %10s %9s%n", "tasks/s", "finished/s", "added p50", "added p99",
                 "latency p99", "CPU a try", "bounced");
         RateSearch search =
-                new RateSearch(plan.arrivals().rate(), plan.ladder().most(), plan.ladder().narrow());
+                new RateSearch(plan.arrivals().rate(), plan.ladder().maxRate(), plan.ladder().tolerance());
         boolean keptRules = true;
         while (search.nextRate() > 0) {
             RunOutcome outcome = runAt(search.nextRate());
@@ -71,7 +71,7 @@
         double capacity = search.highestCarried();
         results.put("carried", capacity);
         out.printf(Locale.ROOT, "carried: %.0f tasks/s with a 99th percentile of added time up to %.1f ms%n",
-                capacity, plan.ladder().bound().millis());
+                capacity, plan.ladder().maxAddedLatency().millis());
         if (capacity > 0) {
             for (int factor : OVERLOAD_FACTORS) {
                 keptRules &= runAt(capacity * factor).keptRules();
@@ -85,7 +85,7 @@
     private boolean isCarried(RunOutcome outcome) {
         long addedMicros = outcome.load().totalHistogram(LatencyKind.ADDED).getValueAtPercentile(99);
         TrafficCounts counts = outcome.load().totalCounts();
-        return addedMicros <= plan.ladder().bound().micros()
+        return addedMicros <= plan.ladder().maxAddedLatency().micros()
                 && counts.ended(TaskEnd.FINISHED) >= MIN_FINISHED_SHARE * counts.tasks();
     }
 
--- a/src/main/java/rampshift/testbed/experiment/OperatorFileWriter.java
+++ b/src/main/java/rampshift/testbed/experiment/OperatorFileWriter.java
@@ -79,7 +79,8 @@
                 seeds = [%s]
                 """, plan.sites().get(site).name(), listen.getHostString(), listen.getPort(),
                 plan.members().period().micros(), Math.round(plan.members().forget().millis()),
-                plan.members().news(), folder.membershipEventLog(dispatcher), String.join(", ", seeds));
+                plan.members().sharesDrains(), folder.membershipEventLog(dispatcher),
+                String.join(", ", seeds));
     }
 
     private String reach(int dispatcher, int other) {
@@ -98,7 +99,7 @@
     private String leases(int dispatcher) {
         FleetPlan.Leases leases = plan.leases();
         List<String> acceptors = new ArrayList<>();
-        for (int acceptor = 0; acceptor < Math.min(leases.keepers(), plan.dispatcherCount()); acceptor++) {
+        for (int acceptor = 0; acceptor < Math.min(leases.acceptors(), plan.dispatcherCount()); acceptor++) {
             acceptors.add(quoted(RunFolder.dispatcherName(acceptor)));
         }
         String section = String.format(Locale.ROOT, """
@@ -109,7 +110,7 @@
                 ledger = '%s'
                 """, String.join(", ", acceptors), Math.round(leases.term().millis()),
                 leases.drift(), folder.leaseEventLog(dispatcher));
-        boolean isAcceptor = dispatcher < leases.keepers();
+        boolean isAcceptor = dispatcher < leases.acceptors();
         return isAcceptor ? section + "directory = '" + folder.acceptorDirectory(dispatcher) + "'\n"
                 : section;
     }
--- a/src/main/java/rampshift/testbed/experiment/PolicySettings.java
+++ b/src/main/java/rampshift/testbed/experiment/PolicySettings.java
@@ -75,16 +75,17 @@
 
     private void addLimits(ObjectNode limits) {
         FleetPlan.Dispatchers dispatchers = plan.dispatchers();
-        limits.put("Cancel", plan.workers().stops()).put("SecondCopies", dispatchers.copies())
-                .put("RetryAfter", true).put("MaxRetryAfterMs", dispatchers.longestReturn().millis())
-                .put("MayProbe", dispatchers.probes()).put("MostAssignments", dispatchers.mostAssignments())
+        limits.put("Cancel", plan.workers().stopsCancelledTasks()).put("SecondCopies", dispatchers.copies())
+                .put("RetryAfter", true).put("MaxRetryAfterMs", dispatchers.maxRetryAfter().millis())
+                .put("MayProbe", dispatchers.probes()).put("MostAssignments", dispatchers.maxAttempts())
                 .put("DialTimeoutMs", DIAL_TIMEOUT_MS).put("ConnIdleMs", plan.workers().idle().millis());
     }
 
     private void addRules(ObjectNode rules) {
         FleetPlan.SlowStart cold = plan.slowStart();
-        rules.put("ColdFrom", cold.from()).put("ColdMs", cold.warm().millis()).put("TipMultiple", cold.tip())
-                .put("FallMs", cold.fall().millis())
+        rules.put("ColdFrom", cold.from()).put("ColdMs", cold.warm().millis())
+                .put("TipMultiple", cold.overloadFactor())
+                .put("FallMs", cold.overloadWindow().millis())
                 .put("StopSendingWithinMs", plan.discovery().grace().millis());
     }
 
--- a/src/main/java/rampshift/testbed/experiment/RunVerification.java
+++ b/src/main/java/rampshift/testbed/experiment/RunVerification.java
@@ -19,8 +19,8 @@
     static Verdict verify(FleetPlan plan, RunFolder folder) throws IOException {
         RuleChecker checker =
                 new RuleChecker(plan.discovery().grace().micros(), SLACK_US,
-                        plan.members().knownBy().micros(),
-                        plan.members().agreeBy().micros());
+                        plan.members().detectionLimit().micros(),
+                        plan.members().agreementLimit().micros());
         for (Path eventLog : folder.eventLogs()) {
             readLines(eventLog, checker);
         }
--- a/src/main/java/rampshift/testbed/plan/FleetPlan.java
+++ b/src/main/java/rampshift/testbed/plan/FleetPlan.java
@@ -133,32 +133,33 @@
      * @param processes the number of load generator processes
      * @param retries how many times a client retries a task that was rejected or failed
      * @param pause how long a client waits before a retry
-     * @param honourReturn whether a client waits at least for the time in {@code Retry-After}
+     * @param honorsRetryAfter whether a client waits at least for the time in {@code Retry-After}
      * @param patience the share of a task's expiry that a client waits for its response
-     * @param deadFront how long the front proxy continues to send to a dispatcher that failed
-     * @param mostLate the maximum delay with which the load generator may send; if more than one attempt in a
-     *        hundred is later, the run is void
+     * @param failoverDelay how long the front proxy continues to send to a dispatcher that failed
+     * @param maxSendDelay the maximum delay with which the load generator may send; if more than one attempt
+     *        in a hundred is later, the run is void
      * @param idle the number of connections that send one task and then stay idle
-     * @param inHand if above 0, the number of tasks in flight in a closed loop, which ignores the rate of
-     *        arrivals
+     * @param concurrency if above 0, the number of tasks in flight in a closed loop, which ignores the rate
+     *        of arrivals
      * @param keep whether clients reuse connections
      * @param warmUp the time at the start of the load whose tasks are not included in any figure
      */
-    public record Clients(int processes, int retries, Range pause, boolean honourReturn, double patience,
-            Range deadFront, Span mostLate, int idle, int inHand, boolean keep, Span warmUp) {}
+    public record Clients(int processes, int retries, Range pause, boolean honorsRetryAfter, double patience,
+            Range failoverDelay, Span maxSendDelay, int idle, int concurrency, boolean keep, Span warmUp) {}
 
     /**
      * How workers behave.
      *
      * @param tellsStart whether a worker reports when a task starts to run
      * @param progress the interval at which a worker reports that a task is still running
-     * @param stops whether a task stops when its attempt is cancelled
+     * @param stopsCancelledTasks whether a task stops when its attempt is cancelled
      * @param inOrder whether waiting tasks start in the order of arrival
      * @param idle the time without a task after which a connection is closed
      * @param cell the number of workers in a cell
      * @param connectionCost the delay of the first task on a new connection
      */
-    public record Workers(boolean tellsStart, Span progress, boolean stops, boolean inOrder, Span idle,
+    public record Workers(boolean tellsStart, Span progress, boolean stopsCancelledTasks, boolean inOrder,
+            Span idle,
             int cell, Span connectionCost) {}
 
     /**
@@ -166,10 +167,10 @@
      *
      * @param from the share of its speed that a worker has at its start
      * @param warm how long it takes until the worker has its full speed
-     * @param tip how many times its capacity a cold worker has to be sent to fail from overload
-     * @param fall the time window over which that is measured
+     * @param overloadFactor how many times its capacity a cold worker has to be sent to fail from overload
+     * @param overloadWindow the time window over which that is measured
      */
-    public record SlowStart(double from, Span warm, double tip, Span fall) {}
+    public record SlowStart(double from, Span warm, double overloadFactor, Span overloadWindow) {}
 
     /**
      * Load reports of workers.
@@ -204,9 +205,9 @@
     /**
      * The network.
      *
-     * @param crossing the delay between two sites, in one direction
+     * @param siteDelay the delay between two sites, in one direction
      */
-    public record Network(Range crossing) {}
+    public record Network(Range siteDelay) {}
 
     /**
      * How dispatchers are started and configured.
@@ -219,12 +220,12 @@
      * @param java additional options of the Java virtual machine
      * @param probes whether dispatchers may probe workers
      * @param copies whether a task may have a second attempt while the first one is open
-     * @param mostAssignments the maximum number of attempts of a task
-     * @param longestReturn the longest time that {@code Retry-After} may contain
+     * @param maxAttempts the maximum number of attempts of a task
+     * @param maxRetryAfter the longest time that {@code Retry-After} may contain
      * @param settings settings that replace those derived from this plan; null for none
      */
     public record Dispatchers(int port, int memoryMb, int sockets, String cpus, String jar, List<String> java,
-            boolean probes, boolean copies, int mostAssignments, Span longestReturn, JsonNode settings) {}
+            boolean probes, boolean copies, int maxAttempts, Span maxRetryAfter, JsonNode settings) {}
 
     /**
      * A fault to inject.
@@ -325,23 +326,25 @@
      * @param enabled whether they do, by means of an operator file for each dispatcher
      * @param period the period of heartbeats
      * @param forget the time after which a failed member is forgotten
-     * @param news whether dispatchers inform one another of the drains of workers
-     * @param knownBy the maximum time from a failure to its detection by each other dispatcher
-     * @param agreeBy the maximum time from the last fault until all views agree
+     * @param sharesDrains whether dispatchers inform one another of the drains of workers
+     * @param detectionLimit the maximum time from a failure to its detection by each other dispatcher
+     * @param agreementLimit the maximum time from the last fault until all views agree
      */
-    public record Members(boolean enabled, Span period, Span forget, boolean news, Span knownBy,
-            Span agreeBy) {}
+    public record Members(boolean enabled, Span period, Span forget, boolean sharesDrains,
+            Span detectionLimit,
+            Span agreementLimit) {}
 
     /**
      * Leases among dispatchers that know one another.
      *
-     * @param keepers the number of dispatchers, starting with the first one, that are acceptors
+     * @param acceptors the number of dispatchers, starting with the first one, that are acceptors
      * @param term how long a lease is held without a renewal
      * @param drift the bound on the drift of clocks, as a share
-     * @param checked whether workers refuse an effect with a lower fencing token than the highest one seen
+     * @param checksTokens whether workers refuse an effect with a lower fencing token than the highest one
+     *        seen
      * @param periodicJobs the periodic jobs
      */
-    public record Leases(int keepers, Span term, double drift, boolean checked,
+    public record Leases(int acceptors, Span term, double drift, boolean checksTokens,
             List<PeriodicJob> periodicJobs) {}
 
     /**
@@ -367,12 +370,12 @@
     /**
      * The search for the highest sustainable rate.
      *
-     * @param bound the limit on the 99th percentile of the latency that dispatchers add
-     * @param most the highest rate to try
-     * @param narrow the precision of the search: the remaining gap between the highest sustainable rate and
-     *        the lowest one that is not sustainable, as a share
+     * @param maxAddedLatency the limit on the 99th percentile of the latency that dispatchers add
+     * @param maxRate the highest rate to try
+     * @param tolerance the precision of the search: the remaining gap between the highest sustainable rate
+     *        and the lowest one that is not sustainable, as a share
      */
-    public record Ladder(Span bound, double most, double narrow) {}
+    public record Ladder(Span maxAddedLatency, double maxRate, double tolerance) {}
 
     /**
      * A variant of this file.
--- a/src/main/java/rampshift/testbed/workers/EmulatedWorker.java
+++ b/src/main/java/rampshift/testbed/workers/EmulatedWorker.java
@@ -142,7 +142,7 @@
     /** The dispatcher has closed the connection of a job; one that has started may run on regardless. */
     void abandon(Job job) {
         context.events().taskAbandoned(EventClock.now(), job);
-        if (!job.isStarted() || context.fleet().plan().workers().stops()) {
+        if (!job.isStarted() || context.fleet().plan().workers().stopsCancelledTasks()) {
             context.model().cancel(job, EventClock.now());
         }
         update();
--- a/src/main/java/rampshift/testbed/workers/Fleet.java
+++ b/src/main/java/rampshift/testbed/workers/Fleet.java
@@ -75,7 +75,7 @@
     private void open(long seed) throws IOException {
         stallMonitor = new StallMonitor(thread);
         FleetContext context = new FleetContext(plan, ioWorker, eventLog, stallMonitor,
-                new FencingTokens(plan.leases().checked()), new TaskReader(plan.types()),
+                new FencingTokens(plan.leases().checksTokens()), new TaskReader(plan.types()),
                 this::onTaskReceived);
         List<WorkerEntry> entries = new ArrayList<>();
         for (EmulatedWorker worker : new WorkerFactory(context, seed, dispatcherSites()).createAll()) {
--- a/src/main/java/rampshift/testbed/workers/OverloadDetector.java
+++ b/src/main/java/rampshift/testbed/workers/OverloadDetector.java
@@ -16,8 +16,8 @@
     private double receivedInWindow;
 
     OverloadDetector(FleetPlan.SlowStart settings) {
-        window = settings.fall();
-        maxLoad = settings.tip();
+        window = settings.overloadWindow();
+        maxLoad = settings.overloadFactor();
     }
 
     /** Forgets all work that was received. */
--- a/src/main/java/rampshift/testbed/workers/WorkerFactory.java
+++ b/src/main/java/rampshift/testbed/workers/WorkerFactory.java
@@ -74,7 +74,7 @@
         UniformRandomProvider random = RandomStreams.of(seed, "link " + identity.uid());
         for (int dispatcherSite : dispatcherSites) {
             boolean isLocal = dispatcherSite == identity.site();
-            worker.openLink(isLocal ? Span.ZERO : plan.network().crossing().at(random.nextDouble()));
+            worker.openLink(isLocal ? Span.ZERO : plan.network().siteDelay().at(random.nextDouble()));
         }
         return worker;
     }
--- a/src/test/java/rampshift/testbed/plan/FleetPlanReaderTest.java
+++ b/src/test/java/rampshift/testbed/plan/FleetPlanReaderTest.java
@@ -14,7 +14,7 @@
 
 /** Reads valid fleet files and checks the messages for invalid ones. */
 class FleetPlanReaderTest {
-    private static final String GOOD = """
+    private static final String VALID = """
             length = "3s"
             [[machine]]
             name = "m"
@@ -44,22 +44,22 @@
     }
 
     @Test
-    void soundFileIsReadAndAnArmReplacesWhatItNames() {
-        FleetPlan plan = FleetPlanReader.read("f.toml", GOOD, null);
+    void validFileIsReadAndArmReplacesTheValuesThatItSets() {
+        FleetPlan plan = FleetPlanReader.read("f.toml", VALID, null);
         assertEquals(Span.ofMillis(3000), plan.length());
         assertEquals(3, plan.workerCount());
         assertEquals(50, plan.arrivals().rate());
-        FleetPlan fast = FleetPlanReader.read("f.toml", GOOD, "fast");
+        FleetPlan fast = FleetPlanReader.read("f.toml", VALID, "fast");
         assertEquals(200, fast.arrivals().rate());
         assertEquals(Span.ofMillis(10), fast.types().get(0).work());
         assertEquals(false, fast.workers().inOrder(), "an arm may set a value in a missing table");
         assertEquals("f.toml:21: arm[1].set.length.x is not a path in this file",
                 assertThrows(ConfigurationException.class,
-                        () -> FleetPlanReader.read("f.toml", GOOD, "lost"))
+                        () -> FleetPlanReader.read("f.toml", VALID, "lost"))
                         .getMessage());
         assertEquals("f.toml:16: there is no arm \"none\"",
                 assertThrows(ConfigurationException.class,
-                        () -> FleetPlanReader.read("f.toml", GOOD, "none"))
+                        () -> FleetPlanReader.read("f.toml", VALID, "none"))
                         .getMessage());
     }
 
@@ -67,7 +67,7 @@
     @Test
     void siteMayHave1024Dispatchers() {
         FleetPlan plan = FleetPlanReader.read("f.toml",
-                GOOD.replace("name = \"a\"", "name = \"a\"\ndispatchers = 1024"), null);
+                VALID.replace("name = \"a\"", "name = \"a\"\ndispatchers = 1024"), null);
         assertEquals(1024, plan.sites().get(0).dispatchers());
     }
 
@@ -91,15 +91,15 @@
             rate = 50 | [clients]~warm_up = "3s" | f.toml:1: length must be longer than clients.warm_up
             what = "slow" | what = "cut" | f.toml:13: trouble[0].site is missing; a cut needs one site
             """)
-    void faultIsReportedWithItsLineAndWhatWasExpected(String good, String bad, String expected) {
-        String message = messageOn(GOOD.replace(good, bad.replace('~', '\n')));
+    void faultIsReportedWithItsLineAndTheExpectedValue(String original, String replacement, String expected) {
+        String message = messageOn(VALID.replace(original, replacement.replace('~', '\n')));
         assertTrue(message.startsWith(expected), message);
     }
 
     @Test
     void allFaultsAreReportedAtOnce() {
         String message =
-                messageOn(GOOD.replace("rate = 50", "rate = \"x\"").replace("slots = 2", "slots = 0")
+                messageOn(VALID.replace("rate = 50", "rate = \"x\"").replace("slots = 2", "slots = 0")
                         .replace("[[type]]", "[[typo]]"));
         assertEquals(4, message.lines().count(), message);
         assertTrue(message.contains("f.toml:8: typo is not known; the nearest key here is type"), message);
@@ -107,7 +107,7 @@
     }
 
     @Test
-    void bundledPlanIsSound() throws IOException {
+    void bundledPlanIsValid() throws IOException {
         try (var in = FleetPlanReader.class.getResourceAsStream("/rampshift/testbed/try.toml")) {
             FleetPlan plan =
                     FleetPlanReader.read("try.toml", new String(in.readAllBytes(), StandardCharsets.UTF_8),
