--- a/src/main/java/rampshift/testbed/discovery/DiscoveryAgent.java
+++ b/src/main/java/rampshift/testbed/discovery/DiscoveryAgent.java
@@ -44,7 +44,7 @@
     private Moment lastArrival = new Moment(0);
     private Span staleness = Span.ZERO;
     /** Whether the first response on each new connection is the full list. */
-    private boolean restatesList;
+    private boolean startsWithFullList;
     private boolean silent;
 
     /**
@@ -110,7 +110,7 @@
      */
     public void setStaleness(Span staleness) {
         this.staleness = staleness;
-        restatesList = true;
+        startsWithFullList = true;
         for (WatchConnection connection : new ArrayList<>(connections)) {
             connection.close();
         }
@@ -125,7 +125,7 @@
     private void accept(AcceptingChannel<StreamConnection> acceptor) {
         try {
             for (StreamConnection peer = acceptor.accept(); peer != null; peer = acceptor.accept()) {
-                WatchConnection connection = new WatchConnection(this, peer, thread, restatesList);
+                WatchConnection connection = new WatchConnection(this, peer, thread, startsWithFullList);
                 connections.add(connection);
                 connection.start();
             }
--- a/src/main/java/rampshift/testbed/discovery/WatchConnection.java
+++ b/src/main/java/rampshift/testbed/discovery/WatchConnection.java
@@ -25,15 +25,15 @@
     private final MessageReader reader = new MessageReader(this::onRequest);
     private boolean awaitsResponse;
     /** Whether the next response is the full list, regardless of the version that the dispatcher has. */
-    private boolean restatesList;
+    private boolean sendsFullList;
     private long knownVersion;
     private XnioExecutor.Key waitTimer;
 
     /** Creates a handler of an accepted connection; {@link #start} starts to read. */
-    WatchConnection(DiscoveryAgent agent, StreamConnection peer, XnioIoThread thread, boolean restatesList) {
+    WatchConnection(DiscoveryAgent agent, StreamConnection peer, XnioIoThread thread, boolean sendsFullList) {
         this.agent = agent;
         this.thread = thread;
-        this.restatesList = restatesList;
+        this.sendsFullList = sendsFullList;
         connection = new FaultyConnection(peer, thread, this);
     }
 
@@ -72,8 +72,8 @@
         if (!awaitsResponse || agent.isSilent()) {
             return;
         }
-        EndpointUpdate update = agent.updateSince(restatesList ? NO_VERSION : knownVersion);
-        restatesList = false;
+        EndpointUpdate update = agent.updateSince(sendsFullList ? NO_VERSION : knownVersion);
+        sendsFullList = false;
         boolean unchanged = !update.complete() && update.entries().isEmpty();
         if (unchanged && !evenIfUnchanged) {
             return;
--- a/src/main/java/rampshift/testbed/links/LinkFaults.java
+++ b/src/main/java/rampshift/testbed/links/LinkFaults.java
@@ -15,7 +15,7 @@
     private Span delay = Span.ZERO;
     private Span jitter = Span.ZERO;
     private double bytesPerSecond;
-    private double idleFromMs;
+    private double queueEmptyAtMs;
 
     /** Cuts the link, so that it transmits nothing, or restores it. */
     public void setCut(boolean cut) {
@@ -62,10 +62,10 @@
         double queueMs = 0;
         if (bytesPerSecond > 0) {
             double transmissionMs = MS_PER_SECOND * bytes / bytesPerSecond;
-            idleFromMs = Math.max(idleFromMs, nowMs) + transmissionMs;
-            queueMs = idleFromMs - nowMs;
+            queueEmptyAtMs = Math.max(queueEmptyAtMs, nowMs) + transmissionMs;
+            queueMs = queueEmptyAtMs - nowMs;
             if (queueMs > MAX_QUEUE_MS) {
-                idleFromMs -= transmissionMs;
+                queueEmptyAtMs -= transmissionMs;
                 return LOST;
             }
         }
--- a/src/main/java/rampshift/testbed/links/LinkProxy.java
+++ b/src/main/java/rampshift/testbed/links/LinkProxy.java
@@ -130,31 +130,32 @@
 
     private void accept(int from, int to, ServerSocketChannel server) {
         try {
-            SocketChannel near = server.accept();
-            if (near == null) {
+            SocketChannel downstream = server.accept();
+            if (downstream == null) {
                 return;
             }
             if (faults[from][to].isCut() || faults[to][from].isCut()) {
-                relays.add(createRelay(from, to, near, null));
+                relays.add(createRelay(from, to, downstream, null));
                 return;
             }
-            SocketChannel far = SocketChannel.open();
-            far.configureBlocking(false);
-            StreamRelay relay = createRelay(from, to, near, far);
+            SocketChannel upstream = SocketChannel.open();
+            upstream.configureBlocking(false);
+            StreamRelay relay = createRelay(from, to, downstream, upstream);
             relays.add(relay);
-            if (far.connect(dispatchers[to])) {
+            if (upstream.connect(dispatchers[to])) {
                 relay.onConnected();
             } else {
-                loop.register(far, SelectionKey.OP_CONNECT, relay::onConnected);
+                loop.register(upstream, SelectionKey.OP_CONNECT, relay::onConnected);
             }
         } catch (IOException e) {
             // The connection failed; the dispatcher that opened the stream sees it close.
         }
     }
 
-    private StreamRelay createRelay(int from, int to, SocketChannel near, SocketChannel far)
+    private StreamRelay createRelay(int from, int to, SocketChannel downstream, SocketChannel upstream)
             throws IOException {
-        return new StreamRelay(loop, near, far, faults[from][to], faults[to][from], relays::remove);
+        return new StreamRelay(loop, downstream, upstream, faults[from][to], faults[to][from],
+                relays::remove);
     }
 
     @Override
--- a/src/main/java/rampshift/testbed/links/StreamRelay.java
+++ b/src/main/java/rampshift/testbed/links/StreamRelay.java
@@ -13,8 +13,8 @@
     private static final double MAX_WRITE_MS = 200;
 
     private final SelectorLoop loop;
-    private final SocketChannel near;
-    private final SocketChannel far;
+    private final SocketChannel downstream;
+    private final SocketChannel upstream;
     private final LinkFaults forward;
     private final LinkFaults backward;
     private final Consumer<StreamRelay> onEnd;
@@ -24,31 +24,31 @@
     /**
      * Creates a relay that transfers nothing yet.
      *
-     * @param near the connection from the dispatcher that opened the stream
-     * @param far the connection to the other dispatcher; null to accept the stream without transferring
+     * @param downstream the connection from the dispatcher that opened the stream
+     * @param upstream the connection to the other dispatcher; null to accept the stream without transferring
      *        anything
-     * @param forward the faults of the link from near to far
-     * @param backward the faults of the link from far to near
+     * @param forward the faults of the link from downstream to upstream
+     * @param backward the faults of the link from upstream to downstream
      * @param onEnd called when the relay ends; may be called more than once
      */
-    StreamRelay(SelectorLoop loop, SocketChannel near, SocketChannel far, LinkFaults forward,
+    StreamRelay(SelectorLoop loop, SocketChannel downstream, SocketChannel upstream, LinkFaults forward,
             LinkFaults backward,
             Consumer<StreamRelay> onEnd) throws IOException {
         this.loop = loop;
-        this.near = near;
-        this.far = far;
+        this.downstream = downstream;
+        this.upstream = upstream;
         this.forward = forward;
         this.backward = backward;
         this.onEnd = onEnd;
-        near.configureBlocking(false);
+        downstream.configureBlocking(false);
     }
 
     /** Starts to transfer once the connection to the other dispatcher is established. */
     void onConnected() {
         try {
-            far.finishConnect();
-            loop.register(near, SelectionKey.OP_READ, () -> transfer(near, far, forward));
-            loop.register(far, SelectionKey.OP_READ, () -> transfer(far, near, backward));
+            upstream.finishConnect();
+            loop.register(downstream, SelectionKey.OP_READ, () -> transfer(downstream, upstream, forward));
+            loop.register(upstream, SelectionKey.OP_READ, () -> transfer(upstream, downstream, backward));
             applyCuts();
         } catch (IOException e) {
             end();
@@ -60,8 +60,8 @@
      * partitioned network.
      */
     void applyCuts() {
-        setReadable(near, !forward.isCut());
-        setReadable(far, !backward.isCut());
+        setReadable(downstream, !forward.isCut());
+        setReadable(upstream, !backward.isCut());
     }
 
     private void setReadable(SocketChannel channel, boolean readable) {
@@ -111,9 +111,9 @@
         ended = true;
         onEnd.accept(this);
         try {
-            near.close();
-            if (far != null) {
-                far.close();
+            downstream.close();
+            if (upstream != null) {
+                upstream.close();
             }
         } catch (IOException e) {
             // The connection is unusable in either case.
--- a/src/test/java/rampshift/testbed/discovery/ListHistoryTest.java
+++ b/src/test/java/rampshift/testbed/discovery/ListHistoryTest.java
@@ -22,7 +22,7 @@
     }
 
     @Test
-    void aKnownVersionGetsTheLastStateOfWhatChangedAndAnUnknownOneTheWholeList() {
+    void changesSinceKnownVersionAreReturnedAndUnknownVersionGivesNone() {
         ListHistory history = new ListHistory(List.of(ENTRY_A, ENTRY_B));
         long first = history.version();
         history.apply(List.of(ENTRY_A.withState(WorkerEntry.State.DRAINING)), Moment.ofMillis(1));
@@ -39,7 +39,7 @@
     }
 
     @Test
-    void aPastListIsTheListAsItWas() {
+    void pastListIsListAtThatTime() {
         ListHistory history = new ListHistory(List.of(ENTRY_A));
         history.apply(List.of(ENTRY_B), Moment.ofMillis(100));
         history.apply(List.of(ENTRY_A.withState(WorkerEntry.State.GONE)), Moment.ofMillis(200));
--- a/src/test/java/rampshift/testbed/random/RandomStreamsTest.java
+++ b/src/test/java/rampshift/testbed/random/RandomStreamsTest.java
@@ -13,7 +13,7 @@
      * seeds the same first number.
      */
     @Test
-    void seedsSideBySideGiveNumbersOfTheirOwn() {
+    void adjacentSeedsGiveDifferentNumbers() {
         Set<Long> firsts = new HashSet<>();
         int high = 0;
         for (long seed = 0; seed < 100; seed++) {
