--- a/src/main/java/rampshift/testbed/verification/DrainedWorkerAttempts.java
+++ b/src/main/java/rampshift/testbed/verification/DrainedWorkerAttempts.java
@@ -7,6 +7,7 @@
 
 /**
  * Measures how long after the start of a worker's drain attempts of any dispatcher still reach the worker.
+ * Ignores drains for which the event log contains only the number of workers instead of their names.
  */
 final class DrainedWorkerAttempts implements LogEventListener {
     private static final String TARGET_SEPARATOR = ",";
--- a/src/main/java/rampshift/testbed/verification/FaultEvent.java
+++ b/src/main/java/rampshift/testbed/verification/FaultEvent.java
@@ -43,8 +43,8 @@
      *
      * @param kind the kind of fault, in lower case with underscores
      * @param injected whether the fault begins; else it ends
-     * @param targets the names of the affected workers, dispatchers, links or site, separated by commas; may
-     *        be empty
+     * @param targets the names of the affected workers, dispatchers, links or site, separated by commas, or
+     *        their number such as {@code 5-workers}; may be empty
      * @param text the line without its time
      */
     record FaultChanged(long at, String kind, boolean injected, String targets,
