--- a/src/main/java/rampshift/testbed/clients/LoadStatistics.java
+++ b/src/main/java/rampshift/testbed/clients/LoadStatistics.java
@@ -27,7 +27,7 @@
      * @param plan the plan with the traffic types and the allowed send delay
      */
     LoadStatistics(FleetPlan plan) {
-        maxSendDelay = plan.clients().mostLate();
+        maxSendDelay = plan.clients().maxSendDelay();
         types = plan.types().stream().map(TypeStatistics::new).toList();
     }
 
--- a/src/main/java/rampshift/testbed/verification/LeaseEffectChecker.java
+++ b/src/main/java/rampshift/testbed/verification/LeaseEffectChecker.java
@@ -11,12 +11,12 @@
 import rampshift.testbed.verification.LeaseEvent.JobTaskUnsure;
 
 /**
- * The rules for effects that workers apply for the holder of a lease: they come in the order of their fencing
- * tokens, and a task that must not take effect twice does not.
+ * The rules for effects that workers apply for the holder of a lease: the fencing tokens of successive
+ * effects do not decrease, and a task that is not idempotent takes effect at most once.
  */
 final class LeaseEffectChecker implements LogEventListener {
-    private final RuleTally order = new RuleTally("effects under a lease in the order of tokens");
-    private final RuleTally once = new RuleTally("a duty's task takes effect once where it must");
+    private final RuleTally tokenOrder = new RuleTally("effects under a lease in the order of tokens");
+    private final RuleTally singleEffect = new RuleTally("a duty's task takes effect once where it must");
     private final Map<String, Long> highestTokenOfLease = new HashMap<>();
     private final Map<String, Integer> effectsOfTask = new TreeMap<>();
     private final Set<String> idempotentTasks = new HashSet<>();
@@ -39,11 +39,11 @@
     private void checkOrder(EffectApplied event) {
         Long highest = highestTokenOfLease.get(event.lease());
         if (highest != null && event.token() < highest) {
-            order.countBreach("an effect of " + event.task() + " under token " + event.token() + " of "
+            tokenOrder.countBreach("an effect of " + event.task() + " under token " + event.token() + " of "
                     + event.lease() + " after one under " + highest);
         } else if (highest != null && event.token() > highest) {
             takeovers++;
-            order.countCase();
+            tokenOrder.countCase();
         }
         highestTokenOfLease.merge(event.lease(), event.token(), Math::max);
     }
@@ -64,35 +64,36 @@
     }
 
     /**
-     * Checks that a task whose effect must not come twice has one at the most, and that one that is said to
-     * be completed has one at least; to be called once, after the last event.
+     * Checks that a task that is not idempotent took effect at most once, and that a task that was reported
+     * as completed took effect at least once. Must be called once, after the last event.
      */
     void check() {
         effectsOfTask.forEach((task, count) -> {
             if (!idempotentTasks.contains(task)) {
-                once.countCase();
+                singleEffect.countCase();
                 if (count > 1) {
-                    once.countBreach(task + " took effect " + count + " times");
+                    singleEffect.countBreach(task + " took effect " + count + " times");
                 }
             }
         });
         for (String task : completedTasks) {
-            once.countCase();
+            singleEffect.countCase();
             if (!effectsOfTask.containsKey(task)) {
-                once.countBreach(task + " was told as done, and no worker took it");
+                singleEffect
+                        .countBreach(task + " was reported as completed, but no worker applied its effect");
             }
         }
     }
 
-    Verdict.Rule orderResult() {
-        return order.result();
+    Verdict.Rule tokenOrderResult() {
+        return tokenOrder.result();
     }
 
-    Verdict.Rule onceResult() {
-        return once.result();
+    Verdict.Rule singleEffectResult() {
+        return singleEffect.result();
     }
 
-    /** The counts over all leases. */
+    /** Returns the counts over all leases. */
     Verdict.LeaseEffects counts() {
         long tasksOnce = effectsOfTask.values().stream().filter(count -> count == 1).count();
         long unsureWithoutEffect =
--- a/src/main/java/rampshift/testbed/workers/EmulatedWorker.java
+++ b/src/main/java/rampshift/testbed/workers/EmulatedWorker.java
@@ -142,7 +142,7 @@
     /** Cancels a job whose connection was closed, if it has not started or the plan stops such jobs. */
     void abandon(Job job) {
         context.events().taskAbandoned(EventClock.now(), job);
-        if (!job.isStarted() || context.fleet().plan().workers().stops()) {
+        if (!job.isStarted() || context.fleet().plan().workers().stopsCancelledTasks()) {
             context.model().cancel(job, EventClock.now());
         }
         update();
