--- a/src/main/java/rampshift/pipeline/RequestDecoder.java
+++ b/src/main/java/rampshift/pipeline/RequestDecoder.java
@@ -71,7 +71,7 @@
     }
 
     private InFlightTask decode(ClientRequest request) throws InvalidRequestException {
-        check(request.method().equals("POST"), METHOD_NOT_ALLOWED, "tasks come by POST");
+        check(request.method().equals("POST"), METHOD_NOT_ALLOWED, "tasks must be sent by POST");
         String transactionId = transactionId(request);
         int type = type(request);
         TrafficType typeSettings = settings.types.get(type);
@@ -96,8 +96,8 @@
     private String transactionId(ClientRequest request) throws InvalidRequestException {
         String id = request.field(TRANSACTION_FIELD);
         check(id != null && TRANSACTION_ID.matcher(id).matches(), BAD_REQUEST,
-                "X-Txn is missing, there twice, too long, or holds blanks");
-        check(!registry.isKnown(id), CONFLICT, "a task with this X-Txn is in hand, or was");
+                "X-Txn is missing, repeated, too long, or contains invalid characters");
+        check(!registry.isKnown(id), CONFLICT, "a task with this X-Txn is or was in progress");
         return id;
     }
 
@@ -111,19 +111,19 @@
     private static double remainingSeconds(ClientRequest request) throws InvalidRequestException {
         double seconds = TaskLabels.parseDecimal(request.field(REMAINING_TIME_FIELD));
         check(seconds > 0 && seconds <= MAX_REMAINING_SECONDS, BAD_REQUEST,
-                "X-Remaining is missing or not a sensible number of seconds above 0");
+                "X-Remaining is missing or not a valid number of seconds above 0");
         return seconds;
     }
 
     private static void checkLabelsAreUnique(ClientRequest request) throws InvalidRequestException {
         boolean repeated = request.field(LABELS_FIELD) == null && request.hasField(LABELS_FIELD);
-        check(!repeated, BAD_REQUEST, "X-Labels stands there twice");
+        check(!repeated, BAD_REQUEST, "X-Labels is repeated");
     }
 
     private static void checkIdempotencyKey(ClientRequest request, TrafficType type)
             throws InvalidRequestException {
         check(!requiresIdempotencyKey(type) || request.field(IDEMPOTENCY_KEY_FIELD) != null, BAD_REQUEST,
-                "Idempotency-Key is missing or there twice");
+                "Idempotency-Key is missing or repeated");
     }
 
     private static boolean requiresIdempotencyKey(TrafficType type) {
--- a/src/main/java/rampshift/pipeline/TaskLabels.java
+++ b/src/main/java/rampshift/pipeline/TaskLabels.java
@@ -43,7 +43,7 @@
         if (value >= 0 && value <= MAX_VALUE) {
             return value;
         }
-        throw new InvalidRequestException(400, "X-Labels: " + name + " is not a number that makes sense");
+        throw new InvalidRequestException(400, "X-Labels: " + name + " is not a valid number");
     }
 
     /**
