--- a/src/test/java/rampshift/serve/OverloadRejectionTest.java
+++ b/src/test/java/rampshift/serve/OverloadRejectionTest.java
@@ -17,10 +17,11 @@
 /**
  * Early rejection during overload. Rejecting decoded tasks is so expensive that a dispatcher at four times
  * its capacity completes none, so tasks are rejected by their head before the HTTP server parses them. The
- * tests close the admission window and pass a request to the dispatcher before it polls its sockets.
+ * tests overload the dispatcher until its admission window rejects tasks, and pass a request to it before it
+ * polls its sockets.
  */
 class OverloadRejectionTest extends ConnectionTestBase {
-    /** Longer than the time for which an admission window is open. */
+    /** Longer than an admission window may last in an overload before it rejects tasks. */
     private static final long WINDOW_MS = 25;
     /**
      * Number of windows that are together longer than the tolerated overload, while each interval is shorter
@@ -148,7 +149,7 @@
         runDuringOverload(() -> node.dispatcher.clientListener.serve(client.serverEnd()));
     }
 
-    /** Runs a step on the I/O thread before it polls, with the admission window shut. */
+    /** Runs a step on the I/O thread before it polls, while the admission window rejects tasks. */
     private void runDuringOverload(Step step) throws Exception {
         AdmissionWindow window = node.dispatcher.admissionWindow;
         for (int i = 0; i < TOLERATED_WINDOWS; i++) {
@@ -156,13 +157,13 @@
             Thread.sleep(WINDOW_INTERVAL_MS);
         }
         runOnThread(() -> {
-            assertFalse(isOpenForLong(window), "the window stays open in an overload");
+            assertFalse(isOpenForLong(window), "the window admits tasks in an overload");
             step.run();
         });
     }
 
     private static boolean isOpenForLong(AdmissionWindow window) throws InterruptedException {
-        assertTrue(window.isOpen(), "the window is closed for the first task after a poll");
+        assertTrue(window.isOpen(), "the window rejects the first task after a poll");
         Thread.sleep(WINDOW_MS);
         return window.isOpen();
     }
