--- a/src/main/java/rampshift/discovery/WatchTimings.java
+++ b/src/main/java/rampshift/discovery/WatchTimings.java
@@ -16,12 +16,13 @@
 
     /**
      * Maximum wait of a poll. It bounds the time until a silent failure of the agent or the connection is
-     * detected: 21 s with a wait of 20 s.
+     * detected: with a wait of 20 s, detection takes 21 s.
      */
     private static final Span MAX_POLL_WAIT = Span.ofMillis(1000);
     private static final Span MAX_RESPONSE_SLACK = Span.ofMillis(500);
     /**
-     * Maximum pause between a failed poll and the next one. Drains are still observed in time with 200 ms.
+     * Maximum pause between a failed poll and the next one. Even with a pause of 200 ms, drains are observed
+     * in time.
      */
     private static final Span MAX_RETRY_DELAY = Span.ofMillis(100);
     private static final Span MIN_SPAN = Span.ofMillis(10);
--- a/src/main/java/rampshift/pipeline/RequestDecoder.java
+++ b/src/main/java/rampshift/pipeline/RequestDecoder.java
@@ -37,7 +37,10 @@
     private final AdmissionControl admission;
     private long lastTaskId;
 
-    /** Creates a decoder that passes tasks to an admission control. The host settings contain the names. */
+    /**
+     * Creates a decoder that passes tasks to an admission control. The host settings contain the names of the
+     * traffic types and the tenants.
+     */
     public RequestDecoder(Settings settings, HostSettings hostSettings, Counters counters,
             TaskRegistry registry, AdmissionControl admission) {
         this.settings = settings;
--- a/src/main/java/rampshift/settings/HostSettings.java
+++ b/src/main/java/rampshift/settings/HostSettings.java
@@ -11,7 +11,8 @@
  * @param types names of the traffic types, in that order
  * @param tenants names of the tenants, in that order
  * @param dialTimeout how long opening a connection to a worker may take
- * @param connectionIdleTimeout idle time after which a connection to a worker is closed
+ * @param connectionIdleTimeout the idle time after which workers close a connection; the dispatcher closes
+ *     an idle connection earlier, after a share of this time
  * @param maxConnections maximum number of open connections to workers, at least 1
  * @param freeSlotsField the field of a load report that holds the free slots; null if there is none
  * @param freeMemoryField the field of a load report that holds the free memory; null if there is none
