--- a/src/test/java/rampshift/serve/OverloadRejectionTest.java
+++ b/src/test/java/rampshift/serve/OverloadRejectionTest.java
@@ -153,16 +153,16 @@
     private void runDuringOverload(Step step) throws Exception {
         AdmissionWindow window = node.dispatcher.admissionWindow;
         for (int i = 0; i < TOLERATED_WINDOWS; i++) {
-            assertTrue(onThread(() -> isOpenForLong(window)), "a burst is not an overload");
+            assertTrue(onThread(() -> isOpenBeyondLimit(window)), "a burst is not an overload");
             Thread.sleep(WINDOW_INTERVAL_MS);
         }
         runOnThread(() -> {
-            assertFalse(isOpenForLong(window), "the window admits tasks in an overload");
+            assertFalse(isOpenBeyondLimit(window), "the window admits tasks in an overload");
             step.run();
         });
     }
 
-    private static boolean isOpenForLong(AdmissionWindow window) throws InterruptedException {
+    private static boolean isOpenBeyondLimit(AdmissionWindow window) throws InterruptedException {
         assertTrue(window.isOpen(), "the window rejects the first task after a poll");
         Thread.sleep(WINDOW_MS);
         return window.isOpen();
