--- a/src/main/java/rampshift/serve/Dispatcher.java
+++ b/src/main/java/rampshift/serve/Dispatcher.java
@@ -75,9 +75,9 @@
                 stalls::maxUnreadTime);
     }
 
-    /** Sets the action to run before the first byte of each request to a worker. */
-    void beforeFirstByte(Runnable action) {
-        pool.beforeFirstByte(action);
+    /** Sets the hook that runs before the first byte of each request to a worker. */
+    void setFirstByteHook(Runnable hook) {
+        pool.setFirstByteHook(hook);
     }
 
     /**
--- a/src/main/java/rampshift/serve/DispatcherServer.java
+++ b/src/main/java/rampshift/serve/DispatcherServer.java
@@ -108,7 +108,7 @@
         watch = new EndpointWatch(thread, dialer, clock, configuration.discovery(), dispatcher.drainGrace,
                 counters,
                 new WatchListener());
-        dispatcher.beforeFirstByte(beforeFirstByte());
+        dispatcher.setFirstByteHook(firstByteHook());
         extension.start(worker, thread, clock, configuration,
                 changes -> dispatcher.policyHost.onEndpointList(changes, false));
         watch.start();
@@ -190,8 +190,8 @@
         });
     }
 
-    /** Returns the action to run before the first byte of each request to a worker. */
-    Runnable beforeFirstByte() {
+    /** Returns the hook that runs before the first byte of each request to a worker. */
+    Runnable firstByteHook() {
         return watch::readPending;
     }
 
--- a/src/main/java/rampshift/workers/ConnectionPool.java
+++ b/src/main/java/rampshift/workers/ConnectionPool.java
@@ -67,7 +67,7 @@
      * Sets a hook that runs before the first byte of each attempt is written. The hook reads the pending
      * input from the discovery service, so that no attempt is sent by an outdated endpoint list.
      */
-    public void beforeFirstByte(Runnable hook) {
+    public void setFirstByteHook(Runnable hook) {
         firstByteHook = hook;
     }
 
--- a/src/test/java/rampshift/serve/ClientDepartureTest.java
+++ b/src/test/java/rampshift/serve/ClientDepartureTest.java
@@ -128,7 +128,7 @@
         TestServer worker = finishingWorker();
         startServer(worker);
         TestConnection client = client();
-        replaceFirstByteCheck(check -> {
+        replaceFirstByteHook(check -> {
             runUnchecked(() -> client.disconnect(closeType));
             busyWait(BUSY_MS);
             check.run();
@@ -170,7 +170,7 @@
         TestServer worker = finishingWorker();
         startServer(worker);
         TestConnection client = client();
-        replaceFirstByteCheck(check -> {
+        replaceFirstByteHook(check -> {
             check.run();
             node.thread.execute(() -> {     // runs once all but the last byte has been written
                 runUnchecked(() -> client.disconnect(RST));
--- a/src/test/java/rampshift/serve/ConnectionTestBase.java
+++ b/src/test/java/rampshift/serve/ConnectionTestBase.java
@@ -109,13 +109,13 @@
     }
 
     /**
-     * Replaces the check before the first byte to a worker. The replacement receives the original check, and
+     * Replaces the hook before the first byte to a worker. The replacement receives the original hook, and
      * runs it before or after steps of its own.
      */
-    void replaceFirstByteCheck(Consumer<Runnable> replacement) throws Exception {
+    void replaceFirstByteHook(Consumer<Runnable> replacement) throws Exception {
         runOnThread(() -> {
-            Runnable check = node.beforeFirstByte();
-            node.dispatcher.beforeFirstByte(() -> replacement.accept(check));
+            Runnable hook = node.firstByteHook();
+            node.dispatcher.setFirstByteHook(() -> replacement.accept(hook));
         });
     }
 
--- a/src/test/java/rampshift/serve/ServerEndpointListTest.java
+++ b/src/test/java/rampshift/serve/ServerEndpointListTest.java
@@ -257,7 +257,7 @@
                 .replace("\"WeightSource\"", "\"Rules\":{\"StopSendingWithinMs\":10},\"WeightSource\"")));
         TestConnection client = client().sendTask("t", "sell", "x");
         until("the task is accepted", () -> count("taken") == 1);
-        replaceFirstByteCheck(check -> {
+        replaceFirstByteHook(check -> {
             busyWait(ARRIVAL_MS);
             check.run();
         });
--- a/src/test/java/rampshift/workers/ConnectionPoolTest.java
+++ b/src/test/java/rampshift/workers/ConnectionPoolTest.java
@@ -51,7 +51,7 @@
     void readsPendingEndpointUpdatesBeforeTheFirstByte() throws Exception {
         createPool();
         startIdempotentAttempt();
-        runOnThread(() -> pool.beforeFirstByte(() -> listWorker(ADDRESS, "a/m", 0, false)));
+        runOnThread(() -> pool.setFirstByteHook(() -> listWorker(ADDRESS, "a/m", 0, false)));
         connect(0);
         assertEquals(List.of(AttemptOutcome.NOT_SENT), outcomes);
     }
@@ -322,7 +322,7 @@
         createPool();
         List<String> order = Collections.synchronizedList(new ArrayList<>());
         runOnThread(() -> {
-            pool.beforeFirstByte(() -> order.add("hook"));
+            pool.setFirstByteHook(() -> order.add("hook"));
             startAttemptOnThread(false, () -> {
                 order.add("message");
                 return oneByte();
