--- a/src/main/java/rampshift/clients/IdleConnectionReaper.java
+++ b/src/main/java/rampshift/clients/IdleConnectionReaper.java
@@ -46,7 +46,7 @@
 
     /** Runs a task at each interval, until {@link #stop}. */
     void start(Runnable task) {
-        timer = IoTimer.in(thread, INTERVAL, () -> {
+        timer = IoTimer.schedule(thread, INTERVAL, () -> {
             task.run();
             start(task);
         });
--- a/src/main/java/rampshift/discovery/LongPoll.java
+++ b/src/main/java/rampshift/discovery/LongPoll.java
@@ -81,7 +81,7 @@
     /** Sends the request; the response, or its first piece, must arrive within the timeout. */
     void start(byte[] request, Span timeout) {
         Moment deadline = clock.now().plus(timeout).plus(MAX_TRANSFER);
-        timer = IoTimer.in(thread, timeout, () -> onTimeout(deadline));
+        timer = IoTimer.schedule(thread, timeout, () -> onTimeout(deadline));
         connection.exchange(this, ByteBuffer.wrap(request));
     }
 
--- a/src/main/java/rampshift/discovery/WatchBackoff.java
+++ b/src/main/java/rampshift/discovery/WatchBackoff.java
@@ -53,7 +53,7 @@
 
     /** Schedules an attempt after the delay, unless it is canceled before. */
     void schedule(Runnable attempt) {
-        timer = IoTimer.in(thread, delay, attempt);
+        timer = IoTimer.schedule(thread, delay, attempt);
     }
 
     /** Cancels the scheduled attempt, if there is one. */
--- a/src/main/java/rampshift/pipeline/StallDetector.java
+++ b/src/main/java/rampshift/pipeline/StallDetector.java
@@ -34,7 +34,7 @@
     }
 
     private void scheduleHeartbeat() {
-        timer = IoTimer.in(thread, HEARTBEAT_INTERVAL, this::heartbeat);
+        timer = IoTimer.schedule(thread, HEARTBEAT_INTERVAL, this::heartbeat);
     }
 
     private void heartbeat() {
--- a/src/main/java/rampshift/serve/WarmUp.java
+++ b/src/main/java/rampshift/serve/WarmUp.java
@@ -75,7 +75,7 @@
     /** Connects and sends the first task. */
     void start() {
         startedAt = clock.now();
-        timer = IoTimer.in(thread, MAX_DURATION, () -> finish("time"));
+        timer = IoTimer.schedule(thread, MAX_DURATION, () -> finish("time"));
         Dialer toDispatcher = new Dialer(thread,
                 new InProcessOpener(thread, dispatcher.clientListener::serve));
         toDispatcher.dial(null, MAX_DURATION, new Dialer.DialListener() {
--- a/src/main/java/rampshift/time/IoTimer.java
+++ b/src/main/java/rampshift/time/IoTimer.java
@@ -24,7 +24,7 @@
      * Runs an action on the thread after a delay, up to a millisecond early. This method and {@link #cancel}
      * must be called on that thread.
      */
-    public static IoTimer in(XnioExecutor thread, Span delay, Runnable action) {
+    public static IoTimer schedule(XnioExecutor thread, Span delay, Runnable action) {
         return new IoTimer(thread, delay.micros(), TimeUnit.MICROSECONDS, action);
     }
 
--- a/src/main/java/rampshift/workers/ConnectionPool.java
+++ b/src/main/java/rampshift/workers/ConnectionPool.java
@@ -220,7 +220,7 @@
     }
 
     private void scheduleCleanup() {
-        cleanupTimer = IoTimer.in(thread, CLEANUP_INTERVAL, this::cleanUp);
+        cleanupTimer = IoTimer.schedule(thread, CLEANUP_INTERVAL, this::cleanUp);
     }
 
     private void cleanUp() {
--- a/src/test/java/rampshift/time/IoTimerTest.java
+++ b/src/test/java/rampshift/time/IoTimerTest.java
@@ -27,11 +27,11 @@
             List<String> fired = Collections.synchronizedList(new ArrayList<>());
             IoTimer[] second = new IoTimer[1];
             FutureTask<Void> work = new FutureTask<>(() -> {
-                IoTimer.in(thread, Span.ofMillis(1), () -> {
+                IoTimer.schedule(thread, Span.ofMillis(1), () -> {
                     fired.add("first");
                     second[0].cancel();
                 });
-                second[0] = IoTimer.in(thread, Span.ofMillis(2), () -> fired.add("second"));
+                second[0] = IoTimer.schedule(thread, Span.ofMillis(2), () -> fired.add("second"));
                 Thread.sleep(20);
                 return null;
             });
