--- a/src/main/java/rampshift/extensions/LeaseExtension.java
+++ b/src/main/java/rampshift/extensions/LeaseExtension.java
@@ -27,10 +27,10 @@
     }
 
     @Override
-    public void begin(MessageChannel channel) {
+    public void onOpen(MessageChannel channel) {
         Configuration configuration = channel.configuration();
         List<PeriodicJobSettings> resolved = resolve(configuration);
-        leases.begin(channel);
+        leases.onOpen(channel);
         if (!resolved.isEmpty()) {
             jobs = new PeriodicJobHost(resolved, leases, channel.thread(), channel.clock(),
                     ownAddress(configuration.listen()));
@@ -79,15 +79,15 @@
     }
 
     @Override
-    public void stopping() {
-        leases.stopping();
+    public void onStopping() {
+        leases.onStopping();
     }
 
     @Override
-    public void end() {
+    public void onClose() {
         if (jobs != null) {
             jobs.stop();
         }
-        leases.end();
+        leases.onClose();
     }
 }
--- a/src/main/java/rampshift/leases/host/LeaseHost.java
+++ b/src/main/java/rampshift/leases/host/LeaseHost.java
@@ -52,7 +52,7 @@
     }
 
     @Override
-    public void begin(MessageChannel messages) {
+    public void onOpen(MessageChannel messages) {
         channel = messages;
         SecureRandom random = new SecureRandom();
         long processId = randomNonZero(random);
@@ -135,17 +135,17 @@
     }
 
     @Override
-    public String answer(String question) {
-        return queries.answer(question, clock.now());
+    public String answer(String query) {
+        return queries.answer(query, clock.now());
     }
 
     @Override
-    public void stopping() {
+    public void onStopping() {
         leases.shutDown(clock.now());
     }
 
     @Override
-    public void end() {
+    public void onClose() {
         stopped = true;
         if (timerKey != null) {
             timerKey.remove();
--- a/src/main/java/rampshift/leases/host/LeaseQueries.java
+++ b/src/main/java/rampshift/leases/host/LeaseQueries.java
@@ -9,7 +9,7 @@
 
 /** Answers the queries and requests that operators send with the command {@code leases}. */
 final class LeaseQueries {
-    private static final Pattern QUESTION =
+    private static final Pattern QUERY =
             Pattern.compile("\\?leases( give [!-~]+( [!-~]+)?| hold [!-~]+ \\d{1,16}| keepers [!-~]+)?");
     private static final String ANY_DISPATCHER = "*";
     private static final int COMMAND = 1;
@@ -22,12 +22,12 @@
         this.leases = leases;
     }
 
-    /** Returns the answer; null if the question is not about leases. */
-    String answer(String question, Moment now) {
-        if (!QUESTION.matcher(question).matches()) {
+    /** Returns the answer; null if the query is not about leases. */
+    String answer(String query, Moment now) {
+        if (!QUERY.matcher(query).matches()) {
             return null;
         }
-        String[] words = question.split(" ", -1);
+        String[] words = query.split(" ", -1);
         if (words.length <= COMMAND) {
             return leases.statusPage(now);
         }
--- a/src/main/java/rampshift/membership/host/MembershipTransport.java
+++ b/src/main/java/rampshift/membership/host/MembershipTransport.java
@@ -105,7 +105,7 @@
         writeEvent("began", name, membership.self().incarnation(), address);
         membership.start(clock.now());
         if (handler != null) {
-            handler.begin(this);
+            handler.onOpen(this);
             notifyHandler();
         }
     }
@@ -165,7 +165,7 @@
     @Override
     public void onStopping() {
         if (handler != null) {
-            handler.stopping();
+            handler.onStopping();
         }
         membership.setPhase(clock.now(), MemberIdentity.Phase.STOPPING);
     }
@@ -177,7 +177,7 @@
         }
         closed = true;
         if (handler != null) {
-            handler.end();
+            handler.onClose();
         }
         if (membership != null) {
             membership.leave(clock.now());
--- a/src/main/java/rampshift/membership/host/MessageChannel.java
+++ b/src/main/java/rampshift/membership/host/MessageChannel.java
@@ -28,7 +28,7 @@
     /** A module that uses the channel. Its methods are called on the I/O thread. */
     interface Handler {
         /** Called when the channel has been opened. */
-        void begin(MessageChannel channel);
+        void onOpen(MessageChannel channel);
 
         /** Handles a payload from the member with that name. */
         void onMessage(String from, byte[] payload);
@@ -40,9 +40,9 @@
         String answer(String query);
 
         /** Called when the dispatcher starts to shut down; the module releases its leases. */
-        void stopping();
+        void onStopping();
 
         /** Called before the channel is closed. */
-        void end();
+        void onClose();
     }
 }
