--- a/src/main/java/rampshift/membership/host/MessageChannel.java
+++ b/src/main/java/rampshift/membership/host/MessageChannel.java
@@ -42,7 +42,7 @@
         /** Called when the dispatcher starts to shut down; the module releases its leases. */
         void onStopping();
 
-        /** Called before the channel is closed. */
+        /** Called before the channel is closed, even if it could not be opened. */
         void onClose();
     }
 }
