--- a/src/main/java/rampshift/pipeline/TaskRegistry.java
+++ b/src/main/java/rampshift/pipeline/TaskRegistry.java
@@ -6,7 +6,7 @@
 import java.util.List;
 import java.util.Map;
 
-/** The tasks in flight, which are removed nowhere else, and the transaction ids of recent tasks. */
+/** The tasks in flight, which only this class removes, and the transaction ids of recent tasks. */
 public final class TaskRegistry {
     private static final int MAX_RECENT_TRANSACTIONS = 2048;
 
--- a/src/main/java/rampshift/workers/HealthCheck.java
+++ b/src/main/java/rampshift/workers/HealthCheck.java
@@ -8,7 +8,10 @@
 import rampshift.connections.ResponseHead;
 import rampshift.time.IoTimer;
 
-/** Requests the load of a worker, and reports once the response or that none arrived in time. */
+/**
+ * Checks the health of a worker by a request for its load, and reports the result once. The worker is
+ * unhealthy if the connection fails, no response arrives in time or the status is not 200.
+ */
 final class HealthCheck extends WorkerExchange {
     private static final int INITIAL_BODY_BYTES = 256;
     private static final int MAX_BODY_BYTES = 4096;
