--- a/src/main/java/rampshift/testbed/experiment/CapacitySearch.java
+++ b/src/main/java/rampshift/testbed/experiment/CapacitySearch.java
@@ -16,10 +16,10 @@
 
 /**
  * Searches for the capacity of a plan's dispatchers: the highest rate at which the 99th percentile of added
- * latency stays within the plan's bound. Then runs them at that rate and at multiples of it.
+ * latency stays within the plan's bound. Then runs the dispatchers at that rate and at multiples of it.
  */
 final class CapacitySearch {
-    /** A rate at which a smaller share of the tasks finishes is not carried. */
+    /** The smallest share of tasks that must finish for a rate to count as sustained. */
     private static final double MIN_FINISHED_SHARE = 0.99;
     private static final int[] OVERLOAD_FACTORS = {1, 2, 4};
     /** The name of the arm that sets the rate of a run. */
@@ -38,9 +38,9 @@
      * Prepares a search.
      *
      * @param planFile the fleet file that the plan was read from
-     * @param arm the arm of the file whose capacity is wanted; null for the file as it stands
-     * @param plan the plan as the arm has it
-     * @param folder where each run gets a folder of its own, and the results are written
+     * @param arm the arm whose capacity is searched for; null for the file without any arm
+     * @param plan the plan with the settings of the arm
+     * @param folder where the results and a folder for each run are written
      */
     CapacitySearch(Path planFile, String arm, FleetPlan plan, Path folder, PrintStream out) {
         this.planFile = planFile;
@@ -64,8 +64,8 @@
         while (search.nextRate() > 0) {
             RunOutcome outcome = runAt(search.nextRate());
             keptRules &= outcome.keptRules();
-            // A late load generator can only make the result worse: a good run counts even if it is void,
-            // and a bad one is repeated by the search.
+            // Late sends can only make the result worse. So a sustained rate counts even if its run is void,
+            // and the search repeats a rate that was not sustained.
             search.addResult(isCarried(outcome));
         }
         double capacity = search.highestCarried();
@@ -89,7 +89,7 @@
                 && counts.ended(TaskEnd.FINISHED) >= MIN_FINISHED_SHARE * counts.tasks();
     }
 
-    /** A run at a rate, in tasks a second. */
+    /** Carries out a run at a rate in tasks per second. */
     private RunOutcome runAt(double rate) throws IOException, InterruptedException {
         String rateText = String.format(Locale.ROOT, "%.0f", rate);
         Path runPath = Files.createDirectories(folder.resolve(rateText + "-" + runResults.size()));
@@ -106,7 +106,7 @@
         return outcome;
     }
 
-    /** Writes the fleet file with one more arm, which sets the rate, so that the run can be repeated. */
+    /** Writes the fleet file with an additional arm that sets the rate, so that the run can be repeated. */
     private Path writePlan(Path runPath, String rateText) throws IOException {
         StringBuilder settings = new StringBuilder();
         findArm().ifPresent(base -> base.set().fields().forEachRemaining(field -> settings.append('"')
--- a/src/main/java/rampshift/testbed/experiment/ChildProcess.java
+++ b/src/main/java/rampshift/testbed/experiment/ChildProcess.java
@@ -18,13 +18,13 @@
 import rampshift.time.Moment;
 import rampshift.time.Span;
 
-/** A process that this one has started. Its last lines of output are kept for messages about failures. */
+/** A process started by this one. The last lines of its output are kept for error messages. */
 final class ChildProcess {
     /** The signals that suspend and resume a process. */
     enum Signal {
         /** Suspends the process. */
         STOP,
-        /** Resumes it. */
+        /** Resumes the process. */
         CONT
     }
 
@@ -43,8 +43,8 @@
     /**
      * Starts a process.
      *
-     * @param onOutput receives each line of its output, on a thread of this process's own
-     * @param onEnd is told after this class has ended the process
+     * @param onOutput receives each line of the process's output, on a thread that reads only this output
+     * @param onEnd is called after {@link #stop} or {@link #kill}
      * @throws IOException if the program cannot be started
      */
     ChildProcess(ProcessSpec spec, Consumer<String> onOutput, Consumer<ChildProcess> onEnd)
@@ -73,7 +73,7 @@
                 onOutput.accept(line);
             }
         } catch (IOException e) {
-            // The process has ended.
+            // The pipe breaks when the process is killed; there is no more output to read.
         }
     }
 
@@ -86,34 +86,34 @@
         }
     }
 
-    /** Its name in messages. */
+    /** Returns the name of the process in messages. */
     String name() {
         return name;
     }
 
-    /** The id that the system has given it. */
+    /** Returns the process id. */
     long pid() {
         return process.pid();
     }
 
-    /** Whether it runs or is suspended. */
+    /** Returns whether the process has not ended; it may be suspended. */
     boolean isAlive() {
         return process.isAlive();
     }
 
-    /** Its exit status; throws IllegalThreadStateException while it is alive. */
+    /** Returns the exit status; throws IllegalThreadStateException while the process is alive. */
     int exitStatus() {
         return process.exitValue();
     }
 
-    /** The last lines that it has printed so far. */
+    /** Returns the last lines that the process has printed so far. */
     List<String> recentOutput() {
         synchronized (recentOutput) {
             return new ArrayList<>(recentOutput);
         }
     }
 
-    /** The last lines of its output; waits for these for a short time if it is still printing. */
+    /** Returns the last lines of the output, after waiting a short time for the output to end. */
     List<String> finalOutput() {
         try {
             outputReader.join(FINAL_OUTPUT_TIMEOUT_MS);
@@ -124,10 +124,10 @@
     }
 
     /**
-     * Waits until it is ready.
+     * Waits until the process is ready.
      *
-     * @param isReady tells whether it is
-     * @throws RunFailedException if it ends before that, or is not ready in time
+     * @param isReady returns whether the process is ready
+     * @throws RunFailedException if the process ends before it is ready, or is not ready within the timeout
      */
     void awaitReady(BooleanSupplier isReady, Span timeout) throws InterruptedException {
         Moment deadline = EventClock.now().plus(timeout);
@@ -139,32 +139,32 @@
         }
     }
 
-    /** As {@link #awaitReady(BooleanSupplier, Span)}, for a process that prints a line once it is ready. */
+    /** Waits until the process has printed the ready line; see {@link #awaitReady(BooleanSupplier, Span)}. */
     void awaitReady(String readyLine, Span timeout) throws InterruptedException {
         awaitReady(() -> recentOutput().contains(readyLine), timeout);
     }
 
-    /** Writes a line to its standard input. */
+    /** Writes a line to the standard input of the process. */
     void writeLine(String line) throws IOException {
         process.getOutputStream().write((line + "\n").getBytes(StandardCharsets.UTF_8));
         process.getOutputStream().flush();
     }
 
-    /** Closes its standard input. */
+    /** Closes the standard input of the process. */
     void closeInput() {
         try {
             process.getOutputStream().close();
         } catch (IOException e) {
-            // It has ended already.
+            // The process has ended already.
         }
     }
 
-    /** The CPU time that it has used; zero where the system does not tell. */
+    /** Returns the CPU time that the process has used; zero where the system does not report it. */
     Duration cpuTime() {
         return process.info().totalCpuDuration().orElse(Duration.ZERO);
     }
 
-    /** Its resident memory in KiB; 0 where the system does not tell. */
+    /** Returns the resident memory in KiB; 0 where the system does not report it. */
     long residentKb() {
         try {
             for (String line : Files.readAllLines(Path.of("/proc/" + process.pid() + "/status"))) {
@@ -173,40 +173,40 @@
                 }
             }
         } catch (IOException e) {
-            // Another system, or the process has ended.
+            // The system has no /proc, or the process has ended.
         }
         return 0;
     }
 
-    /** Sends it a signal; does nothing if it has ended. */
+    /** Sends a signal to the process; does nothing if it has ended. */
     void send(Signal signal) throws IOException, InterruptedException {
         new ProcessBuilder("kill", "-" + signal.name(), String.valueOf(process.pid())).start().waitFor();
     }
 
-    /** Asks it to end in order, and does not wait for that. */
+    /** Asks the process to shut down gracefully, without waiting for its end. */
     void requestStop() {
         process.destroy();
     }
 
-    /** Kills it, and does not wait for its end. */
+    /** Kills the process without waiting for its end. */
     void requestKill() {
         process.destroyForcibly();
     }
 
-    /** Asks it to end in order, and kills it if it does not in that time; it has ended when this returns. */
+    /** Shuts down the process gracefully; kills it and waits for its end if the timeout expires. */
     void stop(long timeoutMs) {
         closeInput();
         requestStop();
         awaitEndOrKill(timeoutMs);
     }
 
-    /** Kills it; it has ended when this returns. */
+    /** Kills the process and waits for its end. */
     void kill() {
         requestKill();
         awaitEndOrKill(KILL_TIMEOUT_MS);
     }
 
-    /** Waits until it has ended, for that time at most. */
+    /** Waits until the process has ended or the timeout has expired. */
     void awaitEnd(long timeoutMs) throws InterruptedException {
         process.waitFor(timeoutMs, TimeUnit.MILLISECONDS);
     }
--- a/src/main/java/rampshift/testbed/experiment/Comparison.java
+++ b/src/main/java/rampshift/testbed/experiment/Comparison.java
@@ -11,10 +11,10 @@
     private Comparison() {}
 
     /**
-     * The median of a sample with its confidence interval.
+     * Returns the median of a sample with its confidence interval.
      *
      * @param values the sample, in any order
-     * @param confidence the least probability with which the interval is to hold the true median, 0 to 1
+     * @param confidence the minimum probability with which the interval contains the true median, 0 to 1
      */
     static ConfidenceInterval median(double[] values, double confidence) {
         int count = values.length;
@@ -24,7 +24,7 @@
         double[] sorted = values.clone();
         Arrays.sort(sorted);
         double median = (sorted[(count - 1) / 2] + sorted[count / 2]) / 2;
-        // How many values lie below the true median has a binomial distribution with probability 1/2.
+        // The number of values below the true median has a binomial distribution with probability 1/2.
         BinomialDistribution valuesBelow = BinomialDistribution.of(count, 0.5);
         int excluded = -1;
         while (excluded + 1 < count / 2 && confidenceOf(valuesBelow, excluded + 1) >= confidence) {
@@ -37,16 +37,16 @@
                 confidenceOf(valuesBelow, excluded));
     }
 
-    /** The confidence of the interval that leaves out so many values on each side. */
+    /** Returns the confidence of the interval that excludes the given number of values on each side. */
     private static double confidenceOf(BinomialDistribution valuesBelow, int excluded) {
         return 1 - 2 * valuesBelow.cumulativeProbability(excluded);
     }
 
     /**
-     * The median of the differences within pairs, with its confidence interval.
+     * Returns the median of the differences within pairs, with its confidence interval.
      *
      * @param baseline one value of each pair
-     * @param values the other value of each pair, from which the first one is subtracted
+     * @param values the other value of each pair, from which the baseline is subtracted
      * @param confidence as for {@link #median}
      */
     static ConfidenceInterval medianDifference(double[] baseline, double[] values, double confidence) {
@@ -57,7 +57,7 @@
         return median(differences, confidence);
     }
 
-    /** The smallest sample for which an interval of that confidence exists. */
+    /** Returns the smallest sample size for which an interval with the given confidence exists. */
     static int minimumPairs(double confidence) {
         int pairs = 1;
         while (1 - 2 * Math.pow(0.5, pairs) < confidence) {
--- a/src/main/java/rampshift/testbed/experiment/CostMeter.java
+++ b/src/main/java/rampshift/testbed/experiment/CostMeter.java
@@ -5,7 +5,7 @@
 import java.util.Arrays;
 import java.util.List;
 
-/** Measures what dispatchers use under load, also if their processes are replaced. */
+/** Measures the CPU time and memory of dispatchers under load, also across restarts after a kill. */
 final class CostMeter {
     private static final double NANOS_PER_SECOND = 1e9;
 
@@ -15,9 +15,9 @@
     private HostMetrics hostAtStart;
 
     /**
-     * Creates a meter that does not measure yet.
+     * Creates a meter that has not started measuring.
      *
-     * @param dispatchers their present processes; the caller replaces elements when it restarts one
+     * @param dispatchers their current processes; the caller replaces the element of a restarted dispatcher
      */
     CostMeter(List<ChildProcess> dispatchers) {
         this.dispatchers = dispatchers;
@@ -33,13 +33,13 @@
         }
     }
 
-    /** Adds what a process has used that is about to be killed. */
+    /** Adds the CPU time of a process that is about to be killed. */
     void addKilled(int dispatcher) {
-        // What it used before the start is subtracted once, from the process that is there at the end.
+        // The CPU time before the start of the measurement is not subtracted here, but once by read().
         cpuOfKilled[dispatcher] = cpuOfKilled[dispatcher].plus(dispatchers.get(dispatcher).cpuTime());
     }
 
-    /** What was used since the start. */
+    /** Returns the resources used since {@link #start}. */
     RunCosts read() {
         List<Double> cpuSeconds = new ArrayList<>();
         List<Long> residentKb = new ArrayList<>();
--- a/src/main/java/rampshift/testbed/experiment/CpuProfile.java
+++ b/src/main/java/rampshift/testbed/experiment/CpuProfile.java
@@ -14,8 +14,8 @@
 import jdk.jfr.consumer.RecordingFile;
 
 /**
- * Where the CPU time of a dispatcher's I/O thread goes, out of a recording of Java Flight Recorder: shares of
- * the samples by the part of this program that was running, and by method.
+ * The CPU time of a dispatcher's I/O thread by part of the program and by method, as shares of the samples in
+ * a recording of Java Flight Recorder.
  */
 final class CpuProfile {
     private static final Set<String> SAMPLE_EVENTS = Set.of("jdk.ExecutionSample", "jdk.NativeMethodSample");
@@ -37,7 +37,7 @@
     /**
      * Reads a recording.
      *
-     * @throws IOException if the file cannot be read, or is no recording
+     * @throws IOException if the file cannot be read, or is not a recording
      */
     static CpuProfile read(Path recording) throws IOException {
         CpuProfile profile = new CpuProfile();
@@ -70,7 +70,7 @@
         samplesByMethod.merge(method, 1, Integer::sum);
     }
 
-    /** The innermost part that is either Undertow or of this program. */
+    /** Returns the part of the innermost frame that belongs to Undertow or to this program. */
     private static String part(List<RecordedFrame> stack) {
         for (RecordedFrame frame : stack) {
             String type = typeName(frame);
@@ -84,7 +84,7 @@
         return OTHER_PARTS;
     }
 
-    /** The package, and within the pipeline the class of the stage. */
+    /** Returns the package of a class of this program; within the pipeline, with the class of the stage. */
     private static String ownPart(String type) {
         String[] names = type.substring(OWN_PACKAGE.length()).split("[.$]");
         boolean isStage = names[0].equals(STAGES_PACKAGE) && names.length > 1;
@@ -99,7 +99,7 @@
         return typeName(frame) + "." + frame.getMethod().getName();
     }
 
-    /** Prints the shares, the largest first. */
+    /** Prints the shares by part and by method, the largest first. */
     void print(PrintStream out) {
         out.println(samples + " samples of the I/O thread at work");
         print(samplesByPart, Integer.MAX_VALUE, out);
--- a/src/main/java/rampshift/testbed/experiment/CpuThrottle.java
+++ b/src/main/java/rampshift/testbed/experiment/CpuThrottle.java
@@ -4,18 +4,19 @@
 import java.util.Locale;
 
 /**
- * Throttles a process to a share of a core, by a shell process beside it that suspends and resumes it in each
- * time slice. On a busy machine the share of a slice is less than that share of a core: a process that still
- * wants to run then goes on until it has had its share, for about ten further slices at most.
+ * Throttles a process to a share of a core by means of a shell process that suspends and resumes it in each
+ * time slice. On a busy machine, the process may get less CPU time within its part of the slice than its
+ * share. If it is still runnable then, it stays resumed until it has used its share, for about ten further
+ * slices at most.
  */
 final class CpuThrottle {
     private static final double SLICE_SECONDS = 0.1;
     private static final double NANOS_PER_SECOND = 1e9;
     /**
-     * {@code $0} is the id of the throttled process. To be filled in: its CPU time for each slice in
-     * nanoseconds, and the seconds for which it is suspended and resumed.
+     * The shell script, in which {@code $0} is the id of the throttled process. Its format arguments are the
+     * CPU time per slice in nanoseconds, and the seconds for which the process is suspended and resumed.
      */
-    @SuppressWarnings("InlineFormatString") // a script is too long to stand within a call
+    @SuppressWarnings("InlineFormatString") // the script is too long to be inlined in the call
     private static final String SCRIPT = """
             read_cpu_time() {
                 used=0
@@ -48,7 +49,7 @@
     private CpuThrottle() {}
 
     /**
-     * The command of the shell process. Whoever ends it has to resume the throttled process.
+     * Returns the command of the shell process. Whoever ends it must resume the throttled process.
      *
      * @param share the share of a core, 0 to 1
      * @param pid the id of the process to be throttled
--- a/src/main/java/rampshift/testbed/experiment/DispatcherConfigurations.java
+++ b/src/main/java/rampshift/testbed/experiment/DispatcherConfigurations.java
@@ -12,7 +12,7 @@
 import rampshift.testbed.plan.FleetPlan;
 import rampshift.testbed.wire.LoopbackNetwork;
 
-/** Writes the configurations of a plan's dispatchers, as files that {@code NODE_CONFIG} can name. */
+/** Writes the configurations of a plan's dispatchers, as files for {@code NODE_CONFIG}. */
 final class DispatcherConfigurations {
     private static final ObjectMapper JSON = new ObjectMapper();
     private static final String LISTEN = "listen";
@@ -25,7 +25,7 @@
     /**
      * Creates a writer.
      *
-     * @param seed the seed of the run, from which those of the dispatchers are derived
+     * @param seed the seed of the run, from which the seeds of the dispatchers are derived
      * @param folder where the files are written
      */
     DispatcherConfigurations(FleetPlan plan, long seed, RunFolder folder) {
@@ -37,11 +37,11 @@
     /**
      * Writes the configuration of one dispatcher.
      *
-     * @param dispatcher its number, from 0
+     * @param dispatcher the number of the dispatcher, from 0
      * @param site the number of its site, from 0
-     * @param listen where it is to listen
+     * @param listen the address where it listens
      * @param discoveryPort the port of its discovery agent on 127.0.0.1
-     * @param endpointList the endpoint list that it is to start with, as JSON
+     * @param endpointList the initial endpoint list, as JSON
      */
     void write(int dispatcher, int site, InetSocketAddress listen, int discoveryPort, String endpointList)
             throws IOException {
@@ -61,7 +61,7 @@
     }
 
     /**
-     * Reads where the dispatchers listen, in their order.
+     * Reads the listen addresses of the dispatchers, by number.
      *
      * @throws ConfigurationException if the folder has no configuration
      */
@@ -74,8 +74,8 @@
             addresses.add(LoopbackNetwork.address(port));
         }
         if (addresses.isEmpty()) {
-            throw new ConfigurationException(folder.path() + ": holds no configuration "
-                    + RunFolder.dispatcherName(0) + ".json; `fleet` writes them");
+            throw new ConfigurationException(folder.path() + ": does not contain the configuration "
+                    + RunFolder.dispatcherName(0) + ".json; the fleet command writes it");
         }
         return addresses;
     }
--- a/src/main/java/rampshift/testbed/experiment/DispatcherEvent.java
+++ b/src/main/java/rampshift/testbed/experiment/DispatcherEvent.java
@@ -2,24 +2,24 @@
 
 import java.util.Locale;
 
-/** What a run does to a dispatcher's process, as its event log tells it. */
+/** An action of a run on a dispatcher's process, as recorded in the event log of the run. */
 enum DispatcherEvent {
-    /** Killed. */
+    /** The process was killed. */
     KILLED,
-    /** Asked to end in order. */
+    /** The process was asked to shut down gracefully. */
     ENDED,
-    /** Started again. */
+    /** A new process was started. */
     STARTED,
-    /** Suspended. */
+    /** The process was suspended. */
     STOPPED,
-    /** Resumed after it was suspended. */
+    /** The process was resumed after a suspension. */
     CONTINUED,
-    /** Throttled to a share of a core. */
+    /** The process was throttled to a share of a core. */
     STARVED,
-    /** No longer throttled. */
+    /** The throttling of the process ended. */
     FED;
 
-    /** The word for it in event logs. */
+    /** Returns the name of the event in event logs. */
     String word() {
         return name().toLowerCase(Locale.ROOT);
     }
--- a/src/main/java/rampshift/testbed/experiment/DispatcherFaultRunner.java
+++ b/src/main/java/rampshift/testbed/experiment/DispatcherFaultRunner.java
@@ -13,7 +13,7 @@
 import rampshift.testbed.random.RandomStreams;
 import rampshift.time.Moment;
 
-/** Carries out the plan's faults of dispatchers' processes, and writes them to the run's event log. */
+/** Injects the plan's faults into the dispatchers' processes, and records them in the run's event log. */
 final class DispatcherFaultRunner {
     private final long seed;
     private final DispatcherProcesses dispatchers;
@@ -26,7 +26,7 @@
     /**
      * Prepares the faults.
      *
-     * @param start from which the faults' times count
+     * @param start the start of the load, to which the start times of the faults are relative
      */
     DispatcherFaultRunner(RunSpec spec, DispatcherProcesses dispatchers, EventLog eventLog, Moment start) {
         seed = spec.seed();
@@ -37,7 +37,7 @@
                 spec.plan().faults().stream().filter(FleetPlan.Fault::affectsDispatchers).toList());
     }
 
-    /** Whether a dispatcher was killed or asked to end, and is not started again yet. */
+    /** Returns whether a dispatcher was killed or asked to end, and has not been restarted yet. */
     boolean isDown(int dispatcher) {
         return restartTimes.containsKey(dispatcher);
     }
--- a/src/main/java/rampshift/testbed/experiment/DispatcherProcesses.java
+++ b/src/main/java/rampshift/testbed/experiment/DispatcherProcesses.java
@@ -10,7 +10,7 @@
 import rampshift.testbed.plan.FleetPlan;
 import rampshift.time.Span;
 
-/** The dispatchers of a run as processes, numbered from 0. */
+/** The dispatcher processes of a run, numbered from 0. */
 final class DispatcherProcesses {
     private static final Span READY_TIMEOUT = Span.ofMillis(30_000);
 
@@ -22,10 +22,10 @@
     private CostMeter costMeter;
 
     /**
-     * Prepares the processes, and starts none yet.
+     * Creates the object without starting any process.
      *
-     * @param children starts them, and kills them if this process ends
-     * @param folder with the configurations
+     * @param children starts the dispatchers, and kills them if this process ends
+     * @param folder contains the dispatchers' configurations
      */
     DispatcherProcesses(ChildProcesses children, FleetPlan plan, RunFolder folder) {
         this.children = children;
@@ -33,7 +33,7 @@
         this.folder = folder;
     }
 
-    /** How many dispatchers there are. */
+    /** Returns the number of dispatchers. */
     int count() {
         return processes.size();
     }
@@ -41,8 +41,8 @@
     /**
      * Starts all dispatchers of the plan, and waits until they are ready.
      *
-     * @param addresses where they listen
-     * @throws RunFailedException if one ends, or is not ready in time
+     * @param addresses where the dispatchers listen, by number
+     * @throws RunFailedException if a dispatcher ends, or is not ready in time
      */
     void startAll(List<InetSocketAddress> addresses) throws IOException, InterruptedException {
         for (int dispatcher = 0; dispatcher < plan.dispatcherCount(); dispatcher++) {
@@ -67,21 +67,21 @@
                 ProcessCommands.dispatcherDirectory(plan.dispatchers()), folder.uniqueOutput(name)));
     }
 
-    /** Begins to measure what they use; later calls do nothing. */
+    /** Begins to measure the CPU time of the dispatchers; later calls do nothing. */
     void startMeasuring() {
         costMeter.start();
     }
 
-    /** What they have used since {@link #startMeasuring}. */
+    /** Returns the resources that the dispatchers have used since {@link #startMeasuring}. */
     RunCosts readCosts() {
         return costMeter.read();
     }
 
     /**
-     * Checks that all dispatchers run.
+     * Checks that no dispatcher has ended unexpectedly.
      *
-     * @param isDown whether the dispatcher with that number is expected not to run
-     * @throws RunFailedException if one has ended that was expected to run
+     * @param isDown returns whether the dispatcher with a given number is expected to be down
+     * @throws RunFailedException if a dispatcher has ended that is not expected to be down
      */
     void requireAlive(IntPredicate isDown) {
         for (int dispatcher = 0; dispatcher < count(); dispatcher++) {
@@ -92,18 +92,18 @@
         }
     }
 
-    /** Whether a dispatcher's process has not ended. */
+    /** Returns whether the process of a dispatcher has not ended; it may be suspended. */
     boolean isAlive(int dispatcher) {
         return processes.get(dispatcher).isAlive();
     }
 
-    /** Kills a dispatcher that is alive. */
+    /** Kills a dispatcher, which must be alive. */
     void kill(int dispatcher) {
         costMeter.addKilled(dispatcher);
         processes.get(dispatcher).kill();
     }
 
-    /** Asks a dispatcher to end in order, and does not wait for that. */
+    /** Asks a dispatcher to shut down gracefully, without waiting for its end. */
     void requestStop(int dispatcher) {
         processes.get(dispatcher).requestStop();
     }
@@ -113,13 +113,13 @@
         processes.get(dispatcher).send(signal);
     }
 
-    /** Replaces a dispatcher by a new process; kills the present one if it has not ended. */
+    /** Replaces the process of a dispatcher by a new one; kills the old process if it has not ended. */
     void restart(int dispatcher) throws IOException {
         processes.get(dispatcher).kill();
         processes.set(dispatcher, start(dispatcher));
     }
 
-    /** Throttles a dispatcher to a share of a core, 0 to 1. */
+    /** Limits the CPU time of a dispatcher to a share of a core, 0 to 1. */
     void throttle(int dispatcher, double share) throws IOException {
         List<String> command = CpuThrottle.command(share, processes.get(dispatcher).pid());
         throttles.put(dispatcher,
@@ -128,9 +128,9 @@
     }
 
     /**
-     * Ends the throttling of a dispatcher, which may be suspended after that.
+     * Ends the throttling of a dispatcher. The dispatcher may be left suspended by this.
      *
-     * @return whether it was throttled
+     * @return whether the dispatcher was throttled
      */
     boolean unthrottle(int dispatcher) {
         ChildProcess throttle = throttles.remove(dispatcher);
@@ -141,14 +141,14 @@
         return true;
     }
 
-    /** Asks one after the other to end in order; kills each that does not in that time. */
+    /** Shuts down the dispatchers one by one, and kills each that does not end within the timeout. */
     void stopAll(long timeoutMs) {
         for (ChildProcess process : processes) {
             process.stop(timeoutMs);
         }
     }
 
-    /** Kills all of them, and what throttles them. */
+    /** Kills all dispatchers and the processes that throttle them. */
     void killAll() {
         throttles.values().forEach(ChildProcess::kill);
         processes.forEach(ChildProcess::kill);
--- a/src/main/java/rampshift/testbed/experiment/EarningsInSecond.java
+++ b/src/main/java/rampshift/testbed/experiment/EarningsInSecond.java
@@ -5,8 +5,8 @@
 /**
  * The earnings in one second of a run.
  *
- * @param possible what the tasks that arrived in it would have earned if they had finished in time
- * @param earned what the tasks that finished in it have earned
+ * @param possible the earnings of the tasks that arrived in this second if all of them had finished in time
+ * @param earned the actual earnings of the tasks that finished in this second
  */
 record EarningsInSecond(double possible, double earned) {
     /** No earnings. */
@@ -15,12 +15,12 @@
     private static final int POSSIBLE = 0;
     private static final int EARNED = 1;
 
-    /** Reads one row of the seconds in the file of a load process. */
+    /** Reads the earnings of one second from a row in the counts file of a load process. */
     static EarningsInSecond read(JsonNode row) {
         return new EarningsInSecond(row.get(POSSIBLE).doubleValue(), row.get(EARNED).doubleValue());
     }
 
-    /** The sum of the two. */
+    /** Returns the sum of these earnings and others. */
     EarningsInSecond plus(EarningsInSecond other) {
         return new EarningsInSecond(possible + other.possible, earned + other.earned);
     }
--- a/src/main/java/rampshift/testbed/experiment/Experiment.java
+++ b/src/main/java/rampshift/testbed/experiment/Experiment.java
@@ -14,12 +14,12 @@
 import rampshift.testbed.plan.FleetPlanReader;
 
 /**
- * Compares the arms of a plan: one run of each arm for each seed, the arms in alternating order, so that
- * changes of the machine's speed affect all arms alike.
+ * Compares the arms of a plan by one run of each arm for each seed. The order of the arms rotates from seed
+ * to seed, so that changes of the machine's speed affect all arms alike.
  */
 final class Experiment {
     private static final String ONLY_ARM = "as it is";
-    /** How often a void run is repeated. If the last one is void too, its seed is left out. */
+    /** The maximum number of repeats of a void run. If the last repeat is void too, its seed is left out. */
     private static final int MAX_REPEATS = 1;
 
     private final Path planFile;
@@ -31,10 +31,10 @@
     private final ExperimentResults results;
 
     /**
-     * Prepares an experiment. Reads the plans of all arms, so that mistakes are told before the first run.
+     * Prepares an experiment. Reads the plans of all arms, so that errors are reported before the first run.
      *
      * @param planFile the fleet file that the plan was read from
-     * @param folder where each run gets a folder of its own, and the results are written
+     * @param folder where the results and a folder for each run are written
      */
     Experiment(Path planFile, FleetPlan plan, Path folder, PrintStream out) {
         this.planFile = planFile;
--- a/src/main/java/rampshift/testbed/experiment/ExperimentJson.java
+++ b/src/main/java/rampshift/testbed/experiment/ExperimentJson.java
@@ -5,11 +5,11 @@
 import com.fasterxml.jackson.databind.node.ObjectNode;
 import java.nio.file.Path;
 
-/** The results of an experiment as JSON. */
+/** Formats the results of an experiment as JSON. */
 final class ExperimentJson {
     private ExperimentJson() {}
 
-    /** A new object with all outcomes, medians and differences. */
+    /** Returns a new object with all outcomes, medians and differences. */
     static ObjectNode of(Path planFile, ExperimentResults results) {
         ObjectNode root = new ObjectMapper().createObjectNode();
         root.put("file", planFile.getFileName().toString()).put("confidence", results.confidence());
--- a/src/main/java/rampshift/testbed/experiment/ExperimentResults.java
+++ b/src/main/java/rampshift/testbed/experiment/ExperimentResults.java
@@ -17,9 +17,9 @@
     private final Map<String, Map<Long, RunOutcome>> outcomesByArm = new LinkedHashMap<>();
 
     /**
-     * Results without any outcomes.
+     * Creates results without any outcomes.
      *
-     * @param trials the seeds, and the confidence of intervals
+     * @param trials the seeds, and the confidence level of intervals
      * @param arms the names of the arms; the first one is the baseline
      */
     ExperimentResults(FleetPlan.Trials trials, Collection<String> arms) {
@@ -32,56 +32,56 @@
         outcomesByArm.get(arm).put(seed, outcome);
     }
 
-    /** The names of the arms, the baseline first. */
+    /** Returns the names of the arms, the baseline first. */
     Set<String> arms() {
         return Collections.unmodifiableSet(outcomesByArm.keySet());
     }
 
-    /** The arm with which the others are compared. */
+    /** Returns the arm with which the others are compared. */
     String baseline() {
         return outcomesByArm.keySet().iterator().next();
     }
 
-    /** Whether an arm is the baseline. */
+    /** Returns whether an arm is the baseline. */
     boolean isBaseline(String arm) {
         return arm.equals(baseline());
     }
 
-    /** The outcomes of an arm by seed, those of void runs among them. */
+    /** Returns the outcomes of an arm by seed, including those of void runs. */
     Map<Long, RunOutcome> outcomes(String arm) {
         return Collections.unmodifiableMap(outcomesByArm.get(arm));
     }
 
-    /** The outcomes of an arm with all valid seeds. */
+    /** Returns the outcomes of an arm for all valid seeds. */
     List<RunOutcome> validOutcomes(String arm) {
         Map<Long, RunOutcome> outcomes = outcomesByArm.get(arm);
         return validSeeds().stream().map(outcomes::get).toList();
     }
 
-    /** The seeds with which no arm's run is void; call it only once there are outcomes for all seeds. */
+    /** Returns the seeds for which no arm's run is void. Requires the outcomes for all seeds of all arms. */
     List<Long> validSeeds() {
         return trials.seeds().stream().filter(
                 seed -> outcomesByArm.values().stream().noneMatch(outcomes -> outcomes.get(seed).isVoid()))
                 .toList();
     }
 
-    /** Whether no rule was broken in any run. */
+    /** Returns whether no rule was broken in any run. */
     boolean keptRules() {
         return outcomesByArm.values().stream().flatMap(outcomes -> outcomes.values().stream())
                 .allMatch(RunOutcome::keptRules);
     }
 
-    /** The confidence of intervals at least, 0 to 1. */
+    /** Returns the minimum confidence level of intervals, 0 to 1. */
     double confidence() {
         return trials.confidence();
     }
 
-    /** The median of a figure over an arm's valid runs. */
+    /** Returns the median of a figure over the valid runs of an arm. */
     ConfidenceInterval median(String arm, Figure figure) {
         return Comparison.median(values(arm, figure), confidence());
     }
 
-    /** The median of the differences of a figure from the baseline, paired by seed. */
+    /** Returns the median difference of a figure from the baseline, paired by seed. */
     ConfidenceInterval medianDifference(String arm, Figure figure) {
         return Comparison.medianDifference(values(baseline(), figure), values(arm, figure), confidence());
     }
--- a/src/main/java/rampshift/testbed/experiment/FaultCampaign.java
+++ b/src/main/java/rampshift/testbed/experiment/FaultCampaign.java
@@ -13,11 +13,11 @@
 import rampshift.testbed.verification.Verdict;
 
 /**
- * Runs of dispatchers that know one another, each with random faults drawn by its seed. For each run that
- * broke a rule, the faults are printed, and written as a fleet file that repeats the run.
+ * Carries out runs of dispatchers with membership, each with random faults generated from its seed. For each
+ * run that broke a rule, prints the faults and writes a fleet file that repeats the run.
  */
 final class FaultCampaign {
-    /** The campaign is void if more than one run out of so many is. */
+    /** The campaign is void if more than one run out of this number is void. */
     private static final int RUNS_PER_VOID_RUN = 3;
 
     private final Path planFile;
@@ -35,16 +35,16 @@
      * Prepares a campaign.
      *
      * @param planFile the fleet file that the plan was read from
-     * @param folder where each run gets a folder of its own
-     * @param seeds one for each run
-     * @param shrinkFaults whether to repeat broken runs with fewer faults, to find those that matter
-     * @throws ConfigurationException if the dispatchers of the plan do not know one another
+     * @param folder where a folder for each run is written
+     * @param seeds the seeds, one for each run
+     * @param shrinkFaults whether to repeat broken runs with fewer faults, to find the faults that are needed
+     * @throws ConfigurationException if the plan does not enable membership
      */
     FaultCampaign(Path planFile, FleetPlan plan, Path folder, SeedRange seeds, boolean shrinkFaults,
             PrintStream out) {
         if (!plan.members().enabled()) {
             throw new ConfigurationException(
-                    planFile + ": has no [members]: its dispatchers don't know each other");
+                    planFile + ": has no [members] section: this command requires membership");
         }
         this.planFile = planFile;
         this.folder = folder;
@@ -125,7 +125,7 @@
                 + String.join("", faults.stream().map(FaultSection::toToml).toList());
     }
 
-    /** Leaves out one fault after the other, as long as a rule still breaks without it. */
+    /** Removes each fault without which a rule is still broken, and returns the remaining faults. */
     private List<FaultSection> shrink(long seed, List<FaultSection> faults)
             throws IOException, InterruptedException {
         List<FaultSection> needed = new ArrayList<>(faults);
--- a/src/main/java/rampshift/testbed/experiment/FaultGenerator.java
+++ b/src/main/java/rampshift/testbed/experiment/FaultGenerator.java
@@ -7,15 +7,15 @@
 import rampshift.testbed.random.RandomStreams;
 
 /**
- * Draws random faults for the dispatchers of a plan and the links between them. The same seed gives the same
- * faults: the order of the draws must not change.
+ * Generates random faults of the dispatchers of a plan and of the links between them. The same seed must give
+ * the same faults in all versions, so the order of the random draws must not change.
  */
 final class FaultGenerator {
     private static final String RANDOM_STREAM = "together";
     private static final int MAX_FAULTS = 5;
     private static final int FAULT_KINDS = 11;
     private static final int ANY_PEER_ODDS = 3;
-    // Shares of the run's length. After the last fault has ended, all dispatchers have time to agree.
+    // Shares of the run's length. The time after the last fault lets the views of all dispatchers converge.
     private static final double FIRST_START = 0.1;
     private static final double LAST_END = 0.6;
     private static final double START_RANGE = 0.8;
@@ -28,7 +28,7 @@
         this.plan = plan;
     }
 
-    /** What a fault befalls: each drawn for each fault, whichever of them its kind needs. */
+    /** The candidate targets of a fault. All are drawn for each fault; its kind determines which are used. */
     private record Targets(String dispatcher, String link, String site) {
         String dispatcherNames() {
             return names(dispatcher);
@@ -43,7 +43,7 @@
         }
     }
 
-    /** Draws 1 to 5 faults. */
+    /** Generates 1 to 5 faults. */
     List<FaultSection> generate(long seed) {
         UniformRandomProvider random = RandomStreams.of(seed, RANDOM_STREAM);
         int count = 1 + random.nextInt(MAX_FAULTS);
--- a/src/main/java/rampshift/testbed/experiment/FaultSection.java
+++ b/src/main/java/rampshift/testbed/experiment/FaultSection.java
@@ -5,13 +5,13 @@
 /**
  * A fault as a section of a fleet file.
  *
- * @param kind the kind of fault, by its name in fleet files
- * @param parameters further lines of the section, each with its line end
- * @param startMs when the fault begins, in milliseconds since the start of the load
- * @param lengthMs how long it lasts, in milliseconds
+ * @param kind the kind of fault, as named in fleet files
+ * @param parameters further lines of the section, each with a line terminator
+ * @param startMs the start of the fault, in milliseconds since the start of the load
+ * @param lengthMs the length of the fault, in milliseconds
  */
 record FaultSection(String kind, String parameters, double startMs, double lengthMs) {
-    /** The section's text. */
+    /** Returns the text of the section. */
     String toToml() {
         return "[[trouble]]\nwhat = \"" + kind + "\"\n" + parameters
                 + String.format(Locale.ROOT, "at = \"%.0fms\"%nlength = \"%.0fms\"%n", startMs, lengthMs);
--- a/src/main/java/rampshift/testbed/experiment/Figure.java
+++ b/src/main/java/rampshift/testbed/experiment/Figure.java
@@ -1,10 +1,10 @@
 package rampshift.testbed.experiment;
 
-/** A figure of a run by which arms are compared. */
+/** A metric of a run by which arms are compared. */
 enum Figure {
     /** The share of the possible earnings that were earned. */
     SERVED_EARNINGS("earnings served, %"),
-    /** How many tasks finished in a second. */
+    /** The number of tasks that finished per second. */
     FINISHED_RATE("finished a second"),
     /** The share of the clients' attempts that were rejected. */
     BOUNCED("bounced, %"),
@@ -12,15 +12,15 @@
     LATENCY_MEDIAN("latency p50, ms"),
     /** The 99th percentile of latency. */
     LATENCY_P99("latency p99, ms"),
-    /** The median of what was added to the run time at the worker. */
+    /** The median latency in excess of the run time at the worker. */
     ADDED_MEDIAN("added p50, ms"),
-    /** The 99th percentile of what was added to the run time at the worker. */
+    /** The 99th percentile of latency in excess of the run time at the worker. */
     ADDED_P99("added p99, ms"),
-    /** The CPU time of all dispatchers, divided by the requests. */
+    /** The CPU time of all dispatchers per request. */
     CPU_PER_REQUEST("CPU a try, us"),
-    /** The assignments beyond the first one of each task. */
+    /** The assignments beyond the first one of each request, as a share of the requests. */
     COPIES("copies, % of tries"),
-    /** The latest new assignment to a worker after it drained. */
+    /** The longest time from the drain of a worker to a new assignment to it. */
     LAST_SEND_AFTER_DRAIN("last send after a drain, ms"),
     /** The resident memory of the largest dispatcher. */
     RESIDENT_MEMORY("resident MB");
@@ -33,12 +33,12 @@
         this.label = label;
     }
 
-    /** Its name, with the unit, in tables, reports and result files. */
+    /** Returns the name, with the unit, in tables, reports and result files. */
     String label() {
         return label;
     }
 
-    /** Its value for a run, in the unit that the label names. */
+    /** Returns the value for a run, in the unit named by the label. */
     double of(RunOutcome run) {
         return switch (this) {
             case SERVED_EARNINGS -> 100 * run.servedEarningsShare();
--- a/src/main/java/rampshift/testbed/experiment/FleetCommand.java
+++ b/src/main/java/rampshift/testbed/experiment/FleetCommand.java
@@ -15,7 +15,7 @@
 import rampshift.testbed.wire.LoopbackNetwork;
 import rampshift.testbed.workers.Fleet;
 
-/** The command {@code fleet}: emulated workers and discovery, and configurations for dispatchers. */
+/** The command {@code fleet}, which emulates workers and discovery and writes dispatchers' configurations. */
 final class FleetCommand {
     private static final String LINK_RANDOM_STREAM = "ways";
 
@@ -40,8 +40,8 @@
     /**
      * Runs the fleet.
      *
-     * @param controlled whether a {@link FleetRun} controls it by its standard input, with which it then
-     * ends; otherwise it runs until it is interrupted
+     * @param controlled whether a {@link FleetRun} controls the fleet by its standard input; the fleet then
+     * runs until the end of this input, otherwise until it is interrupted
      * @throws IOException if a file cannot be written or a port is taken
      */
     void run(boolean controlled) throws IOException {
@@ -63,7 +63,7 @@
         }
     }
 
-    /** The links between dispatchers; null if they do not know one another. */
+    /** Returns the links between dispatchers; null if membership is disabled. */
     private LinkProxy openLinks(List<InetSocketAddress> members) throws IOException {
         return members.isEmpty() ? null
                 : new LinkProxy(members, RandomStreams.of(seed, LINK_RANDOM_STREAM));
@@ -132,7 +132,7 @@
         try {
             eventLog.close();
         } catch (IOException e) {
-            // The process is ending; nobody can be told.
+            // The process is ending, so the error cannot be reported.
         }
     }
 }
--- a/src/main/java/rampshift/testbed/experiment/FleetCommandLine.java
+++ b/src/main/java/rampshift/testbed/experiment/FleetCommandLine.java
@@ -14,7 +14,7 @@
 import rampshift.testbed.plan.FleetPlanReader;
 import rampshift.testbed.verification.Verdict;
 
-/** Runs the commands of the fleet. */
+/** Parses the command line of a fleet command and runs the command. */
 public final class FleetCommandLine {
     private final String[] arguments;
     private final FleetOptions options;
@@ -29,11 +29,11 @@
     /**
      * Runs a command.
      *
-     * @param arguments the command's name, and its options and file
-     * @param out receives what the command prints
+     * @param arguments the name of the command, followed by its options and file
+     * @param out receives the output of the command
      * @return the exit code of the process: 0 on success, 1 if a rule was broken, 3 if runs were void
      * @throws ConfigurationException if the arguments or a file they name are invalid
-     * @throws RunFailedException if a process of a run ended that should not, or was not ready in time
+     * @throws RunFailedException if a process of a run ended unexpectedly, or was not ready in time
      * @throws IOException if a file cannot be read or written, or a process or socket cannot be opened
      */
     public static int run(String[] arguments, PrintStream out) throws IOException, InterruptedException {
--- a/src/main/java/rampshift/testbed/experiment/FleetOptions.java
+++ b/src/main/java/rampshift/testbed/experiment/FleetOptions.java
@@ -13,7 +13,7 @@
 import org.apache.commons.cli.ParseException;
 import rampshift.settings.ConfigurationException;
 
-/** The options and files that a command of the fleet is given. */
+/** The options and files on the command line of a fleet command. */
 final class FleetOptions {
     private static final String FOLDER = "folder";
     private static final String SEED = "seed";
@@ -52,30 +52,30 @@
     /**
      * Parses a command line.
      *
-     * @param arguments the command's name, which is not parsed, and what follows it
-     * @throws ConfigurationException if an option is unknown or lacks its argument
+     * @param arguments the name of the command, which is not parsed, followed by its options and file
+     * @throws ConfigurationException if an option is unknown or its argument is missing
      */
     static FleetOptions parse(String[] arguments) {
         try {
             return new FleetOptions(
                     new DefaultParser().parse(OPTIONS, Arrays.copyOfRange(arguments, 1, arguments.length)));
         } catch (ParseException e) {
-            throw new ConfigurationException(e.getMessage() + "; rampshift --help tells more");
+            throw new ConfigurationException(e.getMessage() + "; see rampshift --help");
         }
     }
 
-    /** The one file of a command; throws a ConfigurationException if there is none or more. */
+    /** Returns the file of the command; throws a ConfigurationException unless there is exactly one. */
     Path file() {
         if (files().size() != 1) {
-            throw new ConfigurationException("takes one file; rampshift --help tells more");
+            throw new ConfigurationException("expected exactly one file; see rampshift --help");
         }
         return Path.of(files().get(0));
     }
 
-    /** Throws a ConfigurationException if there is a file. */
+    /** Rejects the command line with a ConfigurationException if it has a file. */
     void requireNoFile() {
         if (!files().isEmpty()) {
-            throw new ConfigurationException("takes no file");
+            throw new ConfigurationException("expected no file");
         }
     }
 
@@ -83,7 +83,7 @@
         return line.getArgList();
     }
 
-    /** The folder for the command's files, which is created; a new temporary one if none is given. */
+    /** Creates the folder for the files of the command, and returns it; a temporary one if none is given. */
     Path createFolder(String temporaryPrefix) throws IOException {
         String folder = line.getOptionValue(FOLDER);
         if (folder == null) {
@@ -92,30 +92,30 @@
         return Files.createDirectories(Path.of(folder)).toAbsolutePath();
     }
 
-    /** The folder of a run that has ended; throws a ConfigurationException if none is given. */
+    /** Returns the folder of a run that has ended; throws a ConfigurationException if none is given. */
     Path existingFolder() {
         if (!line.hasOption(FOLDER)) {
-            throw new ConfigurationException("--folder is missing: where the ledgers are");
+            throw new ConfigurationException("--folder is missing, expected the folder of the ledgers");
         }
         return Path.of(line.getOptionValue(FOLDER));
     }
 
-    /** The folder for a trial that is to be kept; null if it is not. It may not exist yet. */
+    /** Returns the folder in which to keep the run's files, which may not exist yet; null to delete them. */
     Path keptFolder() {
         return line.hasOption(KEEP) ? Path.of(line.getOptionValue(KEEP)) : null;
     }
 
-    /** The arm of the fleet file; null for the file as it stands. */
+    /** Returns the arm of the fleet file; null for the file without any arm. */
     String arm() {
         return line.getOptionValue(ARM);
     }
 
-    /** The seed. */
+    /** Returns the seed, or the default if none is given. */
     long seed(long ifAbsent) {
         return number(SEED, ifAbsent);
     }
 
-    /** The number of the load process, from 0. */
+    /** Returns the number of the load process, from 0. */
     int process() {
         return (int) number(PROCESS, 0);
     }
@@ -132,22 +132,22 @@
         return Long.parseLong(value);
     }
 
-    /** The addresses of dispatchers as they are given, unchecked; empty if the option is missing. */
+    /** Returns the unparsed addresses of dispatchers; empty if the option is missing. */
     Optional<List<String>> dispatchers() {
         return Optional.ofNullable(line.getOptionValue(DISPATCHERS)).map(text -> List.of(text.split(",")));
     }
 
-    /** The seeds of a fault campaign. */
+    /** Returns the seeds of a fault campaign. */
     SeedRange seeds() {
         return SeedRange.parse(line.getOptionValue(SEEDS, DEFAULT_SEEDS));
     }
 
-    /** Whether a fault campaign is to look for the faults that matter. */
+    /** Returns whether a fault campaign repeats broken runs with fewer faults. */
     boolean shrinkFaults() {
         return line.hasOption(SHRINK);
     }
 
-    /** Whether a {@link FleetRun} controls this process. */
+    /** Returns whether a {@link FleetRun} controls this process. */
     boolean controlled() {
         return line.hasOption(CONTROLLED);
     }
--- a/src/main/java/rampshift/testbed/experiment/FleetRun.java
+++ b/src/main/java/rampshift/testbed/experiment/FleetRun.java
@@ -12,12 +12,13 @@
 import rampshift.time.Span;
 
 /**
- * One run of real processes: the fleet with workers and discovery, then the dispatchers, then the load. While
- * the load runs, dispatchers have the faults of the plan. After it has ended, the run is verified.
+ * A run of real processes. It starts the fleet (workers and discovery), then the dispatchers, then the load
+ * processes. While the load runs, it injects the plan's faults into the dispatchers. After the load has
+ * ended, it verifies the run.
  */
 final class FleetRun {
     private static final Span READY_TIMEOUT = Span.ofMillis(60_000);
-    /** From when the last process is ready to the first task. */
+    /** The time between the readiness of the last process and the first task. */
     private static final Span START_DELAY = Span.ofMillis(300);
     private static final Span PROGRESS_INTERVAL = Span.ofMillis(1000);
     private static final long POLL_INTERVAL_MS = 20;
@@ -33,7 +34,7 @@
     private final DispatcherProcesses dispatchers;
     private final LoadProcesses load;
 
-    /** A run that tells nothing of its progress. */
+    /** Prepares a run that does not report its progress. */
     FleetRun(ChildProcesses children, RunSpec spec) {
         this(children, spec, line -> {});
     }
@@ -41,8 +42,8 @@
     /**
      * Prepares a run.
      *
-     * @param children starts its processes, and kills them if this process ends
-     * @param onProgress receives a line for a person each second
+     * @param children starts the run's processes, and kills them if this process ends
+     * @param onProgress receives one line of readable progress each second
      */
     FleetRun(ChildProcesses children, RunSpec spec, Consumer<String> onProgress) {
         this.children = children;
@@ -55,9 +56,9 @@
     }
 
     /**
-     * Carries out the run. No process of it is left when this returns or throws.
+     * Carries out the run. All of its processes have ended when this method returns or throws.
      *
-     * @throws RunFailedException if a process ends that should not, or is not ready in time
+     * @throws RunFailedException if a process ends unexpectedly, or is not ready in time
      * @throws IOException if a process cannot be started, or a file cannot be read or written
      */
     RunOutcome execute() throws IOException, InterruptedException {
@@ -78,7 +79,7 @@
             dispatchers.stopAll(STOP_TIMEOUT_MS);
             fleet.closeInput();
             fleet.awaitEnd(STOP_TIMEOUT_MS);
-            eventLog.close(); // so that the verification reads all of it
+            eventLog.close(); // flushes the events that the verification reads
             return RunOutcome.read(plan, folder, costs, start);
         } finally {
             dispatchers.killAll();
@@ -94,7 +95,7 @@
         load.awaitReady(READY_TIMEOUT);
     }
 
-    /** The command line of this program as a process of the run. */
+    /** Returns the command line that runs a command of this program as a process of the run. */
     private List<String> command(String name, String... options) {
         List<String> arguments =
                 new ArrayList<>(List.of(name, spec.planFile().toAbsolutePath().toString(), "--folder",
@@ -106,7 +107,7 @@
         return ProcessCommands.ofThisProgram(MAX_HEAP, arguments);
     }
 
-    /** Carries out faults and tells the progress until the load has ended. */
+    /** Injects faults and reports the progress until the load has ended. */
     private void superviseLoad(Moment start, EventLog eventLog) throws IOException, InterruptedException {
         DispatcherFaultRunner faults = new DispatcherFaultRunner(spec, dispatchers, eventLog, start);
         Moment warm = start.plus(plan.clients().warmUp());
--- a/src/main/java/rampshift/testbed/experiment/HostMetrics.java
+++ b/src/main/java/rampshift/testbed/experiment/HostMetrics.java
@@ -5,11 +5,11 @@
 import java.nio.file.Path;
 
 /**
- * The CPU time of all cores of this machine since it started, in clock ticks. Where a hypervisor gives cores
- * to other machines, latencies that are measured here are partly its doing.
+ * The CPU time of all cores of this machine since it started, in clock ticks. Stolen time increases the
+ * latencies that are measured on this machine.
  *
- * @param usedTicks the time in which cores worked
- * @param stolenTicks the time in which cores would have worked, but were given to other machines
+ * @param usedTicks the time in which cores ran in user or kernel mode or handled interrupts
+ * @param stolenTicks the time in which cores had work but the hypervisor gave them to other machines
  */
 record HostMetrics(long usedTicks, long stolenTicks) {
     private static final Path CPU_STATISTICS = Path.of("/proc/stat");
@@ -20,7 +20,7 @@
     private static final int SOFTIRQ = 7;
     private static final int STEAL = 8;
 
-    /** Reads the present values; both are 0 on a system that does not tell them. */
+    /** Reads the current values; both are 0 on a system that does not report them. */
     static HostMetrics read() {
         try {
             String[] fields = Files.readAllLines(CPU_STATISTICS).get(0).trim().split(" +");
@@ -33,7 +33,7 @@
     }
 
     /**
-     * The share of the CPU time wanted since an earlier reading that was stolen, 0 to 1; 0 where it is not
+     * Returns the stolen share of the CPU time demanded since an earlier reading, 0 to 1; 0 where it is not
      * known.
      */
     double stolenShareSince(HostMetrics earlier) {
--- a/src/main/java/rampshift/testbed/experiment/LatencyKind.java
+++ b/src/main/java/rampshift/testbed/experiment/LatencyKind.java
@@ -1,10 +1,10 @@
 package rampshift.testbed.experiment;
 
-/** Which durations a histogram of the load processes counts. */
+/** The kind of durations in a histogram of a load process. */
 enum LatencyKind {
-    /** From when a task was due to be sent until its response. */
+    /** The time from the scheduled send time of a task to its response. */
     LATENCY("latency"),
-    /** The latency without the time for which a worker ran the task. */
+    /** The latency in excess of the run time of the task at the worker. */
     ADDED("added");
 
     private static final String SEPARATOR = ".";
@@ -15,12 +15,12 @@
         this.name = name;
     }
 
-    /** The tag of the histogram of a traffic type. */
+    /** Returns the tag of this kind of histogram for a traffic type. */
     String tag(String trafficType) {
         return name + SEPARATOR + trafficType;
     }
 
-    /** Whether a tag is one of this kind. */
+    /** Returns whether the histogram with a tag is of this kind. */
     boolean matches(String tag) {
         return tag.startsWith(name + SEPARATOR);
     }
--- a/src/main/java/rampshift/testbed/experiment/LoadCommand.java
+++ b/src/main/java/rampshift/testbed/experiment/LoadCommand.java
@@ -13,7 +13,7 @@
 import rampshift.time.Moment;
 import rampshift.time.Span;
 
-/** The command {@code load}: clients that send tasks to dispatchers for the length of the plan. */
+/** The command {@code load}, whose clients send tasks to dispatchers for the length of the plan. */
 final class LoadCommand {
     private static final Span IDLE_CONNECTIONS_TIMEOUT = Span.ofMillis(20_000);
     private static final long PROGRESS_INTERVAL_MS = 500;
@@ -40,7 +40,7 @@
     }
 
     /**
-     * Starts the load at once, and prints a summary once it has ended.
+     * Starts the load immediately, and prints a summary after it has ended.
      *
      * @param dispatchers where the dispatchers listen
      * @return an {@link ExitCode}
@@ -56,7 +56,7 @@
     }
 
     /**
-     * Starts the load when a {@link FleetRun} tells to, and ends at once if that one ends.
+     * Starts the load at the time sent by a {@link FleetRun}, and ends the process if the run ends first.
      *
      * @param dispatchers where the dispatchers listen
      * @return an {@link ExitCode}; failure if the load was not started
@@ -86,7 +86,7 @@
         }
     }
 
-    /** When to start; empty if whoever controls this process has ended before it said so. */
+    /** Returns the start time; empty if the controlling process has ended without sending it. */
     private Optional<Moment> awaitStart() throws IOException {
         out.println(RunProtocol.READY);
         BufferedReader input = RunProtocol.openInput();
@@ -97,7 +97,7 @@
         return start;
     }
 
-    /** Ends this process once whoever controls it has ended, since nobody needs the load then. */
+    /** Ends this process once the controlling process has closed the input, since the run has ended then. */
     private static void haltAtEndOf(BufferedReader input) {
         try {
             String line = input.readLine();
@@ -105,7 +105,7 @@
                 line = input.readLine();
             }
         } catch (IOException e) {
-            // As at the end.
+            // Handled like the end of the input.
         }
         Runtime.getRuntime().halt(ExitCode.FAILURE);
     }
--- a/src/main/java/rampshift/testbed/experiment/LoadProcesses.java
+++ b/src/main/java/rampshift/testbed/experiment/LoadProcesses.java
@@ -13,21 +13,21 @@
     private final ChildProcesses children;
     private final RunFolder folder;
     private final List<ChildProcess> processes = new ArrayList<>();
-    /** The last progress of each process. Guarded by this, since other threads read the output. */
+    /** The last progress of each process. Guarded by this, since each output is read on its own thread. */
     private final Map<Integer, LoadProgress> progress = new HashMap<>();
 
     /**
-     * Prepares the processes, and starts none yet.
+     * Creates the object without starting any process.
      *
-     * @param children starts them, and kills them if this process ends
-     * @param folder where their output goes
+     * @param children starts the load processes, and kills them if this process ends
+     * @param folder where the output of the load processes is written
      */
     LoadProcesses(ChildProcesses children, RunFolder folder) {
         this.children = children;
         this.folder = folder;
     }
 
-    /** Starts the next process. */
+    /** Starts a load process with the next number. */
     void startNext(List<String> command) throws IOException {
         int number = processes.size();
         ProcessSpec spec = new ProcessSpec("load " + number, command, folder.loadOutput(number));
@@ -39,10 +39,10 @@
     }
 
     /**
-     * Waits until all are ready.
+     * Waits until all load processes are ready.
      *
-     * @param timeout for each of them
-     * @throws RunFailedException if one ends, or is not ready in time
+     * @param timeout the timeout for each of them
+     * @throws RunFailedException if a process ends, or is not ready within the timeout
      */
     void awaitReady(Span timeout) throws InterruptedException {
         for (ChildProcess process : processes) {
@@ -50,37 +50,37 @@
         }
     }
 
-    /** Tells all of them when to start. */
+    /** Sends the start time to all load processes. */
     void sendStart(Moment start) throws IOException {
         for (ChildProcess process : processes) {
             process.writeLine(RunProtocol.startLine(start));
         }
     }
 
-    /** Whether any of them still runs. */
+    /** Returns whether any load process has not ended. */
     boolean isAnyAlive() {
         return processes.stream().anyMatch(ChildProcess::isAlive);
     }
 
     /**
-     * Checks how they have ended.
+     * Checks the exit statuses of the load processes, all of which must have ended.
      *
-     * @throws RunFailedException if one of them failed
+     * @throws RunFailedException if a load process failed
      */
     void requireSuccess() {
         for (ChildProcess process : processes) {
             if (process.exitStatus() != ExitCode.SUCCESS) {
-                throw RunFailedException.of(process, "under way");
+                throw RunFailedException.of(process, "under load");
             }
         }
     }
 
-    /** One line for a person about how far they are. */
+    /** Returns one line of readable progress of all load processes together. */
     synchronized String describeProgress(Span sinceStart) {
         return LoadProgress.describe(sinceStart, progress.values());
     }
 
-    /** Kills all of them. */
+    /** Kills all load processes. */
     void killAll() {
         processes.forEach(ChildProcess::kill);
     }
--- a/src/main/java/rampshift/testbed/experiment/LoadProgress.java
+++ b/src/main/java/rampshift/testbed/experiment/LoadProgress.java
@@ -7,12 +7,12 @@
 import rampshift.time.Span;
 
 /**
- * How far a load process is, out of a line that it prints while it runs.
+ * The progress of a load process, parsed from a line that the process prints while it runs.
  *
- * @param sent requests sent so far
- * @param finished tasks that finished
- * @param bounced tasks that were rejected
- * @param others tasks that ended otherwise
+ * @param sent attempts sent so far
+ * @param finished attempts that finished
+ * @param bounced attempts that were rejected
+ * @param others attempts that failed, timed out or could not be sent
  * @param servedEarningsShare the share of the possible earnings that were earned, 0 to 1
  */
 record LoadProgress(double sent, double finished, double bounced, double others, double servedEarningsShare) {
@@ -21,7 +21,7 @@
     private static final int FIELDS = 5;
     private static final double MS_PER_SECOND = 1000;
 
-    /** Parses a line of output; empty unless it is a complete line about progress. */
+    /** Parses a line of output; returns empty unless it is a complete progress line. */
     static Optional<LoadProgress> parse(String line) {
         if (!line.startsWith(PREFIX)) {
             return Optional.empty();
@@ -35,11 +35,11 @@
                     Double.parseDouble(fields[2]), Double.parseDouble(fields[3]),
                     Double.parseDouble(fields[4])));
         } catch (NumberFormatException e) {
-            return Optional.empty(); // The process was killed within the line.
+            return Optional.empty(); // The process was killed while it wrote the line.
         }
     }
 
-    /** One line for a person about all processes together. */
+    /** Returns one line of readable progress of all load processes together. */
     static String describe(Span sinceStart, Collection<LoadProgress> processes) {
         double earningsShare =
                 sum(processes, LoadProgress::servedEarningsShare) / Math.max(1, processes.size());
--- a/src/main/java/rampshift/testbed/experiment/LoadResults.java
+++ b/src/main/java/rampshift/testbed/experiment/LoadResults.java
@@ -14,7 +14,7 @@
 import org.HdrHistogram.Histogram;
 import org.HdrHistogram.HistogramLogReader;
 
-/** What the clients of all load processes of a run counted and measured. */
+/** The counts and measurements of the clients of all load processes of a run. */
 final class LoadResults {
     private static final long MAX_LATENCY_US = 120_000_000;
     private static final int SIGNIFICANT_DIGITS = 3;
@@ -45,7 +45,7 @@
         return results;
     }
 
-    /** A histogram for durations in microseconds, up to 120 s. */
+    /** Returns an empty histogram for durations in microseconds, up to 120 s. */
     static Histogram emptyHistogram() {
         return new Histogram(MAX_LATENCY_US, SIGNIFICANT_DIGITS);
     }
@@ -87,27 +87,27 @@
         }
     }
 
-    /** The counts by the name of the traffic type, in the order of the plan. */
+    /** Returns the counts by the name of the traffic type, in the order of the plan. */
     Map<String, TrafficCounts> countsByType() {
         return Collections.unmodifiableMap(countsByType);
     }
 
-    /** The counts of all traffic types together. */
+    /** Returns the counts of all traffic types together. */
     TrafficCounts totalCounts() {
         return TrafficCounts.sum(countsByType.values());
     }
 
-    /** The earnings of each second since the start of the run. */
+    /** Returns the earnings of each second since the start of the run. */
     List<EarningsInSecond> earningsBySecond() {
         return Collections.unmodifiableList(earningsBySecond);
     }
 
-    /** The durations of one traffic type in microseconds; null if none were recorded. */
+    /** Returns the durations of one traffic type in microseconds; null if none were recorded. */
     Histogram histogram(LatencyKind kind, String trafficType) {
         return histogramsByTag.get(kind.tag(trafficType));
     }
 
-    /** The durations of all traffic types together, in microseconds. */
+    /** Returns the durations of all traffic types together, in microseconds. */
     Histogram totalHistogram(LatencyKind kind) {
         Histogram sum = emptyHistogram();
         histogramsByTag.forEach((tag, histogram) -> {
@@ -118,22 +118,22 @@
         return sum;
     }
 
-    /** The share of the requests that were sent too late, 0 to 1, in the process where it is highest. */
+    /** Returns the highest share, over all load processes, of requests that were sent too late, 0 to 1. */
     double lateShare() {
         return lateShare;
     }
 
-    /** How many connections clients opened. */
+    /** Returns the number of connections that clients opened. */
     long openedConnections() {
         return openedConnections;
     }
 
-    /** How many of the connections that were to stay idle were closed by dispatchers. */
+    /** Returns the number of connections closed by dispatchers that were meant to stay idle. */
     long lostIdleConnections() {
         return lostIdleConnections;
     }
 
-    /** How many requests were sent, retries among them. */
+    /** Returns the number of requests sent, including retries. */
     long sentRequests() {
         return sentRequests;
     }
--- a/src/main/java/rampshift/testbed/experiment/OperatorFileWriter.java
+++ b/src/main/java/rampshift/testbed/experiment/OperatorFileWriter.java
@@ -10,8 +10,8 @@
 import rampshift.testbed.plan.FleetPlan;
 
 /**
- * Writes the operator files of a plan's dispatchers: membership, and leases with periodic jobs if the plan
- * has any.
+ * Writes the operator files of a plan's dispatchers. They configure membership, and also leases and periodic
+ * jobs if the plan has any periodic jobs.
  */
 final class OperatorFileWriter {
     private static final int MAX_SEEDS = 2;
@@ -25,8 +25,8 @@
      * Creates a writer.
      *
      * @param folder where the files are written
-     * @param members where each dispatcher listens for the others
-     * @param links through which they reach one another
+     * @param members the address at which each dispatcher listens for the others
+     * @param links the proxy through which the dispatchers reach one another
      */
     OperatorFileWriter(FleetPlan plan, RunFolder folder, List<InetSocketAddress> members, LinkProxy links) {
         this.plan = plan;
@@ -36,9 +36,9 @@
     }
 
     /**
-     * Writes the file of one dispatcher. Its seeds are the first two other dispatchers.
+     * Writes the file of one dispatcher. Its seed members are the first two other dispatchers.
      *
-     * @param dispatcher its number, from 0
+     * @param dispatcher the number of the dispatcher, from 0
      * @param site the number of its site, from 0
      */
     void write(int dispatcher, int site) throws IOException {
@@ -90,7 +90,7 @@
                 """.formatted(RunFolder.dispatcherName(other), address(dispatcher, other));
     }
 
-    /** The address at which a dispatcher reaches another one. */
+    /** Returns the address at which a dispatcher reaches another one. */
     private String address(int dispatcher, int other) {
         return "127.0.0.1:" + links.address(dispatcher, other).getPort();
     }
--- a/src/main/java/rampshift/testbed/experiment/OutcomeJson.java
+++ b/src/main/java/rampshift/testbed/experiment/OutcomeJson.java
@@ -6,11 +6,11 @@
 import org.HdrHistogram.Histogram;
 import rampshift.testbed.verification.Verdict;
 
-/** The outcome of a run as JSON, for result files. */
+/** Formats the outcome of a run as JSON for result files. */
 final class OutcomeJson {
     private OutcomeJson() {}
 
-    /** A new object with all that is known of the outcome. */
+    /** Returns a new object with the whole outcome. */
     static ObjectNode of(RunOutcome outcome) {
         LoadResults load = outcome.load();
         ObjectNode root = new ObjectMapper().createObjectNode();
--- a/src/main/java/rampshift/testbed/experiment/PolicySettings.java
+++ b/src/main/java/rampshift/testbed/experiment/PolicySettings.java
@@ -5,7 +5,7 @@
 import com.fasterxml.jackson.databind.node.ObjectNode;
 import rampshift.testbed.plan.FleetPlan;
 
-/** The settings of the decision module, as the plan's workers, traffic types and limits ask for them. */
+/** Derives the settings of the policy module from the plan's workers, traffic types and limits. */
 final class PolicySettings {
     private static final double TIMER_GRANULARITY_MS = 1.0;
     private static final double CROSS_ZONE_COST = 0.1;
@@ -20,9 +20,9 @@
     }
 
     /**
-     * The settings of one dispatcher.
+     * Returns the settings of one dispatcher.
      *
-     * @param dispatcher its number, from 0
+     * @param dispatcher the number of the dispatcher, from 0
      * @param site the number of its site, from 0
      */
     ObjectNode of(int dispatcher, int site) {
@@ -44,7 +44,7 @@
         return settings;
     }
 
-    /** What workers tell: of their progress, and of their load. */
+    /** Adds what workers report about the start and progress of tasks, and about their load. */
     private void addReports(ObjectNode family, ObjectNode load) {
         FleetPlan.Reports reports = plan.reports();
         family.put("TellsStart", plan.workers().tellsStart()).put("ProgressMs",
--- a/src/main/java/rampshift/testbed/experiment/ProcessCommands.java
+++ b/src/main/java/rampshift/testbed/experiment/ProcessCommands.java
@@ -7,14 +7,14 @@
 import java.util.List;
 import rampshift.testbed.plan.FleetPlan;
 
-/** The command lines of the processes of a run: this program again, or a dispatcher of any version. */
+/** Builds the command lines of the processes of a run: this program, or a dispatcher of any version. */
 final class ProcessCommands {
     private static final String JAVA = Path.of(System.getProperty("java.home"), "bin", "java").toString();
     private static final String MAIN_CLASS = "rampshift.Main";
     private static final String CLASS_ARCHIVE = "rampshift.jsa";
     private static final String FOLDER_PLACEHOLDER = "{folder}";
 
-    // Shares and bounds of a dispatcher's memory, as in deploy/serve.sh.
+    // Shares of a dispatcher's memory and their bounds; the same as in deploy/serve.sh.
     private static final int MIN_HEAP_MB = 12;
     private static final int MAX_HEAP_MB = 512;
     private static final int MAX_INITIAL_HEAP_MB = 24;
@@ -26,9 +26,9 @@
     private ProcessCommands() {}
 
     /**
-     * This program with other arguments.
+     * Returns the command line of this program with other arguments.
      *
-     * @param maxHeap as the JVM's option {@code -Xmx} takes it
+     * @param maxHeap the maximum heap size, in the format of the JVM option {@code -Xmx}
      */
     static List<String> ofThisProgram(String maxHeap, List<String> arguments) {
         List<String> command =
@@ -47,10 +47,10 @@
     }
 
     /**
-     * A dispatcher, with heap and buffers sized by its memory as deploy/serve.sh does.
+     * Returns the command line of a dispatcher, with heap and buffers sized as by deploy/serve.sh.
      *
-     * @param folder stands in for {@code {folder}} in the plan's options of the JVM
-     * @return a list that the caller may extend by further arguments
+     * @param folder replaces {@code {folder}} in the plan's JVM options
+     * @return a list to which the caller may add further arguments
      */
     static List<String> ofDispatcher(FleetPlan.Dispatchers settings, Path folder) {
         List<String> command = new ArrayList<>();
@@ -87,14 +87,14 @@
         if (Files.exists(archive)) {
             arguments.add("-XX:SharedArchiveFile=" + archive);
         }
-        // The class archive is valid only for the relative name of the jar with which it was made.
+        // The class archive is only valid for the relative path of the jar that was used when it was created.
         Path directory = projectDirectory(jar);
         Path name = directory == null ? jar : directory.relativize(jar);
         arguments.addAll(List.of("-jar", name.toString(), "serve"));
         return arguments;
     }
 
-    /** The working directory of a dispatcher; null for that of this process. */
+    /** Returns the working directory of a dispatcher; null for that of this process. */
     static Path dispatcherDirectory(FleetPlan.Dispatchers settings) {
         Path program = programFile(settings);
         return isJar(program) ? projectDirectory(program) : null;
@@ -104,7 +104,7 @@
         return settings.jar().isEmpty() ? System.getProperty("java.class.path") : settings.jar();
     }
 
-    /** The first entry of the class path. */
+    /** Returns the first entry of the class path of a dispatcher. */
     private static Path programFile(FleetPlan.Dispatchers settings) {
         return Path.of(classPath(settings).split(File.pathSeparator)[0]).toAbsolutePath();
     }
@@ -113,7 +113,7 @@
         return program.toString().endsWith(".jar");
     }
 
-    /** The directory above the one in which the jar was built; null if there is none. */
+    /** Returns the parent of the directory that contains the jar; null if there is none. */
     private static Path projectDirectory(Path jar) {
         return jar.getParent() == null ? null : jar.getParent().getParent();
     }
--- a/src/main/java/rampshift/testbed/experiment/RateSearch.java
+++ b/src/main/java/rampshift/testbed/experiment/RateSearch.java
@@ -1,9 +1,9 @@
 package rampshift.testbed.experiment;
 
 /**
- * Searches for the highest rate that is carried: doubles the rate until one is not carried, then halves the
- * gap, on a logarithmic scale, until it is narrow enough. A rate counts as not carried once it has failed
- * twice. No I/O. All rates are in tasks a second.
+ * Searches for the highest sustained rate. Doubles the rate until one is not sustained, or divides it by 4
+ * until one is, and then bisects on a logarithmic scale until the gap is narrow enough. A rate counts as not
+ * sustained after it has failed twice in a row. No I/O. All rates are in tasks per second.
  */
 final class RateSearch {
     private static final double GROWTH_FACTOR = 2;
@@ -20,10 +20,10 @@
     /**
      * Begins a search.
      *
-     * @param firstRate the rate to begin with; above 0
-     * @param maxRate no rate above this one is tried
+     * @param firstRate the first rate to try, above 0
+     * @param maxRate the maximum rate to try
      * @param tolerance the search ends once the lowest rate that failed is at most this share above the
-     * highest one that was carried
+     * highest one that was sustained
      */
     RateSearch(double firstRate, double maxRate, double tolerance) {
         this.maxRate = maxRate;
@@ -31,17 +31,17 @@
         nextRate = Math.min(firstRate, maxRate);
     }
 
-    /** The rate to try now; 0 if the search has ended. */
+    /** Returns the rate to try next; 0 if the search has ended. */
     double nextRate() {
         return nextRate;
     }
 
-    /** The highest rate that was carried so far; 0 if none was. */
+    /** Returns the highest rate that was sustained so far; 0 if none was. */
     double highestCarried() {
         return highestCarried;
     }
 
-    /** Takes the result of a trial at {@link #nextRate()}. */
+    /** Records whether the rate {@link #nextRate()} was sustained in a run. */
     void addResult(boolean carried) {
         if (!carried && !failedOnce) {
             failedOnce = true;
--- a/src/main/java/rampshift/testbed/experiment/ReadinessProbe.java
+++ b/src/main/java/rampshift/testbed/experiment/ReadinessProbe.java
@@ -6,13 +6,13 @@
 import java.net.Proxy;
 import java.net.URL;
 
-/** Asks a dispatcher whether it is ready for tasks. */
+/** Checks whether a dispatcher is ready for tasks. */
 final class ReadinessProbe {
     private static final int TIMEOUT_MS = 1000;
 
     private ReadinessProbe() {}
 
-    /** Whether it answers that it is ready; waits for the answer, for two seconds at most. */
+    /** Returns whether the dispatcher reports that it is ready; waits for two seconds at most. */
     static boolean isReady(InetSocketAddress address) {
         try {
             URL url = new URL("http", address.getHostString(), address.getPort(), "/ready");
--- a/src/main/java/rampshift/testbed/experiment/Report.java
+++ b/src/main/java/rampshift/testbed/experiment/Report.java
@@ -7,7 +7,7 @@
 import rampshift.testbed.plan.FleetPlan;
 import rampshift.testbed.verification.Verdict;
 
-/** An experiment as one HTML page that needs no other file: figures, differences, rules and charts. */
+/** A self-contained HTML page about an experiment, with figures, differences, rules and charts. */
 final class Report {
     private static final int INITIAL_CHARS = 1 << 20;
     private static final double MS_PER_SECOND = 1000;
@@ -25,15 +25,15 @@
     /**
      * Creates a report.
      *
-     * @param plan tells when which faults were planned
-     * @param results of all runs
+     * @param plan the plan of the experiment, with its faults
+     * @param results the results of all runs
      */
     Report(FleetPlan plan, ExperimentResults results) {
         this.plan = plan;
         this.results = results;
     }
 
-    /** The page. */
+    /** Returns the HTML text of the page. */
     String html() throws IOException {
         ReportCharts charts = new ReportCharts(plan, results);
         StringBuilder page = new StringBuilder(INITIAL_CHARS);
@@ -53,7 +53,7 @@
         return page.append("</html>\n").toString();
     }
 
-    /** Text with the characters escaped that have a meaning in HTML. */
+    /** Escapes the characters of a text that have a meaning in HTML. */
     static String escape(String text) {
         return text.replace("&", "&amp;").replace("<", "&lt;").replace(">", "&gt;");
     }
@@ -122,7 +122,7 @@
         return table.append("</table>").toString();
     }
 
-    /** How often a rule applied and was broken in all runs of an arm. */
+    /** Formats how often a rule applied and was broken in all runs of an arm. */
     private String ruleCells(String arm, int rule) {
         long applied = 0;
         long broken = 0;
--- a/src/main/java/rampshift/testbed/experiment/ReportCharts.java
+++ b/src/main/java/rampshift/testbed/experiment/ReportCharts.java
@@ -14,9 +14,9 @@
 import rampshift.testbed.plan.FleetPlan;
 import rampshift.testbed.verification.Verdict;
 
-/** The charts of a report. */
+/** Creates the charts of a report. */
 final class ReportCharts {
-    /** How many workers the chart of their load shows at most. */
+    /** The maximum number of workers in a chart of worker load. */
     static final int MAX_WORKERS = 16;
 
     private static final int WIDTH = 900;
@@ -26,7 +26,7 @@
     private static final Color GRID_COLOR = new Color(225, 225, 225);
     private static final double MS_PER_SECOND = 1000;
     private static final double MICROS_PER_MS = 1000;
-    /** The least latency that is drawn, in milliseconds, since the axis is logarithmic. */
+    /** Smaller latencies are drawn with this value, since a logarithmic axis has no 0. */
     private static final double MIN_LATENCY_MS = 0.001;
     private static final double MID_SECOND = 0.5;
     private static final double MAX_PERCENT = 100;
@@ -39,8 +39,8 @@
     /**
      * Prepares the charts.
      *
-     * @param plan tells when which faults were planned
-     * @param results of all runs
+     * @param plan the plan of the experiment, with its faults
+     * @param results the results of all runs
      */
     ReportCharts(FleetPlan plan, ExperimentResults results) {
         this.plan = plan;
@@ -48,7 +48,7 @@
         System.setProperty("java.awt.headless", "true");
     }
 
-    /** The share of the possible earnings that were earned, by second and arm, with the plan's faults. */
+    /** Charts the earned share of the possible earnings by second and arm, with the plan's faults. */
     XYChart earnings() {
         XYChart chart = createChart("earned of what was asked, each second, all runs together", "s", "%");
         int seconds = (int) Math.ceil(plan.length().millis() / MS_PER_SECOND);
@@ -82,7 +82,7 @@
         chart.addSeries(arm, times, percents).setMarker(SeriesMarkers.NONE);
     }
 
-    /** Latency by percentile and arm. The x axis counts nines: 0 is 0%, 1 is 90%, 2 is 99%. */
+    /** Charts latency by percentile and arm. The x axis counts nines: 0 is 0%, 1 is 90%, 2 is 99%. */
     XYChart latency() {
         XYChart chart = createChart("finished tasks",
                 "percentile, as nines: 1 is 90%, 2 is 99%, 3 is 99.9%", "ms");
@@ -108,7 +108,7 @@
         chart.addSeries(arm, nines, latenciesMs).setMarker(SeriesMarkers.NONE);
     }
 
-    /** The assignments that the busiest workers took in each second of a run, with the faults it had. */
+    /** Charts the assignments to the busiest workers by second of a run, with the faults that occurred. */
     XYChart workerLoad(String arm, RunOutcome outcome) {
         XYChart chart = createChart(arm, "s", "assignments/s");
         double maxAssignments = 0;
--- a/src/main/java/rampshift/testbed/experiment/RunFailedException.java
+++ b/src/main/java/rampshift/testbed/experiment/RunFailedException.java
@@ -3,23 +3,23 @@
 import java.util.ArrayList;
 import java.util.List;
 
-/** A run that was requested correctly has failed: one of its processes ended, or did not become ready. */
+/** Thrown if a run with valid input fails because a process of it ended or did not become ready. */
 public final class RunFailedException extends RuntimeException {
     private static final long serialVersionUID = 1L;
 
     /**
      * Creates the exception.
      *
-     * @param lines what happened, and the last lines that the process printed
+     * @param lines the lines of the message, with the last lines of the process's output
      */
     public RunFailedException(List<String> lines) {
         super(String.join("\n", lines));
     }
 
     /**
-     * Creates the exception for a process that has ended, or that runs but was not ready in time.
+     * Creates the exception for a process that has ended, or that is alive but was not ready in time.
      *
-     * @param phase when it ended, for the message, as "under load"
+     * @param phase when the process ended, for the message; for example, "under load"
      */
     static RunFailedException of(ChildProcess process, String phase) {
         String cause = process.isAlive() ? " was not ready in time"
--- a/src/main/java/rampshift/testbed/experiment/RunOutcome.java
+++ b/src/main/java/rampshift/testbed/experiment/RunOutcome.java
@@ -9,16 +9,16 @@
 /**
  * The outcome of a run.
  *
- * @param verdict whether the rules held
- * @param load what the clients counted and measured
- * @param costs what the dispatchers used
+ * @param verdict the result of the verification
+ * @param load the counts and measurements of the clients
+ * @param costs the resources used by the dispatchers
  * @param measuredSeconds the length of the run without its warm-up, in seconds
- * @param startSecond when the load started, in seconds since the first line of the event logs
+ * @param startSecond the start of the load, in seconds since the first event in the event logs
  */
 record RunOutcome(Verdict verdict, LoadResults load, RunCosts costs, double measuredSeconds,
         double startSecond) {
 
-    /** If a larger share of the requests is sent too late, the load generator has measured itself. */
+    /** With a larger share of late sends, latencies measure the load generator instead of the dispatchers. */
     private static final double MAX_LATE_SHARE = 0.01;
     private static final double MS_PER_SECOND = 1000;
     private static final double MICROS_PER_SECOND = 1e6;
@@ -39,34 +39,34 @@
         return new RunOutcome(verdict, load, costs, measuredSeconds, startSecond);
     }
 
-    /** Whether the load generator was too late, so that latencies say nothing about the dispatchers. */
+    /** Returns whether the load generator sent too late for its latencies to describe the dispatchers. */
     boolean isVoid() {
         return load.lateShare() > MAX_LATE_SHARE;
     }
 
-    /** Why the run is void, as part of a line. */
+    /** Returns why the run is void, as part of a line. */
     String voidCause() {
         return String.format(Locale.ROOT, "%.1f%% sent late, the host took %.0f%%", 100 * load.lateShare(),
                 100 * costs.stolenShare());
     }
 
-    /** Whether no rule was broken. */
+    /** Returns whether no rule was broken. */
     boolean keptRules() {
         return verdict.kept();
     }
 
-    /** The share of the possible earnings that were earned, 0 to 1; 1 if none were possible. */
+    /** Returns the share of the possible earnings that were earned, 0 to 1; 1 if none were possible. */
     double servedEarningsShare() {
         TrafficCounts counts = load.totalCounts();
         return counts.possibleEarnings() == 0 ? 1 : counts.earnings() / counts.possibleEarnings();
     }
 
-    /** How many tasks finished in a second. */
+    /** Returns the number of tasks that finished per second. */
     double finishedPerSecond() {
         return load.totalCounts().ended(TaskEnd.FINISHED) / measuredSeconds;
     }
 
-    /** A percentile, 0 to 100, of the durations of all traffic types, in milliseconds. */
+    /** Returns a percentile, 0 to 100, of the durations of all traffic types, in milliseconds. */
     double percentileMs(LatencyKind kind, double percentile) {
         return load.totalHistogram(kind).getValueAtPercentile(percentile) / MICROS_PER_MS;
     }
--- a/src/main/java/rampshift/testbed/experiment/RunProtocol.java
+++ b/src/main/java/rampshift/testbed/experiment/RunProtocol.java
@@ -7,8 +7,8 @@
 import rampshift.time.Moment;
 
 /**
- * The lines by which a run controls its fleet and load processes: each prints {@link #READY} once it can
- * start, and then reads from its standard input when the load is to start.
+ * The lines by which a run controls its fleet and load processes. Each of these prints {@link #READY} once it
+ * can start, and then reads the start time of the load from its standard input.
  */
 final class RunProtocol {
     /** The line that a process prints once it can start. */
@@ -18,12 +18,12 @@
 
     private RunProtocol() {}
 
-    /** The line that tells when the load starts. */
+    /** Returns the line that contains the start time of the load. */
     static String startLine(Moment start) {
         return START_PREFIX + start.micros();
     }
 
-    /** When the load starts, out of a line that may be null; empty if the line does not tell that. */
+    /** Parses the start time of the load; returns empty if the line is null or does not contain one. */
     static Optional<Moment> parseStart(String line) {
         if (line == null || !line.startsWith(START_PREFIX)) {
             return Optional.empty();
@@ -31,7 +31,7 @@
         return Optional.of(new Moment(Long.parseLong(line.substring(START_PREFIX.length()))));
     }
 
-    /** A reader of this process's standard input. */
+    /** Returns a new reader of this process's standard input. */
     static BufferedReader openInput() {
         return new BufferedReader(new InputStreamReader(System.in, StandardCharsets.UTF_8));
     }
--- a/src/main/java/rampshift/testbed/experiment/RunVerification.java
+++ b/src/main/java/rampshift/testbed/experiment/RunVerification.java
@@ -8,14 +8,14 @@
 import rampshift.testbed.verification.RuleChecker;
 import rampshift.testbed.verification.Verdict;
 
-/** Verifies by the event logs of a run whether its rules held. */
+/** Verifies the rules of a run by its event logs. */
 final class RunVerification {
-    /** How much longer than the limits of the simulator those on sockets are. */
+    /** The microseconds by which time limits on real sockets exceed those in the simulator. */
     private static final long SLACK_US = 50_000;
 
     private RunVerification() {}
 
-    /** Verifies all event logs of a folder. */
+    /** Verifies a run by all event logs in its folder. */
     static Verdict verify(FleetPlan plan, RunFolder folder) throws IOException {
         RuleChecker checker =
                 new RuleChecker(plan.discovery().grace().micros(), SLACK_US,
--- a/src/main/java/rampshift/testbed/experiment/SeedRange.java
+++ b/src/main/java/rampshift/testbed/experiment/SeedRange.java
@@ -3,14 +3,14 @@
 import rampshift.settings.ConfigurationException;
 
 /**
- * Consecutive seeds.
+ * A range of consecutive seeds.
  *
  * @param first the first seed
- * @param last the last seed, which is part of the range
+ * @param last the last seed, inclusive
  */
 record SeedRange(long first, long last) {
     /**
-     * Parses the argument of {@code --seeds}: how many seeds, from 1 on, or the first and the last as 5-9.
+     * Parses the argument of {@code --seeds}: the number of seeds from 1, or the first and the last as 5-9.
      *
      * @throws ConfigurationException if the text is neither
      */
@@ -24,7 +24,7 @@
         return new SeedRange(first, Long.parseLong(text.substring(separator + 1)));
     }
 
-    /** How many seeds these are. */
+    /** Returns the number of seeds in the range. */
     long count() {
         return last - first + 1;
     }
--- a/src/main/java/rampshift/testbed/experiment/SummaryTable.java
+++ b/src/main/java/rampshift/testbed/experiment/SummaryTable.java
@@ -5,7 +5,7 @@
 import org.HdrHistogram.Histogram;
 import rampshift.testbed.verification.Verdict;
 
-/** Prints the table at the end of a run. */
+/** Prints the summary of a run. */
 final class SummaryTable {
     private static final double MICROS_PER_MS = 1000;
     private static final String ALL_TYPES = "all";
--- a/src/main/java/rampshift/testbed/experiment/SvgImage.java
+++ b/src/main/java/rampshift/testbed/experiment/SvgImage.java
@@ -9,13 +9,13 @@
 import java.util.Base64;
 import org.knowm.xchart.XYChart;
 
-/** Draws charts as SVG images within HTML. */
+/** Formats charts as SVG images for HTML pages. */
 final class SvgImage {
     private SvgImage() {}
 
     /**
-     * An image element that contains the chart as a data URL. As elements of one page, the charts would have
-     * clip paths of the same names.
+     * Returns an image element that contains the chart as a data URL. Inline SVG elements on the same page
+     * would have clip paths with conflicting names.
      */
     static String of(XYChart chart) throws IOException {
         VectorGraphics2D canvas = new VectorGraphics2D();
--- a/src/main/java/rampshift/testbed/experiment/TaskEnd.java
+++ b/src/main/java/rampshift/testbed/experiment/TaskEnd.java
@@ -2,24 +2,24 @@
 
 import java.util.Locale;
 
-/** How an attempt of a client ended, as the client saw it. */
+/** The outcome of a client's attempt, as observed by the client. */
 enum TaskEnd {
-    /** With a good response. */
+    /** The client received a successful response. */
     FINISHED,
-    /** With a rejection. */
+    /** The client received a rejection. */
     BOUNCED,
-    /** With a 5xx response other than a rejection. */
+    /** The client received a 5xx response other than a rejection. */
     ABANDONED,
-    /** With a response that forbids retries. */
+    /** The client received a response that forbids retries. */
     TURNED_DOWN,
     /** The connection was lost, or the response was malformed. */
     BROKEN,
-    /** No connection came about. */
+    /** No connection could be opened. */
     UNREACHABLE,
-    /** With no response before the client gave up. */
+    /** The client received no response before its timeout. */
     NO_ANSWER;
 
-    /** Its field in the files of counts. */
+    /** Returns the name of the field in counts files. */
     String field() {
         return name().toLowerCase(Locale.ROOT);
     }
--- a/src/main/java/rampshift/testbed/experiment/TrafficCounts.java
+++ b/src/main/java/rampshift/testbed/experiment/TrafficCounts.java
@@ -8,13 +8,13 @@
 import java.util.function.ToDoubleFunction;
 
 /**
- * What clients counted of the tasks of one traffic type, or of several.
+ * The clients' counts of tasks and attempts of one or more traffic types.
  *
- * @param tasks how many tasks there were
- * @param inTime how many of them finished before they were due
- * @param possibleEarnings what all tasks would have earned if they had finished in time
- * @param earnings what they have earned
- * @param ends how many tasks ended in which way; it has all keys
+ * @param tasks the number of tasks
+ * @param inTime the number of tasks that finished before they were due
+ * @param possibleEarnings the earnings of the tasks if all of them had finished in time
+ * @param earnings the actual earnings of the tasks
+ * @param ends the number of attempts by outcome; has an entry for each outcome
  */
 record TrafficCounts(double tasks, double inTime, double possibleEarnings, double earnings,
         Map<TaskEnd, Double> ends) {
@@ -24,14 +24,14 @@
     private static final String POSSIBLE_EARNINGS = "asked";
     private static final String EARNINGS = "earned";
 
-    /** Reads the counts of one traffic type from the file of a load process. */
+    /** Reads the counts of one traffic type from the counts file of a load process. */
     static TrafficCounts read(JsonNode fields) {
         return new TrafficCounts(fields.path(TASKS).doubleValue(), fields.path(IN_TIME).doubleValue(),
                 fields.path(POSSIBLE_EARNINGS).doubleValue(), fields.path(EARNINGS).doubleValue(),
                 countEnds(end -> fields.path(end.field()).doubleValue()));
     }
 
-    /** The sum of several counts. */
+    /** Returns the sum of several counts. */
     static TrafficCounts sum(Collection<TrafficCounts> counts) {
         return new TrafficCounts(sum(counts, TrafficCounts::tasks), sum(counts, TrafficCounts::inTime),
                 sum(counts, TrafficCounts::possibleEarnings), sum(counts, TrafficCounts::earnings),
@@ -50,30 +50,30 @@
         return ends;
     }
 
-    /** These counts and those of another process. */
+    /** Returns the sum of these counts and others. */
     TrafficCounts plus(TrafficCounts other) {
         return new TrafficCounts(tasks + other.tasks, inTime + other.inTime,
                 possibleEarnings + other.possibleEarnings, earnings + other.earnings,
                 countEnds(end -> ended(end) + other.ended(end)));
     }
 
-    /** How many tasks ended in that way. */
+    /** Returns the number of attempts with the given outcome. */
     double ended(TaskEnd end) {
         return ends.get(end);
     }
 
-    /** How many attempts of clients ended in any way. */
+    /** Returns the number of attempts that ended, with any outcome. */
     double endedInAnyWay() {
         return ends.values().stream().mapToDouble(Double::doubleValue).sum();
     }
 
-    /** How many attempts of clients ended neither finished nor rejected, nor with a 5xx response. */
+    /** Returns the number of attempts that neither finished nor got a rejection or another 5xx response. */
     double failedOtherwise() {
         return ended(TaskEnd.TURNED_DOWN) + ended(TaskEnd.BROKEN) + ended(TaskEnd.UNREACHABLE)
                 + ended(TaskEnd.NO_ANSWER);
     }
 
-    /** Writes the counts with the names that {@link #read} knows. */
+    /** Writes the counts with the field names that {@link #read} reads. */
     void write(ObjectNode fields) {
         fields.put(TASKS, tasks).put(IN_TIME, inTime).put(POSSIBLE_EARNINGS, possibleEarnings).put(EARNINGS,
                 earnings);
--- a/src/main/java/rampshift/testbed/experiment/TryCommand.java
+++ b/src/main/java/rampshift/testbed/experiment/TryCommand.java
@@ -11,7 +11,7 @@
 import rampshift.testbed.plan.FleetPlan;
 import rampshift.testbed.plan.FleetPlanReader;
 
-/** The command {@code try}: one run of the plan that comes with the program. */
+/** The command {@code try}, which carries out one run of the plan that is bundled with the program. */
 final class TryCommand {
     private static final String PLAN_RESOURCE = "/rampshift/testbed/try.toml";
     private static final double MS_PER_SECOND = 1000;
@@ -72,7 +72,7 @@
                 Files.deleteIfExists(path);
             }
         } catch (IOException e) {
-            // The folder is a temporary one, which the system deletes in time.
+            // The folder is temporary, so the system deletes it later.
         }
     }
 }
--- a/src/test/java/rampshift/testbed/experiment/ComparisonTest.java
+++ b/src/test/java/rampshift/testbed/experiment/ComparisonTest.java
@@ -38,7 +38,7 @@
         return Comparison.medianDifference(baseline, values, 0.95).differenceVerdict();
     }
 
-    /** Of many samples without a difference, no larger share than 1 - confidence may show one. */
+    /** Among many samples without a difference, at most a share of 1 - confidence may show a difference. */
     @ParameterizedTest
     @CsvSource({"6,0.95", "12,0.95", "20,0.90", "25,0.99"})
     void theStatedConfidenceHoldsForAnyDistribution(int pairs, double confidence) {
@@ -54,6 +54,6 @@
             shown += Comparison.median(differences, confidence).excludesZero() ? 1 : 0;
         }
         assertTrue(shown <= samples * (1 - confidence) * 1.15, shown + " of " + samples);
-        assertFalse(shown == 0, "nor may it never show any");
+        assertFalse(shown == 0, "some samples must show a difference");
     }
 }
--- a/src/test/java/rampshift/testbed/experiment/CpuProfileTest.java
+++ b/src/test/java/rampshift/testbed/experiment/CpuProfileTest.java
@@ -31,15 +31,15 @@
     @Test
     void countsSamplesOfTheIoThreadByPartAndLeavesOutThoseOfOthers() throws Exception {
         String text = print(CpuProfile.read(recordTwoBusyThreads()));
-        // A dispatcher of an earlier test may still be stopping, on an I/O thread of its own.
+        // A dispatcher of an earlier test may still be stopping on its own I/O thread, which adds samples.
         Matcher testbed = Pattern.compile("([0-9.]+)%  testbed\n").matcher(text);
         assertTrue(testbed.find() && Double.parseDouble(testbed.group(1)) > 85, text);
         assertTrue(text.contains("testbed.experiment.CpuProfileTest.keepBusy"), text);
         int samples = Integer.parseInt(text.split(" ")[0]);
-        assertTrue(samples > 5 && samples < 90, "one thread's, not both: " + samples);
+        assertTrue(samples > 5 && samples < 90, "samples of one thread, not of both: " + samples);
     }
 
-    /** A recording of an I/O thread and of another one, both busy for the same time. */
+    /** Records an I/O thread and another thread, both busy for the same time. */
     private Path recordTwoBusyThreads() throws Exception {
         Path file = folder.resolve("recording.jfr");
         try (Recording recording = new Recording()) {
--- a/src/test/java/rampshift/testbed/experiment/EventLine.java
+++ b/src/test/java/rampshift/testbed/experiment/EventLine.java
@@ -1,7 +1,7 @@
 package rampshift.testbed.experiment;
 
 /**
- * A line of a dispatcher's event log: time, log, dispatcher, event and more, separated by spaces.
+ * A line of a dispatcher's event log: time, log, dispatcher, event and further fields, separated by spaces.
  *
  * @param text the whole line
  */
@@ -10,22 +10,22 @@
     private static final int DISPATCHER = 2;
     private static final int EVENT = 3;
 
-    /** When the event happened, in microseconds on the clock of event logs. */
+    /** Returns the time of the event, in microseconds on the clock of event logs. */
     long micros() {
         return Long.parseLong(field(TIME));
     }
 
-    /** The dispatcher that wrote the line. */
+    /** Returns the name of the dispatcher that wrote the line. */
     String dispatcher() {
         return field(DISPATCHER);
     }
 
-    /** The kind of event. */
+    /** Returns the kind of event. */
     String event() {
         return field(EVENT);
     }
 
-    /** Whether the line contains a text. */
+    /** Returns whether the line contains a text. */
     boolean contains(String part) {
         return text.contains(part);
     }
--- a/src/test/java/rampshift/testbed/experiment/FaultCampaignTest.java
+++ b/src/test/java/rampshift/testbed/experiment/FaultCampaignTest.java
@@ -15,10 +15,10 @@
 import org.junit.jupiter.api.io.TempDir;
 import rampshift.testbed.verification.Verdict;
 
-/** Verified runs of five real dispatchers that know one another, with faults of them and their links. */
+/** Verified runs of five real dispatchers with membership, with faults of the dispatchers and their links. */
 class FaultCampaignTest {
     private static final String AGREEMENT_RULE = "all agree after the last fault";
-    /** Each of five dispatchers about each of the four others. */
+    /** The number of ordered pairs of five dispatchers: each observes each of the four others. */
     private static final long ORDERED_PAIRS = 20;
     private static final long MAX_DRAIN_NOTICE_MICROS = 250_000;
 
@@ -41,13 +41,13 @@
         }
     }
 
-    /** How often a rule applied. */
+    /** Returns how often a rule applied. */
     private static long applied(RunOutcome outcome, String rule) {
         return outcome.verdict().rules().stream().filter(each -> each.name().equals(rule)).findFirst()
                 .orElseThrow().atStake();
     }
 
-    /** The events of that kind in all logs, up to the end of the load, after which all dispatchers stop. */
+    /** Returns the events of a kind in all logs before the end of the load, when all dispatchers stop. */
     private List<EventLine> events(String event) throws IOException {
         long loadEnd = Files.readAllLines(fleet.runFolder().runEventLog()).stream()
                 .filter(line -> line.endsWith(" finish")).mapToLong(FaultCampaignTest::micros).findFirst()
@@ -55,7 +55,7 @@
         return fleet.membershipEvents(event).stream().filter(line -> line.micros() < loadEnd).toList();
     }
 
-    /** The events of that kind in one dispatcher's log. */
+    /** Returns the events of a kind in the log of one dispatcher. */
     private List<EventLine> events(String dispatcher, String event) throws IOException {
         return events(event).stream().filter(line -> line.dispatcher().equals(dispatcher)).toList();
     }
@@ -68,7 +68,10 @@
         return events.stream().filter(excluded.negate()).toList();
     }
 
-    /** d1 never reaches d2. d5 gets no endpoint lists and d4 only old ones, so both need the others. */
+    /**
+     * d1 never reaches d2. d5 gets no endpoint lists and d4 only old ones, so both must learn of the drain
+     * from other dispatchers.
+     */
     @Test
     void oneWayLinkLossFailsNobodyAndDrainIsLearntFromOthers() throws Exception {
         RunOutcome outcome = run(8, fault("way-cut", names("d1>d2"), 0.1, 7.8)
@@ -86,11 +89,11 @@
                 .filter(line -> line.contains(" told ") && line.endsWith("draining"))
                 .mapToLong(FaultCampaignTest::micros).min().orElseThrow();
         long delay = lastBound - firstTold;
-        assertTrue(delay < MAX_DRAIN_NOTICE_MICROS, "after the first was told: " + delay / 1000 + " ms");
-        assertTrue(applied(outcome, "drains kept") >= 5, "told to each, to two by other dispatchers");
+        assertTrue(delay < MAX_DRAIN_NOTICE_MICROS, "after the first drain notice: " + delay / 1000 + " ms");
+        assertTrue(applied(outcome, "drains kept") >= 5, "all are notified, two by other dispatchers");
     }
 
-    /** d4 is suspended for longer than the others take to declare it failed. */
+    /** d4 is suspended for longer than the others need to declare it failed. */
     @Test
     void suspendedDispatcherRefutesItsFailureAndSendsNothingLate() throws Exception {
         RunOutcome outcome = run(12, fault("dispatcher-stopped", names("d4"), 1, 6));
@@ -105,7 +108,7 @@
         return Integer.parseInt(line.text().replaceAll(".* (\\d+)-ms$", "$1"));
     }
 
-    /** d4 has a tenth of a core for 5 s. It may be late itself, but must not have others declared failed. */
+    /** d4 has a tenth of a core for 5 s. It may be declared failed, but must not cause others to be. */
     @Test
     void oneThatIsStarvedAccusesNobody() throws Exception {
         RunOutcome outcome = run(11, fault("dispatcher-starved", names("d4") + "\nrate = 0.1", 1, 5));
@@ -135,14 +138,14 @@
                         + fault("way-lossy", names("*=*") + "\nrate = 0.3", 9.5, 4) + rollingRestart);
         assertRulesKept(outcome);
         assertTrue(events("d5", "standing").stream().anyMatch(line -> line.contains("MINOR")),
-                "the smaller part knows that it is");
+                "the minority partition detects that it is one");
         assertTrue(events("d1", "standing").stream().anyMatch(line -> line.contains("MISSING")));
         for (String pair : List.of("d1 d4", "d1 d5", "d5 d1", "d5 d2", "d5 d3")) {
             String dispatcher = pair.substring(0, 2);
             String other = pair.substring(3);
             assertTrue(events(dispatcher, "failed").stream()
                     .anyMatch(line -> line.contains(" failed " + other + " ")),
-                    pair + ": whom it was cut off from");
+                    pair + ": the second is unreachable for the first");
         }
         assertTrue(events("d3", "standing").stream().anyMatch(line -> line.contains("ALONE-1/5")),
                 "cut off from all");
--- a/src/test/java/rampshift/testbed/experiment/FiveDispatcherFleet.java
+++ b/src/test/java/rampshift/testbed/experiment/FiveDispatcherFleet.java
@@ -8,7 +8,7 @@
 import rampshift.testbed.plan.FleetPlan;
 import rampshift.testbed.plan.FleetPlanReader;
 
-/** Five real dispatchers that know one another, on two sites with three workers each, for tests of faults. */
+/** Five real dispatchers with membership, on two sites with three workers each, for tests of faults. */
 final class FiveDispatcherFleet {
     private static final int DISPATCHERS = 5;
     private static final String TASK_LIMITS = """
@@ -51,13 +51,13 @@
     private final Path folder;
     private final RunFolder runFolder;
 
-    /** A fleet whose files are written to a folder. */
+    /** Creates a fleet whose files are written to a folder. */
     FiveDispatcherFleet(Path folder) {
         this.folder = folder;
         runFolder = new RunFolder(folder.resolve("run"));
     }
 
-    /** The folder of the run. */
+    /** Returns the folder of the run. */
     RunFolder runFolder() {
         return runFolder;
     }
@@ -66,10 +66,10 @@
      * Carries out a run.
      *
      * @param seconds the length of the load
-     * @param siteOne how many of the five dispatchers are on the first site
-     * @param rate tasks a second
-     * @param work the mean run time of a task, as fleet files have it
-     * @param sections further sections of the fleet file, faults among them
+     * @param siteOne the number of dispatchers on the first site; the others are on the second one
+     * @param rate the arrival rate, in tasks per second
+     * @param work the mean run time of a task, in the format of fleet files
+     * @param sections further sections of the fleet file, including faults
      */
     RunOutcome run(int seconds, int siteOne, int rate, String work, String sections) throws Exception {
         int siteTwo = DISPATCHERS - siteOne;
@@ -81,30 +81,30 @@
         return new FleetRun(new ChildProcesses(), spec).execute();
     }
 
-    /** The section of a traffic type whose tasks must not run twice. */
+    /** Returns the section of a traffic type whose tasks must not run twice. */
     static String sale(String work) {
         return "[[type]]\nname = \"sale\"\neffect = \"side-effecting\"\n" + TASK_LIMITS.formatted(work);
     }
 
     /**
-     * The section of a fault.
+     * Returns the section of a fault.
      *
-     * @param kind the kind of fault, by its name in fleet files
-     * @param parameters further lines of the section, without the last line end
-     * @param startSeconds when it begins, since the start of the load
-     * @param lengthSeconds how long it lasts
+     * @param kind the kind of fault, as named in fleet files
+     * @param parameters further lines of the section, without the last line terminator
+     * @param startSeconds the start of the fault, relative to the start of the load
+     * @param lengthSeconds the length of the fault
      */
     static String fault(String kind, String parameters, double startSeconds, double lengthSeconds) {
         return "[[trouble]]\nwhat = \"%s\"\n%s\nat = \"%.0fms\"\nlength = \"%.0fms\"\n".formatted(kind,
                 parameters, startSeconds * 1000, lengthSeconds * 1000);
     }
 
-    /** The line of a fault's section that names what it befalls. */
+    /** Returns the line of a fault's section that names the targets of the fault. */
     static String names(String... names) {
         return "names = [\"" + String.join("\", \"", names) + "\"]";
     }
 
-    /** The events of that kind in all dispatchers' logs of membership. */
+    /** Returns the events of a kind in the membership logs of all dispatchers. */
     List<EventLine> membershipEvents(String event) throws IOException {
         List<EventLine> events = new ArrayList<>();
         for (int dispatcher = 0; dispatcher < DISPATCHERS; dispatcher++) {
@@ -113,7 +113,7 @@
         return events;
     }
 
-    /** The events of that kind in all dispatchers' logs of leases. */
+    /** Returns the events of a kind in the lease logs of all dispatchers. */
     List<EventLine> leaseEvents(String event) throws IOException {
         List<EventLine> events = new ArrayList<>();
         for (int dispatcher = 0; dispatcher < DISPATCHERS; dispatcher++) {
--- a/src/test/java/rampshift/testbed/experiment/FleetRunTest.java
+++ b/src/test/java/rampshift/testbed/experiment/FleetRunTest.java
@@ -24,7 +24,7 @@
 import rampshift.TestServer;
 import rampshift.testbed.Commands;
 
-/** Small runs with real processes, by the commands that operators use. */
+/** Small runs of real processes, started by the commands that operators use. */
 class FleetRunTest {
     private static final String PLAN = """
             length = "2s"
@@ -116,7 +116,7 @@
         assertEquals("too few pairs", result.at("/differences/two/earnings served, %/verdict").asText());
         String report = Files.readString(resultFolder().resolve("report.html"));
         assertEquals(4, report.split("data:image/svg").length - 1, "earnings, latency, and load twice");
-        assertFalse(report.contains("http://") || report.contains("src=\"http"), "nothing from elsewhere");
+        assertFalse(report.contains("http://") || report.contains("src=\"http"), "no external resources");
         assertFalse(isAnyProcessLeft());
     }
 
@@ -183,9 +183,9 @@
     }
 
     /**
-     * Interrupted in the first second, while dispatchers start, and under load. A build that a script starts
-     * in the background has SIGINT ignored, and so has each child that it starts: the trial ran on and the
-     * test failed three times of three. So the trial is given the signal's default.
+     * Interrupts a trial in the first second, while dispatchers start, and under load. A build that a script
+     * starts in the background ignores SIGINT, and its child processes inherit this: the trial did not end,
+     * and the test failed three times of three. So the trial is started with the signal's default action.
      */
     @ParameterizedTest
     @ValueSource(ints = {300, 1200, 5000})
@@ -200,9 +200,9 @@
         new ProcessBuilder("kill", "-INT", String.valueOf(trial.pid())).start().waitFor();
         assertTrue(trial.waitFor(10, TimeUnit.SECONDS));
         assertFalse(trial.exitValue() == 0);
-        TestPeers.until("all are gone", () -> !isAnyProcessLeft());
+        TestPeers.until("all processes have ended", () -> !isAnyProcessLeft());
         assertEquals(List.of(), Files.readAllLines(outputFile, StandardCharsets.UTF_8).stream()
                 .filter(line -> line.contains("Exception") || line.startsWith("\tat ")).toList(),
-                "nor a stack trace");
+                "no stack trace is printed");
     }
 }
--- a/src/test/java/rampshift/testbed/experiment/OverloadTest.java
+++ b/src/test/java/rampshift/testbed/experiment/OverloadTest.java
@@ -15,11 +15,12 @@
 import rampshift.testbed.Commands;
 
 /**
- * An overload is to cost the tasks that do not fit, and nothing else. A dispatcher that fell behind once
- * finished nothing any more (docs/incidents/overload-collapse.md). What is left: a rejected request is read
- * and parsed whole, for about a third of what a task costs, and new connections are served 16 at a poll, so
- * that at four times what is carried rejections take the time of the tasks that fit. The dispatcher is
- * interpreted, since the clients of one machine can't send four times what a compiled one carries.
+ * An overloaded dispatcher must reject only the tasks that exceed its capacity. This test guards against a
+ * collapse in which a dispatcher that falls behind finishes no task at all
+ * (docs/incidents/overload-collapse.md). Two costs remain: a rejected request is read and parsed completely,
+ * for about a third of the cost of a task, and new connections are served 16 per poll. At four times the
+ * capacity, rejections therefore take the time of tasks within the capacity. The dispatcher runs in
+ * interpreted mode, since the clients on one machine can't send four times the capacity of a compiled one.
  */
 class OverloadTest {
     private static final String INTERPRETED = "cpus = \"7\"\njava = [\"-Xint\"]";
@@ -46,7 +47,7 @@
         int status = Commands.run(new String[]{"experiment", planFile.toString(), "--folder",
                 folder.resolve("result").toString()}, out, out);
         String output = Files.readString(folder.resolve("out.txt"));
-        assertEquals(0, status, "0: no rule broken, no run void\n" + output);
+        assertEquals(0, status, "0 means that no rule was broken and no run was void\n" + output);
         JsonNode run = new ObjectMapper().readTree(folder.resolve("result/result.json").toFile()).at(
                 "/runs/four-times/1");
         assertEquals(0, run.at("/types/look/no_answer").asDouble(), "clients without an answer");
--- a/src/test/java/rampshift/testbed/experiment/PeriodicJobCampaignTest.java
+++ b/src/test/java/rampshift/testbed/experiment/PeriodicJobCampaignTest.java
@@ -16,7 +16,7 @@
 
 /**
  * Verified runs of five real dispatchers, three of which are acceptors of leases, with two periodic jobs and
- * with faults.
+ * faults.
  */
 class PeriodicJobCampaignTest {
     private static final int STATUS_ATTEMPTS = 300;
@@ -52,7 +52,7 @@
                 """.formatted(name, type, objects);
     }
 
-    /** The fault for each dispatcher in turn. */
+    /** Returns the sections of a fault that affects one dispatcher after the other. */
     private static String faultOfEach(String kind, double intervalSeconds, double lengthSeconds) {
         StringBuilder faults = new StringBuilder();
         for (int d = 1; d <= 5; d++) {
@@ -73,7 +73,7 @@
 
     /**
      * Each dispatcher in turn is suspended for longer than the lease term. Then all acceptors are killed at
-     * once, over lossy links, and start again with what is on their disks.
+     * once, while links are lossy, and restart from the state on their disks.
      */
     @Test
     void leaseHoldersAreSuspendedAndAllAcceptorsKilled() throws Exception {
@@ -86,12 +86,12 @@
         Verdict.LeaseEffects effects = outcome.verdict().leaseEffects();
         assertTrue(effects.takeovers() >= 2, effects.toString());
         assertTrue(effects.once() > 200, effects.toString());
-        assertTrue(fleet.leaseEvents("lapsed").size() >= 1, "and it says so when it goes on");
-        assertTrue(fleet.leaseEvents("duty-over").size() >= 4, "runs come to their end");
+        assertTrue(fleet.leaseEvents("lapsed").size() >= 1, "a resumed holder logs the expiry");
+        assertTrue(fleet.leaseEvents("duty-over").size() >= 4, "runs of the jobs are completed");
         assertTrue(page.get().matches(STATUS_PAGE), page.get());
     }
 
-    /** The status of leases and jobs as d5's operator sees it, as soon as a lease is held. */
+    /** Waits until a lease is held, and returns the status of leases and jobs as shown to d5's operator. */
     private String awaitStatusPage() {
         String file = fleet.runFolder().operatorFile(4).toString();
         for (int attempt = 0; attempt < STATUS_ATTEMPTS; attempt++) {
@@ -102,7 +102,7 @@
                     return leases + OperatorCommands.duties(file);
                 }
             } catch (IOException | RuntimeException e) {
-                // The dispatcher does not run yet, or is suspended.
+                // The dispatcher is not running yet, or is suspended.
             } catch (InterruptedException e) {
                 Thread.currentThread().interrupt();
             }
--- a/src/test/java/rampshift/testbed/experiment/RateSearchTest.java
+++ b/src/test/java/rampshift/testbed/experiment/RateSearchTest.java
@@ -25,7 +25,7 @@
     void oneFailureIsRepeatedAndTheMaximumIsNotExceeded() {
         RateSearch search = new RateSearch(100, 400, 0.1);
         search.addResult(false);
-        assertEquals(100, search.nextRate(), "once more");
+        assertEquals(100, search.nextRate(), "a rate that failed once is repeated");
         search.addResult(true);
         search.addResult(true);
         assertEquals(400, search.nextRate());
