--- a/src/main/java/rampshift/testbed/experiment/CapacitySearch.java
+++ b/src/main/java/rampshift/testbed/experiment/CapacitySearch.java
@@ -66,9 +66,9 @@
             keptRules &= outcome.keptRules();
             // Late sends can only make the result worse. So a sustained rate counts even if its run is void,
             // and the search repeats a rate that was not sustained.
-            search.addResult(isCarried(outcome));
+            search.addResult(isSustained(outcome));
         }
-        double capacity = search.highestCarried();
+        double capacity = search.highestSustained();
         results.put("carried", capacity);
         out.printf(Locale.ROOT, "carried: %.0f tasks/s with a 99th percentile of added time up to %.1f ms%n",
                 capacity, plan.ladder().bound().millis());
@@ -82,7 +82,7 @@
         return keptRules ? ExitCode.SUCCESS : ExitCode.FAILURE;
     }
 
-    private boolean isCarried(RunOutcome outcome) {
+    private boolean isSustained(RunOutcome outcome) {
         long addedMicros = outcome.load().totalHistogram(LatencyKind.ADDED).getValueAtPercentile(99);
         TrafficCounts counts = outcome.load().totalCounts();
         return addedMicros <= plan.ladder().bound().micros()
@@ -109,15 +109,16 @@
     /** Writes the fleet file with an additional arm that sets the rate, so that the run can be repeated. */
     private Path writePlan(Path runPath, String rateText) throws IOException {
         StringBuilder settings = new StringBuilder();
-        findArm().ifPresent(base -> base.set().fields().forEachRemaining(field -> settings.append('"')
-                .append(field.getKey()).append("\" = ").append(field.getValue()).append(", ")));
+        findArmWithSettings()
+                .ifPresent(base -> base.set().fields().forEachRemaining(field -> settings.append('"')
+                        .append(field.getKey()).append("\" = ").append(field.getValue()).append(", ")));
         List<String> lines = new ArrayList<>(Files.readAllLines(planFile));
         lines.addAll(List.of("", "[[arm]]", "name = \"" + RUN_ARM + "\"",
                 "set = { " + settings + "\"arrivals.rate\" = " + rateText + ".0 }"));
         return Files.write(runPath.resolve(RUN_ARM + ".toml"), lines);
     }
 
-    private Optional<FleetPlan.Arm> findArm() {
+    private Optional<FleetPlan.Arm> findArmWithSettings() {
         return plan.arms().stream().filter(each -> each.name().equals(arm) && each.set() != null)
                 .findFirst();
     }
--- a/src/main/java/rampshift/testbed/experiment/ChildProcess.java
+++ b/src/main/java/rampshift/testbed/experiment/ChildProcess.java
@@ -67,7 +67,7 @@
                 new InputStreamReader(process.getInputStream(), StandardCharsets.UTF_8));
                 BufferedWriter file = Files.newBufferedWriter(outputFile)) {
             for (String line = output.readLine(); line != null; line = output.readLine()) {
-                keep(line);
+                addRecentLine(line);
                 file.write(line);
                 file.newLine();
                 onOutput.accept(line);
@@ -77,7 +77,7 @@
         }
     }
 
-    private void keep(String line) {
+    private void addRecentLine(String line) {
         synchronized (recentOutput) {
             recentOutput.add(line);
             if (recentOutput.size() > MAX_RECENT_LINES) {
--- a/src/main/java/rampshift/testbed/experiment/CpuProfile.java
+++ b/src/main/java/rampshift/testbed/experiment/CpuProfile.java
@@ -21,12 +21,12 @@
     private static final Set<String> SAMPLE_EVENTS = Set.of("jdk.ExecutionSample", "jdk.NativeMethodSample");
     private static final int MAX_METHODS = 15;
     private static final String IO_THREAD_PREFIX = "io I/O";
-    private static final String IDLE_METHOD = "EPoll.wait";
-    private static final String OWN_PACKAGE = "rampshift.";
+    private static final String POLL_METHOD = "EPoll.wait";
+    private static final String PROGRAM_PACKAGE = "rampshift.";
     private static final String STAGES_PACKAGE = "pipeline";
     private static final String UNDERTOW_PACKAGE = "io.undertow.";
     private static final String UNDERTOW = "undertow";
-    private static final String OTHER_PARTS = "xnio and the JDK";
+    private static final String OTHER_CODE = "xnio and the JDK";
 
     private final Map<String, Integer> samplesByPart = new TreeMap<>();
     private final Map<String, Integer> samplesByMethod = new TreeMap<>();
@@ -59,14 +59,14 @@
 
     private void add(List<RecordedFrame> stack) {
         String runningMethod = methodName(stack.get(0));
-        if (runningMethod.contains(IDLE_METHOD)) {
+        if (runningMethod.contains(POLL_METHOD)) {
             return;
         }
         samples++;
         samplesByPart.merge(part(stack), 1, Integer::sum);
         String method = stack.stream().map(CpuProfile::methodName)
-                .filter(name -> name.startsWith(OWN_PACKAGE)).findFirst()
-                .map(name -> name.substring(OWN_PACKAGE.length())).orElse(runningMethod);
+                .filter(name -> name.startsWith(PROGRAM_PACKAGE)).findFirst()
+                .map(name -> name.substring(PROGRAM_PACKAGE.length())).orElse(runningMethod);
         samplesByMethod.merge(method, 1, Integer::sum);
     }
 
@@ -74,19 +74,19 @@
     private static String part(List<RecordedFrame> stack) {
         for (RecordedFrame frame : stack) {
             String type = typeName(frame);
-            if (type.startsWith(OWN_PACKAGE)) {
-                return ownPart(type);
+            if (type.startsWith(PROGRAM_PACKAGE)) {
+                return programPart(type);
             }
             if (type.startsWith(UNDERTOW_PACKAGE)) {
                 return UNDERTOW;
             }
         }
-        return OTHER_PARTS;
+        return OTHER_CODE;
     }
 
     /** Returns the package of a class of this program; within the pipeline, with the class of the stage. */
-    private static String ownPart(String type) {
-        String[] names = type.substring(OWN_PACKAGE.length()).split("[.$]");
+    private static String programPart(String type) {
+        String[] names = type.substring(PROGRAM_PACKAGE.length()).split("[.$]");
         boolean isStage = names[0].equals(STAGES_PACKAGE) && names.length > 1;
         return isStage ? names[0] + "." + names[1] : names[0];
     }
--- a/src/main/java/rampshift/testbed/experiment/EarningsInSecond.java
+++ b/src/main/java/rampshift/testbed/experiment/EarningsInSecond.java
@@ -12,12 +12,13 @@
     /** No earnings. */
     static final EarningsInSecond NONE = new EarningsInSecond(0, 0);
 
-    private static final int POSSIBLE = 0;
-    private static final int EARNED = 1;
+    private static final int POSSIBLE_INDEX = 0;
+    private static final int EARNED_INDEX = 1;
 
     /** Reads the earnings of one second from a row in the counts file of a load process. */
     static EarningsInSecond read(JsonNode row) {
-        return new EarningsInSecond(row.get(POSSIBLE).doubleValue(), row.get(EARNED).doubleValue());
+        return new EarningsInSecond(row.get(POSSIBLE_INDEX).doubleValue(),
+                row.get(EARNED_INDEX).doubleValue());
     }
 
     /** Returns the sum of these earnings and others. */
--- a/src/main/java/rampshift/testbed/experiment/FaultGenerator.java
+++ b/src/main/java/rampshift/testbed/experiment/FaultGenerator.java
@@ -13,13 +13,13 @@
 final class FaultGenerator {
     private static final String RANDOM_STREAM = "together";
     private static final int MAX_FAULTS = 5;
-    private static final int FAULT_KINDS = 11;
-    private static final int ANY_PEER_ODDS = 3;
+    private static final int FAULT_KIND_COUNT = 11;
+    private static final int ALL_PEERS_ONE_IN = 3;
     // Shares of the run's length. The time after the last fault lets the views of all dispatchers converge.
-    private static final double FIRST_START = 0.1;
-    private static final double LAST_END = 0.6;
-    private static final double START_RANGE = 0.8;
-    private static final double MAX_LENGTH = 0.25;
+    private static final double FIRST_START_SHARE = 0.1;
+    private static final double LAST_END_SHARE = 0.6;
+    private static final double START_RANGE_SHARE = 0.8;
+    private static final double MAX_LENGTH_SHARE = 0.25;
     private static final double MIN_LENGTH_MS = 100;
 
     private final FleetPlan plan;
@@ -56,11 +56,12 @@
 
     private FaultSection drawFault(UniformRandomProvider random) {
         double runMs = plan.length().millis();
-        double startMs = runMs * (FIRST_START + (LAST_END - FIRST_START) * START_RANGE * random.nextDouble());
-        double maxLengthMs = Math.min(runMs * MAX_LENGTH, runMs * LAST_END - startMs);
+        double startMs = runMs * (FIRST_START_SHARE
+                + (LAST_END_SHARE - FIRST_START_SHARE) * START_RANGE_SHARE * random.nextDouble());
+        double maxLengthMs = Math.min(runMs * MAX_LENGTH_SHARE, runMs * LAST_END_SHARE - startMs);
         double lengthMs = Math.max(MIN_LENGTH_MS, maxLengthMs * random.nextDouble());
         Targets targets = drawTargets(random);
-        return fault(random.nextInt(FAULT_KINDS), targets, startMs, lengthMs);
+        return fault(random.nextInt(FAULT_KIND_COUNT), targets, startMs, lengthMs);
     }
 
     private Targets drawTargets(UniformRandomProvider random) {
@@ -69,7 +70,7 @@
         int from = random.nextInt(dispatchers);
         int to = (from + 1 + random.nextInt(Math.max(1, dispatchers - 1))) % dispatchers;
         String direction = random.nextBoolean() ? ">" : "=";
-        String peer = random.nextInt(ANY_PEER_ODDS) == 0 ? "*" : RunFolder.dispatcherName(to);
+        String peer = random.nextInt(ALL_PEERS_ONE_IN) == 0 ? "*" : RunFolder.dispatcherName(to);
         String link = RunFolder.dispatcherName(from) + direction + peer;
         String site = plan.sites().get(random.nextInt(plan.sites().size())).name();
         return new Targets(dispatcher, link, site);
--- a/src/main/java/rampshift/testbed/experiment/FleetOptions.java
+++ b/src/main/java/rampshift/testbed/experiment/FleetOptions.java
@@ -111,8 +111,8 @@
     }
 
     /** Returns the seed, or the default if none is given. */
-    long seed(long ifAbsent) {
-        return number(SEED, ifAbsent);
+    long seed(long defaultValue) {
+        return number(SEED, defaultValue);
     }
 
     /** Returns the number of the load process, from 0. */
@@ -120,10 +120,10 @@
         return (int) number(PROCESS, 0);
     }
 
-    private long number(String option, long ifAbsent) {
+    private long number(String option, long defaultValue) {
         String value = line.getOptionValue(option);
         if (value == null) {
-            return ifAbsent;
+            return defaultValue;
         }
         if (!value.matches("\\d{1,15}")) {
             throw new ConfigurationException(
--- a/src/main/java/rampshift/testbed/experiment/FleetRun.java
+++ b/src/main/java/rampshift/testbed/experiment/FleetRun.java
@@ -110,12 +110,12 @@
     /** Injects faults and reports the progress until the load has ended. */
     private void superviseLoad(Moment start, EventLog eventLog) throws IOException, InterruptedException {
         DispatcherFaultRunner faults = new DispatcherFaultRunner(spec, dispatchers, eventLog, start);
-        Moment warm = start.plus(plan.clients().warmUp());
+        Moment measurementStart = start.plus(plan.clients().warmUp());
         Moment nextProgress = start.plus(PROGRESS_INTERVAL);
         while (load.isAnyAlive()) {
             Thread.sleep(POLL_INTERVAL_MS);
             Moment now = EventClock.now();
-            if (!now.before(warm)) {
+            if (!now.before(measurementStart)) {
                 dispatchers.startMeasuring();
             }
             faults.update(now);
--- a/src/main/java/rampshift/testbed/experiment/HostMetrics.java
+++ b/src/main/java/rampshift/testbed/experiment/HostMetrics.java
@@ -14,19 +14,19 @@
 record HostMetrics(long usedTicks, long stolenTicks) {
     private static final Path CPU_STATISTICS = Path.of("/proc/stat");
     // The first line: cpu user nice system idle iowait irq softirq steal ...
-    private static final int USER = 1;
-    private static final int SYSTEM = 3;
-    private static final int IRQ = 6;
-    private static final int SOFTIRQ = 7;
-    private static final int STEAL = 8;
+    private static final int USER_FIELD = 1;
+    private static final int SYSTEM_FIELD = 3;
+    private static final int IRQ_FIELD = 6;
+    private static final int SOFTIRQ_FIELD = 7;
+    private static final int STEAL_FIELD = 8;
 
     /** Reads the current values; both are 0 on a system that does not report them. */
     static HostMetrics read() {
         try {
             String[] fields = Files.readAllLines(CPU_STATISTICS).get(0).trim().split(" +");
-            long used = Long.parseLong(fields[USER]) + Long.parseLong(fields[SYSTEM])
-                    + Long.parseLong(fields[IRQ]) + Long.parseLong(fields[SOFTIRQ]);
-            return new HostMetrics(used, Long.parseLong(fields[STEAL]));
+            long used = Long.parseLong(fields[USER_FIELD]) + Long.parseLong(fields[SYSTEM_FIELD])
+                    + Long.parseLong(fields[IRQ_FIELD]) + Long.parseLong(fields[SOFTIRQ_FIELD]);
+            return new HostMetrics(used, Long.parseLong(fields[STEAL_FIELD]));
         } catch (IOException | RuntimeException e) {
             return new HostMetrics(0, 0);
         }
@@ -39,7 +39,7 @@
     double stolenShareSince(HostMetrics earlier) {
         long used = usedTicks - earlier.usedTicks;
         long stolen = stolenTicks - earlier.stolenTicks;
-        long wanted = used + stolen;
-        return wanted <= 0 ? 0 : stolen / (double) wanted;
+        long demanded = used + stolen;
+        return demanded <= 0 ? 0 : stolen / (double) demanded;
     }
 }
--- a/src/main/java/rampshift/testbed/experiment/LoadProgress.java
+++ b/src/main/java/rampshift/testbed/experiment/LoadProgress.java
@@ -11,14 +11,15 @@
  *
  * @param sent attempts sent so far
  * @param finished attempts that finished
- * @param bounced attempts that were rejected
- * @param others attempts that failed, timed out or could not be sent
+ * @param rejected attempts that were rejected
+ * @param failed attempts that failed, timed out or could not be sent
  * @param servedEarningsShare the share of the possible earnings that were earned, 0 to 1
  */
-record LoadProgress(double sent, double finished, double bounced, double others, double servedEarningsShare) {
+record LoadProgress(double sent, double finished, double rejected, double failed,
+        double servedEarningsShare) {
 
     private static final String PREFIX = "progress ";
-    private static final int FIELDS = 5;
+    private static final int MIN_FIELDS = 5;
     private static final double MS_PER_SECOND = 1000;
 
     /** Parses a line of output; returns empty unless it is a complete progress line. */
@@ -27,7 +28,7 @@
             return Optional.empty();
         }
         String[] fields = line.substring(PREFIX.length()).split(" ");
-        if (fields.length < FIELDS) {
+        if (fields.length < MIN_FIELDS) {
             return Optional.empty();
         }
         try {
@@ -46,8 +47,8 @@
         return String.format(Locale.ROOT,
                 "%5.1f s  sent %6.0f  finished %6.0f  bounced %5.0f  others %4.0f  earnings served %5.1f%%",
                 sinceStart.millis() / MS_PER_SECOND, sum(processes, LoadProgress::sent),
-                sum(processes, LoadProgress::finished), sum(processes, LoadProgress::bounced),
-                sum(processes, LoadProgress::others), 100 * earningsShare);
+                sum(processes, LoadProgress::finished), sum(processes, LoadProgress::rejected),
+                sum(processes, LoadProgress::failed), 100 * earningsShare);
     }
 
     private static double sum(Collection<LoadProgress> processes, ToDoubleFunction<LoadProgress> field) {
--- a/src/main/java/rampshift/testbed/experiment/OperatorFileWriter.java
+++ b/src/main/java/rampshift/testbed/experiment/OperatorFileWriter.java
@@ -43,17 +43,17 @@
      */
     void write(int dispatcher, int site) throws IOException {
         StringBuilder text = new StringBuilder(members(dispatcher, site));
-        for (int other : othersThan(dispatcher)) {
+        for (int other : otherDispatchers(dispatcher)) {
             text.append(reach(dispatcher, other));
         }
         if (!plan.leases().periodicJobs().isEmpty()) {
             text.append(leases(dispatcher));
-            plan.leases().periodicJobs().forEach(duty -> text.append(periodicJob(duty)));
+            plan.leases().periodicJobs().forEach(job -> text.append(periodicJob(job)));
         }
         Files.writeString(folder.operatorFile(dispatcher), text.toString());
     }
 
-    private List<Integer> othersThan(int dispatcher) {
+    private List<Integer> otherDispatchers(int dispatcher) {
         List<Integer> others = new ArrayList<>();
         for (int other = 0; other < members.size(); other++) {
             if (other != dispatcher) {
@@ -65,7 +65,7 @@
 
     private String members(int dispatcher, int site) {
         InetSocketAddress listen = members.get(dispatcher);
-        List<String> seeds = othersThan(dispatcher).stream().limit(MAX_SEEDS)
+        List<String> seeds = otherDispatchers(dispatcher).stream().limit(MAX_SEEDS)
                 .map(other -> quoted(address(dispatcher, other))).toList();
         return String.format(Locale.ROOT, """
                 [members]
--- a/src/main/java/rampshift/testbed/experiment/RateSearch.java
+++ b/src/main/java/rampshift/testbed/experiment/RateSearch.java
@@ -12,7 +12,7 @@
 
     private final double maxRate;
     private final double tolerance;
-    private double highestCarried;
+    private double highestSustained;
     private double lowestFailed;
     private double nextRate;
     private boolean failedOnce;
@@ -37,19 +37,19 @@
     }
 
     /** Returns the highest rate that was sustained so far; 0 if none was. */
-    double highestCarried() {
-        return highestCarried;
+    double highestSustained() {
+        return highestSustained;
     }
 
     /** Records whether the rate {@link #nextRate()} was sustained in a run. */
-    void addResult(boolean carried) {
-        if (!carried && !failedOnce) {
+    void addResult(boolean sustained) {
+        if (!sustained && !failedOnce) {
             failedOnce = true;
             return;
         }
         failedOnce = false;
-        if (carried) {
-            highestCarried = nextRate;
+        if (sustained) {
+            highestSustained = nextRate;
         } else {
             lowestFailed = nextRate;
         }
@@ -58,11 +58,12 @@
 
     private double chooseNextRate() {
         if (lowestFailed == 0) {
-            return highestCarried >= maxRate ? 0 : Math.min(maxRate, highestCarried * GROWTH_FACTOR);
+            return highestSustained >= maxRate ? 0 : Math.min(maxRate, highestSustained * GROWTH_FACTOR);
         }
-        if (highestCarried == 0) {
+        if (highestSustained == 0) {
             return lowestFailed <= MIN_RATE ? 0 : lowestFailed / REDUCTION_FACTOR;
         }
-        return lowestFailed / highestCarried <= 1 + tolerance ? 0 : Math.sqrt(lowestFailed * highestCarried);
+        return lowestFailed / highestSustained <= 1 + tolerance ? 0
+                : Math.sqrt(lowestFailed * highestSustained);
     }
 }
--- a/src/main/java/rampshift/testbed/experiment/ReportCharts.java
+++ b/src/main/java/rampshift/testbed/experiment/ReportCharts.java
@@ -28,7 +28,7 @@
     private static final double MICROS_PER_MS = 1000;
     /** Smaller latencies are drawn with this value, since a logarithmic axis has no 0. */
     private static final double MIN_LATENCY_MS = 0.001;
-    private static final double MID_SECOND = 0.5;
+    private static final double SECOND_MIDPOINT = 0.5;
     private static final double MAX_PERCENT = 100;
     private static final double[] PERCENTILES =
             {1, 5, 10, 25, 50, 75, 90, 95, 98, 99, 99.5, 99.8, 99.9, 99.95, 99.99};
@@ -76,7 +76,7 @@
         double[] percents = new double[seconds];
         for (int second = 0; second < seconds; second++) {
             double possible = sums[second].possible();
-            times[second] = second + MID_SECOND;
+            times[second] = second + SECOND_MIDPOINT;
             percents[second] = possible == 0 ? MAX_PERCENT : MAX_PERCENT * sums[second].earned() / possible;
         }
         chart.addSeries(arm, times, percents).setMarker(SeriesMarkers.NONE);
@@ -116,7 +116,7 @@
             double[] assignments = Arrays.stream(worker.getValue()).asDoubleStream().toArray();
             double[] times = new double[assignments.length];
             for (int second = 0; second < times.length; second++) {
-                times[second] = second + MID_SECOND - outcome.startSecond();
+                times[second] = second + SECOND_MIDPOINT - outcome.startSecond();
             }
             chart.addSeries(worker.getKey(), times, assignments).setMarker(SeriesMarkers.NONE);
             maxAssignments = Math.max(maxAssignments, Arrays.stream(assignments).max().orElse(0));
--- a/src/main/java/rampshift/testbed/experiment/RunVerification.java
+++ b/src/main/java/rampshift/testbed/experiment/RunVerification.java
@@ -11,14 +11,14 @@
 /** Verifies the rules of a run by its event logs. */
 final class RunVerification {
     /** The microseconds by which time limits on real sockets exceed those in the simulator. */
-    private static final long SLACK_US = 50_000;
+    private static final long SOCKET_TOLERANCE_MICROS = 50_000;
 
     private RunVerification() {}
 
     /** Verifies a run by all event logs in its folder. */
     static Verdict verify(FleetPlan plan, RunFolder folder) throws IOException {
         RuleChecker checker =
-                new RuleChecker(plan.discovery().grace().micros(), SLACK_US,
+                new RuleChecker(plan.discovery().grace().micros(), SOCKET_TOLERANCE_MICROS,
                         plan.members().knownBy().micros(),
                         plan.members().agreeBy().micros());
         for (Path eventLog : folder.eventLogs()) {
--- a/src/test/java/rampshift/testbed/experiment/CpuProfileTest.java
+++ b/src/test/java/rampshift/testbed/experiment/CpuProfileTest.java
@@ -29,7 +29,7 @@
     }
 
     @Test
-    void countsSamplesOfTheIoThreadByPartAndLeavesOutThoseOfOthers() throws Exception {
+    void countsOnlySamplesOfTheIoThreadByPart() throws Exception {
         String text = print(CpuProfile.read(recordTwoBusyThreads()));
         // A dispatcher of an earlier test may still be stopping on its own I/O thread, which adds samples.
         Matcher testbed = Pattern.compile("([0-9.]+)%  testbed\n").matcher(text);
@@ -64,7 +64,7 @@
     }
 
     @Test
-    void stolenTimeIsAShareOfTheTimeWanted() {
+    void stolenTimeIsAShareOfTheDemandedTime() {
         HostMetrics earlier = new HostMetrics(100, 0);
         assertEquals(0.4, new HostMetrics(160, 40).stolenShareSince(earlier), 1e-9);
         assertEquals(0, new HostMetrics(0, 0).stolenShareSince(new HostMetrics(0, 0)));
--- a/src/test/java/rampshift/testbed/experiment/EventLine.java
+++ b/src/test/java/rampshift/testbed/experiment/EventLine.java
@@ -6,23 +6,23 @@
  * @param text the whole line
  */
 record EventLine(String text) {
-    private static final int TIME = 0;
-    private static final int DISPATCHER = 2;
-    private static final int EVENT = 3;
+    private static final int TIME_FIELD = 0;
+    private static final int DISPATCHER_FIELD = 2;
+    private static final int EVENT_FIELD = 3;
 
     /** Returns the time of the event, in microseconds on the clock of event logs. */
     long micros() {
-        return Long.parseLong(field(TIME));
+        return Long.parseLong(field(TIME_FIELD));
     }
 
     /** Returns the name of the dispatcher that wrote the line. */
     String dispatcher() {
-        return field(DISPATCHER);
+        return field(DISPATCHER_FIELD);
     }
 
     /** Returns the kind of event. */
     String event() {
-        return field(EVENT);
+        return field(EVENT_FIELD);
     }
 
     /** Returns whether the line contains a text. */
--- a/src/test/java/rampshift/testbed/experiment/FaultCampaignTest.java
+++ b/src/test/java/rampshift/testbed/experiment/FaultCampaignTest.java
@@ -73,7 +73,7 @@
      * from other dispatchers.
      */
     @Test
-    void oneWayLinkLossFailsNobodyAndDrainIsLearntFromOthers() throws Exception {
+    void oneWayLinkLossCausesNoFailureAndDrainIsLearnedFromOthers() throws Exception {
         RunOutcome outcome = run(8, fault("way-cut", names("d1>d2"), 0.1, 7.8)
                 + fault("roster-silent", names("d5"), 1, 6.9)
                 + fault("roster-old", names("d4") + "\ndelay = \"4s\"", 1, 6.9)
@@ -84,11 +84,11 @@
         assertEquals(List.of("d4", "d5"), bound.stream().map(EventLine::dispatcher)
                 .filter(dispatcher -> dispatcher.compareTo("d3") > 0).sorted().toList());
         assertEquals(List.of(), without(bound, line -> line.contains(" one-m-1 ")), "no other worker");
-        long lastBound = events("d5", "bound").stream().mapToLong(EventLine::micros).max().orElseThrow();
-        long firstTold = Files.readAllLines(fleet.runFolder().fleetEventLog()).stream()
+        long lastNotice = events("d5", "bound").stream().mapToLong(EventLine::micros).max().orElseThrow();
+        long firstNotice = Files.readAllLines(fleet.runFolder().fleetEventLog()).stream()
                 .filter(line -> line.contains(" told ") && line.endsWith("draining"))
                 .mapToLong(FaultCampaignTest::micros).min().orElseThrow();
-        long delay = lastBound - firstTold;
+        long delay = lastNotice - firstNotice;
         assertTrue(delay < MAX_DRAIN_NOTICE_MICROS, "after the first drain notice: " + delay / 1000 + " ms");
         assertTrue(applied(outcome, "drains kept") >= 5, "all are notified, two by other dispatchers");
     }
@@ -110,7 +110,7 @@
 
     /** d4 has a tenth of a core for 5 s. It may be declared failed, but must not cause others to be. */
     @Test
-    void oneThatIsStarvedAccusesNobody() throws Exception {
+    void throttledDispatcherCausesNoFailureOfOthers() throws Exception {
         RunOutcome outcome = run(11, fault("dispatcher-starved", names("d4") + "\nrate = 0.1", 1, 5));
         assertRulesKept(outcome);
         assertEquals(List.of(), without(events("failed"), line -> line.contains(" failed d4 ")));
--- a/src/test/java/rampshift/testbed/experiment/OverloadTest.java
+++ b/src/test/java/rampshift/testbed/experiment/OverloadTest.java
@@ -24,7 +24,7 @@
  */
 class OverloadTest {
     private static final String INTERPRETED = "cpus = \"7\"\njava = [\"-Xint\"]";
-    private static final double CARRIED_PER_SECOND = 200;
+    private static final double CAPACITY_PER_SECOND = 200;
     private static final double MIN_FINISHED_SHARE = 0.8;
     private static final String ARMS = """
             [[arm]]
@@ -52,6 +52,6 @@
                 "/runs/four-times/1");
         assertEquals(0, run.at("/types/look/no_answer").asDouble(), "clients without an answer");
         double finished = run.at("/figures").get("finished a second").asDouble();
-        assertTrue(finished >= MIN_FINISHED_SHARE * CARRIED_PER_SECOND, "finished a second: " + finished);
+        assertTrue(finished >= MIN_FINISHED_SHARE * CAPACITY_PER_SECOND, "finished a second: " + finished);
     }
 }
--- a/src/test/java/rampshift/testbed/experiment/RateSearchTest.java
+++ b/src/test/java/rampshift/testbed/experiment/RateSearchTest.java
@@ -10,14 +10,14 @@
 class RateSearchTest {
     @ParameterizedTest
     @ValueSource(doubles = {30, 99, 250, 700, 1999, 7999})
-    void findsTheCapacityToATenth(double capacity) {
+    void findsTheCapacityWithinTenPercent(double capacity) {
         RateSearch search = new RateSearch(250, 8000, 0.1);
         int trials = 0;
         while (search.nextRate() > 0) {
             assertTrue(++trials < 40);
             search.addResult(search.nextRate() <= capacity);
         }
-        double found = search.highestCarried();
+        double found = search.highestSustained();
         assertTrue(found <= capacity && found * 1.1 >= capacity * 0.999, found + " of " + capacity);
     }
 
@@ -31,7 +31,7 @@
         assertEquals(400, search.nextRate());
         search.addResult(true);
         assertEquals(0, search.nextRate());
-        assertEquals(400, search.highestCarried());
+        assertEquals(400, search.highestSustained());
     }
 
     @Test
@@ -42,6 +42,6 @@
             assertTrue(++trials < 20);
             search.addResult(false);
         }
-        assertEquals(0, search.highestCarried());
+        assertEquals(0, search.highestSustained());
     }
 }
