--- a/src/main/java/rampshift/testbed/experiment/FaultCampaign.java
+++ b/src/main/java/rampshift/testbed/experiment/FaultCampaign.java
@@ -107,7 +107,7 @@
         List<FaultSection> reported = shrinkFaults ? shrink(seed, faults) : faults;
         Path repeatFile =
                 Files.writeString(folder.resolve("breach-" + seed + ".toml"), planWithFaults(reported));
-        out.println("its faults, to be played again by `experiment " + repeatFile + "`:");
+        out.println("faults of this run, repeated by `experiment " + repeatFile + "`:");
         reported.forEach(fault -> out.print(fault.toToml()));
     }
 
--- a/src/main/java/rampshift/testbed/experiment/FaultGenerator.java
+++ b/src/main/java/rampshift/testbed/experiment/FaultGenerator.java
@@ -7,17 +7,19 @@
 import rampshift.testbed.random.RandomStreams;
 
 /**
- * Generates random faults of the dispatchers of a plan and of the links between them. The same seed must give
- * the same faults in all versions, so the order of the random draws must not change.
+ * Generates random faults of the dispatchers of a plan and of the links between them. The same seed gives the
+ * same faults, so the order of the random draws must not change.
  */
 final class FaultGenerator {
     private static final String RANDOM_STREAM = "together";
     private static final int MAX_FAULTS = 5;
     private static final int FAULT_KIND_COUNT = 11;
+    /** One out of this number of link faults affects the links to all peers. */
     private static final int ALL_PEERS_ONE_IN = 3;
     // Shares of the run's length. The time after the last fault lets the views of all dispatchers converge.
     private static final double FIRST_START_SHARE = 0.1;
     private static final double LAST_END_SHARE = 0.6;
+    /** The share of the time between the first start and the last end in which faults start. */
     private static final double START_RANGE_SHARE = 0.8;
     private static final double MAX_LENGTH_SHARE = 0.25;
     private static final double MIN_LENGTH_MS = 100;
--- a/src/main/java/rampshift/testbed/experiment/FleetCommand.java
+++ b/src/main/java/rampshift/testbed/experiment/FleetCommand.java
@@ -117,14 +117,15 @@
     }
 
     private void printHelp() {
-        out.println(plan.workerCount() + " workers and the roster stand. For a dispatcher of your own:");
+        out.println(plan.workerCount() + " workers and the roster are running. To start a dispatcher:");
         for (int dispatcher = 0; dispatcher < plan.dispatcherCount(); dispatcher++) {
             String operatorOption =
                     plan.members().enabled() ? " --operator " + folder.operatorFile(dispatcher) : "";
             out.println("  NODE_CONFIG=" + folder.configuration(dispatcher)
                     + " java -jar target/rampshift.jar serve" + operatorOption);
         }
-        out.println("Troubles count from the first task. Ctrl-C ends it; the ledger is in " + folder.path()
+        out.println("Troubles are timed from the first task. Press Ctrl-C to stop; the ledger is in "
+                + folder.path()
                 + ".");
     }
 
--- a/src/main/java/rampshift/testbed/experiment/FleetOptions.java
+++ b/src/main/java/rampshift/testbed/experiment/FleetOptions.java
@@ -27,16 +27,16 @@
     private static final String DEFAULT_SEEDS = "10";
 
     private static final Options OPTIONS = new Options()
-            .addOption(withArgument(FOLDER, "where configurations, ledgers and results go"))
-            .addOption(withArgument(SEED, "another seed than the file's"))
-            .addOption(withArgument(ARM, "the file as that arm has it"))
-            .addOption(withArgument(DISPATCHERS, "addresses of dispatchers, with commas"))
-            .addOption(withArgument(PROCESS, "which of the load processes this is"))
+            .addOption(withArgument(FOLDER, "the folder for configurations, ledgers and results"))
+            .addOption(withArgument(SEED, "the seed, instead of the one in the file"))
+            .addOption(withArgument(ARM, "the arm of the file whose settings apply"))
+            .addOption(withArgument(DISPATCHERS, "addresses of dispatchers, separated by commas"))
+            .addOption(withArgument(PROCESS, "the number of this load process, from 0"))
             .addOption(withArgument(SEEDS,
-                    "for together: how many rounds, or the first and the last as 5-9"))
+                    "for together: the number of seeds, or the first and the last as 5-9"))
             .addOption(Option.builder().longOpt(SHRINK)
-                    .desc("for together: the fewest faults that still break a rule").get())
-            .addOption(withArgument(KEEP, "for try: keep the run's folder, here"))
+                    .desc("for together: reduce the faults to those that break a rule").get())
+            .addOption(withArgument(KEEP, "for try: the folder in which to keep the files of the run"))
             .addOption(Option.builder().longOpt(CONTROLLED).get());
 
     private final CommandLine line;
--- a/src/main/java/rampshift/testbed/experiment/Report.java
+++ b/src/main/java/rampshift/testbed/experiment/Report.java
@@ -40,7 +40,7 @@
         page.append(HEAD).append(introduction()).append(figureTable()).append(ruleTable());
         page.append("<h2>Earnings over time</h2>").append(SvgImage.of(charts.earnings()))
                 .append(faultList());
-        page.append("<h2>Latency by percentile</h2><p>From when a task was due to be sent.</p>")
+        page.append("<h2>Latency by percentile</h2><p>From the scheduled send time of a task.</p>")
                 .append(SvgImage.of(charts.latency()));
         page.append("<h2>Load by worker</h2><p>Assignments taken in each second, first sound seed; ")
                 .append("the busiest ").append(ReportCharts.MAX_WORKERS).append(" workers.</p>");
@@ -141,7 +141,7 @@
             return "";
         }
         List<String> faults = plan.faults().stream().map(Report::describe).toList();
-        return "<p>Troubles, begin red and end green: " + String.join("; ", faults) + ".</p>";
+        return "<p>Troubles, start in red and end in green: " + String.join("; ", faults) + ".</p>";
     }
 
     private static String describe(FleetPlan.Fault fault) {
--- a/src/main/java/rampshift/testbed/experiment/ReportCharts.java
+++ b/src/main/java/rampshift/testbed/experiment/ReportCharts.java
@@ -50,7 +50,7 @@
 
     /** Charts the earned share of the possible earnings by second and arm, with the plan's faults. */
     XYChart earnings() {
-        XYChart chart = createChart("earned of what was asked, each second, all runs together", "s", "%");
+        XYChart chart = createChart("earned share of possible earnings per second, all runs", "s", "%");
         int seconds = (int) Math.ceil(plan.length().millis() / MS_PER_SECOND);
         if (seconds > 0) {
             results.arms().forEach(arm -> addEarnings(chart, arm, seconds));
--- a/src/main/java/rampshift/testbed/experiment/SummaryTable.java
+++ b/src/main/java/rampshift/testbed/experiment/SummaryTable.java
@@ -44,11 +44,12 @@
     private static void printVoid(RunOutcome outcome, PrintStream out) {
         out.printf(Locale.ROOT,
                 "%nVOID: %.1f%% of the sends were later than allowed; this machine was too busy, "
-                        + "and the figures are of the tool as much as of the dispatchers.%n",
+                        + "so the figures describe the load generator as much as the dispatchers.%n",
                 100 * outcome.load().lateShare());
         double stolenShare = outcome.costs().stolenShare();
         if (stolenShare > 0) {
-            out.printf(Locale.ROOT, "Of the time that its cores wanted, its host gave %.0f%% to others.%n",
+            out.printf(Locale.ROOT,
+                    "The host gave %.0f%% of the CPU time demanded by this machine to others.%n",
                     100 * stolenShare);
         }
     }
