--- a/src/main/java/rampshift/testbed/experiment/ChildProcess.java
+++ b/src/main/java/rampshift/testbed/experiment/ChildProcess.java
@@ -73,7 +73,7 @@
                 onOutput.accept(line);
             }
         } catch (IOException e) {
-            // The pipe breaks when the process is killed; there is no more output to read.
+            // Reading fails when the process is killed. A failure to write the file is ignored as well.
         }
     }
 
--- a/src/main/java/rampshift/testbed/experiment/DispatcherProcesses.java
+++ b/src/main/java/rampshift/testbed/experiment/DispatcherProcesses.java
@@ -97,7 +97,7 @@
         return processes.get(dispatcher).isAlive();
     }
 
-    /** Kills a dispatcher, which must be alive. */
+    /** Kills a dispatcher that is alive, and records its CPU time. */
     void kill(int dispatcher) {
         costMeter.addKilled(dispatcher);
         processes.get(dispatcher).kill();
--- a/src/main/java/rampshift/testbed/experiment/LatencyKind.java
+++ b/src/main/java/rampshift/testbed/experiment/LatencyKind.java
@@ -2,7 +2,7 @@
 
 /** The kind of durations in a histogram of a load process. */
 enum LatencyKind {
-    /** The time from the scheduled send time of a task to its response. */
+    /** The time from the scheduled send time of an attempt that finished to its response. */
     LATENCY("latency"),
     /** The latency in excess of the run time of the task at the worker. */
     ADDED("added");
--- a/src/main/java/rampshift/testbed/experiment/LoadResults.java
+++ b/src/main/java/rampshift/testbed/experiment/LoadResults.java
@@ -133,7 +133,7 @@
         return lostIdleConnections;
     }
 
-    /** Returns the number of requests sent, including retries. */
+    /** Returns the number of requests sent for tasks after the warm-up, including retries. */
     long sentRequests() {
         return sentRequests;
     }
--- a/src/main/java/rampshift/testbed/experiment/Report.java
+++ b/src/main/java/rampshift/testbed/experiment/Report.java
@@ -40,7 +40,7 @@
         page.append(HEAD).append(introduction()).append(figureTable()).append(ruleTable());
         page.append("<h2>Earnings over time</h2>").append(SvgImage.of(charts.earnings()))
                 .append(faultList());
-        page.append("<h2>Latency by percentile</h2><p>From the scheduled send time of a task.</p>")
+        page.append("<h2>Latency by percentile</h2><p>From the scheduled send time of an attempt.</p>")
                 .append(SvgImage.of(charts.latency()));
         page.append("<h2>Load by worker</h2><p>Assignments taken in each second, first sound seed; ")
                 .append("the busiest ").append(ReportCharts.MAX_WORKERS).append(" workers.</p>");
--- a/src/main/java/rampshift/testbed/experiment/TaskEnd.java
+++ b/src/main/java/rampshift/testbed/experiment/TaskEnd.java
@@ -4,13 +4,13 @@
 
 /** The outcome of a client's attempt, as observed by the client. */
 enum TaskEnd {
-    /** The client received a successful response. */
+    /** The client received a response with status 200. */
     FINISHED,
-    /** The client received a rejection. */
+    /** The client received a rejection, with status 429 or 503. */
     BOUNCED,
     /** The client received a 5xx response other than a rejection. */
     ABANDONED,
-    /** The client received a response that forbids retries. */
+    /** The client received any other response. */
     TURNED_DOWN,
     /** The connection was lost, or the response was malformed. */
     BROKEN,
--- a/src/main/java/rampshift/testbed/experiment/TrafficCounts.java
+++ b/src/main/java/rampshift/testbed/experiment/TrafficCounts.java
@@ -11,7 +11,7 @@
  * The clients' counts of tasks and attempts of one or more traffic types.
  *
  * @param tasks the number of tasks
- * @param inTime the number of tasks that finished before they were due
+ * @param inTime the number of tasks that finished in time
  * @param possibleEarnings the earnings of the tasks if all of them had finished in time
  * @param earnings the actual earnings of the tasks
  * @param ends the number of attempts by outcome; has an entry for each outcome
