--- a/src/main/java/rampshift/testbed/experiment/FaultGenerator.java
+++ b/src/main/java/rampshift/testbed/experiment/FaultGenerator.java
@@ -7,19 +7,21 @@
 import rampshift.testbed.random.RandomStreams;
 
 /**
- * Draws random faults for the dispatchers of a plan and the links between them. The same seed gives the same
- * faults: the order of the draws must not change.
+ * Generates random faults of the dispatchers of a plan and of the links between them. The same seed gives the
+ * same faults, so the order of the random draws must not change.
  */
 final class FaultGenerator {
     private static final String RANDOM_STREAM = "together";
     private static final int MAX_FAULTS = 5;
-    private static final int FAULT_KINDS = 11;
-    private static final int ANY_PEER_ODDS = 3;
-    // Shares of the run's length. After the last fault has ended, all dispatchers have time to agree.
-    private static final double FIRST_START = 0.1;
-    private static final double LAST_END = 0.6;
-    private static final double START_RANGE = 0.8;
-    private static final double MAX_LENGTH = 0.25;
+    private static final int FAULT_KIND_COUNT = 11;
+    /** One out of this number of link faults affects the links to all peers. */
+    private static final int ALL_PEERS_ONE_IN = 3;
+    // Shares of the run's length. The time after the last fault lets the views of all dispatchers converge.
+    private static final double FIRST_START_SHARE = 0.1;
+    private static final double LAST_END_SHARE = 0.6;
+    /** The share of the time between the first start and the last end in which faults start. */
+    private static final double START_RANGE_SHARE = 0.8;
+    private static final double MAX_LENGTH_SHARE = 0.25;
     private static final double MIN_LENGTH_MS = 100;
 
     private final FleetPlan plan;
@@ -28,7 +30,7 @@
         this.plan = plan;
     }
 
-    /** What a fault befalls: each drawn for each fault, whichever of them its kind needs. */
+    /** The candidate targets of a fault. All are drawn for each fault; its kind determines which are used. */
     private record Targets(String dispatcher, String link, String site) {
         String dispatcherNames() {
             return names(dispatcher);
@@ -43,7 +45,7 @@
         }
     }
 
-    /** Draws 1 to 5 faults. */
+    /** Generates 1 to 5 faults. */
     List<FaultSection> generate(long seed) {
         UniformRandomProvider random = RandomStreams.of(seed, RANDOM_STREAM);
         int count = 1 + random.nextInt(MAX_FAULTS);
@@ -56,11 +58,12 @@
 
     private FaultSection drawFault(UniformRandomProvider random) {
         double runMs = plan.length().millis();
-        double startMs = runMs * (FIRST_START + (LAST_END - FIRST_START) * START_RANGE * random.nextDouble());
-        double maxLengthMs = Math.min(runMs * MAX_LENGTH, runMs * LAST_END - startMs);
+        double startMs = runMs * (FIRST_START_SHARE
+                + (LAST_END_SHARE - FIRST_START_SHARE) * START_RANGE_SHARE * random.nextDouble());
+        double maxLengthMs = Math.min(runMs * MAX_LENGTH_SHARE, runMs * LAST_END_SHARE - startMs);
         double lengthMs = Math.max(MIN_LENGTH_MS, maxLengthMs * random.nextDouble());
         Targets targets = drawTargets(random);
-        return fault(random.nextInt(FAULT_KINDS), targets, startMs, lengthMs);
+        return fault(random.nextInt(FAULT_KIND_COUNT), targets, startMs, lengthMs);
     }
 
     private Targets drawTargets(UniformRandomProvider random) {
@@ -69,7 +72,7 @@
         int from = random.nextInt(dispatchers);
         int to = (from + 1 + random.nextInt(Math.max(1, dispatchers - 1))) % dispatchers;
         String direction = random.nextBoolean() ? ">" : "=";
-        String peer = random.nextInt(ANY_PEER_ODDS) == 0 ? "*" : RunFolder.dispatcherName(to);
+        String peer = random.nextInt(ALL_PEERS_ONE_IN) == 0 ? "*" : RunFolder.dispatcherName(to);
         String link = RunFolder.dispatcherName(from) + direction + peer;
         String site = plan.sites().get(random.nextInt(plan.sites().size())).name();
         return new Targets(dispatcher, link, site);
--- a/src/main/java/rampshift/testbed/experiment/OperatorFileWriter.java
+++ b/src/main/java/rampshift/testbed/experiment/OperatorFileWriter.java
@@ -10,8 +10,8 @@
 import rampshift.testbed.plan.FleetPlan;
 
 /**
- * Writes the operator files of a plan's dispatchers: membership, and leases with periodic jobs if the plan
- * has any.
+ * Writes the operator files of a plan's dispatchers. They configure membership, and also leases and periodic
+ * jobs if the plan has any periodic jobs.
  */
 final class OperatorFileWriter {
     private static final int MAX_SEEDS = 2;
@@ -25,8 +25,8 @@
      * Creates a writer.
      *
      * @param folder where the files are written
-     * @param members where each dispatcher listens for the others
-     * @param links through which they reach one another
+     * @param members the address at which each dispatcher listens for the others
+     * @param links the proxy through which the dispatchers reach one another
      */
     OperatorFileWriter(FleetPlan plan, RunFolder folder, List<InetSocketAddress> members, LinkProxy links) {
         this.plan = plan;
@@ -36,24 +36,24 @@
     }
 
     /**
-     * Writes the file of one dispatcher. Its seeds are the first two other dispatchers.
+     * Writes the file of one dispatcher. Its seed members are the first two other dispatchers.
      *
-     * @param dispatcher its number, from 0
+     * @param dispatcher the number of the dispatcher, from 0
      * @param site the number of its site, from 0
      */
     void write(int dispatcher, int site) throws IOException {
         StringBuilder text = new StringBuilder(members(dispatcher, site));
-        for (int other : othersThan(dispatcher)) {
+        for (int other : otherDispatchers(dispatcher)) {
             text.append(reach(dispatcher, other));
         }
         if (!plan.leases().periodicJobs().isEmpty()) {
             text.append(leases(dispatcher));
-            plan.leases().periodicJobs().forEach(duty -> text.append(periodicJob(duty)));
+            plan.leases().periodicJobs().forEach(job -> text.append(periodicJob(job)));
         }
         Files.writeString(folder.operatorFile(dispatcher), text.toString());
     }
 
-    private List<Integer> othersThan(int dispatcher) {
+    private List<Integer> otherDispatchers(int dispatcher) {
         List<Integer> others = new ArrayList<>();
         for (int other = 0; other < members.size(); other++) {
             if (other != dispatcher) {
@@ -65,7 +65,7 @@
 
     private String members(int dispatcher, int site) {
         InetSocketAddress listen = members.get(dispatcher);
-        List<String> seeds = othersThan(dispatcher).stream().limit(MAX_SEEDS)
+        List<String> seeds = otherDispatchers(dispatcher).stream().limit(MAX_SEEDS)
                 .map(other -> quoted(address(dispatcher, other))).toList();
         return String.format(Locale.ROOT, """
                 [members]
@@ -91,7 +91,7 @@
                 """.formatted(RunFolder.dispatcherName(other), address(dispatcher, other));
     }
 
-    /** The address at which a dispatcher reaches another one. */
+    /** Returns the address at which a dispatcher reaches another one. */
     private String address(int dispatcher, int other) {
         return "127.0.0.1:" + links.address(dispatcher, other).getPort();
     }
--- a/src/main/java/rampshift/testbed/experiment/Report.java
+++ b/src/main/java/rampshift/testbed/experiment/Report.java
@@ -7,7 +7,7 @@
 import rampshift.testbed.plan.FleetPlan;
 import rampshift.testbed.verification.Verdict;
 
-/** An experiment as one HTML page that needs no other file: figures, differences, rules and charts. */
+/** A self-contained HTML page about an experiment, with figures, differences, rules and charts. */
 final class Report {
     private static final int INITIAL_CHARS = 1 << 20;
     private static final double MS_PER_SECOND = 1000;
@@ -25,22 +25,22 @@
     /**
      * Creates a report.
      *
-     * @param plan tells when which faults were planned
-     * @param results of all runs
+     * @param plan the plan of the experiment, with its faults
+     * @param results the results of all runs
      */
     Report(FleetPlan plan, ExperimentResults results) {
         this.plan = plan;
         this.results = results;
     }
 
-    /** The page. */
+    /** Returns the HTML text of the page. */
     String html() throws IOException {
         ReportCharts charts = new ReportCharts(plan, results);
         StringBuilder page = new StringBuilder(INITIAL_CHARS);
         page.append(HEAD).append(introduction()).append(figureTable()).append(ruleTable());
         page.append("<h2>Earnings over time</h2>").append(SvgImage.of(charts.earnings()))
                 .append(faultList());
-        page.append("<h2>Latency by percentile</h2><p>From when a task was due to be sent.</p>")
+        page.append("<h2>Latency by percentile</h2><p>From the scheduled send time of an attempt.</p>")
                 .append(SvgImage.of(charts.latency()));
         page.append("<h2>Load by worker</h2><p>Assignments taken in each second, first sound seed; ")
                 .append("the busiest ").append(ReportCharts.MAX_WORKERS).append(" workers.</p>");
@@ -53,7 +53,7 @@
         return page.append("</html>\n").toString();
     }
 
-    /** Text with the characters escaped that have a meaning in HTML. */
+    /** Escapes the characters of a text that have a meaning in HTML. */
     static String escape(String text) {
         return text.replace("&", "&amp;").replace("<", "&lt;").replace(">", "&gt;");
     }
@@ -122,7 +122,7 @@
         return table.append("</table>").toString();
     }
 
-    /** How often a rule applied and was broken in all runs of an arm. */
+    /** Formats how often a rule applied and was broken in all runs of an arm. */
     private String ruleCells(String arm, int rule) {
         long applied = 0;
         long broken = 0;
@@ -141,7 +141,7 @@
             return "";
         }
         List<String> faults = plan.faults().stream().map(Report::describe).toList();
-        return "<p>Troubles, begin red and end green: " + String.join("; ", faults) + ".</p>";
+        return "<p>Troubles, start in red and end in green: " + String.join("; ", faults) + ".</p>";
     }
 
     private static String describe(FleetPlan.Fault fault) {
--- a/src/test/java/rampshift/testbed/experiment/EventLine.java
+++ b/src/test/java/rampshift/testbed/experiment/EventLine.java
@@ -1,31 +1,31 @@
 package rampshift.testbed.experiment;
 
 /**
- * A line of a dispatcher's event log: time, log, dispatcher, event and more, separated by spaces.
+ * A line of a dispatcher's event log: time, log, dispatcher, event and further fields, separated by spaces.
  *
  * @param text the whole line
  */
 record EventLine(String text) {
-    private static final int TIME = 0;
-    private static final int DISPATCHER = 2;
-    private static final int EVENT = 3;
+    private static final int TIME_FIELD = 0;
+    private static final int DISPATCHER_FIELD = 2;
+    private static final int EVENT_FIELD = 3;
 
-    /** When the event happened, in microseconds on the clock of event logs. */
+    /** Returns the time of the event, in microseconds on the clock of event logs. */
     long micros() {
-        return Long.parseLong(field(TIME));
+        return Long.parseLong(field(TIME_FIELD));
     }
 
-    /** The dispatcher that wrote the line. */
+    /** Returns the name of the dispatcher that wrote the line. */
     String dispatcher() {
-        return field(DISPATCHER);
+        return field(DISPATCHER_FIELD);
     }
 
-    /** The kind of event. */
+    /** Returns the kind of event. */
     String event() {
-        return field(EVENT);
+        return field(EVENT_FIELD);
     }
 
-    /** Whether the line contains a text. */
+    /** Returns whether the line contains a text. */
     boolean contains(String part) {
         return text.contains(part);
     }
