--- a/src/main/java/rampshift/policy/Attempt.java
+++ b/src/main/java/rampshift/policy/Attempt.java
@@ -63,7 +63,7 @@
      * Returns the observed start. Where none was observed, returns the predicted one if workers don't report
      * starts, and null if they do.
      */
-    Moment observedOrPredictedStart(boolean startsReported) {
+    Moment observedOrPredictedRunStart(boolean startsReported) {
         return startedAt != null || startsReported ? startedAt : sentAt.plus(predictedWait);
     }
 
--- a/src/main/java/rampshift/policy/ExpectedValue.java
+++ b/src/main/java/rampshift/policy/ExpectedValue.java
@@ -168,7 +168,7 @@
         Span slack = timeLeft(task).minus(run);
         Span spread = run.times(RUN_SPREAD_SHARE).orLonger(context.settings.tick);
         Span decayTime = estimates.shortTerm();
-        double weights = WorkerEstimates.MIN_WEIGHT;
+        double weights = WorkerEstimates.BASE_WEIGHT;
         double sum = weights / inverseLogistic(slack, spread);
         for (int i = 0; i < starts.count(); i++) {
             double weight = starts.weight(i, context.now(), decayTime);
--- a/src/main/java/rampshift/policy/FleetSweep.java
+++ b/src/main/java/rampshift/policy/FleetSweep.java
@@ -25,11 +25,11 @@
         double coldWeight = 0;
         for (Worker worker : context.workers.all) {
             if (worker.ready) {
-                double warmUpFactor = slowStart.warmUpFactor(worker);
+                double warmUpSpeedFactor = slowStart.warmUpSpeedFactor(worker);
                 ready++;
                 unhealthy += ejection.isEjectedOrSilent(worker) ? 1 : 0;
                 totalWeight += worker.kindWeight();
-                coldWeight += warmUpFactor < 1 ? worker.kindWeight() * warmUpFactor : 0;
+                coldWeight += warmUpSpeedFactor < 1 ? worker.kindWeight() * warmUpSpeedFactor : 0;
             }
         }
         ejection.onSweep(ready, unhealthy);
--- a/src/main/java/rampshift/policy/SlowStart.java
+++ b/src/main/java/rampshift/policy/SlowStart.java
@@ -34,7 +34,7 @@
     }
 
     /** Returns the share of its full speed that the worker has by its age, above 0 and up to 1. */
-    double warmUpFactor(Worker worker) {
+    double warmUpSpeedFactor(Worker worker) {
         Span age = context.since(worker.startedAt);
         if (worker.startedAt.micros() <= 0 || !context.settings.slowStartDuration.longerThan(age)) {
             return 1;
@@ -45,7 +45,7 @@
 
     /** Returns whether the worker is warm or there is credit for cold workers. */
     boolean permits(Worker worker) {
-        return warmUpFactor(worker) >= 1 || creditMeanRuns > 0;
+        return warmUpSpeedFactor(worker) >= 1 || creditMeanRuns > 0;
     }
 
     /** Sets the probability with which cold workers join a sample that takes one of this many workers. */
@@ -56,8 +56,9 @@
 
     /** Returns whether the worker joins the present sample: always if warm, at random if cold. */
     boolean joinsSample(Worker worker) {
-        return warmUpFactor(worker) >= 1
-                || (creditMeanRuns > 0 && context.random.next() < sampleProbability * warmUpFactor(worker));
+        return warmUpSpeedFactor(worker) >= 1
+                || (creditMeanRuns > 0
+                        && context.random.next() < sampleProbability * warmUpSpeedFactor(worker));
     }
 
     /**
@@ -72,7 +73,7 @@
 
     /** Spends the credit of an attempt if its worker is cold. */
     void onAttemptSent(Worker worker, double costMeanRuns) {
-        if (warmUpFactor(worker) < 1) {
+        if (warmUpSpeedFactor(worker) < 1) {
             creditMeanRuns -= costMeanRuns;
         }
     }
--- a/src/main/java/rampshift/policy/WorkerEstimates.java
+++ b/src/main/java/rampshift/policy/WorkerEstimates.java
@@ -6,7 +6,7 @@
 /** Estimates the speed, capacity, load and queueing delay of workers, and how reliable their reports are. */
 final class WorkerEstimates {
     /** Weight of a prior; also added to the age-dependent weight of a load report, which is at most 1. */
-    static final double MIN_WEIGHT = 0.15;
+    static final double BASE_WEIGHT = 0.15;
     /** Weight of the mean over a worker's kind or zone among the worker's own samples. */
     private static final double KIND_WEIGHT = 0.3;
     /** Weight of the mean load of the fleet among the reports of one worker. */
@@ -58,11 +58,11 @@
     }
 
     double shortTermMean(DecayingSamples samples, double prior) {
-        return samples.mean(context.now(), shortTerm(), prior, MIN_WEIGHT);
+        return samples.mean(context.now(), shortTerm(), prior, BASE_WEIGHT);
     }
 
     double longTermMean(DecayingSamples samples, double prior) {
-        return samples.mean(context.now(), longTerm(), prior, MIN_WEIGHT);
+        return samples.mean(context.now(), longTerm(), prior, BASE_WEIGHT);
     }
 
     Span shortTerm() {
@@ -79,16 +79,16 @@
      */
     private double speed(Worker worker) {
         double priorMs = context.runs.mean().millis();
-        double warmUpFactor = slowStart.warmUpFactor(worker);
+        double warmUpSpeedFactor = slowStart.warmUpSpeedFactor(worker);
         KindStatistics ofKind = worker.kindStatistics;
         double kindSpeed = (ofKind.expectedRunsMs.sum() + priorMs) / (ofKind.actualRunsMs.sum() + priorMs);
         double expectedMs = worker.expectedRunsMs.sum() + priorMs * kindSpeed;
-        double actualMs = worker.actualRunsMs.sum() + priorMs / warmUpFactor;
+        double actualMs = worker.actualRunsMs.sum() + priorMs / warmUpSpeedFactor;
         boolean hasNoRuns = worker.expectedRunsMs.count() == 0;
-        double ownSpeed = hasNoRuns ? kindSpeed * warmUpFactor
+        double ownSpeed = hasNoRuns ? kindSpeed * warmUpSpeedFactor
                 : worker.expectedRunsMs.sum() / worker.actualRunsMs.sum();
         for (Attempt attempt : worker.attempts) {
-            Moment startedAt = attempt.observedOrPredictedStart(context.settings.reportsStart);
+            Moment startedAt = attempt.observedOrPredictedRunStart(context.settings.reportsStart);
             if (startedAt != null && attempt.countsAsLoad() && context.runs.isKnown(attempt.task)) {
                 double dueMs = context.runs.expected(attempt.task).millis();
                 double runMs = attempt.expectedRunMs(context.since(startedAt).millis());
@@ -156,7 +156,7 @@
         double sum = weights * context.load.mean(context.isOwnZone(worker)) * capacity(worker);
         int reportCount = trustThreshold <= reportTrust(worker) ? worker.otherDispatchersSlots.count() : 0;
         for (int i = 0; i < reportCount; i++) {
-            double weight = MIN_WEIGHT + worker.otherDispatchersSlots.weight(i, context.now(), decayTime);
+            double weight = BASE_WEIGHT + worker.otherDispatchersSlots.weight(i, context.now(), decayTime);
             weights += weight;
             sum += weight * worker.otherDispatchersSlots.get(i);
         }
--- a/src/main/java/rampshift/policy/WorkerObserver.java
+++ b/src/main/java/rampshift/policy/WorkerObserver.java
@@ -48,7 +48,7 @@
 
     private void onRun(Attempt attempt) {
         Worker worker = attempt.worker;
-        Moment startedAt = attempt.observedOrPredictedStart(context.settings.reportsStart);
+        Moment startedAt = attempt.observedOrPredictedRunStart(context.settings.reportsStart);
         Span ran = context.since(startedAt != null ? startedAt : attempt.sentAt);
         if (startedAt != null) {
             // Recorded before the worker's speed, so that the first run of a type does not make its worker
@@ -59,7 +59,7 @@
         // The ratio of a default to a measured run says nothing about the worker.
         if (context.runs.isKnown(attempt.task)) {
             double expectedMs = atLeastHalfATickMs(context.runs.expected(attempt.task));
-            worker.recordRun(expectedMs, ranMs, slowStart.warmUpFactor(worker) >= 1);
+            worker.recordRun(expectedMs, ranMs, slowStart.warmUpSpeedFactor(worker) >= 1);
         }
         worker.typesLostAt.remove(attempt.task.typeIndex);
         // An overdue start would have refuted the idle report by now. Where starts are not reported, only the
--- a/src/main/java/rampshift/time/NextTick.java
+++ b/src/main/java/rampshift/time/NextTick.java
@@ -15,7 +15,7 @@
  * which takes two file descriptors.
  */
 public final class NextTick {
-    private final ByteBuffer signalBuffer = ByteBuffer.allocateDirect(1);
+    private final ByteBuffer wakeUpByte = ByteBuffer.allocateDirect(1);
     private final ChannelPipe<StreamSourceChannel, StreamSinkChannel> pipe;
     private Runnable pending;
 
@@ -36,7 +36,7 @@
         pending = action;
         if (!signaled) {
             try {
-                pipe.getRightSide().write(signalBuffer.clear());
+                pipe.getRightSide().write(wakeUpByte.clear());
             } catch (IOException e) {
                 throw pipeFailure(e);
             }
@@ -45,7 +45,7 @@
 
     private void onSignal() {
         try {
-            if (pipe.getLeftSide().read(signalBuffer.clear()) > 0) {
+            if (pipe.getLeftSide().read(wakeUpByte.clear()) > 0) {
                 Runnable current = pending;
                 pending = null;
                 current.run();
--- a/src/test/java/rampshift/policy/SlowStartTest.java
+++ b/src/test/java/rampshift/policy/SlowStartTest.java
@@ -135,17 +135,17 @@
     }
 
     @Test
-    void warmUpFactorGrowsWithTheAgeOfTheProcess() {
+    void warmUpSpeedFactorGrowsWithTheAgeOfTheProcess() {
         Settings settings = new Settings();
         settings.slowStartInitialShare = 0.2;
         settings.slowStartDuration = Span.ofMillis(1000);
         SlowStart slowStart = new SlowStart(new PolicyContext(settings, Moment.ofMillis(10_000)));
         Worker worker = new Worker(1);
-        assertEquals(1, slowStart.warmUpFactor(worker), "the start time is not known");
+        assertEquals(1, slowStart.warmUpSpeedFactor(worker), "the start time is not known");
         worker.startedAt = Moment.ofMillis(9500);
-        assertEquals(0.6, slowStart.warmUpFactor(worker), 1e-9);
+        assertEquals(0.6, slowStart.warmUpSpeedFactor(worker), 1e-9);
         worker.startedAt = Moment.ofMillis(9000);
-        assertEquals(1, slowStart.warmUpFactor(worker), 1e-9);
+        assertEquals(1, slowStart.warmUpSpeedFactor(worker), 1e-9);
     }
 
     @Test
