--- a/src/main/java/rampshift/clients/ClientListener.java
+++ b/src/main/java/rampshift/clients/ClientListener.java
@@ -92,8 +92,8 @@
      * Creates a listener that does not listen yet.
      *
      * <p>While the number of connections is over the limit and none can be closed, further ones are accepted
-     * up to a second limit, and connections are closed after their responses. Closing them unread loses
-     * tasks: 381 in a burst of 900 clients.
+     * up to a second limit, and connections are closed after their responses. If the further
+     * ones were closed before their requests are read, tasks would be lost: 381 in a burst of 900 clients.
      *
      * @param handler receives all requests except those for status pages
      * @param earlyRejection rejects requests before they reach the handler
--- a/src/main/java/rampshift/clients/ConnectionEvents.java
+++ b/src/main/java/rampshift/clients/ConnectionEvents.java
@@ -8,7 +8,10 @@
     /** Called when the client waits for "100 Continue" before it sends a body. */
     void continueExpected(ClientConnection connection);
 
-    /** Called when the input after the request in flight has exceeded the limit and was dropped. */
+    /**
+     * Called when the input after the request in flight was dropped, since it exceeded the limit per
+     * connection or the memory for all connections.
+     */
     void pipelinedInputDropped(ClientConnection connection);
 
     /** Called when the client has sent input that is not a valid request. */
--- a/src/main/java/rampshift/clients/ConnectionState.java
+++ b/src/main/java/rampshift/clients/ConnectionState.java
@@ -1,7 +1,8 @@
 package rampshift.clients;
 
 /**
- * The states of a client connection, in the order in which connections are closed to stay within the limit.
+ * The states of a client connection, in the order in which connections are closed to stay within the
+ * limit of connections.
  */
 enum ConnectionState {
     /** The client has closed its side, and the dispatcher is about to close the connection. */
@@ -16,6 +17,6 @@
     IDLE,
     /** A request has been received in part. */
     RECEIVING,
-    /** A request is in flight or its response is not fully written; never closed for the limit. */
+    /** A request is in flight or its response is not fully written; never closed to make room. */
     BUSY
 }
--- a/src/main/java/rampshift/clients/RequestInput.java
+++ b/src/main/java/rampshift/clients/RequestInput.java
@@ -7,7 +7,7 @@
 
 /**
  * Reads requests from one client's socket. Passes on only complete and valid requests, one at a time; input
- * after a request is buffered up to a limit.
+ * after a request is buffered, up to a limit per connection and within the memory for all connections.
  */
 final class RequestInput {
     private static final int MAX_PIPELINED_BYTES = RequestReader.MAX_REQUEST_BYTES;
@@ -199,7 +199,7 @@
 
     /**
      * Reserves memory for the input that is being received. Returns false if the input after the request in
-     * flight was dropped since the budget is exceeded.
+     * flight was dropped since the memory for the input of all connections is exhausted.
      */
     private boolean reserveMemory() throws InvalidRequestException {
         if (reservation.resize(reader.bodyBytesToReserve() + pipelined.byteCount())) {
@@ -253,7 +253,7 @@
 
     /**
      * Drops the input after the request in flight and all further input; the connection is closed after the
-     * next response.
+     * response to the request in flight.
      */
     private void dropInputBehindRequest() {
         pipelinedInputDropped = true;
--- a/src/main/java/rampshift/clients/RequestRejecter.java
+++ b/src/main/java/rampshift/clients/RequestRejecter.java
@@ -53,11 +53,15 @@
         });
     }
 
-    /** Counts and logs that input after a request was dropped. */
+    /**
+     * Releases the memory of the dropped input after the request in flight, and counts and logs the drop. The
+     * request in flight still gets its response; then the connection is closed.
+     */
     void pipelinedInputDropped(ClientConnection connection) {
         connection.releaseMemory();
         counters.add(Counters.Name.PIPELINED_INPUT_DROPPED);
-        Log.warn("pipelined-input-dropped", "why", "input after the request in flight exceeds the limit",
+        Log.warn("pipelined-input-dropped", "why",
+                "pipelined input exceeds the limit per connection or the memory for all connections",
                 "dropped", "all input after the request in flight");
     }
 
--- a/src/main/java/rampshift/counters/Counters.java
+++ b/src/main/java/rampshift/counters/Counters.java
@@ -88,7 +88,7 @@
         CLIENT_CONNECTIONS_CLOSED_FOR_ROOM,
         /** Connections from clients that were closed since they were idle for too long. */
         CLIENTS_TIMED_OUT("clients_silent"),
-        /** Connections whose pipelined input exceeded the limit, so that it was dropped. */
+        /** Connections whose pipelined input exceeded its limit or the memory for all, and was dropped. */
         PIPELINED_INPUT_DROPPED("sent_ahead");
 
         private final String key;
--- a/src/main/java/rampshift/discovery/WatchTimings.java
+++ b/src/main/java/rampshift/discovery/WatchTimings.java
@@ -15,13 +15,15 @@
 record WatchTimings(Span pollWait, Span responseSlack, Span retryDelay, Span readInterval) {
 
     /**
-     * Maximum wait of a poll. It bounds the time until a silent failure of the agent or the connection is
-     * detected: 21 s with a wait of 20 s.
+     * Maximum of the poll wait. A silent failure of the agent or the connection is detected only after the
+     * wait: a maximum of 20 s instead delayed the detection to 21 s.
      */
     private static final Span MAX_POLL_WAIT = Span.ofMillis(1000);
+    /** Maximum of the response slack, the time after the poll wait within which a response may arrive. */
     private static final Span MAX_RESPONSE_SLACK = Span.ofMillis(500);
     /**
-     * Maximum pause between a failed poll and the next one. Drains are still observed in time with 200 ms.
+     * Maximum pause between a failed poll and the next poll. Even a maximum of 200 ms would be short enough
+     * to observe drains in time.
      */
     private static final Span MAX_RETRY_DELAY = Span.ofMillis(100);
     private static final Span MIN_SPAN = Span.ofMillis(10);
--- a/src/main/java/rampshift/jobs/host/TaskExchange.java
+++ b/src/main/java/rampshift/jobs/host/TaskExchange.java
@@ -10,9 +10,10 @@
 import rampshift.time.Span;
 
 /**
- * The exchange of one task with the dispatcher. It checks the lease immediately before the first byte is
- * written. The task carries the fencing token, and its remaining time is limited so that it ends before the
- * lease does.
+ * Sends one task of a periodic job, as an HTTP client, to the listener of the same dispatcher, and reports
+ * the outcome by the response. It checks that this dispatcher still holds the lease of the job immediately
+ * before the first byte of the request is written. The request carries the fencing token of the lease, and
+ * limits the time of the task so that the task ends before the lease expires.
  */
 final class TaskExchange implements ExchangeListener, Dialer.DialListener {
     /** Receives the outcome of the task. */
--- a/src/main/java/rampshift/membership/DrainNotices.java
+++ b/src/main/java/rampshift/membership/DrainNotices.java
@@ -6,7 +6,8 @@
 import java.util.Map;
 
 /**
- * The newest drain notice of each worker. At the limit, the least recently added notice is dropped.
+ * The newest drain notice of each worker. Beyond {@link Codec#MAX_DRAIN_NOTICES}, the least recently added
+ * notice is dropped.
  */
 public final class DrainNotices {
     private final Map<String, DrainNotice> byWorker = new LinkedHashMap<>();
--- a/src/main/java/rampshift/policy/Attempt.java
+++ b/src/main/java/rampshift/policy/Attempt.java
@@ -12,7 +12,7 @@
     final Span predictedWait;
     /** The predicted wait and the predicted run. */
     final Span predictedDuration;
-    /** Null until the start is observed. */
+    /** When the worker started to run the attempt; null until that is observed. */
     Moment startedAt;
     Moment progressAt;
     /** The share of the work that is done, 0 to 1, by the last progress message. */
@@ -60,8 +60,8 @@
     }
 
     /**
-     * Returns the observed start. Where none was observed, returns the predicted one if workers don't report
-     * starts, and null if they do.
+     * Returns when the worker started to run the attempt. If that was not observed, returns null where
+     * workers report starts, and the predicted time where they don't.
      */
     Moment observedOrPredictedRunStart(boolean startsReported) {
         return startedAt != null || startsReported ? startedAt : sentAt.plus(predictedWait);
@@ -77,7 +77,7 @@
 
     /**
      * Returns the expected total running time in milliseconds, extrapolated from the reported progress; the
-     * age, which is the time since the start, if that is longer or no progress was reported.
+     * age, which is the time since the run started, if that is longer or no progress was reported.
      */
     double expectedRunMs(double ageMs) {
         return progress > 0 ? Math.max(ageMs, progressAt.since(startedAt).millis() / progress) : ageMs;
--- a/src/main/java/rampshift/policy/RedundantToIdleQueue.java
+++ b/src/main/java/rampshift/policy/RedundantToIdleQueue.java
@@ -29,7 +29,8 @@
     /**
      * Returns the next step for a task that has no attempt in flight. Samples candidates, waits for their
      * idleness tests, and sends the first attempt, with hedged copies to further idle candidates. Where no
-     * candidate is accepted, samples again up to the limit and then gives the task up.
+     * candidate is accepted, samples again, up to MAX_SAMPLES times in all, and then gives the
+     * task up.
      */
     TaskAction place(Task task) {
         if (admission.opportunityCostExceedsValue(task)) {
--- a/src/main/java/rampshift/policy/SlowStart.java
+++ b/src/main/java/rampshift/policy/SlowStart.java
@@ -26,14 +26,17 @@
     private double coldCapacityShare;
     /** Work that may be sent to cold workers, in mean runs of one slot; negative after more was sent. */
     private double creditMeanRuns;
-    /** Probability that a cold worker joins the present sample, before its warm-up factor. */
+    /** Probability that a worker joins the present sample, to be multiplied by its warm-up speed factor. */
     private double sampleProbability;
 
     SlowStart(PolicyContext context) {
         this.context = context;
     }
 
-    /** Returns the share of its full speed that the worker has by its age, above 0 and up to 1. */
+    /**
+     * Returns the worker's present speed as a fraction of its speed when warm, above 0 and at most 1. It
+     * rises linearly with the age of the worker; 1 after the slow start or if the start time is unknown.
+     */
     double warmUpSpeedFactor(Worker worker) {
         Span age = context.since(worker.startedAt);
         if (worker.startedAt.micros() <= 0 || !context.settings.slowStartDuration.longerThan(age)) {
--- a/src/main/java/rampshift/policy/WorkerEstimates.java
+++ b/src/main/java/rampshift/policy/WorkerEstimates.java
@@ -5,7 +5,10 @@
 
 /** Estimates the speed, capacity, load and queueing delay of workers, and how reliable their reports are. */
 final class WorkerEstimates {
-    /** Weight of a prior; also added to the age-dependent weight of a load report, which is at most 1. */
+    /**
+     * Weight of the prior in a mean of samples that have a weight of 0 to 1 each by their age. Also added to
+     * that weight of each load report, so that old reports still count.
+     */
     static final double BASE_WEIGHT = 0.15;
     /** Weight of the mean over a worker's kind or zone among the worker's own samples. */
     private static final double KIND_WEIGHT = 0.3;
--- a/src/main/java/rampshift/time/NextTick.java
+++ b/src/main/java/rampshift/time/NextTick.java
@@ -15,6 +15,7 @@
  * which takes two file descriptors.
  */
 public final class NextTick {
+    /** The byte that is written to the pipe to wake the thread, and into which it is read back. */
     private final ByteBuffer wakeUpByte = ByteBuffer.allocateDirect(1);
     private final ChannelPipe<StreamSourceChannel, StreamSinkChannel> pipe;
     private Runnable pending;
