--- a/src/main/java/rampshift/policy/SlowStart.java
+++ b/src/main/java/rampshift/policy/SlowStart.java
@@ -26,15 +26,18 @@
     private double coldCapacityShare;
     /** Work that may be sent to cold workers, in mean runs of one slot; negative after more was sent. */
     private double creditMeanRuns;
-    /** Probability that a cold worker joins the present sample, before its warm-up factor. */
+    /** Probability that a worker joins the present sample, to be multiplied by its warm-up speed factor. */
     private double sampleProbability;
 
     SlowStart(PolicyContext context) {
         this.context = context;
     }
 
-    /** Returns the share of its full speed that the worker has by its age, above 0 and up to 1. */
-    double warmUpFactor(Worker worker) {
+    /**
+     * Returns the worker's present speed as a fraction of its speed when warm, above 0 and at most 1. It
+     * rises linearly with the age of the worker; 1 after the slow start or if the start time is unknown.
+     */
+    double warmUpSpeedFactor(Worker worker) {
         Span age = context.since(worker.startedAt);
         if (worker.startedAt.micros() <= 0 || !context.settings.slowStartDuration.longerThan(age)) {
             return 1;
@@ -45,7 +48,7 @@
 
     /** Returns whether the worker is warm or there is credit for cold workers. */
     boolean permits(Worker worker) {
-        return warmUpFactor(worker) >= 1 || creditMeanRuns > 0;
+        return warmUpSpeedFactor(worker) >= 1 || creditMeanRuns > 0;
     }
 
     /** Sets the probability with which cold workers join a sample that takes one of this many workers. */
@@ -56,8 +59,9 @@
 
     /** Returns whether the worker joins the present sample: always if warm, at random if cold. */
     boolean joinsSample(Worker worker) {
-        return warmUpFactor(worker) >= 1
-                || (creditMeanRuns > 0 && context.random.next() < sampleProbability * warmUpFactor(worker));
+        return warmUpSpeedFactor(worker) >= 1
+                || (creditMeanRuns > 0
+                        && context.random.next() < sampleProbability * warmUpSpeedFactor(worker));
     }
 
     /**
@@ -72,7 +76,7 @@
 
     /** Spends the credit of an attempt if its worker is cold. */
     void onAttemptSent(Worker worker, double costMeanRuns) {
-        if (warmUpFactor(worker) < 1) {
+        if (warmUpSpeedFactor(worker) < 1) {
             creditMeanRuns -= costMeanRuns;
         }
     }
