--- a/src/main/java/rampshift/discovery/WatchTimings.java
+++ b/src/main/java/rampshift/discovery/WatchTimings.java
@@ -15,8 +15,8 @@
 record WatchTimings(Span pollWait, Span responseSlack, Span retryDelay, Span readInterval) {
 
     /**
-     * Maximum of the poll wait. A silent failure of the agent or the connection is detected only after the
-     * wait: a maximum of 20 s instead delayed the detection to 21 s.
+     * Longest time for which the agent may keep a poll open. A silent failure of the agent or the connection
+     * is detected only after that time: with a maximum of 20 s, the detection would take up to 21 s.
      */
     private static final Span MAX_POLL_WAIT = Span.ofMillis(1000);
     /** Maximum of the response slack, the time after the poll wait within which a response may arrive. */
--- a/src/main/java/rampshift/leases/host/RecordWriter.java
+++ b/src/main/java/rampshift/leases/host/RecordWriter.java
@@ -103,8 +103,8 @@
             }
         } catch (IOException e) {
             fail();
-            // "keeper" is the operators' word for the acceptor. From now on it doesn't vote: this dispatcher
-            // answers only Hello requests, as one without an acceptor, and keeps the leases that it holds.
+            // "keeper" is the operators' word for the acceptor. It stops voting; of lease requests only Hello
+            // is still answered. The dispatcher renews its leases while the other acceptors form a quorum.
             Log.warn("leases", "keeper", "stops", "why", e.getMessage());
             ioThread.execute(onFailure);
         } catch (RejectedExecutionException e) {
--- a/src/main/java/rampshift/policy/RedundantToIdleQueue.java
+++ b/src/main/java/rampshift/policy/RedundantToIdleQueue.java
@@ -21,8 +21,8 @@
     /** How long a task waits for the answers to its probes, in mean running times. */
     private static final double PROBE_TIMEOUT_MEAN_RUNS = 0.1;
     /**
-     * Exponent of a candidate's value share in the weight with which it is chosen at random. The value share
-     * is the value of an attempt at the candidate over that of the task.
+     * Exponent of a candidate's value share (the value of an attempt there over that of the task). The
+     * candidate's weight in the random choice is this power times the greatest listed weight of its kind.
      */
     private static final double VALUE_SHARE_EXPONENT = 6;
 
--- a/src/main/java/rampshift/policy/RetryPolicy.java
+++ b/src/main/java/rampshift/policy/RetryPolicy.java
@@ -16,8 +16,8 @@
      */
     private static final double WASTED_WORK_COST_PER_TOKEN = 0.05;
     /**
-     * Tokens for the retry of an attempt that has not started, where workers report starts. A second place in
-     * a queue wastes little work, since the first start cancels the other attempts.
+     * Tokens that a further attempt at another worker costs while the last one has not started, if workers
+     * report starts. It wastes little work, since the first start cancels the attempts that still queue.
      */
     private static final double UNSTARTED_RETRY_TOKENS = 0.1;
     /** Cost of crossing zones, in values of a mean task, above which hedges stay in the own zone. */
--- a/src/main/java/rampshift/policy/Settings.java
+++ b/src/main/java/rampshift/policy/Settings.java
@@ -48,7 +48,7 @@
     public double wastedWorkCost;
     /** Cost of opening a connection to a worker, in values of a mean task, 0 or more. */
     public double handshakeCost;
-    /** How long a connection to a worker may be idle before it is closed; zero or more. */
+    /** Idle time after which workers close a connection; until then it counts as usable; zero or more. */
     public Span connectionIdleTimeout = Span.ZERO;
     /** Time within which a dispatcher that lost its subscription has to subscribe again; zero or more. */
     public Span maxSubscribeDelay = Span.ZERO;
--- a/src/main/java/rampshift/policy/WorkerEstimates.java
+++ b/src/main/java/rampshift/policy/WorkerEstimates.java
@@ -6,8 +6,8 @@
 /** Estimates the speed, capacity, load and queueing delay of workers, and how reliable their reports are. */
 final class WorkerEstimates {
     /**
-     * Weight of the prior in a mean of samples that have a weight of 0 to 1 each by their age. Also added to
-     * that weight of each load report, so that old reports still count.
+     * Weight of the prior, the value assumed without samples, in a mean of samples weighted 0 to 1 by age.
+     * Also added to the weight by age of each load report, so that old reports still count.
      */
     static final double BASE_WEIGHT = 0.15;
     /** Weight of the mean over a worker's kind or zone among the worker's own samples. */
